--- /dev/null
+++ b/crates/memory/tests/stored.rs
@@ -0,0 +1,28 @@
+//! A file written by an earlier version is read with the same content.
+
+use shalereel::interface::Remembered;
+use shalereel_memory::Memory;
+
+/// The literals of a value in the order of its fields, without the names of types and fields, which may change.
+fn literals(value: &impl std::fmt::Debug) -> String {
+    let text = format!("{value:?}");
+    let mut words = text.split(|c: char| !(c.is_alphanumeric() || "\"._-:".contains(c)));
+    let literal = |word: &&str| {
+        let word = word.trim_end_matches(':');
+        matches!(word, "true" | "false" | "None")
+            || word.starts_with(|c: char| c.is_ascii_digit() || c == '"' || c == '-')
+    };
+    let mut line = words.by_ref().filter(literal).collect::<Vec<_>>().join(" ");
+    line.push('\n');
+    line
+}
+
+/// Guards against a renamed or moved field that changes the stored form without a word from the compiler.
+#[test]
+fn learned_state_of_an_earlier_version_is_read() {
+    let memory = Memory::read(include_bytes!("stored/memory.bin")).unwrap();
+    let fleet = Remembered { servers: Vec::new(), ..memory.remembered.clone() };
+    let mut read = literals(&(memory.at, &memory.lives, &memory.rates, &fleet));
+    read.extend(memory.remembered.servers.iter().map(literals));
+    assert_eq!(read, include_str!("stored/memory.txt"));
+}
