--- a/crates/cli/src/tables_measure.rs
+++ b/crates/cli/src/tables_measure.rs
@@ -6,7 +6,7 @@
 
 use anyhow::{Context, Result};
 use hdrhistogram::Histogram;
-use shalereel::interface::{Learned, Remembered};
+use shalereel::interface::{ServerSnapshot, Snapshot};
 use shalereel_guard::{Guard, Limits, Line as GuardLine, Pool, Server, Standing};
 use shalereel_memory::Memory;
 use shalereel_reactor::{now, MILLI};
@@ -175,20 +175,20 @@
 
 /// What is kept of so many servers, and how long it takes to say it, in microseconds.
 fn memory_cost(count: u32) -> (usize, f64) {
-    let learned = |server| Learned {
+    let learned = |server| ServerSnapshot {
         server,
-        tries: 40.0 + f64::from(server),
-        lost: 1.0,
-        answered: 60.0,
-        time: 6e9,
-        level: 1.0,
-        term: 5_000_000_000,
-        ..Learned::default()
+        attempts: 40.0 + f64::from(server),
+        failures: 1.0,
+        responses: 60.0,
+        response_time_sum: 6e9,
+        recovery: 1.0,
+        ejection_time: 5_000_000_000,
+        ..ServerSnapshot::default()
     };
     let servers = (0..count).map(learned).collect();
     let memory = Memory {
         at: 1_800_000_000_000_000_000,
-        remembered: Remembered { servers, tries: 1e4, lost: 10.0, ..Remembered::default() },
+        remembered: Snapshot { servers, attempts: 1e4, failures: 10.0, ..Snapshot::default() },
         lives: (0..count).map(|server| (server, 3)).collect(),
         rates: (0..count / 3).map(|proxy| (format!("forwarder-{proxy}"), 12.5)).collect(),
     };
--- a/crates/expect/src/fleet.rs
+++ b/crates/expect/src/fleet.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde_json::Value;
-use shalereel::brain::Brain;
-use shalereel::interface::{Digest, Event, Nanos, Order, ProxyId, ServerId, TableId};
+use shalereel::brain::Controller;
+use shalereel::interface::{Action, EndpointReport, Event, Nanos, ProxyId, ServerId, TableId};
 use shalereel_guard::{Limits, Server, Standing};
 use shalereel_store::{Keeping, Why};
 use shalereel_supervisor::{Deployment, Facts, Planted, Roster, Tables};
@@ -110,7 +110,7 @@
     let outranks = deployment.planted == Some(Planted::WayOutranks);
     let mut tables = Tables::new(facts, keeping.bounds(), outranks, !deployment.unguarded);
     let mut roster = Roster::new(&deployment.localities);
-    let mut brain = Brain::new(facts);
+    let mut brain = Controller::new(facts);
     let mut bound: BTreeMap<ProxyId, TableId> = BTreeMap::new();
     let parts = BTreeMap::new();
     let mut views = Vec::new();
@@ -119,39 +119,40 @@
         let mut events = Vec::new();
         if batch == 0 || batch == CHANGES {
             let list = listed(deployment, sizes, fleet, batch > 0);
-            events.push(Event::Roster(roster.hear(now, &list, &mut Vec::new())));
+            events.push(Event::Endpoints(roster.hear(now, &list, &mut Vec::new())));
         }
         if batch == 0 {
-            events.extend((0..facts.localities).map(|locality| Event::Joined {
+            events.extend((0..facts.locality_count).map(|locality| Event::Joined {
                 proxy: locality,
                 locality,
                 rate: 10.0,
-                standing_only: true,
+                is_new: true,
             }));
         }
         events.extend((0..fleet.servers).filter(|_| batch % 4 == 3).map(|at| {
             let answer_time = facts.operations.first().map_or(SECOND, |one| one.latency_objective) / 4;
             let (server, locality) = (1000 + at, 0);
-            Event::Digest(Digest {
+            Event::EndpointReport(EndpointReport {
                 server,
                 locality,
-                tries: 20,
-                lost: 0,
-                answer_time,
+                attempts: 20,
+                failures: 0,
+                response_time: answer_time,
                 window: SECOND,
                 load: vec![],
             })
         }));
-        events.push(Event::Fired { ctx: 1 });
+        events.push(Event::TimerFired { token: 1 });
         for order in brain.decide(now, events) {
             let order = bend(deployment, &roster, now, order);
-            if let Order::Install { proxy, table, .. } = order {
+            if let Action::AssignTable { proxy, table, .. } = order {
                 bound.insert(proxy, table);
             }
             // The channel is as wide as it takes: what is ordered is confirmed at once.
             tables.apply(&order, deployment.operations.len());
         }
-        let facts_now = Facts { roster: &roster, now, wall: 0, cold_for: facts.cold_for, parts: &parts };
+        let facts_now =
+            Facts { roster: &roster, now, wall: 0, cold_for: facts.slow_start_duration, parts: &parts };
         tables.publish(&facts_now, &Why::default());
         if batch >= CHANGES {
             let users = |table: TableId| -> BTreeSet<u16> {
@@ -169,15 +170,15 @@
 }
 
 /// Planted faults of a supervisor's orders that show without traffic.
-fn bend(deployment: &Deployment, roster: &Roster, now: Nanos, order: Order) -> Order {
+fn bend(deployment: &Deployment, roster: &Roster, now: Nanos, order: Action) -> Action {
     match (deployment.planted, order) {
-        (Some(Planted::ColdInFull), Order::Line { table, server, .. })
-            if roster.started_within(server, now, deployment.facts.cold_for) =>
+        (Some(Planted::ColdInFull), Action::SetWeight { table, server, .. })
+            if roster.started_within(server, now, deployment.facts.slow_start_duration) =>
         {
-            Order::Line { table, server, weight: 1e4 }
+            Action::SetWeight { table, server, weight: 1e4 }
         }
-        (Some(Planted::EmptyTables), Order::Line { table, server, .. }) => {
-            Order::Line { table, server, weight: 0.0 }
+        (Some(Planted::EmptyTables), Action::SetWeight { table, server, .. }) => {
+            Action::SetWeight { table, server, weight: 0.0 }
         }
         (_, order) => order,
     }
@@ -198,7 +199,7 @@
             listed: known.listed,
         })
     };
-    roster.pool(now, facts.cold_for, !facts.gone_does_not_bind).filter_map(place).collect()
+    roster.pool(now, facts.slow_start_duration, !facts.removal_is_advisory).filter_map(place).collect()
 }
 
 fn listed(deployment: &Deployment, sizes: &[f64], fleet: Fleet, changed: bool) -> Assignment {
@@ -252,5 +253,5 @@
     };
     let servers: Option<Vec<Seen>> = rows.iter().map(row).collect();
     let servers = servers.ok_or("a line lacks its locality, or is of another deployment")?;
-    Ok(View { servers, users: (0..deployment.facts.localities).collect(), at_ms: 0 })
+    Ok(View { servers, users: (0..deployment.facts.locality_count).collect(), at_ms: 0 })
 }
--- a/crates/group/src/group.rs
+++ b/crates/group/src/group.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use shalereel::interface::{Digest, Nanos};
+use shalereel::interface::{EndpointReport, Nanos};
 use thiserror::Error;
 
 use crate::choices::{assignments, drains, next_owner, Fit};
@@ -57,7 +57,7 @@
     /// A leader's snapshot stands in place of all changes up to it.
     Restored,
     /// What all others met of late.
-    Others(Vec<Digest>),
+    Others(Vec<EndpointReport>),
     Remark(String),
 }
 
@@ -303,7 +303,7 @@
     }
 
     /// Own reports of one cycle: to whoever merges them.
-    pub fn report<'a>(&mut self, reported: impl Iterator<Item = &'a Digest>) {
+    pub fn report<'a>(&mut self, reported: impl Iterator<Item = &'a EndpointReport>) {
         let Some(held) = self.duties.held(Duty::Reports) else { return };
         let (me, sums, members) = (self.charter.me, told(reported), self.seated());
         if held.holder != me {
--- a/crates/group/src/sums.rs
+++ b/crates/group/src/sums.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use shalereel::interface::{Digest, Nanos};
+use shalereel::interface::{EndpointReport, Nanos};
 
 use crate::wire::{Node, Sums};
 
@@ -68,11 +68,11 @@
 }
 
 /// A member's own reports of a cycle as a message.
-pub fn told<'a>(digests: impl Iterator<Item = &'a Digest>) -> Sums {
+pub fn told<'a>(digests: impl Iterator<Item = &'a EndpointReport>) -> Sums {
     let mut rows: BTreeMap<Key, Row> = BTreeMap::new();
     for digest in digests {
-        let (tries, lost) = (u64::from(digest.tries), u64::from(digest.lost.min(digest.tries)));
-        let time = u128::from(digest.answer_time) * u128::from(tries - lost);
+        let (tries, lost) = (u64::from(digest.attempts), u64::from(digest.failures.min(digest.attempts)));
+        let time = u128::from(digest.response_time) * u128::from(tries - lost);
         let row = Row { tries, lost, time, window: digest.window };
         rows.entry((digest.server, digest.locality)).or_default().add(&row);
     }
@@ -80,13 +80,13 @@
 }
 
 /// What others met, as if one's own forwarders of those localities had.
-pub fn digests(sums: &Sums) -> Vec<Digest> {
-    let digest = |(server, locality): Key, row: Row| Digest {
+pub fn digests(sums: &Sums) -> Vec<EndpointReport> {
+    let digest = |(server, locality): Key, row: Row| EndpointReport {
         server,
         locality,
-        tries: fits(row.tries),
-        lost: fits(row.lost),
-        answer_time: (row.time / u128::from((row.tries - row.lost).max(1))) as Nanos,
+        attempts: fits(row.tries),
+        failures: fits(row.lost),
+        response_time: (row.time / u128::from((row.tries - row.lost).max(1))) as Nanos,
         window: row.window,
         load: Vec::new(),
     };
@@ -129,8 +129,16 @@
 mod tests {
     use super::*;
 
-    fn digest(server: u32, tries: u32, lost: u32, answer_time: Nanos) -> Digest {
-        Digest { server, locality: 1, tries, lost, answer_time, window: 1_000 * MILLI, load: Vec::new() }
+    fn digest(server: u32, tries: u32, lost: u32, answer_time: Nanos) -> EndpointReport {
+        EndpointReport {
+            server,
+            locality: 1,
+            attempts: tries,
+            failures: lost,
+            response_time: answer_time,
+            window: 1_000 * MILLI,
+            load: Vec::new(),
+        }
     }
 
     #[test]
@@ -141,13 +149,13 @@
         assert_eq!(digests(&merger.take(0).0), vec![digest(7, 30, 0, 8_000_000), digest(8, 1, 1, 0)]);
         assert_eq!(digests(&merger.take(1).0), vec![digest(7, 10, 2, 4_000_000)]);
         let (sums, senders) = merger.take(2);
-        assert_eq!((digests(&sums)[0].tries, digests(&sums)[0].lost, senders), (40, 2, 2));
+        assert_eq!((digests(&sums)[0].attempts, digests(&sums)[0].failures, senders), (40, 2, 2));
         assert_eq!(digests(&merger.take(2).0), vec![], "told once");
     }
 
     #[test]
     fn a_message_is_bounded_and_keeps_losses() {
-        let many: Vec<Digest> =
+        let many: Vec<EndpointReport> =
             (0..6000).map(|server| digest(server, 5, u32::from(server == 5999), 0)).collect();
         let sums = told(many.iter());
         assert_eq!((sums.server.len(), sums.left_out), (ROWS, 6000 - ROWS as u32));
--- a/crates/guard/src/look.rs
+++ b/crates/guard/src/look.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use shalereel::interface::{Nanos, ServerId, StartupFacts};
+use shalereel::interface::{ControllerConfig, Nanos, ServerId};
 
 /// A table holds at least this part of the warm, ready servers: a third may be withdrawn, and some more be on the way.
 const LEAST: f64 = 0.5;
@@ -56,13 +56,13 @@
 }
 
 impl Limits {
-    pub fn new(facts: &StartupFacts) -> Self {
+    pub fn new(facts: &ControllerConfig) -> Self {
         Limits {
-            cold_from: facts.cold_from,
-            cold_for: facts.cold_for,
-            tip_multiple: facts.tip_multiple,
+            cold_from: facts.slow_start_capacity,
+            cold_for: facts.slow_start_duration,
+            tip_multiple: facts.overload_ratio,
             // What a table did shows within a round of reports; two are enough to know that nothing changes.
-            patience: 2 * (facts.report_cycle + facts.worst_transit),
+            patience: 2 * (facts.report_interval + facts.worst_transit),
             // Whoever makes the table has half of the grace, what the guard shuts travels in the other.
             closing: facts.drain_grace / 2,
         }
--- a/crates/memory/src/ageing.rs
+++ b/crates/memory/src/ageing.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use shalereel::interface::{Nanos, StartupFacts};
+use shalereel::interface::{ControllerConfig, Nanos};
 
 /// A memory is written once in so many report cycles: less was learned meanwhile than is lost by its age.
 const WRITTEN: Nanos = 2;
@@ -39,8 +39,8 @@
 }
 
 impl Ageing {
-    pub fn new(facts: &StartupFacts) -> Self {
-        Ageing { cycle: facts.report_cycle }
+    pub fn new(facts: &ControllerConfig) -> Self {
+        Ageing { cycle: facts.report_interval }
     }
 
     /// When a memory is written after the last one was.
--- a/crates/memory/src/lib.rs
+++ b/crates/memory/src/lib.rs
@@ -11,7 +11,7 @@
 
 pub use ageing::{Ageing, Distrust};
 use serde::{Deserialize, Serialize};
-use shalereel::interface::{Learned, Nanos, Remembered, ServerId};
+use shalereel::interface::{Nanos, ServerId, ServerSnapshot, Snapshot};
 use shalereel_journal::{bodies, JournalError};
 use thiserror::Error;
 
@@ -86,7 +86,7 @@
 pub struct Memory {
     /// When it was told, by the wall clock, since 1970.
     pub at: Nanos,
-    pub remembered: Remembered,
+    pub remembered: Snapshot,
     /// Numbers of the servers' starts: what was learned of an earlier one says nothing.
     pub lives: BTreeMap<ServerId, u64>,
     /// Invocations a second that came to proxies, by name.
@@ -96,33 +96,37 @@
 impl Memory {
     /// The body of the file, to be framed.
     pub fn encode(&self) -> Vec<u8> {
-        let part = |learned: &Learned| ServerPart {
+        let part = |learned: &ServerSnapshot| ServerPart {
             server: learned.server,
             life: self.lives.get(&learned.server).copied().unwrap_or(0),
-            tries: learned.tries as f32,
-            lost: learned.lost as f32,
-            answered: learned.answered as f32,
-            answer_time: if learned.answered > 0.0 { (learned.time / learned.answered) as u64 } else { 0 },
-            unanswered: learned.unanswered as f32,
-            felt: learned.felt as f32,
-            band: learned.band,
-            level: learned.level as f32,
-            out_for: learned.out_for,
-            silent: learned.silent,
-            term: learned.term,
+            tries: learned.attempts as f32,
+            lost: learned.failures as f32,
+            answered: learned.responses as f32,
+            answer_time: if learned.responses > 0.0 {
+                (learned.response_time_sum / learned.responses) as u64
+            } else {
+                0
+            },
+            unanswered: learned.missing_responses as f32,
+            felt: learned.applied_share as f32,
+            band: learned.health,
+            level: learned.recovery as f32,
+            out_for: learned.ejected_for,
+            silent: learned.unresponsive,
+            term: learned.ejection_time,
         };
         let told = &self.remembered;
         let second = Second {
             at: self.at,
             servers: told.servers.iter().map(part).collect(),
             fleet: FleetPart {
-                tries: told.tries,
-                lost: told.lost,
-                usual: told.usual,
-                peak: told.peak,
-                capacity: told.capacity,
-                apart_left: told.apart_left,
-                apart_for: told.apart_for,
+                tries: told.attempts,
+                lost: told.failures,
+                usual: told.usual_weight,
+                peak: told.peak_load,
+                capacity: told.load_limit,
+                apart_left: told.isolation_left,
+                apart_for: told.isolation_time,
             },
             rates: self.rates.iter().map(|(name, &rate)| (name.clone(), rate as f32)).collect(),
         };
@@ -156,46 +160,46 @@
         if figures.into_iter().chain(of_servers).any(|figure| !figure.is_finite() || figure < 0.0) {
             return Err(MemoryError::Figure);
         }
-        let learned = |part: &ServerPart| Learned {
+        let learned = |part: &ServerPart| ServerSnapshot {
             server: part.server,
-            tries: part.tries.into(),
-            lost: part.lost.into(),
-            answered: part.answered.into(),
-            time: f64::from(part.answered) * part.answer_time as f64,
-            unanswered: part.unanswered.into(),
-            felt: part.felt.into(),
-            band: part.band,
-            level: part.level.into(),
-            out_for: part.out_for,
-            silent: part.silent,
-            term: part.term,
+            attempts: part.tries.into(),
+            failures: part.lost.into(),
+            responses: part.answered.into(),
+            response_time_sum: f64::from(part.answered) * part.answer_time as f64,
+            missing_responses: part.unanswered.into(),
+            applied_share: part.felt.into(),
+            health: part.band,
+            recovery: part.level.into(),
+            ejected_for: part.out_for,
+            unresponsive: part.silent,
+            ejection_time: part.term,
         };
         let FleetPart { tries, lost, usual, peak, capacity, apart_left, apart_for } = fleet;
         Ok(Memory {
             at,
             lives: servers.iter().map(|part| (part.server, part.life)).collect(),
             rates: rates.into_iter().map(|(name, rate)| (name, rate.into())).collect(),
-            remembered: Remembered {
+            remembered: Snapshot {
                 servers: servers.iter().map(learned).collect(),
-                tries,
-                lost,
-                usual,
-                peak,
-                capacity,
-                apart_left,
-                apart_for,
+                attempts: tries,
+                failures: lost,
+                usual_weight: usual,
+                peak_load: peak,
+                load_limit: capacity,
+                isolation_left: apart_left,
+                isolation_time: apart_for,
             },
         })
     }
 
     /// What concerns servers in the lives that they have now. `life`: number of a listed server's start.
-    pub fn of_these(&self, life: impl Fn(ServerId) -> Option<u64>) -> Remembered {
-        let same = |learned: &&Learned| {
+    pub fn of_these(&self, life: impl Fn(ServerId) -> Option<u64>) -> Snapshot {
+        let same = |learned: &&ServerSnapshot| {
             let server = learned.server;
             life(server).is_some_and(|life| self.lives.get(&server) == Some(&life))
         };
         let servers = self.remembered.servers.iter().filter(same).copied().collect();
-        Remembered { servers, ..self.remembered.clone() }
+        Snapshot { servers, ..self.remembered.clone() }
     }
 }
 
--- a/crates/memory/src/tests.rs
+++ b/crates/memory/src/tests.rs
@@ -7,27 +7,27 @@
 const SECOND: Nanos = 1_000_000_000;
 
 fn memory(servers: u32) -> Memory {
-    let learned = |server| Learned {
+    let learned = |server| ServerSnapshot {
         server,
-        tries: 40.0,
-        lost: 4.0,
-        answered: 60.0,
-        time: 60.0 * 90_000_000.0,
-        unanswered: 2.5,
-        felt: 0.25,
-        band: 1,
-        level: 0.5,
-        out_for: server.is_multiple_of(5).then_some(3 * SECOND),
-        silent: true,
-        term: 10 * SECOND,
+        attempts: 40.0,
+        failures: 4.0,
+        responses: 60.0,
+        response_time_sum: 60.0 * 90_000_000.0,
+        missing_responses: 2.5,
+        applied_share: 0.25,
+        health: 1,
+        recovery: 0.5,
+        ejected_for: server.is_multiple_of(5).then_some(3 * SECOND),
+        unresponsive: true,
+        ejection_time: 10 * SECOND,
     };
     Memory {
         at: 1_700_000_000 * SECOND,
-        remembered: Remembered {
+        remembered: Snapshot {
             servers: (0..servers).map(learned).collect(),
-            tries: 100.0,
-            capacity: Some(2.0),
-            ..Remembered::default()
+            attempts: 100.0,
+            load_limit: Some(2.0),
+            ..Snapshot::default()
         },
         lives: (0..servers).map(|server| (server, 7)).collect(),
         rates: [("f-1".to_owned(), 12.5)].into(),
@@ -45,7 +45,7 @@
     assert_eq!(read, told);
     let of_these = read.of_these(|server| [Some(7), Some(8), None, Some(7)].get(server as usize).copied()?);
     assert_eq!(of_these.servers.iter().map(|one| one.server).collect::<Vec<_>>(), [0, 3]);
-    assert_eq!(of_these.tries, 100.0);
+    assert_eq!(of_these.attempts, 100.0);
 }
 
 #[test]
--- a/crates/memory/tests/stored.rs
+++ b/crates/memory/tests/stored.rs
@@ -1,6 +1,6 @@
 //! A file written by an earlier version is read with the same content.
 
-use shalereel::interface::Remembered;
+use shalereel::interface::Snapshot;
 use shalereel_memory::Memory;
 
 /// The literals of a value in the order of its fields, without the names of types and fields, which may change.
@@ -21,7 +21,7 @@
 #[test]
 fn learned_state_of_an_earlier_version_is_read() {
     let memory = Memory::read(include_bytes!("stored/memory.bin")).unwrap();
-    let fleet = Remembered { servers: Vec::new(), ..memory.remembered.clone() };
+    let fleet = Snapshot { servers: Vec::new(), ..memory.remembered.clone() };
     let mut read = literals(&(memory.at, &memory.lives, &memory.rates, &fleet));
     read.extend(memory.remembered.servers.iter().map(literals));
     assert_eq!(read, include_str!("stored/memory.txt"));
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -7,9 +7,10 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 use bytes::Bytes;
-use shalereel::brain::Brain;
+use shalereel::brain::Controller;
 use shalereel::interface::{
-    Digest, Event, Nanos, Order, ProbeEnding, ProxyId, Readiness, RosterNews, ServerId, StartupFacts,
+    Action, ControllerConfig, EndpointReport, Event, HealthCheckOutcome, Nanos, ProxyId, Readiness, ServerId,
+    WatchEvent,
 };
 use shalereel_reactor::Timers;
 
@@ -90,8 +91,8 @@
     manners: Manners,
     names: Names,
     streams: Streams,
-    brain: Brain,
-    facts: StartupFacts,
+    brain: Controller,
+    facts: ControllerConfig,
     conns: BTreeMap<C, Conn>,
     by_proxy: BTreeMap<ProxyId, C>,
     watch: Option<C>,
@@ -126,7 +127,7 @@
             manners: Manners::new(&facts, start.limits),
             names: Names::new(start.localities.clone(), start.kinds.clone()),
             streams: Streams::new(start.operations.len()),
-            brain: Brain::new(&facts),
+            brain: Controller::new(&facts),
             conns: BTreeMap::new(),
             by_proxy: BTreeMap::new(),
             watch: None,
@@ -155,14 +156,14 @@
                 let (news, faults) = core.names.take(known, clocks, None);
                 core.faults(faults, clocks.now);
                 let rows = match news {
-                    RosterNews::Full(rows) | RosterNews::Delta(rows) => rows,
+                    WatchEvent::Full(rows) | WatchEvent::Delta(rows) => rows,
                     _ => Vec::new(),
                 };
-                core.pending.push(Event::Roster(RosterNews::Cached(rows)));
+                core.pending.push(Event::Endpoints(WatchEvent::Cached(rows)));
             }
             None => {
                 core.whole = true;
-                core.pending.push(Event::Roster(RosterNews::Cached(Vec::new())));
+                core.pending.push(Event::Endpoints(WatchEvent::Cached(Vec::new())));
             }
         }
         core.timers.set(clocks.now, Due::Dial);
@@ -213,11 +214,16 @@
                     self.probed(server, &answer, &body, now - sent);
                 } else {
                     let ending = if answer.status().is_some() {
-                        ProbeEnding::Broken
+                        HealthCheckOutcome::Broken
                     } else {
-                        ProbeEnding::Unreachable
+                        HealthCheckOutcome::Unreachable
                     };
-                    self.pending.push(Event::Probed { server, ending, took: now - sent, load: Vec::new() });
+                    self.pending.push(Event::HealthChecked {
+                        server,
+                        outcome: ending,
+                        elapsed: now - sent,
+                        load: Vec::new(),
+                    });
                 }
             }
         }
@@ -324,7 +330,7 @@
                 None => self.refuse(conn, "collector of an unknown zone", now),
             },
             (Said::Hello { id, site, rps, new }, Role::Stranger) => {
-                let known = id < self.facts.proxies && rps >= 0.0 && rps.is_finite();
+                let known = id < self.facts.proxy_count && rps >= 0.0 && rps.is_finite();
                 match self.names.locality(&site).filter(|_| known) {
                     Some(locality) => self.joined(conn, id as ProxyId, locality, rps, new, now),
                     None => self.refuse(conn, "proxy that does not exist", now),
@@ -336,7 +342,7 @@
                 if self.manners.is_span(ms) && self.streams.answered(proxy, seq) {
                     held.owes_since = self.streams.owes(proxy).then_some(now);
                     let took = (ms * 1e6) as Nanos;
-                    self.pending.push(Event::Confirmed { proxy, serial: seq, took });
+                    self.pending.push(Event::Acknowledged { proxy, serial: seq, elapsed: took });
                 } else {
                     self.drop_message("answer to no mark");
                 }
@@ -353,8 +359,16 @@
                         let answer_time = (mean * 1e6) as Nanos;
                         let window = (over * 1e6) as Nanos;
                         let (tries, lost) = (count, fail);
-                        let digest = Digest { server, locality, tries, lost, answer_time, window, load };
-                        self.pending.push(Event::Digest(digest));
+                        let digest = EndpointReport {
+                            server,
+                            locality,
+                            attempts: tries,
+                            failures: lost,
+                            response_time: answer_time,
+                            window,
+                            load,
+                        };
+                        self.pending.push(Event::EndpointReport(digest));
                     }
                     _ => self.drop_message("impossible report"),
                 }
@@ -366,9 +380,15 @@
                     (Some(operation), Some(proxy)) if fail <= count && self.manners.is_span(over) => {
                         let window = (over * 1e6) as Nanos;
                         let (operation, total, lost) = (operation as u16, count, fail);
-                        self.pending.push(Event::Intake { proxy, operation, total, lost, window });
+                        self.pending.push(Event::DemandReport {
+                            proxy,
+                            operation,
+                            total,
+                            failures: lost,
+                            window,
+                        });
                     }
-                    (Some(_), None) if id < self.facts.proxies => {}
+                    (Some(_), None) if id < self.facts.proxy_count => {}
                     _ => self.drop_message("impossible report"),
                 }
             }
@@ -390,7 +410,7 @@
         }
         self.by_proxy.insert(proxy, conn);
         self.streams.join(proxy, new);
-        self.pending.push(Event::Joined { proxy, locality, rate, standing_only: new });
+        self.pending.push(Event::Joined { proxy, locality, rate, is_new: new });
         self.say(now, format!("proxy {proxy} joined{}", if new { "" } else { ", holding what it was told" }));
     }
 
@@ -419,20 +439,25 @@
             }
             (Way::Probe(server, _), Err(_)) => {
                 // A lack of descriptors of ours says nothing of the server.
-                let ending = ProbeEnding::Other;
-                self.pending.push(Event::Probed { server, ending, took: 0, load: Vec::new() });
+                let ending = HealthCheckOutcome::Other;
+                self.pending.push(Event::HealthChecked {
+                    server,
+                    outcome: ending,
+                    elapsed: 0,
+                    load: Vec::new(),
+                });
             }
         }
     }
 
     fn probed(&mut self, server: ServerId, answer: &Answer, body: &[u8], took: Nanos) {
         let ending = match answer.status() {
-            Some(200) => ProbeEnding::Answered,
-            Some(503) => ProbeEnding::Rejected,
-            _ => ProbeEnding::Errored,
+            Some(200) => HealthCheckOutcome::Answered,
+            Some(503) => HealthCheckOutcome::Rejected,
+            _ => HealthCheckOutcome::Errored,
         };
         let load = self.load(serde_json::from_slice(body).ok());
-        self.pending.push(Event::Probed { server, ending, took, load });
+        self.pending.push(Event::HealthChecked { server, outcome: ending, elapsed: took, load });
     }
 
     /// Takes in the lists that came, then the end of the watch, if it came with them.
@@ -454,7 +479,7 @@
             if full || count > 0 {
                 let kind = if full { "whole" } else { "changes" };
                 self.say(clocks.now, format!("list version {version}, {kind}: {count} servers"));
-                self.pending.push(Event::Roster(news));
+                self.pending.push(Event::Endpoints(news));
             }
         }
         if let Some(why) = end {
@@ -496,7 +521,7 @@
         let now = clocks.now;
         while let Some(due) = self.timers.due(now) {
             match due {
-                Due::Module(ctx) => self.pending.push(Event::Fired { ctx }),
+                Due::Module(token) => self.pending.push(Event::TimerFired { token }),
                 Due::JoinBy(conn) => {
                     if matches!(self.conns.get(&conn), Some(Conn { role: Role::Stranger, .. })) {
                         self.refuse(conn, "not joined in time", now);
@@ -507,8 +532,13 @@
                         let (server, took) = (*server, now - sent);
                         self.conns.remove(&conn);
                         self.effects.push(Effect::Close { conn, abrupt: true });
-                        let ending = ProbeEnding::TimedOut;
-                        self.pending.push(Event::Probed { server, ending, took, load: Vec::new() });
+                        let ending = HealthCheckOutcome::TimedOut;
+                        self.pending.push(Event::HealthChecked {
+                            server,
+                            outcome: ending,
+                            elapsed: took,
+                            load: Vec::new(),
+                        });
                     }
                 }
                 Due::Dial => {
@@ -591,20 +621,20 @@
         }
         for order in orders {
             match order {
-                Order::Remind { span, ctx } => {
-                    self.timers.set(clocks.now.saturating_add(span), Due::Module(ctx));
+                Action::SetTimer { delay, token } => {
+                    self.timers.set(clocks.now.saturating_add(delay), Due::Module(token));
                 }
-                Order::Remark(line) => {
+                Action::Log(line) => {
                     let line = self.named(&line);
                     self.say(clocks.now, line);
                 }
-                Order::Probe { server } => {
+                Action::CheckHealth { server } => {
                     let address = self.names.get(server).and_then(|server| server.address);
-                    if let Some(address) = address.filter(|_| self.facts.probes_allowed) {
+                    if let Some(address) = address.filter(|_| self.facts.health_checks_allowed) {
                         self.effects.push(Effect::Dial(Way::Probe(server, address)));
                     }
                 }
-                Order::GetList => {
+                Action::FetchEndpoints => {
                     self.whole = true;
                     match self.watch {
                         Some(conn) => self.close(conn, false, "the whole list is asked for", clocks.now),
@@ -623,12 +653,12 @@
         self.say(now, format!("the module has failed and begins anew: {why}"));
         self.anew_at = Some(self.manners.anew_at(now, self.failures));
         // So that there is a batch to begin with.
-        self.pending.push(Event::Roster(RosterNews::Delta(Vec::new())));
+        self.pending.push(Event::Endpoints(WatchEvent::Delta(Vec::new())));
     }
 
     /// A new module hears of the list and of the proxies that are joined, then of what came meanwhile.
     fn begin_anew(&mut self, now: Nanos) {
-        self.brain = Brain::new(&self.facts);
+        self.brain = Controller::new(&self.facts);
         self.streams.begin_anew();
         let mut timers = Timers::default();
         std::mem::swap(&mut timers, &mut self.timers);
@@ -638,18 +668,19 @@
             }
         }
         let lines = self.streams.unanswered(self.facts.message_overhead);
-        let mut events = vec![Event::Backlog { lines }, Event::Roster(RosterNews::Full(self.names.rows()))];
+        let mut events =
+            vec![Event::Backlog { lines }, Event::Endpoints(WatchEvent::Full(self.names.rows()))];
         let rate = 0.0;
         events.extend(self.streams.proxies().map(|proxy| Event::Joined {
             proxy,
             locality: self.facts.locality,
             rate,
-            standing_only: false,
+            is_new: false,
         }));
         let known = |event: &Event| {
             !matches!(
                 event,
-                Event::Roster(_) | Event::Joined { .. } | Event::Left { .. } | Event::Fired { .. }
+                Event::Endpoints(_) | Event::Joined { .. } | Event::Left { .. } | Event::TimerFired { .. }
             )
         };
         events.extend(std::mem::take(&mut self.pending).into_iter().filter(known));
@@ -688,7 +719,7 @@
             self.streams.bound(),
             count(Readiness::Ready),
             count(Readiness::Draining),
-            count(Readiness::Gone),
+            count(Readiness::Removed),
             self.names.version,
             if self.watch.is_some() { "" } else { ", no watch" },
             self.conns.len(),
--- a/crates/node/src/manners.rs
+++ b/crates/node/src/manners.rs
@@ -1,7 +1,7 @@
 //! Whom to refuse, how long to wait, and what may be held. Decisions, free of I/O and clock; figures are the
 //! platform's own, or ratios to the told ones.
 
-use shalereel::interface::{Nanos, StartupFacts};
+use shalereel::interface::{ControllerConfig, Nanos};
 
 use crate::start::Limits;
 
@@ -63,13 +63,13 @@
 }
 
 impl Manners {
-    pub fn new(facts: &StartupFacts, limits: Limits) -> Self {
-        let timeouts = facts.operations.iter().map(|operation| operation.integration_timeout);
+    pub fn new(facts: &ControllerConfig, limits: Limits) -> Self {
+        let timeouts = facts.operations.iter().map(|operation| operation.timeout);
         Manners {
             limits,
-            cycle: facts.report_cycle.max(1),
-            round: 2 * facts.worst_transit + facts.report_cycle,
-            drained: (facts.backlog / facts.lines_per_s.max(f64::MIN_POSITIVE) * 1e9) as Nanos,
+            cycle: facts.report_interval.max(1),
+            round: 2 * facts.worst_transit + facts.report_interval,
+            drained: (facts.channel_capacity / facts.lines_per_s.max(f64::MIN_POSITIVE) * 1e9) as Nanos,
             longest: timeouts.max().unwrap_or_default().max(1),
             grace: facts.drain_grace.max(SECOND),
         }
--- a/crates/node/src/names.rs
+++ b/crates/node/src/names.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use shalereel::interface::{Nanos, Readiness, RosterNews, RosterRow, ServerId};
+use shalereel::interface::{Endpoint, Nanos, Readiness, ServerId, WatchEvent};
 
 use crate::ages::{age, Evidence};
 use crate::words::{List, Listed, State};
@@ -15,7 +15,7 @@
 pub struct Server {
     pub name: Arc<str>,
     pub address: Option<SocketAddr>,
-    pub row: RosterRow,
+    pub row: Endpoint,
     started_ms: f64,
     /// It was not ready before and is again: someone may have shut it out meanwhile.
     pub returned: bool,
@@ -93,13 +93,13 @@
     }
 
     /// All that is known, for a module that begins anew: proxies may still hold what is gone.
-    pub fn rows(&self) -> Vec<RosterRow> {
+    pub fn rows(&self) -> Vec<Endpoint> {
         self.servers.values().map(|server| server.row).collect()
     }
 
     /// Takes a list or its changes in, and tells the module's news and what could not be read. An entry that
     /// cannot be read leaves the server as it was. `heard` is when discovery was last heard before, if it was.
-    pub fn take(&mut self, list: List, clocks: Clocks, heard: Option<Nanos>) -> (RosterNews, Vec<String>) {
+    pub fn take(&mut self, list: List, clocks: Clocks, heard: Option<Nanos>) -> (WatchEvent, Vec<String>) {
         let first_epoch_ms = *self.epoch_ms.get_or_insert(clocks.epoch_ms());
         let evidence = Evidence {
             unix_ms: clocks.unix_ms,
@@ -107,7 +107,7 @@
             since_heard: heard.map(|heard| clocks.now.saturating_sub(heard)),
         };
         let mut faults = Vec::new();
-        let mut rows: BTreeMap<ServerId, RosterRow> = BTreeMap::new();
+        let mut rows: BTreeMap<ServerId, Endpoint> = BTreeMap::new();
         for entry in list.servers {
             // Kept before the entry is read: a whole list must not drop a server whose entry is spoilt.
             let named = entry.get("id").and_then(|id| id.as_str()).and_then(|id| self.number(id));
@@ -127,13 +127,13 @@
         if list.full {
             for (number, server) in &mut self.servers {
                 if !rows.contains_key(number) {
-                    server.row.readiness = Readiness::Gone;
+                    server.row.readiness = Readiness::Removed;
                     server.left_at.get_or_insert(clocks.now);
                 }
             }
         }
         let rows = rows.into_values().collect();
-        (if list.full { RosterNews::Full(rows) } else { RosterNews::Delta(rows) }, faults)
+        (if list.full { WatchEvent::Full(rows) } else { WatchEvent::Delta(rows) }, faults)
     }
 
     /// Nothing where a server has gone that was never heard of: it came and went between two lists.
@@ -142,7 +142,7 @@
         entry: Listed,
         clocks: Clocks,
         evidence: &Evidence,
-    ) -> Result<Option<RosterRow>, String> {
+    ) -> Result<Option<Endpoint>, String> {
         let place = |list: &[String], word: &str| list.iter().position(|known| known == word);
         let Listed { id, .. } = &entry;
         let locality = place(&self.localities, &entry.zone)
@@ -161,7 +161,7 @@
                 let name: Arc<str> = Arc::from(id.as_str());
                 self.numbers.insert(name.clone(), self.last);
                 tracing::debug!(server = %name, number = self.last, "numbered");
-                let row = RosterRow { server: self.last, ..RosterRow::default() };
+                let row = Endpoint { server: self.last, ..Endpoint::default() };
                 let (started_ms, returned) = (f64::NAN, entry.started_ms > 0.0);
                 let server = Server { name, address, row, started_ms, returned, left_at: None };
                 self.servers.insert(self.last, server);
@@ -172,14 +172,14 @@
         if server.started_ms != entry.started_ms {
             // Once for each start: a step of the wall clock must not look like another.
             let age = age(entry.started_ms, evidence);
-            server.row.ready_at = age.map_or(0, |age| clocks.module().saturating_sub(age));
+            server.row.started_at = age.map_or(0, |age| clocks.module().saturating_sub(age));
             server.returned |= entry.started_ms > 0.0;
             server.started_ms = entry.started_ms;
         }
         let readiness = match entry.state {
             State::Ready => Readiness::Ready,
             State::Terminating => Readiness::Draining,
-            State::Gone => Readiness::Gone,
+            State::Gone => Readiness::Removed,
         };
         if readiness == Readiness::Ready {
             server.returned |= server.left_at.take().is_some();
@@ -187,14 +187,14 @@
             server.left_at.get_or_insert(clocks.now);
         }
         server.address = address;
-        server.row = RosterRow {
+        server.row = Endpoint {
             server: number,
             locality: locality as u16,
             kind: kind as u16,
             cell: entry.cell,
             readiness,
             weight: entry.weight,
-            ready_at: server.row.ready_at,
+            started_at: server.row.started_at,
         };
         Ok(Some(server.row))
     }
@@ -202,7 +202,7 @@
     /// Lets go of servers that have been gone since before then and that nobody needs any more, and names them.
     pub fn let_go(&mut self, before: Nanos, needed: impl Fn(ServerId) -> bool) -> Vec<ServerId> {
         let gone = |server: &Server| {
-            server.row.readiness == Readiness::Gone && server.left_at.is_some_and(|at| at < before)
+            server.row.readiness == Readiness::Removed && server.left_at.is_some_and(|at| at < before)
         };
         let found = self.iter().filter(|(number, server)| gone(server) && !needed(*number));
         let found: Vec<ServerId> = found.map(|(number, _)| number).collect();
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use serde::Deserialize;
-use shalereel::interface::StartupFacts;
+use shalereel::interface::ControllerConfig;
 use shalereel_wire::read_profile;
 use thiserror::Error;
 
@@ -68,7 +68,7 @@
     pub discovery: SocketAddr,
     pub limits: Limits,
     pub known: Option<List>,
-    pub facts: StartupFacts,
+    pub facts: ControllerConfig,
     pub operations: Vec<String>,
     pub kinds: Vec<String>,
     pub localities: Vec<String>,
--- a/crates/node/src/streams.rs
+++ b/crates/node/src/streams.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use bytes::Bytes;
-use shalereel::interface::{FurtherTry, OperationMask, Order, ProxyId, ServerId, TableId};
+use shalereel::interface::{Action, OperationMask, ProxyId, RetryPolicy, ServerId, TableId};
 use thiserror::Error;
 
 use crate::names::Names;
@@ -18,7 +18,7 @@
 #[error("impossible order: {0}")]
 pub struct Impossible(String);
 
-type Gate = (f64, FurtherTry);
+type Gate = (f64, RetryPolicy);
 
 #[derive(Clone, Debug, Default)]
 struct Table {
@@ -186,7 +186,7 @@
     /// read over.
     pub fn take(
         &mut self,
-        orders: &[Order],
+        orders: &[Action],
         names: &Names,
         classes: &[String],
     ) -> Result<Vec<(ProxyId, Bytes)>, Impossible> {
@@ -197,10 +197,10 @@
         Ok(self.tell(draft, names, classes))
     }
 
-    fn apply(&mut self, order: &Order, names: &Names, draft: &mut Draft) -> Result<(), Impossible> {
+    fn apply(&mut self, order: &Action, names: &Names, draft: &mut Draft) -> Result<(), Impossible> {
         let bad = |text: String| Err(Impossible(text));
         match *order {
-            Order::Line { table, server, weight } => {
+            Action::SetWeight { table, server, weight } => {
                 if !(weight >= 0.0 && weight.is_finite()) || table == TableId::MAX {
                     return bad(format!("{order:?}"));
                 }
@@ -216,11 +216,11 @@
                     touched.push((server, before.unwrap_or_default()));
                 }
             }
-            Order::Truncate { table } => {
+            Action::ClearTable { table } => {
                 self.tables.insert(table, Table::default());
                 draft.wiped.insert(table);
             }
-            Order::Suspend { server, on } => {
+            Action::Exclude { server, on } => {
                 if !names.was_given(server) {
                     return bad(format!("{order:?} of a server that was never listed"));
                 }
@@ -233,14 +233,14 @@
                     if on { &mut draft.shut } else { &mut draft.freed }.push(server);
                 }
             }
-            Order::Install { proxy, table, operations } if self.joined.contains_key(&proxy) => {
+            Action::AssignTable { proxy, table, operations } if self.joined.contains_key(&proxy) => {
                 self.tables.entry(table).or_default();
                 let installs = draft.installs.entry(proxy).or_insert_with(|| vec![None; self.operations]);
                 for at in of(operations, self.operations) {
                     installs[usize::from(at)] = Some(table);
                 }
             }
-            Order::Gate { table, operations, amount, further } => {
+            Action::LimitAdmission { table, operations, limit: amount, retry_policy: further } => {
                 if !(amount >= 0.0 && amount.is_finite()) {
                     return bad(format!("{order:?}"));
                 }
@@ -257,7 +257,7 @@
                 };
                 gates.extend(of(all, self.operations).map(|at| (at, (amount, further))));
             }
-            Order::FencePost { serial, everyone } => {
+            Action::RequestAck { serial, everyone } => {
                 let everyone = everyone || draft.mark.is_some_and(|(_, everyone)| everyone);
                 draft.mark = Some((serial.into(), everyone));
             }
@@ -407,12 +407,12 @@
     }
 }
 
-fn retry(further: FurtherTry) -> u8 {
+fn retry(further: RetryPolicy) -> u8 {
     match further {
-        FurtherTry::Never => 0,
-        FurtherTry::AfterProof => 1,
-        FurtherTry::Once => 2,
-        FurtherTry::Twice => 3,
+        RetryPolicy::Never => 0,
+        RetryPolicy::IfNotExecuted => 1,
+        RetryPolicy::Once => 2,
+        RetryPolicy::Twice => 3,
     }
 }
 
--- a/crates/node/tests/core.rs
+++ b/crates/node/tests/core.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use serde_json::{json, Value};
-use shalereel::interface::Order;
+use shalereel::interface::Action;
 use shalereel_node::{Clocks, Core, Effect, List, Names, Start, Streams, Way};
 
 const MS: u64 = 1_000_000;
@@ -309,7 +309,7 @@
 /// does, on the stream of then.
 #[test]
 fn a_server_that_was_let_go_and_returns_is_let_back() {
-    let orders = |orders: &[Order], streams: &mut Streams, names: &Names| {
+    let orders = |orders: &[Action], streams: &mut Streams, names: &Names| {
         let told = streams.take(orders, names, &["look".to_owned()]).unwrap();
         told.into_iter().map(|(_, bytes)| String::from_utf8(bytes.to_vec()).unwrap()).collect::<String>()
     };
@@ -322,7 +322,7 @@
     names.take(list(1, vec![server(0, "Ready"), server(1, "Ready")]), clocks(10), None);
     let mut streams = Streams::new(1);
     streams.join(4, true);
-    let told = orders(&[Order::Suspend { server: 2, on: true }], &mut streams, &names);
+    let told = orders(&[Action::Exclude { server: 2, on: true }], &mut streams, &names);
     assert!(told.contains("\"out\":[\"s1\"]"), "{told}");
     names.take(list(2, vec![server(1, "Gone")]), clocks(11), None);
     for gone in names.let_go(clocks(100).now, |_| false) {
@@ -333,8 +333,8 @@
     names.take(list(3, vec![again]), clocks(101), None);
     let number = names.number("s1").unwrap();
     let table = [
-        Order::Line { table: 0, server: number, weight: 1.0 },
-        Order::Install { proxy: 4, table: 0, operations: 0 },
+        Action::SetWeight { table: 0, server: number, weight: 1.0 },
+        Action::AssignTable { proxy: 4, table: 0, operations: 0 },
     ];
     let told = orders(&table, &mut streams, &names);
     assert!(told.contains("\"back\":[\"s1\"]"), "{told}");
@@ -357,7 +357,7 @@
     entry["started_ms"] = json!(stepped(200, 0.0).unix_ms - started * 1e3);
     names.take(list(2, vec![entry]), now, heard.map(|second| second * 1_000 * MS));
     let row = names.iter().next().unwrap().1.row;
-    (now.module() - row.ready_at) as f64 / 1e9
+    (now.module() - row.started_at) as f64 / 1e9
 }
 
 #[rstest]
--- a/crates/node/tests/streams.rs
+++ b/crates/node/tests/streams.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use serde_json::Value;
-use shalereel::interface::{FurtherTry, Order, ProxyId, ServerId, TableId};
+use shalereel::interface::{Action, ProxyId, RetryPolicy, ServerId, TableId};
 use shalereel_node::{Clocks, List, Names, Streams};
 
 const CLASSES: [&str; 2] = ["look", "buy"];
@@ -79,24 +79,24 @@
 enum Step {
     Join { proxy: ProxyId, new: bool, shut: BTreeSet<u32> },
     Break(ProxyId),
-    Orders(Vec<Order>),
+    Orders(Vec<Action>),
 }
 
-fn order() -> impl Strategy<Value = Order> {
+fn order() -> impl Strategy<Value = Action> {
     let (table, server) = (0..3 as TableId, 1..=SERVERS);
     let weight = prop_oneof![Just(0.0), Just(0.5), Just(2.0)];
     prop_oneof![
         4 => (table.clone(), server.clone(), weight)
-            .prop_map(|(table, server, weight)| Order::Line { table, server, weight }),
-        2 => (server, any::<bool>()).prop_map(|(server, on)| Order::Suspend { server, on }),
+            .prop_map(|(table, server, weight)| Action::SetWeight { table, server, weight }),
+        2 => (server, any::<bool>()).prop_map(|(server, on)| Action::Exclude { server, on }),
         3 => (0..PROXIES, table.clone(), 0..4u16)
-            .prop_map(|(proxy, table, operations)| Order::Install { proxy, table, operations }),
-        1 => table.clone().prop_map(|table| Order::Truncate { table }),
+            .prop_map(|(proxy, table, operations)| Action::AssignTable { proxy, table, operations }),
+        1 => table.clone().prop_map(|table| Action::ClearTable { table }),
         1 => (proptest::option::of(table), 0..4u16, prop_oneof![Just(1.0), Just(0.25)]).prop_map(
-            |(table, operations, amount)| Order::Gate { table, operations, amount, further: FurtherTry::AfterProof }
+            |(table, operations, amount)| Action::LimitAdmission { table, operations, limit: amount, retry_policy: RetryPolicy::IfNotExecuted }
         ),
         1 => (any::<u16>(), any::<bool>())
-            .prop_map(|(serial, everyone)| Order::FencePost { serial, everyone }),
+            .prop_map(|(serial, everyone)| Action::RequestAck { serial, everyone }),
     ]
 }
 
@@ -123,27 +123,27 @@
 }
 
 impl Model {
-    fn apply(&mut self, order: &Order) {
+    fn apply(&mut self, order: &Action) {
         match *order {
-            Order::Line { table, server, weight } => {
+            Action::SetWeight { table, server, weight } => {
                 self.lines.entry(table).or_default().insert(server, weight);
             }
-            Order::Truncate { table } => {
+            Action::ClearTable { table } => {
                 self.lines.remove(&table);
                 self.gates.retain(|(of, _), _| *of != Some(table));
             }
-            Order::Suspend { server, on: true } => {
+            Action::Exclude { server, on: true } => {
                 self.suspended.insert(server);
             }
-            Order::Suspend { server, on: false } => {
+            Action::Exclude { server, on: false } => {
                 self.suspended.remove(&server);
             }
-            Order::Install { proxy, table, operations } => {
+            Action::AssignTable { proxy, table, operations } => {
                 if let Some(bound) = self.bound.get_mut(&proxy) {
                     of(operations).for_each(|at| bound[usize::from(at)] = Some(table));
                 }
             }
-            Order::Gate { table, operations, amount, .. } => {
+            Action::LimitAdmission { table, operations, limit: amount, .. } => {
                 self.gates.extend(of(operations).map(|at| ((table, at), amount)));
             }
             _ => {}
@@ -209,12 +209,12 @@
     let (names, classes) = (names(), CLASSES.map(String::from));
     let mut streams = Streams::new(CLASSES.len());
     (0..PROXIES).for_each(|proxy| streams.join(proxy, true));
-    let line = |server, weight| Order::Line { table: 0, server, weight };
-    let install = |proxy| Order::Install { proxy, table: 0, operations: 0 };
+    let line = |server, weight| Action::SetWeight { table: 0, server, weight };
+    let install = |proxy| Action::AssignTable { proxy, table: 0, operations: 0 };
     let mut orders = vec![line(1, 1.0), line(2, 1.0)];
     orders.extend((0..PROXIES).map(install));
     assert_eq!(streams.take(&orders, &names, &classes).unwrap().len(), 3);
-    let fence = Order::FencePost { serial: 7, everyone: false };
+    let fence = Action::RequestAck { serial: 7, everyone: false };
     let told = streams.take(&[line(1, 1.0), line(2, 0.0), fence.clone()], &names, &classes).unwrap();
     let text: &[u8] = b"{\"t\":\"push\",\"lines\":[[\"s2\",0.0]],\"ticket\":7}\n";
     assert!(told.iter().all(|(_, message)| message == text && message.as_ptr() == told[0].1.as_ptr()));
--- a/crates/standins/src/forwarders.rs
+++ b/crates/standins/src/forwarders.rs
@@ -7,7 +7,7 @@
 use anyhow::Result;
 use oorandom::Rand64;
 use prost::Message as _;
-use shalereel::interface::{FurtherTry, Nanos};
+use shalereel::interface::{Nanos, RetryPolicy};
 use shalereel_group::wire::{epoch_of, HeldRange, RangesAnswer, RangesAsk, HOLD};
 use shalereel_group::{RangeLine, Tenant};
 use shalereel_reactor::{now, TimerId, Token, SECOND};
@@ -91,7 +91,7 @@
     begun: Nanos,
     at: Option<(ConnId, StreamId)>,
     timer: Option<TimerId>,
-    further: FurtherTry,
+    further: RetryPolicy,
     answer: Option<Answer>,
 }
 
@@ -110,7 +110,7 @@
     generation: u64,
     tables: Vec<Table>,
     shunned: BTreeSet<SocketAddr>,
-    further: Vec<FurtherTry>,
+    further: Vec<RetryPolicy>,
     fails: BTreeMap<SocketAddr, u32>,
     avoided: BTreeMap<SocketAddr, Nanos>,
     conns: BTreeMap<SocketAddr, ConnId>,
@@ -259,7 +259,7 @@
             generation: self.last,
             tables: (0..count).map(|_| Table { lines: lines(), admitted: 1.0, ..Table::default() }).collect(),
             shunned: BTreeSet::new(),
-            further: vec![FurtherTry::Never; count],
+            further: vec![RetryPolicy::Never; count],
             fails: BTreeMap::new(),
             avoided: BTreeMap::new(),
             conns: BTreeMap::new(),
@@ -955,7 +955,7 @@
             begun: now(),
             at: None,
             timer: None,
-            further: FurtherTry::Never,
+            further: RetryPolicy::Never,
             answer: None,
         };
         self.trials.insert(self.last, trial);
@@ -1011,14 +1011,14 @@
         let Some(trial) = self.trials.get_mut(&number) else { return };
         let (id, address, at) = (trial.forwarder, trial.address, trial.inv.operation as usize);
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
-        trial.further = if trial.inv.epoch > 0 { FurtherTry::Never } else { forwarder.further[at] };
+        trial.further = if trial.inv.epoch > 0 { RetryPolicy::Never } else { forwarder.further[at] };
         trial.begun = now();
         trial.answer = None;
         *forwarder.open.entry(address).or_default() += 1;
         let tries = trial.inv.further;
         let followed = match trial.further {
-            FurtherTry::Once => tries < 1,
-            FurtherTry::Twice => tries < 2,
+            RetryPolicy::Once => tries < 1,
+            RetryPolicy::Twice => tries < 2,
             _ => false,
         };
         let objective = self.plan.operations[at].latency_objective as f64;
@@ -1155,10 +1155,10 @@
         if let Err((_, proof)) = &result {
             let tries = trial.inv.further;
             let again = match trial.further {
-                FurtherTry::Never => false,
-                FurtherTry::AfterProof => tries < 1 && *proof,
-                FurtherTry::Once => tries < 1,
-                FurtherTry::Twice => tries < 2,
+                RetryPolicy::Never => false,
+                RetryPolicy::IfNotExecuted => tries < 1 && *proof,
+                RetryPolicy::Once => tries < 1,
+                RetryPolicy::Twice => tries < 2,
             };
             if again && now() < trial.until {
                 let (id, at) = (trial.forwarder, trial.inv.operation as usize);
--- a/crates/store/src/keeping.rs
+++ b/crates/store/src/keeping.rs
@@ -1,7 +1,7 @@
 //! How much history is kept, how often a proxy asks anew, and how many are told whole tables at once. Decisions,
 //! free of I/O and clock; times and amounts are ratios to the told ones.
 
-use shalereel::interface::{Nanos, StartupFacts};
+use shalereel::interface::{ControllerConfig, Nanos};
 
 /// What history may take: the oldest versions go as soon as one bound is passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,8 +42,8 @@
 const SPARE: f64 = 0.1;
 
 impl Keeping {
-    pub fn new(facts: &StartupFacts) -> Self {
-        Keeping::of(facts.report_cycle, facts.mean_transit, facts.backlog, facts.message_overhead)
+    pub fn new(facts: &ControllerConfig) -> Self {
+        Keeping::of(facts.report_interval, facts.mean_transit, facts.channel_capacity, facts.message_overhead)
     }
 
     /// By the report cycle, the mean transit, the lines that may wait in the channel and those that a head costs.
--- a/crates/supervisor/src/channel.rs
+++ b/crates/supervisor/src/channel.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use shalereel::interface::{Nanos, ProxyId, StartupFacts};
+use shalereel::interface::{ControllerConfig, Nanos, ProxyId};
 
 #[derive(Debug)]
 struct Message {
@@ -40,7 +40,7 @@
 }
 
 impl Channel {
-    pub fn new(facts: &StartupFacts, paced: bool) -> Self {
+    pub fn new(facts: &ControllerConfig, paced: bool) -> Self {
         Channel {
             lines_per_ns: paced.then_some(facts.lines_per_s / 1e9),
             overhead: facts.message_overhead,
--- a/crates/supervisor/src/core.rs
+++ b/crates/supervisor/src/core.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use bytes::Bytes;
-use shalereel::brain::Brain;
+use shalereel::brain::Controller;
 use shalereel::interface::{
-    Event, FurtherTry, Nanos, Order, ProbeEnding, ProxyId, RosterNews, ServerId, TableId,
+    Action, Event, HealthCheckOutcome, Nanos, ProxyId, RetryPolicy, ServerId, TableId, WatchEvent,
 };
 use shalereel_group::Fit;
 use shalereel_memory::{Ageing, Memory};
@@ -101,7 +101,7 @@
     Table(TableId, u16),
     /// An operation whose lines are a collection.
     Collection(TableId, u16),
-    Routes(Vec<FurtherTry>),
+    Routes(Vec<RetryPolicy>),
 }
 
 /// Streams of one kind that are told the same parts of what was ordered at one time.
@@ -180,7 +180,7 @@
     now: Nanos,
     wall: Nanos,
 ) -> Facts<'a> {
-    Facts { roster, now, wall, cold_for: deployment.facts.cold_for, parts }
+    Facts { roster, now, wall, cold_for: deployment.facts.slow_start_duration, parts }
 }
 
 fn view<'a>(
@@ -190,7 +190,7 @@
     bound: &'a BTreeMap<u16, TableId>,
     now: Nanos,
 ) -> View<'a> {
-    let (operations, cold_for) = (&deployment.operations[..], deployment.facts.cold_for);
+    let (operations, cold_for) = (&deployment.operations[..], deployment.facts.slow_start_duration);
     View { tables, roster, operations, bound, now, cold_for }
 }
 
@@ -237,7 +237,7 @@
 /// One supervisor.
 pub struct Core {
     deployment: Deployment,
-    brain: Brain,
+    brain: Controller,
     tables: Tables,
     channel: Channel,
     keeping: Keeping,
@@ -288,7 +288,7 @@
         let outranks = deployment.planted == Some(Planted::WayOutranks);
         let bounds = deployment.history.bounds(keeping.bounds());
         let mut core = Core {
-            brain: Brain::new(facts),
+            brain: Controller::new(facts),
             tables: Tables::new(facts, bounds, outranks, !deployment.unguarded),
             channel: Channel::new(facts, deployment.paced),
             keeping,
@@ -316,13 +316,13 @@
             shared: BTreeMap::new(),
             shared_lines: BTreeMap::new(),
             nonce: 0,
-            identity: format!("shalereel/{}", facts.supervisor),
+            identity: format!("shalereel/{}", facts.supervisor_index),
             reported: now,
             decided: None,
             deployment,
         };
         match kept.map(|kept| core.roster.recall(now, kept)) {
-            Some(Ok(news)) => core.events.push(Event::Roster(news)),
+            Some(Ok(news)) => core.events.push(Event::Endpoints(news)),
             Some(Err(error)) => {
                 core.effects.push(Effect::Odd(format!("the kept list is left unread: {error}")))
             }
@@ -342,7 +342,7 @@
     pub fn reminisce(&mut self, now: Nanos, memory: Memory) -> Result<Nanos, shalereel_memory::Distrust> {
         let away = self.ageing.away(memory.at, now + self.wall)?;
         self.memory = Some((memory, away, now));
-        if self.events.iter().any(|event| matches!(event, Event::Roster(_))) {
+        if self.events.iter().any(|event| matches!(event, Event::Endpoints(_))) {
             self.recall_servers(now);
         }
         Ok(away)
@@ -354,7 +354,7 @@
         let remembered =
             memory.of_these(|server| self.roster.place(server).map(|_| self.roster.life(server)));
         let away = away + now.saturating_sub(*begun);
-        self.events.push(Event::Recalled { remembered, away });
+        self.events.push(Event::Restored { snapshot: remembered, age: away });
         self.recalled = true;
     }
 
@@ -394,7 +394,7 @@
 
     /// Operators' orders as they stand now.
     fn ordered(&mut self, (drained, held): (BTreeSet<ServerId>, BTreeMap<ServerId, f64>)) {
-        self.events.push(Event::Roster(self.roster.order(drained)));
+        self.events.push(Event::Endpoints(self.roster.order(drained)));
         self.relisted = true;
         self.tables.agree(held);
     }
@@ -417,7 +417,7 @@
 
     /// Which servers could own a key range: warm, ready and not withdrawn by the module.
     fn fits(&self, now: Nanos) -> BTreeMap<u32, Fit> {
-        let cold_for = self.deployment.facts.cold_for;
+        let cold_for = self.deployment.facts.slow_start_duration;
         let fit = |(server, locality, ready): (ServerId, u16, bool)| {
             let warm = !self.roster.started_within(server, now, cold_for);
             let ready = ready && !self.tables.suspended(server);
@@ -458,7 +458,8 @@
             let locality = self.roster.locality(&node.zone).unwrap_or(0);
             let first = self.loads.insert(peer, proxy.map(|proxy| (proxy, locality)));
             if first == Some(None) {
-                let answer = LoadAnswer { interval: self.deployment.facts.report_cycle, by_endpoint: true };
+                let answer =
+                    LoadAnswer { interval: self.deployment.facts.report_interval, by_endpoint: true };
                 self.effects.push(Effect::Say { peer, message: frame(&answer.encode()) });
             }
         }
@@ -544,7 +545,7 @@
             None => node.rate,
         };
         let standing_only = node.standing_only;
-        self.events.push(Event::Joined { proxy, locality, rate, standing_only });
+        self.events.push(Event::Joined { proxy, locality, rate, is_new: standing_only });
         Ok(proxy)
     }
 
@@ -589,7 +590,7 @@
                 self.relisted = true;
                 // A balancer's own members are no news, thousands of them at its start.
                 if word.itself || word.quiesce || !word.there {
-                    self.events.push(Event::Roster(news));
+                    self.events.push(Event::Endpoints(news));
                 }
             }
             Outcome::Taken => {
@@ -654,7 +655,7 @@
         if let Some(&number) = self.numbers.get(id) {
             return Ok(number);
         }
-        let most = self.deployment.facts.proxies as usize;
+        let most = self.deployment.facts.proxy_count as usize;
         if self.proxies.len() >= 2 * most {
             let text = format!("{} proxies are joined, twice what the deployment is for", self.proxies.len());
             return Err(Status::new(Code::ResourceExhausted, text));
@@ -675,7 +676,7 @@
             for outcome in self.advice.closed(peer) {
                 if let Outcome::Member(word) = outcome {
                     let news = self.roster.member(self.decided.unwrap_or(0), &word);
-                    self.events.extend(word.itself.then_some(Event::Roster(news)));
+                    self.events.extend(word.itself.then_some(Event::Endpoints(news)));
                 }
             }
             self.proxies.iter().find(|(_, proxy)| proxy.peer == peer).map(|(&id, _)| id)
@@ -698,13 +699,13 @@
         self.effects.extend(odd.into_iter().map(|text| Effect::Odd(format!("the list: {text}; left out"))));
         self.effects.push(Effect::Remember);
         self.relisted = true;
-        self.events.push(Event::Roster(news));
+        self.events.push(Event::Endpoints(news));
         self.recall_servers(now);
     }
 
     /// The registry does not answer, or its stream broke.
     pub fn list_failed(&mut self) {
-        self.events.push(Event::Roster(RosterNews::Failed));
+        self.events.push(Event::Endpoints(WatchEvent::Failed));
     }
 
     /// The list as last heard, for [`Core::new`] after a restart.
@@ -712,8 +713,8 @@
         self.roster.remember()
     }
 
-    pub fn probed(&mut self, server: ServerId, ending: ProbeEnding, took: Nanos) {
-        self.events.push(Event::Probed { server, ending, took, load: Vec::new() });
+    pub fn probed(&mut self, server: ServerId, ending: HealthCheckOutcome, took: Nanos) {
+        self.events.push(Event::HealthChecked { server, outcome: ending, elapsed: took, load: Vec::new() });
     }
 
     /// The most lines that ever waited in the channel, and those that wait now.
@@ -730,7 +731,7 @@
         let batch = self.decided.map_or(0, |at| at + self.deployment.tick);
         let pending = (!self.events.is_empty()).then_some(batch);
         let timer = self.timers.keys().next().map(|key| key.0.max(batch));
-        let cycle = self.reported + self.deployment.facts.report_cycle;
+        let cycle = self.reported + self.deployment.facts.report_interval;
         let again = self.proxies.values().filter_map(|proxy| proxy.again_at).min();
         let group = self.shared_with.as_ref().map(Shared::next);
         let tellings = self.proxies.values().flat_map(|proxy| proxy.telling.values());
@@ -744,7 +745,7 @@
     /// One turn: a batch for the module if one is due, and all that has left the channel. `blocked` tells which
     /// peers have not taken what was written before.
     pub fn turn(&mut self, now: Nanos, blocked: impl Fn(Peer) -> bool) -> Vec<Effect> {
-        if now >= self.reported + self.deployment.facts.report_cycle {
+        if now >= self.reported + self.deployment.facts.report_interval {
             self.reported = now;
             let reports = self.reports.take();
             if let Some(shared) = &mut self.shared_with {
@@ -754,7 +755,7 @@
             }
             self.rates.clear();
             for report in &reports {
-                if let Event::Intake { proxy, total, window, .. } = report {
+                if let Event::DemandReport { proxy, total, window, .. } = report {
                     let a_second = f64::from(*total) * 1e9 / (*window).max(1) as f64;
                     *self.rates.entry(*proxy).or_default() += a_second;
                 }
@@ -769,7 +770,7 @@
         self.group_turn(now);
         if self.decided.is_none_or(|at| now >= at + self.deployment.tick) {
             while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
-                self.events.push(Event::Fired { ctx: entry.remove() });
+                self.events.push(Event::TimerFired { token: entry.remove() });
             }
             if !self.events.is_empty() {
                 self.decided = Some(now);
@@ -871,33 +872,33 @@
     }
 
     /// Carries one reply out: state first, then one message for each proxy concerned.
-    fn carry_out(&mut self, now: Nanos, orders: Vec<Order>) {
+    fn carry_out(&mut self, now: Nanos, orders: Vec<Action>) {
         let mut lines: BTreeMap<ProxyId, f64> = BTreeMap::new();
         let (mut serial, mut everyone) = (None, false);
         let mut remarks: Vec<String> = Vec::new();
         let mut installed = false;
         for order in self.planted(now, orders) {
             match order {
-                Order::Remind { span, ctx } => {
+                Action::SetTimer { delay, token } => {
                     self.nonce += 1;
-                    self.timers.insert((now + span.max(1), self.nonce), ctx);
+                    self.timers.insert((now + delay.max(1), self.nonce), token);
                 }
-                Order::Probe { server } => {
+                Action::CheckHealth { server } => {
                     let address = self.roster.place(server).map(|place| place.address);
                     self.effects.extend(address.map(|address| Effect::Probe { server, address }));
                 }
-                Order::Remark(line) => {
+                Action::Log(line) => {
                     remarks.push(line.clone());
                     self.effects.push(Effect::Remark(line));
                 }
-                Order::Listen { on } => self.effects.push(Effect::Listen(on)),
-                Order::GetList => self.effects.push(Effect::AskList),
+                Action::WatchEndpoints { on } => self.effects.push(Effect::Listen(on)),
+                Action::FetchEndpoints => self.effects.push(Effect::AskList),
                 // No peer message is ordered by the module as it stands; supervisors share nothing.
-                Order::Mail { .. } => {}
-                Order::FencePost { serial: number, everyone: all } => {
+                Action::SendToPeer { .. } => {}
+                Action::RequestAck { serial: number, everyone: all } => {
                     (serial, everyone) = (Some(number), all)
                 }
-                Order::Install { proxy, table, operations: mask } => {
+                Action::AssignTable { proxy, table, operations: mask } => {
                     let Some(member) = self.proxies.get_mut(&proxy) else { continue };
                     let chosen = (0..self.deployment.operations.len() as u16)
                         .filter(|at| mask == 0 || mask & (1 << at) != 0);
@@ -972,32 +973,38 @@
     }
 
     /// Orders as a supervisor with a planted fault would give them; as they are in service.
-    fn planted(&self, now: Nanos, orders: Vec<Order>) -> Vec<Order> {
+    fn planted(&self, now: Nanos, orders: Vec<Action>) -> Vec<Action> {
         let Some(fault) = self.deployment.planted else { return orders };
-        let cold = |server| self.roster.started_within(server, now, self.deployment.facts.cold_for);
-        let bend = |order: Order| match (fault, order) {
-            (Planted::DropSuspensions, Order::Suspend { .. }) => vec![],
-            (Planted::DropSuspensions, Order::Line { server, weight, .. })
+        let cold =
+            |server| self.roster.started_within(server, now, self.deployment.facts.slow_start_duration);
+        let bend = |order: Action| match (fault, order) {
+            (Planted::DropSuspensions, Action::Exclude { .. }) => vec![],
+            (Planted::DropSuspensions, Action::SetWeight { server, weight, .. })
                 if weight == 0.0 && self.roster.draining(server) =>
             {
                 vec![]
             }
-            (Planted::RepeatAll, Order::Gate { table, operations, amount, .. }) => {
-                vec![Order::Gate { table, operations, amount, further: FurtherTry::Twice }]
+            (Planted::RepeatAll, Action::LimitAdmission { table, operations, limit: amount, .. }) => {
+                vec![Action::LimitAdmission {
+                    table,
+                    operations,
+                    limit: amount,
+                    retry_policy: RetryPolicy::Twice,
+                }]
             }
-            (Planted::ColdInFull, Order::Line { table, server, .. }) if cold(server) => {
-                vec![Order::Line { table, server, weight: 1e4 }]
+            (Planted::ColdInFull, Action::SetWeight { table, server, .. }) if cold(server) => {
+                vec![Action::SetWeight { table, server, weight: 1e4 }]
             }
-            (Planted::EmptyTables, Order::Line { table, server, .. }) => {
-                vec![Order::Line { table, server, weight: 0.0 }]
+            (Planted::EmptyTables, Action::SetWeight { table, server, .. }) => {
+                vec![Action::SetWeight { table, server, weight: 0.0 }]
             }
             (_, order) => vec![order],
         };
-        let mut orders: Vec<Order> = orders.into_iter().flat_map(bend).collect();
+        let mut orders: Vec<Action> = orders.into_iter().flat_map(bend).collect();
         if fault == Planted::Flood {
             orders.extend(self.tables.lines(0).map(|(server, weight)| {
                 let weight = if weight > 1.2 { 1.0 } else { 1.3 };
-                Order::Line { table: 0, server, weight }
+                Action::SetWeight { table: 0, server, weight }
             }));
         }
         orders
@@ -1042,8 +1049,8 @@
             collections.insert(table);
         }
         let operations = 0..self.deployment.operations.len() as u16;
-        let ways: Vec<FurtherTry> = operations
-            .map(|at| tables.get(&at).map_or(FurtherTry::Never, |&table| self.tables.further(table, at)))
+        let ways: Vec<RetryPolicy> = operations
+            .map(|at| tables.get(&at).map_or(RetryPolicy::Never, |&table| self.tables.further(table, at)))
             .collect();
         let number = ways.iter().fold(1, |sum, &way| sum * 4 + way as u64);
         let routed = !tables.is_empty() && stream.serving.wants(types::ROUTES, LISTENER);
@@ -1249,10 +1256,10 @@
         let Some(proxy) = self.proxies.get_mut(&id) else { return };
         while proxy.said.front().is_some_and(Said::answered) {
             let serials = proxy.said.pop_front().map(|said| said.serials).unwrap_or_default();
-            self.events.extend(serials.into_iter().map(|(serial, ordered)| Event::Confirmed {
+            self.events.extend(serials.into_iter().map(|(serial, ordered)| Event::Acknowledged {
                 proxy: id,
                 serial: serial.into(),
-                took: now.saturating_sub(ordered),
+                elapsed: now.saturating_sub(ordered),
             }));
         }
     }
--- a/crates/supervisor/src/daemon.rs
+++ b/crates/supervisor/src/daemon.rs
@@ -9,7 +9,7 @@
 
 use anyhow::{Context, Result};
 use prost::Message;
-use shalereel::interface::{Nanos, ProbeEnding, ServerId};
+use shalereel::interface::{HealthCheckOutcome, Nanos, ServerId};
 use shalereel_group::wire::{CONTROL, HOLD, SPEAK};
 use shalereel_group::{encode, Recovered, HEAD};
 use shalereel_memory::{Memory, MemoryError};
@@ -143,11 +143,11 @@
     };
     let facts = &deployment.facts;
     let node = NodeFacts {
-        id: format!("supervisor-{}", facts.supervisor),
+        id: format!("supervisor-{}", facts.supervisor_index),
         zone: deployment.localities[usize::from(facts.locality)].clone(),
         ..NodeFacts::default()
     };
-    let pushed = !facts.membership_on_request;
+    let pushed = !facts.polls_endpoints;
     let mut daemon = Daemon {
         core: Core::new(deployment.clone(), now(), list.as_deref()),
         hub,
@@ -180,7 +180,7 @@
     daemon.reminisce(nudge);
     // What opens the list's stream, whenever it is dialled.
     daemon.list.want(types::ASSIGNMENT, [FLEET.to_owned()]);
-    tracing::info!(%address, supervisor = daemon.deployment.facts.supervisor, "serving");
+    tracing::info!(%address, supervisor = daemon.deployment.facts.supervisor_index, "serving");
     ready([address].into_iter().chain(sasp).chain(admin).collect())?;
     if pushed {
         daemon.dial();
@@ -348,7 +348,8 @@
                 Some(Call::ToMember(_)) => {}
                 Some(&Call::Probe(server)) => {
                     let serving = HealthAnswer::decode(message).is_ok_and(|answer| answer.status == 1);
-                    let ending = if serving { ProbeEnding::Answered } else { ProbeEnding::Rejected };
+                    let ending =
+                        if serving { HealthCheckOutcome::Answered } else { HealthCheckOutcome::Rejected };
                     self.probe_over(conn, server, ending);
                 }
                 None => {}
@@ -369,7 +370,7 @@
             Input::Due(Key::Keep) => self.keep(),
             Input::Due(Key::ProbeLate(conn)) => {
                 if let Some(&(server, _)) = self.probes.get(&conn) {
-                    self.probe_over(conn, server, ProbeEnding::TimedOut);
+                    self.probe_over(conn, server, HealthCheckOutcome::TimedOut);
                 }
             }
             Input::Nudged => self.nudged(),
@@ -440,7 +441,7 @@
                 self.hub.close(conn, false);
                 self.registry_lost(why);
             }
-            Some(Call::Probe(server)) => self.probe_over(conn, server, ProbeEnding::Errored),
+            Some(Call::Probe(server)) => self.probe_over(conn, server, HealthCheckOutcome::Errored),
             Some(Call::ToMember(member)) => self.member_lost(member),
             Some(Call::Tenant(peer) | Call::Operator(peer)) => {
                 self.peers.remove(&peer);
@@ -466,7 +467,7 @@
             self.registry_lost(why);
         }
         if let Some(&(server, _)) = self.probes.get(&conn) {
-            self.probe_over(conn, server, ProbeEnding::Unreachable);
+            self.probe_over(conn, server, HealthCheckOutcome::Unreachable);
         }
     }
 
@@ -636,7 +637,7 @@
         }
         tracing::warn!(why, "the registry's stream is lost");
         self.core.list_failed();
-        if !self.deployment.facts.membership_on_request {
+        if !self.deployment.facts.polls_endpoints {
             self.hub.set(self.patience.list_again(now()), Key::Dial);
         }
     }
@@ -681,14 +682,14 @@
             Some((conn, stream))
         });
         let Some((conn, stream)) = called else {
-            return self.core.probed(server, ProbeEnding::Unreachable, 0);
+            return self.core.probed(server, HealthCheckOutcome::Unreachable, 0);
         };
         self.calls.insert((conn, stream), Call::Probe(server));
         self.probes.insert(conn, (server, now()));
         self.hub.set(self.patience.probed_by(now()), Key::ProbeLate(conn));
     }
 
-    fn probe_over(&mut self, conn: ConnId, server: ServerId, ending: ProbeEnding) {
+    fn probe_over(&mut self, conn: ConnId, server: ServerId, ending: HealthCheckOutcome) {
         if let Some((_, begun)) = self.probes.remove(&conn) {
             self.calls.retain(|(of, _), _| *of != conn);
             self.hub.close(conn, false);
--- a/crates/supervisor/src/deployment.rs
+++ b/crates/supervisor/src/deployment.rs
@@ -9,7 +9,8 @@
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use shalereel::interface::{
-    Admission, Effect, ListedSize, LoadColumn, LoadSource, Nanos, Operation, RepeatScope, StartupFacts,
+    AdmissionMode, ControllerConfig, DeduplicationScope, Idempotency, ListedCapacity, LoadColumn, LoadSource,
+    Nanos, Operation,
 };
 use shalereel_group::wire::{Duty, Seat};
 use shalereel_group::{Charter, Told};
@@ -272,7 +273,7 @@
     pub localities: Vec<String>,
     /// Does the channel keep to its pace? Off only to measure what the rest costs.
     pub paced: bool,
-    pub facts: StartupFacts,
+    pub facts: ControllerConfig,
     pub planted: Option<Planted>,
     /// No guard looks at tables. Never in service.
     pub unguarded: bool,
@@ -333,7 +334,7 @@
         &self,
         shared: &SharedFile,
         told: &File,
-        facts: &StartupFacts,
+        facts: &ControllerConfig,
     ) -> Result<(Charter, u32), FileError> {
         let at = |key| ("shared", 0, key);
         if let Some(address) = shared.members.iter().find(|address| !address.ip().is_loopback()) {
@@ -430,25 +431,29 @@
             let latency_objective =
                 check.span(place("latency_objective_ms"), operation.latency_objective_ms, 1.0)?;
             operations.push(Operation {
-                effect: match operation.effect {
-                    EffectFile::Idempotent => Effect::Idempotent,
-                    EffectFile::Fingerprinted => Effect::Fingerprinted,
-                    EffectFile::SideEffecting => Effect::SideEffecting,
+                idempotency: match operation.effect {
+                    EffectFile::Idempotent => Idempotency::Idempotent,
+                    EffectFile::Fingerprinted => Idempotency::Keyed,
+                    EffectFile::SideEffecting => Idempotency::NonIdempotent,
                 },
-                repeat_scope: match operation.repeat_scope {
-                    ScopeFile::Everywhere => RepeatScope::Everywhere,
-                    ScopeFile::Locality => RepeatScope::Locality,
-                    ScopeFile::Cell => RepeatScope::Cell,
+                deduplication_scope: match operation.repeat_scope {
+                    ScopeFile::Everywhere => DeduplicationScope::Everywhere,
+                    ScopeFile::Locality => DeduplicationScope::Locality,
+                    ScopeFile::Cell => DeduplicationScope::Cell,
                 },
-                repeat_window: check.span(place("repeat_window_ms"), operation.repeat_window_ms, 0.0)?,
+                deduplication_window: check.span(
+                    place("repeat_window_ms"),
+                    operation.repeat_window_ms,
+                    0.0,
+                )?,
                 latency_objective,
-                integration_timeout: check.span(
+                timeout: check.span(
                     place("integration_timeout_ms"),
                     operation.integration_timeout_ms,
                     operation.latency_objective_ms,
                 )?,
-                billed_value: check.within(place("billed_value"), operation.billed_value, (0.0, 1e6))?,
-                home_only: false,
+                priority_weight: check.within(place("billed_value"), operation.billed_value, (0.0, 1e6))?,
+                local_only: false,
                 writes: !matches!(operation.effect, EffectFile::Idempotent),
             });
         }
@@ -458,50 +463,50 @@
         let proxy = |key| ("forwarders", 0, key);
         let overhead = check.within(at("message_overhead"), channel.message_overhead, (0.0, 1e6))?;
         let worst_transit = check.span(at("worst_transit_ms"), channel.worst_transit_ms, 0.0)?;
-        let facts = StartupFacts {
+        let facts = ControllerConfig {
             seed: told.seed,
-            supervisor: told.supervisor,
-            supervisors: told.supervisors,
+            supervisor_index: told.supervisor,
+            supervisor_count: told.supervisors,
             locality: locality as u16,
-            localities: told.localities.len() as u16,
+            locality_count: told.localities.len() as u16,
             operations,
-            membership_on_request: matches!(told.list.membership, MembershipFile::Asked),
-            admission: match forwarders.admission {
-                AdmissionFile::Ignored => Admission::Ignored,
-                AdmissionFile::Ratio => Admission::Ratio,
+            polls_endpoints: matches!(told.list.membership, MembershipFile::Asked),
+            admission_mode: match forwarders.admission {
+                AdmissionFile::Ignored => AdmissionMode::Ignored,
+                AdmissionFile::Ratio => AdmissionMode::Ratio,
             },
-            load_source: LoadSource::Digest,
+            load_source: LoadSource::Reports,
             load_columns: vec![LoadColumn::Cpu],
-            probes_allowed: true,
-            listed_size: match told.list.sizes {
-                SizesFile::Untold => ListedSize::Untold,
-                SizesFile::Rough => ListedSize::Rough,
-                SizesFile::Nominal => ListedSize::Nominal,
+            health_checks_allowed: true,
+            listed_capacity: match told.list.sizes {
+                SizesFile::Untold => ListedCapacity::Unknown,
+                SizesFile::Rough => ListedCapacity::Approximate,
+                SizesFile::Nominal => ListedCapacity::Nominal,
             },
-            proxies: check.within(proxy("count"), forwarders.count.into(), (1.0, 60_000.0))? as u32,
-            backlog: check.within(at("backlog"), channel.backlog, (overhead + 2.0, 1e9))?,
+            proxy_count: check.within(proxy("count"), forwarders.count.into(), (1.0, 60_000.0))? as u32,
+            channel_capacity: check.within(at("backlog"), channel.backlog, (overhead + 2.0, 1e9))?,
             lines_per_s: check.within(at("lines_per_s"), channel.lines_per_s, (1.0, 1e9))?,
             message_overhead: overhead,
-            report_cycle: check.span(proxy("report_cycle_ms"), forwarders.report_cycle_ms, 10.0)?,
-            empty_for: check.span(rule("empty_for_ms"), rules.empty_for_ms, 0.0)?,
+            report_interval: check.span(proxy("report_cycle_ms"), forwarders.report_cycle_ms, 10.0)?,
+            max_unserved_time: check.span(rule("empty_for_ms"), rules.empty_for_ms, 0.0)?,
             first_wait: check.within(proxy("first_wait"), forwarders.first_wait, (0.0, 100.0))?,
-            fails_to_avoid: forwarders.fails_to_avoid,
+            failures_to_avoid: forwarders.fails_to_avoid,
             slices: 0,
             sole_owner: false,
-            tenure: 0,
+            lease_duration: 0,
             in_flight_max: 0,
             mean_transit: check.span(at("mean_transit_ms"), channel.mean_transit_ms, 0.0)?,
             worst_transit,
-            messages_max: channel.messages_max,
-            messages_over: check.span(at("messages_over_ms"), channel.messages_over_ms, 0.0)?,
+            message_limit: channel.messages_max,
+            message_limit_window: check.span(at("messages_over_ms"), channel.messages_over_ms, 0.0)?,
             retry_default: 0,
-            ask_every: check.span(("list", 0, "ask_every_ms"), told.list.ask_every_ms, 0.0)?,
-            cold_from: check.within(rule("cold_from"), rules.cold_from, (0.001, 1.0))?,
-            cold_for: check.span(rule("cold_for_ms"), rules.cold_for_ms, 0.0)?,
-            tip_multiple: check.within(rule("tip_multiple"), rules.tip_multiple, (1.0, 1e6))?,
-            tip_after: check.span(rule("tip_after_ms"), rules.tip_after_ms, 0.0)?,
+            poll_interval: check.span(("list", 0, "ask_every_ms"), told.list.ask_every_ms, 0.0)?,
+            slow_start_capacity: check.within(rule("cold_from"), rules.cold_from, (0.001, 1.0))?,
+            slow_start_duration: check.span(rule("cold_for_ms"), rules.cold_for_ms, 0.0)?,
+            overload_ratio: check.within(rule("tip_multiple"), rules.tip_multiple, (1.0, 1e6))?,
+            overload_delay: check.span(rule("tip_after_ms"), rules.tip_after_ms, 0.0)?,
             drain_grace: check.span(rule("drain_grace_ms"), rules.drain_grace_ms, 0.0)?,
-            gone_does_not_bind: rules.gone_does_not_bind,
+            removal_is_advisory: rules.gone_does_not_bind,
         };
         let (kept, place) = (&told.tables, |key| ("tables", 0, key));
         let within =
--- a/crates/supervisor/src/patience.rs
+++ b/crates/supervisor/src/patience.rs
@@ -1,7 +1,7 @@
 //! How long a supervisor waits for others, and what they may cost it. Decisions, free of I/O and clock; times
 //! are ratios to the told ones.
 
-use shalereel::interface::{Nanos, StartupFacts};
+use shalereel::interface::{ControllerConfig, Nanos};
 
 /// What to do with a proxy that turns messages down or does not answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,9 +46,9 @@
 const ASKS: u32 = 16;
 
 impl Patience {
-    pub fn new(facts: &StartupFacts) -> Self {
-        let drained = (facts.backlog / facts.lines_per_s * 1e9) as Nanos;
-        let cycle = facts.report_cycle;
+    pub fn new(facts: &ControllerConfig) -> Self {
+        let drained = (facts.channel_capacity / facts.lines_per_s * 1e9) as Nanos;
+        let cycle = facts.report_interval;
         Patience { cycle, round: 2 * facts.worst_transit + cycle, drained }
     }
 
--- a/crates/supervisor/src/reports.rs
+++ b/crates/supervisor/src/reports.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use shalereel::interface::{Digest, Event, LocalityId, Nanos, ProxyId, ServerId};
+use shalereel::interface::{EndpointReport, Event, LocalityId, Nanos, ProxyId, ServerId};
 use shalereel_xds::LoadReport;
 
 use crate::roster::Roster;
@@ -84,24 +84,25 @@
     /// The cycle's sums as events, and a new cycle.
     pub fn take(&mut self) -> Vec<Event> {
         let met = std::mem::take(&mut self.met).into_iter().map(|((server, locality), met)| {
-            Event::Digest(Digest {
+            Event::EndpointReport(EndpointReport {
                 server,
                 locality,
-                tries: count(met.succeeded.saturating_add(met.errored)),
-                lost: count(met.errored),
-                answer_time: (met.time / u128::from(met.timed.max(1))).min(Nanos::MAX.into()) as Nanos,
+                attempts: count(met.succeeded.saturating_add(met.errored)),
+                failures: count(met.errored),
+                response_time: (met.time / u128::from(met.timed.max(1))).min(Nanos::MAX.into()) as Nanos,
                 window: met.window,
                 load: met.cpu.into_iter().collect(),
             })
         });
-        let came =
-            std::mem::take(&mut self.came).into_iter().map(|((proxy, operation), came)| Event::Intake {
+        let came = std::mem::take(&mut self.came).into_iter().map(|((proxy, operation), came)| {
+            Event::DemandReport {
                 proxy,
                 operation,
                 total: count(came.total),
-                lost: count(came.lost),
+                failures: count(came.lost),
                 window: came.window,
-            });
+            }
+        });
         met.chain(came).collect()
     }
 }
--- a/crates/supervisor/src/roster.rs
+++ b/crates/supervisor/src/roster.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
-use shalereel::interface::{Nanos, Readiness, RosterNews, RosterRow, ServerId};
+use shalereel::interface::{Endpoint, Nanos, Readiness, ServerId, WatchEvent};
 use shalereel_guard::Standing;
 use shalereel_xds::{Assignment, Health};
 
@@ -59,7 +59,7 @@
     }
 
     /// Takes a whole list. Rows without facts or of an unknown zone are left out and named in `odd`.
-    pub fn hear(&mut self, now: Nanos, list: &Assignment, odd: &mut Vec<String>) -> RosterNews {
+    pub fn hear(&mut self, now: Nanos, list: &Assignment, odd: &mut Vec<String>) -> WatchEvent {
         let mut present = BTreeSet::new();
         for row in &list.rows {
             let known = self.localities.contains(&row.zone);
@@ -96,7 +96,7 @@
             self.closings += u64::from(place.listed && !place.draining);
             place.listed = false;
         }
-        RosterNews::Full(self.rows())
+        WatchEvent::Full(self.rows())
     }
 
     fn settle(&mut self, server: ServerId, place: Place) {
@@ -113,7 +113,7 @@
 
     /// What a member of the second front says. A registry's word that a server drains or is gone stands above
     /// it; a member's word that it takes nothing new stands above a registry's that it is ready.
-    pub fn member(&mut self, now: Nanos, member: &MemberWord) -> RosterNews {
+    pub fn member(&mut self, now: Nanos, member: &MemberWord) -> WatchEvent {
         let MemberWord { address, ref zone, itself, there, quiesce } = *member;
         if there && quiesce {
             self.quiesced.insert(address);
@@ -147,25 +147,25 @@
             }
             _ => {}
         }
-        RosterNews::Full(self.rows())
+        WatchEvent::Full(self.rows())
     }
 
     /// Operators drain these and no others.
-    pub fn order(&mut self, drained: BTreeSet<ServerId>) -> RosterNews {
+    pub fn order(&mut self, drained: BTreeSet<ServerId>) -> WatchEvent {
         self.ordered = drained;
-        RosterNews::Full(self.rows())
+        WatchEvent::Full(self.rows())
     }
 
     /// Of each listed server: number, locality, ready and neither draining nor ordered to.
     pub fn servers(&self) -> Vec<(ServerId, u16, bool)> {
-        let ready = |row: &RosterRow| row.readiness == Readiness::Ready;
+        let ready = |row: &Endpoint| row.readiness == Readiness::Ready;
         self.rows().iter().map(|row| (row.server, row.locality, ready(row))).collect()
     }
 
-    fn rows(&self) -> Vec<RosterRow> {
+    fn rows(&self) -> Vec<Endpoint> {
         let listed = self.places.iter().filter(|(_, place)| place.listed);
         listed
-            .map(|(&server, place)| RosterRow {
+            .map(|(&server, place)| Endpoint {
                 server,
                 locality: self.locality(&place.zone).unwrap_or(0),
                 kind: place.kind,
@@ -178,7 +178,7 @@
                     false => Readiness::Ready,
                 },
                 weight: place.weight,
-                ready_at: place.ready_at,
+                started_at: place.ready_at,
             })
             .collect()
     }
@@ -248,12 +248,12 @@
     }
 
     /// The list as kept by an earlier run. A start in the future of this clock is a start just now.
-    pub fn recall(&mut self, now: Nanos, kept: &[u8]) -> Result<RosterNews, serde_json::Error> {
+    pub fn recall(&mut self, now: Nanos, kept: &[u8]) -> Result<WatchEvent, serde_json::Error> {
         let places: BTreeMap<ServerId, Place> = serde_json::from_slice(kept)?;
         for (server, mut place) in places {
             place.ready_at = place.ready_at.min(now);
             self.settle(server, place);
         }
-        Ok(RosterNews::Cached(self.rows()))
+        Ok(WatchEvent::Cached(self.rows()))
     }
 }
--- a/crates/supervisor/src/shared.rs
+++ b/crates/supervisor/src/shared.rs
@@ -5,7 +5,7 @@
 
 use prost::Message;
 use serde_json::json;
-use shalereel::interface::{Digest, Event, Nanos};
+use shalereel::interface::{EndpointReport, Event, Nanos};
 use shalereel_group::wire::{
     epoch_of, Command, ControlAnswer, ControlAsk, Duty, Envelope, RangeTold, RangesAnswer, RangesAsk,
     Standing,
@@ -124,7 +124,7 @@
 
     pub fn report(&mut self, events: &[Event]) {
         let digests = events.iter().filter_map(|event| match event {
-            Event::Digest(digest) => Some(digest),
+            Event::EndpointReport(digest) => Some(digest),
             _ => None,
         });
         self.group.report(digests);
@@ -304,8 +304,8 @@
                     }
                 }
                 Told::Others(rows) => {
-                    let known = |row: &Digest| roster.place(row.server).is_some();
-                    followed.events.extend(of_others(rows).filter(known).map(Event::Digest));
+                    let known = |row: &EndpointReport| roster.place(row.server).is_some();
+                    followed.events.extend(of_others(rows).filter(known).map(Event::EndpointReport));
                 }
                 Told::Restored => {
                     followed.orders = Some(self.orders());
--- a/crates/supervisor/src/tables.rs
+++ b/crates/supervisor/src/tables.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use shalereel::interface::{FurtherTry, ListedSize, Nanos, Order, ServerId, StartupFacts, TableId};
+use shalereel::interface::{Action, ControllerConfig, ListedCapacity, Nanos, RetryPolicy, ServerId, TableId};
 use shalereel_guard::{Decision, Guard, Limits, Line as GuardLine, Pool, Refused, Server};
 use shalereel_store::{
     least, plan, Bending, Bounds, Facing, Hold, Line, Lines, Number, Plan, Refusal, Store, Way, Why, UNIT,
@@ -19,7 +19,7 @@
 struct Table {
     /// As ordered by the module.
     lines: BTreeMap<ServerId, f64>,
-    levels: BTreeMap<OperationAt, (f64, FurtherTry)>,
+    levels: BTreeMap<OperationAt, (f64, RetryPolicy)>,
     version: u64,
     bending: Bending,
     /// Lines that constraints have changed and that wait for room in the channel.
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub struct Tables {
     tables: BTreeMap<TableId, Table>,
-    levels: BTreeMap<OperationAt, (f64, FurtherTry)>,
+    levels: BTreeMap<OperationAt, (f64, RetryPolicy)>,
     suspended: BTreeSet<ServerId>,
     /// Operators hold these servers at most at a part of their weight: as a group agreed, here alone, and both.
     agreed: BTreeMap<ServerId, f64>,
@@ -101,7 +101,7 @@
 }
 
 impl Tables {
-    pub fn new(facts: &StartupFacts, bounds: Bounds, outranks: bool, guarded: bool) -> Self {
+    pub fn new(facts: &ControllerConfig, bounds: Bounds, outranks: bool, guarded: bool) -> Self {
         Tables {
             tables: BTreeMap::new(),
             levels: BTreeMap::new(),
@@ -116,8 +116,8 @@
             closings: 0,
             outranks,
             limits: guarded.then(|| Limits::new(facts)),
-            sized: facts.listed_size == ListedSize::Nominal,
-            gone_binds: !facts.gone_does_not_bind,
+            sized: facts.listed_capacity == ListedCapacity::Nominal,
+            gone_binds: !facts.removal_is_advisory,
             corrected: BTreeMap::new(),
             words: Vec::new(),
             rendered: BTreeMap::new(),
@@ -125,7 +125,7 @@
     }
 
     /// Carries an order out, if it is one about tables.
-    pub fn apply(&mut self, order: &Order, operations: usize) -> Reach {
+    pub fn apply(&mut self, order: &Action, operations: usize) -> Reach {
         let (held, limits) = (&self.held, self.limits);
         let mut touch = |table: TableId, tables: &mut BTreeMap<TableId, Table>| {
             self.last += 1;
@@ -138,7 +138,7 @@
             table.version = self.last;
         };
         match *order {
-            Order::Line { table, server, weight } => {
+            Action::SetWeight { table, server, weight } => {
                 touch(table, &mut self.tables);
                 let table_of = self.tables.entry(table).or_default();
                 table_of.touched.insert(server);
@@ -150,14 +150,14 @@
                 }
                 Reach::Users(table)
             }
-            Order::Truncate { table } => {
+            Action::ClearTable { table } => {
                 touch(table, &mut self.tables);
                 let held = self.tables.entry(table).or_default();
                 held.touched.extend(std::mem::take(&mut held.lines).into_keys());
                 held.levels.clear();
                 Reach::Users(table)
             }
-            Order::Suspend { server, on } => {
+            Action::Exclude { server, on } => {
                 self.last += 1;
                 self.shunned_version = self.last;
                 if on {
@@ -174,7 +174,7 @@
                 }
                 Reach::Holders(server)
             }
-            Order::Gate { table, operations: mask, amount, further } => {
+            Action::LimitAdmission { table, operations: mask, limit: amount, retry_policy: further } => {
                 let chosen = (0..operations as u16).filter(|at| mask == 0 || mask & (1 << at) != 0);
                 match table {
                     Some(table) => {
@@ -504,7 +504,7 @@
         self.level(table, at).map_or(1.0, |level| level.0)
     }
 
-    fn level(&self, table: TableId, at: OperationAt) -> Option<(f64, FurtherTry)> {
+    fn level(&self, table: TableId, at: OperationAt) -> Option<(f64, RetryPolicy)> {
         let own = self.tables.get(&table).and_then(|table| table.levels.get(&at)).copied();
         match (own, self.levels.get(&at).copied()) {
             (Some(own), Some(all)) => Some((own.0.min(all.0), own.1)),
@@ -513,8 +513,8 @@
     }
 
     /// How an operation of a table is tried again; never, where nothing was ordered.
-    pub fn further(&self, table: TableId, at: OperationAt) -> FurtherTry {
-        self.level(table, at).map_or(FurtherTry::Never, |level| level.1)
+    pub fn further(&self, table: TableId, at: OperationAt) -> RetryPolicy {
+        self.level(table, at).map_or(RetryPolicy::Never, |level| level.1)
     }
 
     /// A table as the endpoints of an operation's cluster; kept until it changes, since many hold the same.
--- a/crates/supervisor/tests/core.rs
+++ b/crates/supervisor/tests/core.rs
@@ -393,10 +393,10 @@
     reports.add(1, 0, &LoadReport { node: None, clusters: vec![cluster] }, &["view".to_owned()], &roster);
     let events = reports.take();
     assert!(
-        matches!(&events[0], Event::Digest(digest) if digest.server == 4 && (digest.tries, digest.lost) == (4, 1))
+        matches!(&events[0], Event::EndpointReport(digest) if digest.server == 4 && (digest.attempts, digest.failures) == (4, 1))
     );
-    assert!(matches!(&events[0], Event::Digest(digest) if digest.answer_time == 20 * MILLI));
-    assert!(matches!(events[1], Event::Intake { total: 6, lost: 1, .. }), "{events:?}");
+    assert!(matches!(&events[0], Event::EndpointReport(digest) if digest.response_time == 20 * MILLI));
+    assert!(matches!(events[1], Event::DemandReport { total: 6, failures: 1, .. }), "{events:?}");
     assert_eq!((events.len(), reports.strangers, reports.take().len()), (2, 1, 0));
 }
 
--- a/crates/wire/src/decode.rs
+++ b/crates/wire/src/decode.rs
@@ -1,7 +1,9 @@
 //! Batches: header, then records of a code and its fields.
 
 use bytes::{Buf, TryGetError};
-use shalereel::interface::{Digest, Event, Nanos, ProbeEnding, Readiness, RosterNews, RosterRow};
+use shalereel::interface::{
+    Endpoint, EndpointReport, Event, HealthCheckOutcome, Nanos, Readiness, WatchEvent,
+};
 use thiserror::Error;
 
 use crate::{nanos, InstanceId};
@@ -82,18 +84,26 @@
     (0..count).map(|_| Ok(f64::from(rest.try_get_f32()?))).collect()
 }
 
-fn roster_row(rest: &mut &[u8]) -> Read<Option<RosterRow>> {
+fn roster_row(rest: &mut &[u8]) -> Read<Option<Endpoint>> {
     let server = rest.try_get_u32()?;
     let (locality, kind, cell) = (rest.try_get_u16()?, rest.try_get_u16()?, rest.try_get_u16()?);
     let readiness = match rest.try_get_u8()? {
-        0 => Some(Readiness::Gone),
+        0 => Some(Readiness::Removed),
         1 => Some(Readiness::Ready),
         2 => Some(Readiness::Draining),
         _ => None,
     };
     let weight = f64::from(rest.try_get_f32()?);
     let ready_at = nanos(rest.try_get_f64()?).unwrap_or(0);
-    Ok(readiness.map(|readiness| RosterRow { server, locality, kind, cell, readiness, weight, ready_at }))
+    Ok(readiness.map(|readiness| Endpoint {
+        server,
+        locality,
+        kind,
+        cell,
+        readiness,
+        weight,
+        started_at: ready_at,
+    }))
 }
 
 fn roster(rest: &mut &[u8]) -> Read<Option<Event>> {
@@ -105,13 +115,13 @@
         rows.extend(roster_row(rest)?);
     }
     Ok(match kind {
-        0 => Some(RosterNews::Delta(rows)),
-        1 => Some(RosterNews::Failed),
-        2 => Some(RosterNews::Cached(rows)),
-        3 => Some(RosterNews::Full(rows)),
+        0 => Some(WatchEvent::Delta(rows)),
+        1 => Some(WatchEvent::Failed),
+        2 => Some(WatchEvent::Cached(rows)),
+        3 => Some(WatchEvent::Full(rows)),
         _ => None,
     }
-    .map(Event::Roster))
+    .map(Event::Endpoints))
 }
 
 fn digest(rest: &mut &[u8]) -> Read<Option<Event>> {
@@ -120,23 +130,31 @@
     let (lost, tries, locality) = (rest.try_get_u32()?, rest.try_get_u32()?, rest.try_get_u16()?);
     let load = load(rest)?;
     Ok(answer_time.zip(window).map(|(answer_time, window)| {
-        Event::Digest(Digest { server, locality, tries, lost, answer_time, window, load })
+        Event::EndpointReport(EndpointReport {
+            server,
+            locality,
+            attempts: tries,
+            failures: lost,
+            response_time: answer_time,
+            window,
+            load,
+        })
     }))
 }
 
 fn probed(rest: &mut &[u8]) -> Read<Option<Event>> {
     let ending = match rest.try_get_u8()? {
-        0 => ProbeEnding::Answered,
-        1 => ProbeEnding::Errored,
-        2 => ProbeEnding::Rejected,
-        3 => ProbeEnding::TimedOut,
-        4 => ProbeEnding::Unreachable,
-        5 => ProbeEnding::Broken,
-        _ => ProbeEnding::Other,
+        0 => HealthCheckOutcome::Answered,
+        1 => HealthCheckOutcome::Errored,
+        2 => HealthCheckOutcome::Rejected,
+        3 => HealthCheckOutcome::TimedOut,
+        4 => HealthCheckOutcome::Unreachable,
+        5 => HealthCheckOutcome::Broken,
+        _ => HealthCheckOutcome::Other,
     };
     let (took, server) = (nanos(rest.try_get_f64()?), rest.try_get_u32()?);
     let load = load(rest)?;
-    Ok(took.map(|took| Event::Probed { server, ending, took, load }))
+    Ok(took.map(|took| Event::HealthChecked { server, outcome: ending, elapsed: took, load }))
 }
 
 /// One record; the inner error is a code that the page does not know.
@@ -147,18 +165,24 @@
     }
     let instance = rest.try_get_u32()?;
     let event = match code {
-        1 => Some(Event::Fired { ctx: rest.try_get_u64()? }),
+        1 => Some(Event::TimerFired { token: rest.try_get_u64()? }),
         2 => {
             let (total, operation, proxy) = (rest.try_get_u32()?, rest.try_get_u16()?, rest.try_get_u16()?);
             let lost = rest.try_get_u32()?;
-            nanos(rest.try_get_f64()?).map(|window| Event::Intake { proxy, operation, total, lost, window })
+            nanos(rest.try_get_f64()?).map(|window| Event::DemandReport {
+                proxy,
+                operation,
+                total,
+                failures: lost,
+                window,
+            })
         }
         3 => {
             let (from, count) = (rest.try_get_u16()?, rest.try_get_u16()?);
-            Some(Event::Mail { from, content: counted(rest, count.into())? })
+            Some(Event::PeerMessage { from, content: counted(rest, count.into())? })
         }
         4 => probed(rest)?,
-        5 => Some(Event::Leased { table: rest.try_get_u16()?, on: flag(rest)? }),
+        5 => Some(Event::LeaseChanged { table: rest.try_get_u16()?, on: flag(rest)? }),
         6 => digest(rest)?,
         7 => {
             let (seed, count) = (rest.try_get_u64()?, rest.try_get_u32()?);
@@ -169,11 +193,11 @@
         9 => {
             let (proxy, locality) = (rest.try_get_u16()?, rest.try_get_u16()?);
             let rate = f64::from(rest.try_get_f32()?);
-            Some(Event::Joined { proxy, locality, rate, standing_only: flag(rest)? })
+            Some(Event::Joined { proxy, locality, rate, is_new: flag(rest)? })
         }
         10 => {
             let (table, server) = (rest.try_get_u16()?, rest.try_get_u32()?);
-            Some(Event::OnRecord { table, server, weight: f64::from(rest.try_get_f32()?) })
+            Some(Event::RecordedWeight { table, server, weight: f64::from(rest.try_get_f32()?) })
         }
         11 => return Ok(Ok(Incoming::Kill { instance })),
         12 => roster(rest)?,
@@ -181,11 +205,11 @@
             let window = nanos(rest.try_get_f64()?);
             let (table, operation) = (rest.try_get_u16()?, rest.try_get_u16()?);
             let (lost, total) = (rest.try_get_u32()?, rest.try_get_u32()?);
-            window.map(|window| Event::Hotness { table, operation, total, lost, window })
+            window.map(|window| Event::TableDemand { table, operation, total, failures: lost, window })
         }
         _ => {
             let (proxy, serial) = (rest.try_get_u16()?, rest.try_get_u64()?);
-            nanos(rest.try_get_f64()?).map(|took| Event::Confirmed { proxy, serial, took })
+            nanos(rest.try_get_f64()?).map(|took| Event::Acknowledged { proxy, serial, elapsed: took })
         }
     };
     Ok(Ok(event.map_or(Incoming::Unusable { instance }, |event| Incoming::Event { instance, event })))
--- a/crates/wire/src/encode.rs
+++ b/crates/wire/src/encode.rs
@@ -1,7 +1,7 @@
 //! Replies: header, then one record for each order.
 
 use bytes::BufMut;
-use shalereel::interface::{FurtherTry, Order};
+use shalereel::interface::{Action, RetryPolicy};
 
 use crate::{millis, InstanceId};
 
@@ -32,7 +32,7 @@
     text(&mut reply.records, line);
 }
 
-pub fn encode_order(reply: &mut Reply, instance: InstanceId, order: &Order) {
+pub fn encode_action(reply: &mut Reply, instance: InstanceId, order: &Action) {
     reply.count += 1;
     let out = &mut reply.records;
     let mut head = |code: u8| {
@@ -40,64 +40,64 @@
         out.put_u32(instance);
     };
     match order {
-        Order::Remind { span, ctx } => {
+        Action::SetTimer { delay, token } => {
             head(65);
-            out.put_f64(millis(*span));
-            out.put_u64(*ctx);
+            out.put_f64(millis(*delay));
+            out.put_u64(*token);
         }
-        Order::Probe { server } => {
+        Action::CheckHealth { server } => {
             head(66);
             out.put_u32(*server);
         }
-        Order::Mail { to, content } => {
+        Action::SendToPeer { to, content } => {
             head(67);
             out.put_u16(to.unwrap_or(u16::MAX));
             out.put_u16(content.len() as u16);
             out.put_slice(content);
         }
-        Order::Remark(line) => {
+        Action::Log(line) => {
             head(68);
             text(out, line);
         }
-        Order::Listen { on } => {
+        Action::WatchEndpoints { on } => {
             head(70);
             out.put_u8((*on).into());
         }
-        Order::GetList => head(71),
-        Order::Line { table, server, weight } => {
+        Action::FetchEndpoints => head(71),
+        Action::SetWeight { table, server, weight } => {
             head(72);
             out.put_u16(*table);
             out.put_u32(*server);
             out.put_f32(*weight as f32);
         }
-        Order::Truncate { table } => {
+        Action::ClearTable { table } => {
             head(73);
             out.put_u16(*table);
         }
-        Order::Suspend { server, on } => {
+        Action::Exclude { server, on } => {
             head(74);
             out.put_u32(*server);
             out.put_u8((*on).into());
         }
-        Order::Install { proxy, table, operations } => {
+        Action::AssignTable { proxy, table, operations } => {
             head(75);
             out.put_u16(*proxy);
             out.put_u16(*table);
             out.put_u16(*operations);
         }
-        Order::Gate { table, operations, amount, further } => {
+        Action::LimitAdmission { table, operations, limit: amount, retry_policy: further } => {
             head(76);
             out.put_u16(table.unwrap_or(ALL_TABLES));
             out.put_u16(*operations);
             out.put_f32(*amount as f32);
             out.put_u8(match further {
-                FurtherTry::Never => 0,
-                FurtherTry::AfterProof => 1,
-                FurtherTry::Once => 2,
-                FurtherTry::Twice => 3,
+                RetryPolicy::Never => 0,
+                RetryPolicy::IfNotExecuted => 1,
+                RetryPolicy::Once => 2,
+                RetryPolicy::Twice => 3,
             });
         }
-        Order::FencePost { serial, everyone } => {
+        Action::RequestAck { serial, everyone } => {
             head(77);
             out.put_u64((*serial).into());
             out.put_u8((*everyone).into());
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -5,7 +5,7 @@
 mod profile;
 
 pub use decode::{decode_batch, Batch, DecodeError, Incoming};
-pub use encode::{encode_bug, encode_order, encode_reply, Reply};
+pub use encode::{encode_action, encode_bug, encode_reply, Reply};
 pub use profile::{read_profile, ProfileError};
 
 use shalereel::interface::Nanos;
--- a/crates/wire/src/profile.rs
+++ b/crates/wire/src/profile.rs
@@ -2,7 +2,8 @@
 
 use serde::{Deserialize, Deserializer};
 use shalereel::interface::{
-    Admission, Effect, ListedSize, LoadColumn, LoadSource, Nanos, Operation, RepeatScope, StartupFacts,
+    AdmissionMode, ControllerConfig, DeduplicationScope, Idempotency, ListedCapacity, LoadColumn, LoadSource,
+    Nanos, Operation,
 };
 use thiserror::Error;
 
@@ -160,26 +161,26 @@
 }
 
 /// Reads the settings; keys that are not needed are read over, a needed one that lacks is named.
-pub fn read_profile(seed: u64, text: &[u8]) -> Result<StartupFacts, ProfileError> {
+pub fn read_profile(seed: u64, text: &[u8]) -> Result<ControllerConfig, ProfileError> {
     let profile: Profile = serde_json::from_slice(text)?;
     let (family, rules) = (profile.family_info, profile.invariants);
     let told = |list: &[bool], at: usize| list.get(at).copied().unwrap_or(false);
     let operations = profile.classes.iter().enumerate().map(|(at, class)| Operation {
-        effect: match class.effect {
-            ClassEffect::Pure => Effect::Idempotent,
-            ClassEffect::Token => Effect::Fingerprinted,
-            ClassEffect::SideEffect => Effect::SideEffecting,
+        idempotency: match class.effect {
+            ClassEffect::Pure => Idempotency::Idempotent,
+            ClassEffect::Token => Idempotency::Keyed,
+            ClassEffect::SideEffect => Idempotency::NonIdempotent,
         },
-        repeat_scope: match class.group {
-            Group::All => RepeatScope::Everywhere,
-            Group::Zone => RepeatScope::Locality,
-            Group::Cell => RepeatScope::Cell,
+        deduplication_scope: match class.group {
+            Group::All => DeduplicationScope::Everywhere,
+            Group::Zone => DeduplicationScope::Locality,
+            Group::Cell => DeduplicationScope::Cell,
         },
-        repeat_window: class.window_ms,
+        deduplication_window: class.window_ms,
         latency_objective: class.slo_ms,
-        integration_timeout: class.deadline_ms,
-        billed_value: class.worth,
-        home_only: told(&family.home_only, at),
+        timeout: class.deadline_ms,
+        priority_weight: class.worth,
+        local_only: told(&family.home_only, at),
         writes: told(&family.mutating, at),
     });
     let columns = profile.load_info.columns.iter().map(|name| match name.as_str() {
@@ -189,54 +190,54 @@
         "avg_ms" => LoadColumn::ServiceTime,
         _ => LoadColumn::Other,
     });
-    Ok(StartupFacts {
+    Ok(ControllerConfig {
         seed,
-        supervisor: profile.me,
-        supervisors: profile.fleet_size,
+        supervisor_index: profile.me,
+        supervisor_count: profile.fleet_size,
         locality: profile.locality,
-        localities: profile.localities.len() as u16,
+        locality_count: profile.localities.len() as u16,
         operations: operations.collect(),
-        membership_on_request: matches!(profile.membership_mode, MembershipMode::OnRequest),
-        admission: match family.admit {
-            Admit::Off => Admission::Ignored,
-            Admit::Ratio => Admission::Ratio,
-            Admit::Rps => Admission::Rate,
+        polls_endpoints: matches!(profile.membership_mode, MembershipMode::OnRequest),
+        admission_mode: match family.admit {
+            Admit::Off => AdmissionMode::Ignored,
+            Admit::Ratio => AdmissionMode::Ratio,
+            Admit::Rps => AdmissionMode::Rate,
         },
         load_source: match profile.load_info.how {
-            How::Inline => LoadSource::Digest,
-            How::OnProbe => LoadSource::Probe,
-            How::Off => LoadSource::Nowhere,
+            How::Inline => LoadSource::Reports,
+            How::OnProbe => LoadSource::HealthChecks,
+            How::Off => LoadSource::None,
         },
         load_columns: columns.collect(),
-        probes_allowed: profile.permissions.probes,
-        listed_size: match profile.weights {
-            Weights::Off => ListedSize::Untold,
-            Weights::Nominal => ListedSize::Nominal,
-            Weights::Rough | Weights::Live => ListedSize::Rough,
+        health_checks_allowed: profile.permissions.probes,
+        listed_capacity: match profile.weights {
+            Weights::Off => ListedCapacity::Unknown,
+            Weights::Nominal => ListedCapacity::Nominal,
+            Weights::Rough | Weights::Live => ListedCapacity::Approximate,
         },
-        proxies: family.proxies,
-        backlog: family.backlog,
+        proxy_count: family.proxies,
+        channel_capacity: family.backlog,
         lines_per_s: family.lines_per_s,
         message_overhead: family.overhead,
-        report_cycle: family.cycle_ms,
-        empty_for: family.empty_for_ms,
+        report_interval: family.cycle_ms,
+        max_unserved_time: family.empty_for_ms,
         first_wait: family.first_wait,
-        fails_to_avoid: family.fails_to_eject,
+        failures_to_avoid: family.fails_to_eject,
         slices: family.key_ranges,
         sole_owner: family.sole_owner,
-        tenure: family.tenure_ms,
+        lease_duration: family.tenure_ms,
         in_flight_max: family.in_flight_max_ms,
         mean_transit: family.push_delay_ms,
         worst_transit: family.worst_transit_ms,
-        messages_max: family.reloads_max,
-        messages_over: family.messages_over_ms,
+        message_limit: family.reloads_max,
+        message_limit_window: family.messages_over_ms,
         retry_default: family.retry_default,
-        ask_every: rules.ask_every_ms,
-        cold_from: rules.cold_from,
-        cold_for: rules.cold_ms,
-        tip_multiple: rules.tip_multiple,
-        tip_after: rules.fall_ms,
+        poll_interval: rules.ask_every_ms,
+        slow_start_capacity: rules.cold_from,
+        slow_start_duration: rules.cold_ms,
+        overload_ratio: rules.tip_multiple,
+        overload_delay: rules.fall_ms,
         drain_grace: rules.drain_grace_ms,
-        gone_does_not_bind: rules.drain_binds_alone,
+        removal_is_advisory: rules.drain_binds_alone,
     })
 }
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,8 +1,10 @@
 //! The codec against the records and tables of the wire's page.
 
 use rstest::rstest;
-use shalereel::interface::{Digest, Event, FurtherTry, Order, ProbeEnding, Readiness, RosterNews, RosterRow};
-use shalereel_wire::{decode_batch, encode_bug, encode_order, encode_reply, DecodeError, Incoming, Reply};
+use shalereel::interface::{
+    Action, Endpoint, EndpointReport, Event, HealthCheckOutcome, Readiness, RetryPolicy, WatchEvent,
+};
+use shalereel_wire::{decode_batch, encode_action, encode_bug, encode_reply, DecodeError, Incoming, Reply};
 
 const CLOCK: &str = "40c06e2000000000";
 
@@ -14,8 +16,8 @@
     decode_batch(&bytes(&format!("{CLOCK} {records}"))).map(|batch| batch.incoming)
 }
 
-fn row(server: u32, locality: u16, weight: f64, ready_at: u64) -> RosterRow {
-    RosterRow { server, locality, kind: 0, cell: 0, readiness: Readiness::Ready, weight, ready_at }
+fn row(server: u32, locality: u16, weight: f64, started_at: u64) -> Endpoint {
+    Endpoint { server, locality, kind: 0, cell: 0, readiness: Readiness::Ready, weight, started_at }
 }
 
 fn load() -> Vec<f64> {
@@ -29,30 +31,30 @@
 }
 
 #[rstest]
-#[case::fired("01 00000003 000000000000004d", Event::Fired { ctx: 77 })]
+#[case::fired("01 00000003 000000000000004d", Event::TimerFired { token: 77 })]
 #[case::intake("02 00000003 00000009 0000 0029 00000000 409f400000000000",
-    Event::Intake { proxy: 41, operation: 0, total: 9, lost: 0, window: 2_000_000_000 })]
-#[case::mail("03 00000003 0002 0004 68692037", Event::Mail { from: 2, content: b"hi 7".to_vec() })]
+    Event::DemandReport { proxy: 41, operation: 0, total: 9, failures: 0, window: 2_000_000_000 })]
+#[case::mail("03 00000003 0002 0004 68692037", Event::PeerMessage { from: 2, content: b"hi 7".to_vec() })]
 #[case::probed("04 00000003 00 3ff6666666666666 2c9011f2 02 3f1eb852 41600000",
-    Event::Probed { server: 0x2c90_11f2, ending: ProbeEnding::Answered, took: 1_400_000, load: load() })]
-#[case::leased("05 00000003 0075 01", Event::Leased { table: 117, on: true })]
+    Event::HealthChecked { server: 0x2c90_11f2, outcome: HealthCheckOutcome::Answered, elapsed: 1_400_000, load: load() })]
+#[case::leased("05 00000003 0075 01", Event::LeaseChanged { table: 117, on: true })]
 #[case::digest("06 00000003 03124a07 4048200000000000 408f400000000000 00000001 0000000e 0000 02 3f1eb852 41600000",
-    Event::Digest(Digest { server: 0x0312_4a07, locality: 0, tries: 14, lost: 1, answer_time: 48_250_000,
+    Event::EndpointReport(EndpointReport { server: 0x0312_4a07, locality: 0, attempts: 14, failures: 1, response_time: 48_250_000,
         window: 1_000_000_000, load: load() }))]
 #[case::left("08 00000003 0029", Event::Left { proxy: 41 })]
 #[case::joined("09 00000003 0029 0000 40d00000 01",
-    Event::Joined { proxy: 41, locality: 0, rate: 6.5, standing_only: true })]
+    Event::Joined { proxy: 41, locality: 0, rate: 6.5, is_new: true })]
 #[case::on_record("0a 00000003 0075 2c9011f2 3f400000",
-    Event::OnRecord { table: 117, server: 0x2c90_11f2, weight: 0.75 })]
+    Event::RecordedWeight { table: 117, server: 0x2c90_11f2, weight: 0.75 })]
 #[case::roster("0c 00000003 02 0000000000000029 00000002 \
     03124a07 0000 0000 0000 01 3f800000 0000000000000000 \
     2c9011f2 0001 0000 0000 01 3fc00000 40b7d40000000000",
-    Event::Roster(RosterNews::Cached(vec![row(0x0312_4a07, 0, 1.0, 0), row(0x2c90_11f2, 1, 1.5, 6_100_000_000)])))]
-#[case::failed_list("0c 00000003 01 0000000000000029 00000000", Event::Roster(RosterNews::Failed))]
+    Event::Endpoints(WatchEvent::Cached(vec![row(0x0312_4a07, 0, 1.0, 0), row(0x2c90_11f2, 1, 1.5, 6_100_000_000)])))]
+#[case::failed_list("0c 00000003 01 0000000000000029 00000000", Event::Endpoints(WatchEvent::Failed))]
 #[case::hotness("0d 00000003 408f400000000000 0075 0000 00000002 00000017",
-    Event::Hotness { table: 117, operation: 0, total: 23, lost: 2, window: 1_000_000_000 })]
+    Event::TableDemand { table: 117, operation: 0, total: 23, failures: 2, window: 1_000_000_000 })]
 #[case::confirmed("0e 00000003 0029 000000000000000c 4079c80000000000",
-    Event::Confirmed { proxy: 41, serial: 12, took: 412_500_000 })]
+    Event::Acknowledged { proxy: 41, serial: 12, elapsed: 412_500_000 })]
 fn an_event_is_read_field_by_field(#[case] record: &str, #[case] event: Event) {
     assert_eq!(decode(record), Ok(vec![Incoming::Event { instance: 3, event }]));
 }
@@ -90,24 +92,24 @@
 }
 
 #[rstest]
-#[case("41 00000003 407f400000000000 000000000000004d", Order::Remind { span: 500_000_000, ctx: 77 })]
-#[case("42 00000003 2c9011f2", Order::Probe { server: 0x2c90_11f2 })]
-#[case("43 00000003 ffff 0004 68692037", Order::Mail { to: None, content: b"hi 7".to_vec() })]
-#[case("44 00000003 0011 74776f2073657276657273206b6e6f776e", Order::Remark("two servers known".into()))]
-#[case("46 00000003 01", Order::Listen { on: true })]
-#[case("47 00000003", Order::GetList)]
-#[case("48 00000003 0075 2c9011f2 3f400000", Order::Line { table: 117, server: 0x2c90_11f2, weight: 0.75 })]
-#[case("49 00000003 0075", Order::Truncate { table: 117 })]
-#[case("4a 00000003 2c9011f2 01", Order::Suspend { server: 0x2c90_11f2, on: true })]
-#[case("4b 00000003 0029 0075 0000", Order::Install { proxy: 41, table: 117, operations: 0 })]
+#[case("41 00000003 407f400000000000 000000000000004d", Action::SetTimer { delay: 500_000_000, token: 77 })]
+#[case("42 00000003 2c9011f2", Action::CheckHealth { server: 0x2c90_11f2 })]
+#[case("43 00000003 ffff 0004 68692037", Action::SendToPeer { to: None, content: b"hi 7".to_vec() })]
+#[case("44 00000003 0011 74776f2073657276657273206b6e6f776e", Action::Log("two servers known".into()))]
+#[case("46 00000003 01", Action::WatchEndpoints { on: true })]
+#[case("47 00000003", Action::FetchEndpoints)]
+#[case("48 00000003 0075 2c9011f2 3f400000", Action::SetWeight { table: 117, server: 0x2c90_11f2, weight: 0.75 })]
+#[case("49 00000003 0075", Action::ClearTable { table: 117 })]
+#[case("4a 00000003 2c9011f2 01", Action::Exclude { server: 0x2c90_11f2, on: true })]
+#[case("4b 00000003 0029 0075 0000", Action::AssignTable { proxy: 41, table: 117, operations: 0 })]
 #[case("4c 00000003 0075 0002 3f400000 01",
-    Order::Gate { table: Some(117), operations: 2, amount: 0.75, further: FurtherTry::AfterProof })]
+    Action::LimitAdmission { table: Some(117), operations: 2, limit: 0.75, retry_policy: RetryPolicy::IfNotExecuted })]
 #[case("4c 00000003 ffff 0000 3f800000 03",
-    Order::Gate { table: None, operations: 0, amount: 1.0, further: FurtherTry::Twice })]
-#[case("4d 00000003 000000000000000c 00", Order::FencePost { serial: 12, everyone: false })]
-fn an_order_is_written_field_by_field(#[case] record: &str, #[case] order: Order) {
+    Action::LimitAdmission { table: None, operations: 0, limit: 1.0, retry_policy: RetryPolicy::Twice })]
+#[case("4d 00000003 000000000000000c 00", Action::RequestAck { serial: 12, everyone: false })]
+fn an_order_is_written_field_by_field(#[case] record: &str, #[case] order: Action) {
     let mut reply = Reply::default();
-    encode_order(&mut reply, 3, &order);
+    encode_action(&mut reply, 3, &order);
     let record = bytes(record);
     let mut frame = vec![0, 0, 0, 1, 0, 0, 0, record.len() as u8];
     frame.extend(record);
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -6,10 +6,10 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 use anyhow::{bail, Context, Result};
-use shalereel::brain::Brain;
-use shalereel::interface::{Event, Nanos, Order};
+use shalereel::brain::Controller;
+use shalereel::interface::{Action, Event, Nanos};
 use shalereel_wire::{
-    decode_batch, encode_bug, encode_order, encode_reply, read_profile, Incoming, InstanceId, Reply,
+    decode_batch, encode_action, encode_bug, encode_reply, read_profile, Incoming, InstanceId, Reply,
 };
 
 /// The content of the next frame, or nothing at the end of input on a frame's border.
@@ -39,7 +39,7 @@
 
 #[derive(Default)]
 struct Host {
-    instances: BTreeMap<InstanceId, Brain>,
+    instances: BTreeMap<InstanceId, Controller>,
 }
 
 impl Host {
@@ -52,7 +52,7 @@
                 Incoming::Enlist { instance, seed, profile } => {
                     let facts =
                         read_profile(seed, &profile).with_context(|| format!("instance {instance}"))?;
-                    self.instances.insert(instance, Brain::new(&facts));
+                    self.instances.insert(instance, Controller::new(&facts));
                     events.insert(instance, Vec::new());
                 }
                 Incoming::Kill { instance } => {
@@ -72,9 +72,9 @@
 
     fn consult(&mut self, instance: InstanceId, now: Nanos, events: Vec<Event>, reply: &mut Reply) {
         let Some(brain) = self.instances.get_mut(&instance) else { return };
-        let decided: Result<Vec<Order>, _> = catch_unwind(AssertUnwindSafe(|| brain.decide(now, events)));
+        let decided: Result<Vec<Action>, _> = catch_unwind(AssertUnwindSafe(|| brain.decide(now, events)));
         match decided {
-            Ok(orders) => orders.iter().for_each(|order| encode_order(reply, instance, order)),
+            Ok(orders) => orders.iter().for_each(|order| encode_action(reply, instance, order)),
             Err(panic) => {
                 self.instances.remove(&instance);
                 encode_bug(reply, instance, panic_text(panic.as_ref()));
--- a/crates/wirehost/tests/hostile.rs
+++ b/crates/wirehost/tests/hostile.rs
@@ -4,8 +4,10 @@
 
 use oorandom::Rand32;
 use rstest::rstest;
-use shalereel::brain::Brain;
-use shalereel::interface::{Digest, Event, Order, ProbeEnding, Readiness, RosterNews, RosterRow};
+use shalereel::brain::Controller;
+use shalereel::interface::{
+    Action, Endpoint, EndpointReport, Event, HealthCheckOutcome, Readiness, WatchEvent,
+};
 use shalereel_wire::{decode_batch, read_profile};
 
 const PROFILE: &str = include_str!("profile.json");
@@ -16,15 +18,18 @@
     values[chance.rand_range(0..values.len() as u32) as usize]
 }
 
-fn rows(chance: &mut Rand32, now: u64) -> Vec<RosterRow> {
-    let row = |chance: &mut Rand32| RosterRow {
+fn rows(chance: &mut Rand32, now: u64) -> Vec<Endpoint> {
+    let row = |chance: &mut Rand32| Endpoint {
         server: chance.rand_range(0..SERVERS),
         locality: chance.rand_range(0..3) as u16,
         kind: chance.rand_range(0..3) as u16,
         cell: 0,
-        readiness: pick(chance, &[Readiness::Ready, Readiness::Ready, Readiness::Draining, Readiness::Gone]),
+        readiness: pick(
+            chance,
+            &[Readiness::Ready, Readiness::Ready, Readiness::Draining, Readiness::Removed],
+        ),
         weight: pick(chance, &[1.0, 2.0, 0.0, -1.0, f64::NAN, f64::INFINITY, 3e38, 1e-40]),
-        ready_at: pick(chance, &[0, now, now / 2, u64::MAX]),
+        started_at: pick(chance, &[0, now, now / 2, u64::MAX]),
     };
     (0..chance.rand_range(0..SERVERS)).map(|_| row(chance)).collect()
 }
@@ -35,44 +40,44 @@
     let server = chance.rand_range(0..SERVERS + 3);
     let proxy = chance.rand_range(0..PROXIES) as u16;
     match chance.rand_range(0..12) {
-        0 => Event::Roster(RosterNews::Full(rows(chance, now))),
-        1 => Event::Roster(RosterNews::Delta(rows(chance, now))),
-        2 if chance.rand_range(0..2) == 0 => Event::Roster(RosterNews::Failed),
-        2 => Event::Roster(RosterNews::Cached(rows(chance, now))),
-        3 => Event::Joined {
-            proxy,
-            locality: chance.rand_range(0..4) as u16,
-            rate: f64::NAN,
-            standing_only: true,
-        },
+        0 => Event::Endpoints(WatchEvent::Full(rows(chance, now))),
+        1 => Event::Endpoints(WatchEvent::Delta(rows(chance, now))),
+        2 if chance.rand_range(0..2) == 0 => Event::Endpoints(WatchEvent::Failed),
+        2 => Event::Endpoints(WatchEvent::Cached(rows(chance, now))),
+        3 => Event::Joined { proxy, locality: chance.rand_range(0..4) as u16, rate: f64::NAN, is_new: true },
         4 => Event::Left { proxy },
-        5..=7 => Event::Digest(Digest {
+        5..=7 => Event::EndpointReport(EndpointReport {
             server,
             locality: 0,
-            tries: count(chance),
-            lost: count(chance),
-            answer_time: span(chance),
+            attempts: count(chance),
+            failures: count(chance),
+            response_time: span(chance),
             window: span(chance),
             load: vec![f64::NAN, f64::INFINITY],
         }),
-        8 => Event::Intake {
+        8 => Event::DemandReport {
             proxy,
             operation: chance.rand_range(0..9) as u16,
             total: count(chance),
-            lost: count(chance),
+            failures: count(chance),
             window: span(chance),
         },
-        9 => Event::Probed { server, ending: ProbeEnding::TimedOut, took: span(chance), load: vec![] },
-        10 => Event::Confirmed { proxy, serial: u64::from(count(chance)), took: span(chance) },
-        _ => Event::Fired { ctx: u64::from(chance.rand_range(0..4)) },
+        9 => Event::HealthChecked {
+            server,
+            outcome: HealthCheckOutcome::TimedOut,
+            elapsed: span(chance),
+            load: vec![],
+        },
+        10 => Event::Acknowledged { proxy, serial: u64::from(count(chance)), elapsed: span(chance) },
+        _ => Event::TimerFired { token: u64::from(chance.rand_range(0..4)) },
     }
 }
 
 /// Plays seeded events; checks every order against what was listed and who is joined; gives back all orders.
-fn play(seed: u64) -> Vec<Vec<Order>> {
+fn play(seed: u64) -> Vec<Vec<Action>> {
     let mut chance = Rand32::new(seed);
     let facts = read_profile(seed, PROFILE.as_bytes()).expect("the profile is whole");
-    let mut brain = Brain::new(&facts);
+    let mut brain = Controller::new(&facts);
     let (mut listed, mut joined, mut now) = (BTreeSet::new(), BTreeSet::new(), 5_000_000_000_000);
     let mut given = Vec::new();
     for _ in 0..400 {
@@ -80,8 +85,8 @@
         let events: Vec<Event> = (0..chance.rand_range(0..6)).map(|_| event(&mut chance, now)).collect();
         for event in &events {
             match event {
-                Event::Roster(
-                    RosterNews::Full(rows) | RosterNews::Delta(rows) | RosterNews::Cached(rows),
+                Event::Endpoints(
+                    WatchEvent::Full(rows) | WatchEvent::Delta(rows) | WatchEvent::Cached(rows),
                 ) => {
                     listed.extend(rows.iter().map(|row| row.server));
                 }
@@ -94,17 +99,19 @@
         let orders = brain.decide(now, events);
         for order in &orders {
             let legal = match order {
-                Order::Line { table, server, weight } => {
+                Action::SetWeight { table, server, weight } => {
                     let weight = *weight as f32;
                     *table < u16::MAX && listed.contains(server) && weight.is_finite() && weight >= 0.0
                 }
-                Order::Suspend { server, .. } | Order::Probe { server } => listed.contains(server),
-                Order::Install { proxy, table, operations } => {
+                Action::Exclude { server, .. } | Action::CheckHealth { server } => listed.contains(server),
+                Action::AssignTable { proxy, table, operations } => {
                     joined.contains(proxy) && *table < u16::MAX && *operations < 4
                 }
-                Order::Gate { operations, amount, .. } => *operations < 4 && (0.0..=1.0).contains(amount),
-                Order::Remind { span, .. } => *span < 71 * 60_000_000_000,
-                Order::Mail { .. } => false,
+                Action::LimitAdmission { operations, limit: amount, .. } => {
+                    *operations < 4 && (0.0..=1.0).contains(amount)
+                }
+                Action::SetTimer { delay, .. } => *delay < 71 * 60_000_000_000,
+                Action::SendToPeer { .. } => false,
                 _ => true,
             };
             assert!(legal, "seed {seed}: {order:?}");
--- a/crates/xds/src/services.rs
+++ b/crates/xds/src/services.rs
@@ -1,7 +1,7 @@
 //! What a client needs before it asks for endpoints: a listener, its routes, and a cluster an operation.
 
 use prost::Message;
-use shalereel::interface::FurtherTry;
+use shalereel::interface;
 use shalereel_rpc::Status;
 use xds_api::pb::envoy::config::cluster::v3::cluster::{
     ClusterDiscoveryType, DiscoveryType, EdsClusterConfig, LbPolicy,
@@ -67,12 +67,12 @@
     Any { type_url: types::CLUSTER.into(), value: cluster.encode_to_vec() }
 }
 
-fn retries(further: FurtherTry) -> Option<RetryPolicy> {
+fn retries(further: interface::RetryPolicy) -> Option<RetryPolicy> {
     let (retry_on, most) = match further {
-        FurtherTry::Never => return None,
-        FurtherTry::AfterProof => (PROOF, 1),
-        FurtherTry::Once => (FAILURE, 1),
-        FurtherTry::Twice => (FAILURE, 2),
+        interface::RetryPolicy::Never => return None,
+        interface::RetryPolicy::IfNotExecuted => (PROOF, 1),
+        interface::RetryPolicy::Once => (FAILURE, 1),
+        interface::RetryPolicy::Twice => (FAILURE, 2),
     };
     Some(RetryPolicy {
         retry_on: retry_on.into(),
@@ -82,8 +82,12 @@
 }
 
 /// One route an operation, by the last part of the path: `/<any service>/<operation>` goes by `prefix`.
-pub fn routes<'a>(name: &str, prefix: &str, operations: impl Iterator<Item = (&'a str, FurtherTry)>) -> Any {
-    let route = |(operation, further): (&str, FurtherTry)| Route {
+pub fn routes<'a>(
+    name: &str,
+    prefix: &str,
+    operations: impl Iterator<Item = (&'a str, interface::RetryPolicy)>,
+) -> Any {
+    let route = |(operation, further): (&str, interface::RetryPolicy)| Route {
         name: operation.into(),
         r#match: Some(RouteMatch {
             path_specifier: Some(PathSpecifier::Path(format!("{prefix}{operation}"))),
@@ -108,7 +112,7 @@
 }
 
 /// Client side: what the routes say of further tries, by operation.
-pub fn read_retries(any: &Any) -> Result<Vec<(String, FurtherTry)>, Status> {
+pub fn read_retries(any: &Any) -> Result<Vec<(String, interface::RetryPolicy)>, Status> {
     let routes: RouteConfiguration = decoded(&any.value, "RouteConfiguration")?;
     let mut found = Vec::new();
     for route in routes.virtual_hosts.iter().flat_map(|host| &host.routes) {
@@ -116,16 +120,16 @@
         let Some(ClusterSpecifier::Cluster(cluster)) = &action.cluster_specifier else { continue };
         let most = |policy: &RetryPolicy| policy.num_retries.as_ref().map_or(1, |number| number.value);
         let further = match &action.retry_policy {
-            None => FurtherTry::Never,
-            Some(policy) if most(policy) == 0 => FurtherTry::Never,
+            None => interface::RetryPolicy::Never,
+            Some(policy) if most(policy) == 0 => interface::RetryPolicy::Never,
             // What is not known to be proof alone counts as any failure.
             Some(policy)
                 if policy.retry_on.split(',').all(|on| PROOF.split(',').any(|proof| proof == on)) =>
             {
-                FurtherTry::AfterProof
+                interface::RetryPolicy::IfNotExecuted
             }
-            Some(policy) if most(policy) == 1 => FurtherTry::Once,
-            Some(_) => FurtherTry::Twice,
+            Some(policy) if most(policy) == 1 => interface::RetryPolicy::Once,
+            Some(_) => interface::RetryPolicy::Twice,
         };
         found.push((cluster.clone(), further));
     }
--- a/crates/xds/tests/bytes.rs
+++ b/crates/xds/tests/bytes.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
-use shalereel::interface::FurtherTry;
+use shalereel::interface::RetryPolicy;
 use shalereel_rpc::Code;
 use shalereel_xds::*;
 
@@ -161,13 +161,13 @@
 }
 
 #[rstest]
-#[case(FurtherTry::Never)]
-#[case(FurtherTry::AfterProof)]
-#[case(FurtherTry::Once)]
-#[case(FurtherTry::Twice)]
-fn ways_of_trying_again_travel_as_retry_policies(#[case] further: FurtherTry) {
-    let any = routes("l", "/p/", [("x", further), ("y", FurtherTry::Never)].into_iter());
-    let wanted = [("x".to_owned(), further), ("y".to_owned(), FurtherTry::Never)];
+#[case(RetryPolicy::Never)]
+#[case(RetryPolicy::IfNotExecuted)]
+#[case(RetryPolicy::Once)]
+#[case(RetryPolicy::Twice)]
+fn ways_of_trying_again_travel_as_retry_policies(#[case] further: RetryPolicy) {
+    let any = routes("l", "/p/", [("x", further), ("y", RetryPolicy::Never)].into_iter());
+    let wanted = [("x".to_owned(), further), ("y".to_owned(), RetryPolicy::Never)];
     assert_eq!(read_retries(&any).unwrap(), wanted);
 }
 
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -1,4 +1,4 @@
-//! The decision module. `Brain::new` is called once with the startup facts, `Brain::decide` for each batch
+//! The decision module. `Controller::new` is called once with the startup facts, `Controller::decide` for each batch
 //! that holds events of this instance; it gives back the orders to carry out, in order. All types that go
 //! in and out are in `crate::interface`. Inside, each server is an actor; the registry, the servers, the
 //! fleet and the channel talk only by notes put into inboxes, which `decide` empties.
@@ -94,15 +94,15 @@
 impl Registry {
     fn take(&mut self, note: Note, post: &mut Post) {
         match note {
-            Note::Roster(RosterNews::Failed) => {
+            Note::Roster(WatchEvent::Failed) => {
                 // Guards against a crowd of calls at a list service that is late, in the time told for it.
                 let wait = (self.patience >> 4 << self.failures.min(4)) as f64;
                 self.failures += 1;
                 let span = (wait * (0.5 + 0.5 * self.chance.rand_float())) as Nanos;
-                post.orders.push(Order::Remind { span, ctx: LISTEN_AGAIN });
+                post.orders.push(Action::SetTimer { delay: span, token: LISTEN_AGAIN });
             }
-            Note::Roster(RosterNews::Delta(rows)) => self.follow(rows, post),
-            Note::Roster(RosterNews::Full(rows) | RosterNews::Cached(rows)) => {
+            Note::Roster(WatchEvent::Delta(rows)) => self.follow(rows, post),
+            Note::Roster(WatchEvent::Full(rows) | WatchEvent::Cached(rows)) => {
                 let present: BTreeSet<ServerId> = rows.iter().map(|row| row.server).collect();
                 for &server in self.listed.difference(&present) {
                     post.put(Part::Server(server), Note::Delisted);
@@ -113,21 +113,21 @@
             // Behind the list that it speaks of, and to those alone that it has.
             Note::Recalled(remembered, away) => {
                 for &learned in &remembered.servers {
-                    post.put(Part::Server(learned.server), Note::Learned(learned, away));
+                    post.put(Part::Server(learned.server), Note::ServerSnapshot(learned, away));
                 }
                 post.put(Part::Fleet, Note::Recalled(remembered, away));
             }
-            Note::ListenAgain if self.asks => post.orders.push(Order::Listen { on: true }),
+            Note::ListenAgain if self.asks => post.orders.push(Action::WatchEndpoints { on: true }),
             _ => {}
         }
     }
 
-    fn follow(&mut self, rows: Vec<RosterRow>, post: &mut Post) {
+    fn follow(&mut self, rows: Vec<Endpoint>, post: &mut Post) {
         self.failures = 0;
         for mut row in rows {
             let size = row.weight > 1.0 / SIZE_BOUND && row.weight < SIZE_BOUND;
             row.weight = if size { row.weight } else { 1.0 };
-            if row.readiness == Readiness::Gone {
+            if row.readiness == Readiness::Removed {
                 self.listed.remove(&row.server);
             } else {
                 self.listed.insert(row.server);
@@ -138,7 +138,7 @@
 }
 
 impl Server {
-    fn new(row: RosterRow, now: Nanos) -> Self {
+    fn new(row: Endpoint, now: Nanos) -> Self {
         Server {
             row,
             level: 1.0,
@@ -154,25 +154,28 @@
         let now = post.now;
         match note {
             Note::Listed(row) => {
-                let started = row.ready_at > self.row.ready_at
+                let started = row.started_at > self.row.started_at
                     || (row.readiness == Readiness::Ready && self.row.readiness != Readiness::Ready);
                 if started {
                     *self = Server::new(row, now);
                 }
-                let gone = row.readiness == Readiness::Gone && self.row.readiness != Readiness::Gone;
+                let gone = row.readiness == Readiness::Removed && self.row.readiness != Readiness::Removed;
                 self.since = if gone { now } else { self.since };
                 // A drain that was told still binds when the server is gone.
-                let drained = self.row.readiness == Readiness::Draining && row.readiness == Readiness::Gone;
+                let drained =
+                    self.row.readiness == Readiness::Draining && row.readiness == Readiness::Removed;
                 self.row =
-                    RosterRow { readiness: if drained { self.row.readiness } else { row.readiness }, ..row };
+                    Endpoint { readiness: if drained { self.row.readiness } else { row.readiness }, ..row };
             }
             Note::Delisted => {
                 let ready = self.row.readiness == Readiness::Ready;
-                self.row.readiness = if ready { Readiness::Gone } else { self.row.readiness };
+                self.row.readiness = if ready { Readiness::Removed } else { self.row.readiness };
                 self.since = now;
             }
-            Note::Learned(learned, away) if self.heard == 0 => self.recall(&learned, away, judging.echo, now),
-            Note::Digest(digest) => self.hear(&digest, now, post),
+            Note::ServerSnapshot(learned, away) if self.heard == 0 => {
+                self.recall(&learned, away, judging.echo, now)
+            }
+            Note::EndpointReport(digest) => self.hear(&digest, now, post),
             Note::Weigh(picture) => {
                 let standing = self.weigh(picture, judging, now);
                 post.put(Part::Fleet, Note::Standing(standing));
@@ -188,29 +191,29 @@
 
     /// Takes what was known of it before a restart of ours. Guards callers against learning anew, at their cost,
     /// which servers fail; it could harm where they were healed meanwhile: they are back after their term at most.
-    fn recall(&mut self, learned: &Learned, away: Nanos, echo: Nanos, now: Nanos) {
+    fn recall(&mut self, learned: &ServerSnapshot, away: Nanos, echo: Nanos, now: Nanos) {
         let kept = |sum: f64, memory: Nanos| Fading { sum: sum * recalled(away, memory), at: now };
-        self.tries = kept(learned.tries, SCORE_MEMORY);
-        self.lost = kept(learned.lost, SCORE_MEMORY);
-        self.answered = kept(learned.answered, LEARNING);
-        self.time = kept(learned.time, LEARNING);
+        self.tries = kept(learned.attempts, SCORE_MEMORY);
+        self.lost = kept(learned.failures, SCORE_MEMORY);
+        self.answered = kept(learned.responses, LEARNING);
+        self.time = kept(learned.response_time_sum, LEARNING);
         if away > RECALLED_FOR {
             return;
         }
-        self.level = learned.level.clamp(RETURN_LEVEL, 1.0);
-        self.band = [Band::Green, Band::Yellow, Band::Red][usize::from(learned.band.min(2))];
-        self.term = learned.term.clamp(FIRST_TERM, 4 * FIRST_TERM);
+        self.level = learned.recovery.clamp(RETURN_LEVEL, 1.0);
+        self.band = [Band::Green, Band::Yellow, Band::Red][usize::from(learned.health.min(2))];
+        self.term = learned.ejection_time.clamp(FIRST_TERM, 4 * FIRST_TERM);
         // Proxies have gone by the tables of then: what is silent now was silent before.
         (self.unanswered, self.felt_share) =
-            (learned.unanswered * recalled(away, SCORE_MEMORY), learned.felt);
+            (learned.missing_responses * recalled(away, SCORE_MEMORY), learned.applied_share);
         if away < echo {
             self.since = now.saturating_sub(echo);
         }
-        let out_for = learned.out_for.map(|out_for| out_for.saturating_add(away));
+        let out_for = learned.ejected_for.map(|out_for| out_for.saturating_add(away));
         match out_for.filter(|&out_for| out_for < self.term) {
             Some(out_for) => {
                 self.out_since = Some(now.saturating_sub(out_for));
-                self.fault = Some(if learned.silent { Fault::Silence } else { Fault::Score });
+                self.fault = Some(if learned.unresponsive { Fault::Silence } else { Fault::Score });
                 // So that its first answer shows: it has been expected to speak.
                 self.unanswered = 1.0 / FALSE_SILENCE;
             }
@@ -219,14 +222,14 @@
         }
     }
 
-    fn hear(&mut self, digest: &Digest, now: Nanos, post: &mut Post) {
-        let (tries, lost) = (f64::from(digest.tries), f64::from(digest.lost.min(digest.tries)));
+    fn hear(&mut self, digest: &EndpointReport, now: Nanos, post: &mut Post) {
+        let (tries, lost) = (f64::from(digest.attempts), f64::from(digest.failures.min(digest.attempts)));
         let answered = tries - lost;
         self.tries.add(now, SCORE_MEMORY, tries);
         self.lost.add(now, SCORE_MEMORY, lost);
         let mut time = 0.0;
-        if answered > 0.0 && digest.answer_time > 0 {
-            time = digest.answer_time as f64 * answered;
+        if answered > 0.0 && digest.response_time > 0 {
+            time = digest.response_time as f64 * answered;
             self.answered.add(now, LEARNING, answered);
             self.time.add(now, LEARNING, time);
         }
@@ -245,8 +248,8 @@
     }
 
     fn warm_part(&self, judging: &Judging, now: Nanos) -> f64 {
-        let age = now.saturating_sub(self.row.ready_at);
-        if self.row.ready_at == 0 || age >= judging.cold_for {
+        let age = now.saturating_sub(self.row.started_at);
+        if self.row.started_at == 0 || age >= judging.cold_for {
             return 1.0;
         }
         let able = judging.cold_from + (1.0 - judging.cold_from) * age as f64 / judging.cold_for as f64;
@@ -302,7 +305,7 @@
         let mut row = self.row;
         // Where a list may drop servers wrongly, one that still answers counts as ready.
         let answers = judging.gone_does_not_bind && self.answered.read(now, LEARNING) > CREDIT;
-        if answers && row.readiness == Readiness::Gone {
+        if answers && row.readiness == Readiness::Removed {
             row.readiness = Readiness::Ready;
         }
         Standing {
@@ -310,7 +313,7 @@
             binds: match row.readiness {
                 Readiness::Ready => false,
                 Readiness::Draining => true,
-                Readiness::Gone => !judging.gone_does_not_bind && self.tries.sum > RETURN_LEVEL,
+                Readiness::Removed => !judging.gone_does_not_bind && self.tries.sum > RETURN_LEVEL,
             },
             warm: warm_part >= 1.0,
             out: self.out_since.is_some(),
@@ -361,17 +364,18 @@
 }
 
 impl Fleet {
-    fn recall(&mut self, remembered: &Remembered, away: Nanos, now: Nanos) {
-        self.tries.add(now, SCORE_MEMORY, remembered.tries * recalled(away, SCORE_MEMORY));
-        self.lost.add(now, SCORE_MEMORY, remembered.lost * recalled(away, SCORE_MEMORY));
+    fn recall(&mut self, remembered: &Snapshot, away: Nanos, now: Nanos) {
+        self.tries.add(now, SCORE_MEMORY, remembered.attempts * recalled(away, SCORE_MEMORY));
+        self.lost.add(now, SCORE_MEMORY, remembered.failures * recalled(away, SCORE_MEMORY));
         if away > RECALLED_FOR {
             return;
         }
-        self.usual = Fading { sum: remembered.usual * recalled(away, 2 * BLIND_FOR) / RECALLED, at: now };
-        (self.peak, self.capacity) = (remembered.peak, remembered.capacity);
-        self.apart_for = remembered.apart_for;
-        if remembered.apart_left > away {
-            self.apart_until = now + remembered.apart_left - away;
+        self.usual =
+            Fading { sum: remembered.usual_weight * recalled(away, 2 * BLIND_FOR) / RECALLED, at: now };
+        (self.peak, self.capacity) = (remembered.peak_load, remembered.load_limit);
+        self.apart_for = remembered.isolation_time;
+        if remembered.isolation_left > away {
+            self.apart_until = now + remembered.isolation_left - away;
         }
     }
 
@@ -488,7 +492,7 @@
             let weight = self.told.get(&id).copied().unwrap_or(if ready { standing.weight } else { 0.0 });
             let weight = if ready && !held { weight } else { 0.0 };
             let (urgent, binds) = (!ready || !standing.warm, standing.binds);
-            let started = standing.row.ready_at > 0;
+            let started = standing.row.started_at > 0;
             let (unready, locality) = (!ready, standing.row.locality);
             let want = Want { weight, urgent, binds, unready, locality, started };
             post.put(Part::Channel, Note::Want(id, want));
@@ -574,7 +578,7 @@
         }
         let further = !self.general || self.apart_until > 0;
         for gate in &mut self.gates {
-            gate.further = if !further { FurtherTry::Never } else { FurtherTry::AfterProof };
+            gate.further = if !further { RetryPolicy::Never } else { RetryPolicy::IfNotExecuted };
         }
         post.put(Part::Channel, Note::Gates(self.gates.clone()));
     }
@@ -632,12 +636,12 @@
 }
 
 /// Where levels are heeded, the operations in the order in which they are let in.
-fn demands(facts: &StartupFacts) -> Vec<Demand> {
-    if facts.admission != Admission::Ratio {
+fn demands(facts: &ControllerConfig) -> Vec<Demand> {
+    if facts.admission_mode != AdmissionMode::Ratio {
         return Vec::new();
     }
     let cost = |at: usize| facts.operations[at].latency_objective as f64;
-    let value = |at: usize| facts.operations[at].billed_value / cost(at);
+    let value = |at: usize| facts.operations[at].priority_weight / cost(at);
     let mut order: Vec<usize> = (0..facts.operations.len()).collect();
     order.sort_by(|&a, &b| value(b).total_cmp(&value(a)));
     let demand = |operation| Demand { operation, cost: cost(operation), ..Demand::default() };
@@ -646,7 +650,7 @@
 
 /// One instance of the decisions.
 #[derive(Debug)]
-pub struct Brain {
+pub struct Controller {
     post: Post,
     registry: Registry,
     servers: BTreeMap<ServerId, Server>,
@@ -657,41 +661,45 @@
     started: bool,
 }
 
-impl Brain {
-    pub fn new(facts: &StartupFacts) -> Self {
-        let cold_stretch = (facts.tip_multiple * TIP_PART).max(1.0);
-        let wait_stretch = (facts.tip_multiple * WAIT_PART).max(1.0);
-        let amount = if facts.admission == Admission::Rate { f64::from(u32::MAX) } else { 1.0 };
-        let gate = |operation| Gate { operation, amount, further: FurtherTry::AfterProof };
+impl Controller {
+    pub fn new(facts: &ControllerConfig) -> Self {
+        let cold_stretch = (facts.overload_ratio * TIP_PART).max(1.0);
+        let wait_stretch = (facts.overload_ratio * WAIT_PART).max(1.0);
+        let amount = if facts.admission_mode == AdmissionMode::Rate { f64::from(u32::MAX) } else { 1.0 };
+        let gate = |operation| Gate { operation, amount, further: RetryPolicy::IfNotExecuted };
         let gates: Vec<Gate> = (0..facts.operations.len()).map(gate).collect();
-        Brain {
+        Controller {
             post: Post::default(),
             registry: Registry {
-                asks: facts.membership_on_request,
-                patience: facts.ask_every.max(SECOND),
+                asks: facts.polls_endpoints,
+                patience: facts.poll_interval.max(SECOND),
                 listed: BTreeSet::new(),
                 failures: 0,
                 chance: oorandom::Rand64::new(facts.seed.into()),
             },
             servers: BTreeMap::new(),
             judging: Judging {
-                cold_from: facts.cold_from,
-                cold_for: facts.cold_for,
+                cold_from: facts.slow_start_capacity,
+                cold_for: facts.slow_start_duration,
                 cold_stretch,
-                echo: (facts.worst_transit + 2 * facts.report_cycle).max(1),
-                sizes_told: facts.listed_size == ListedSize::Nominal,
-                kind_power: if facts.listed_size == ListedSize::Nominal { KIND_POWER } else { FACTOR_POWER },
-                gone_does_not_bind: facts.gone_does_not_bind,
+                echo: (facts.worst_transit + 2 * facts.report_interval).max(1),
+                sizes_told: facts.listed_capacity == ListedCapacity::Nominal,
+                kind_power: if facts.listed_capacity == ListedCapacity::Nominal {
+                    KIND_POWER
+                } else {
+                    FACTOR_POWER
+                },
+                gone_does_not_bind: facts.removal_is_advisory,
             },
             fleet: Fleet {
                 demands: demands(facts),
                 asked: vec![Default::default(); facts.operations.len()],
                 patience: patience(facts),
-                cycle: facts.report_cycle,
-                tip_after: facts.tip_after,
+                cycle: facts.report_interval,
+                tip_after: facts.overload_delay,
                 gates: gates.clone(),
                 blind_part: BLIND_PART,
-                avoided_from: AVOIDED.powf(1.0 / f64::from(facts.fails_to_avoid.max(1))) * wait_stretch,
+                avoided_from: AVOIDED.powf(1.0 / f64::from(facts.failures_to_avoid.max(1))) * wait_stretch,
                 ..Fleet::default()
             },
             channel: Channel::new(facts, gates),
@@ -701,22 +709,22 @@
     }
 
     /// What it has learned so far, for an instance that starts after it.
-    pub fn remember(&mut self, now: Nanos) -> Remembered {
+    pub fn remember(&mut self, now: Nanos) -> Snapshot {
         let servers =
             self.servers.values_mut().map(|server| server.remember(now, SCORE_MEMORY, LEARNING)).collect();
-        Remembered { servers, ..self.fleet.remember(now, SCORE_MEMORY, 2 * BLIND_FOR) }
+        Snapshot { servers, ..self.fleet.remember(now, SCORE_MEMORY, 2 * BLIND_FOR) }
     }
 
     /// Takes the events of one batch and gives the orders, in order.
-    pub fn decide(&mut self, now: Nanos, events: Vec<Event>) -> Vec<Order> {
+    pub fn decide(&mut self, now: Nanos, events: Vec<Event>) -> Vec<Action> {
         self.post.now = now;
         if !self.started {
             self.started = true;
-            self.post.orders.push(Order::Remind { span: self.beat, ctx: BEAT });
+            self.post.orders.push(Action::SetTimer { delay: self.beat, token: BEAT });
             self.post.put(Part::Registry, Note::ListenAgain);
         }
         // Servers compare themselves with what the others said a beat before: after a recall nobody has yet.
-        let beats = 1 + usize::from(events.iter().any(|event| matches!(event, Event::Recalled { .. })));
+        let beats = 1 + usize::from(events.iter().any(|event| matches!(event, Event::Restored { .. })));
         for event in events {
             self.sort(event);
         }
@@ -733,7 +741,7 @@
 
     /// Lets go of servers that are gone for good. Guards memory where servers are replaced all day under new ids.
     fn forget(&mut self) {
-        let Brain { servers, registry, fleet, channel, post, .. } = self;
+        let Controller { servers, registry, fleet, channel, post, .. } = self;
         servers.retain(|id, server| {
             let unlisted = !registry.listed.contains(id);
             let long = post.now.saturating_sub(server.since.max(server.heard)) > GONE_KEPT;
@@ -748,24 +756,26 @@
     /// Turns an event into a note for the part that it concerns.
     fn sort(&mut self, event: Event) {
         let (part, note) = match event {
-            Event::Roster(news) => (Part::Registry, Note::Roster(news)),
-            Event::Recalled { remembered, away } => (Part::Registry, Note::Recalled(remembered, away)),
-            Event::Joined { proxy, rate, standing_only: new, .. } => {
-                (Part::Channel, Note::Joined(proxy, rate, new))
+            Event::Endpoints(news) => (Part::Registry, Note::Roster(news)),
+            Event::Restored { snapshot: remembered, age: away } => {
+                (Part::Registry, Note::Recalled(remembered, away))
             }
+            Event::Joined { proxy, rate, is_new: new, .. } => (Part::Channel, Note::Joined(proxy, rate, new)),
             Event::Left { proxy } => (Part::Channel, Note::Left(proxy)),
             Event::Backlog { lines } => (Part::Channel, Note::Backlog(lines)),
-            Event::Digest(digest) if digest.tries > 0 => (Part::Server(digest.server), Note::Digest(digest)),
-            Event::Intake { proxy, operation, total, lost, .. } => {
+            Event::EndpointReport(digest) if digest.attempts > 0 => {
+                (Part::Server(digest.server), Note::EndpointReport(digest))
+            }
+            Event::DemandReport { proxy, operation, total, failures: lost, .. } => {
                 let (total, lost) = (f64::from(total), f64::from(lost));
                 self.post.put(Part::Channel, Note::Came(proxy, total));
                 (Part::Fleet, Note::Intake { operation: operation.into(), total, lost })
             }
-            Event::Confirmed { proxy, serial, .. } => (Part::Channel, Note::Confirmed(proxy, serial)),
-            Event::Fired { ctx: BEAT } => {
-                return self.post.orders.push(Order::Remind { span: self.beat, ctx: BEAT });
+            Event::Acknowledged { proxy, serial, .. } => (Part::Channel, Note::Confirmed(proxy, serial)),
+            Event::TimerFired { token: BEAT } => {
+                return self.post.orders.push(Action::SetTimer { delay: self.beat, token: BEAT });
             }
-            Event::Fired { ctx: LISTEN_AGAIN } => (Part::Registry, Note::ListenAgain),
+            Event::TimerFired { token: LISTEN_AGAIN } => (Part::Registry, Note::ListenAgain),
             _ => return,
         };
         self.post.put(part, note);
@@ -792,8 +802,8 @@
 }
 
 /// Mean answer time that still keeps most of the billed value.
-fn patience(facts: &StartupFacts) -> f64 {
-    let value: f64 = facts.operations.iter().map(|operation| operation.billed_value).sum();
-    let weighed = facts.operations.iter().map(|o| o.billed_value * o.latency_objective as f64);
+fn patience(facts: &ControllerConfig) -> f64 {
+    let value: f64 = facts.operations.iter().map(|operation| operation.priority_weight).sum();
+    let weighed = facts.operations.iter().map(|o| o.priority_weight * o.latency_objective as f64);
     PATIENCE * weighed.sum::<f64>() / value.max(f64::MIN_POSITIVE)
 }
