--- a/src/brain/tests.rs
+++ b/src/brain/tests.rs
@@ -6,8 +6,8 @@
 
 const START: Nanos = 1_000 * SECOND;
 
-fn row(server: ServerId) -> RosterRow {
-    RosterRow { server, readiness: Readiness::Ready, weight: 1.0, ..RosterRow::default() }
+fn row(server: ServerId) -> Endpoint {
+    Endpoint { server, readiness: Readiness::Ready, weight: 1.0, ..Endpoint::default() }
 }
 
 fn judging() -> Judging {
@@ -22,9 +22,17 @@
     }
 }
 
-fn digest(server: ServerId, tries: u32, lost: u32) -> Digest {
+fn digest(server: ServerId, tries: u32, lost: u32) -> EndpointReport {
     let answer_time = if lost < tries { SECOND / 5 } else { 0 };
-    Digest { server, locality: 0, tries, lost, answer_time, window: SECOND, load: Vec::new() }
+    EndpointReport {
+        server,
+        locality: 0,
+        attempts: tries,
+        failures: lost,
+        response_time: answer_time,
+        window: SECOND,
+        load: Vec::new(),
+    }
 }
 
 fn standing(server: ServerId) -> Standing {
@@ -58,70 +66,70 @@
 
 fn operation(billed_value: f64, objective: Nanos, home_only: bool) -> Operation {
     Operation {
-        effect: Effect::Idempotent,
-        repeat_scope: RepeatScope::Cell,
-        repeat_window: 0,
+        idempotency: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::Cell,
+        deduplication_window: 0,
         latency_objective: objective,
-        integration_timeout: 4 * objective,
-        billed_value,
-        home_only,
+        timeout: 4 * objective,
+        priority_weight: billed_value,
+        local_only: home_only,
         writes: false,
     }
 }
 
 #[fixture]
-fn facts() -> StartupFacts {
-    StartupFacts {
+fn facts() -> ControllerConfig {
+    ControllerConfig {
         seed: 7,
-        supervisor: 0,
-        supervisors: 1,
+        supervisor_index: 0,
+        supervisor_count: 1,
         locality: 0,
-        localities: 2,
+        locality_count: 2,
         operations: vec![operation(1.0, 2 * SECOND, false), operation(5.0, SECOND, false)],
-        membership_on_request: false,
-        admission: Admission::Ratio,
-        load_source: LoadSource::Nowhere,
+        polls_endpoints: false,
+        admission_mode: AdmissionMode::Ratio,
+        load_source: LoadSource::None,
         load_columns: Vec::new(),
-        probes_allowed: false,
-        listed_size: ListedSize::Nominal,
-        proxies: 2,
-        backlog: 1_000.0,
+        health_checks_allowed: false,
+        listed_capacity: ListedCapacity::Nominal,
+        proxy_count: 2,
+        channel_capacity: 1_000.0,
         lines_per_s: 1_000.0,
         message_overhead: 5.0,
-        report_cycle: SECOND,
-        empty_for: 2 * SECOND,
+        report_interval: SECOND,
+        max_unserved_time: 2 * SECOND,
         first_wait: 1.0,
-        fails_to_avoid: 5,
+        failures_to_avoid: 5,
         slices: 0,
         sole_owner: false,
-        tenure: 0,
+        lease_duration: 0,
         in_flight_max: 4 * SECOND,
         mean_transit: SECOND / 5,
         worst_transit: SECOND,
-        messages_max: 0,
-        messages_over: 10 * SECOND,
+        message_limit: 0,
+        message_limit_window: 10 * SECOND,
         retry_default: 0,
-        ask_every: 10 * SECOND,
-        cold_from: 0.2,
-        cold_for: 10 * SECOND,
-        tip_multiple: 2.5,
-        tip_after: 2 * SECOND,
+        poll_interval: 10 * SECOND,
+        slow_start_capacity: 0.2,
+        slow_start_duration: 10 * SECOND,
+        overload_ratio: 2.5,
+        overload_delay: 2 * SECOND,
         drain_grace: 2 * SECOND,
-        gone_does_not_bind: false,
+        removal_is_advisory: false,
     }
 }
 
-fn listed(rows: impl IntoIterator<Item = RosterRow>) -> Event {
-    Event::Roster(RosterNews::Full(rows.into_iter().collect()))
+fn listed(rows: impl IntoIterator<Item = Endpoint>) -> Event {
+    Event::Endpoints(WatchEvent::Full(rows.into_iter().collect()))
 }
 
 fn joined(proxy: ProxyId) -> Event {
-    Event::Joined { proxy, locality: 0, rate: 1.0, standing_only: true }
+    Event::Joined { proxy, locality: 0, rate: 1.0, is_new: true }
 }
 
 /// An instance that knows four servers and has one proxy on its table.
-fn running(facts: &StartupFacts) -> Brain {
-    let mut brain = Brain::new(facts);
+fn running(facts: &ControllerConfig) -> Controller {
+    let mut brain = Controller::new(facts);
     brain.decide(START, vec![listed((1..5).map(row)), joined(1)]);
     brain
 }
@@ -141,46 +149,47 @@
 }
 
 #[rstest]
-fn a_server_absent_from_a_whole_list_leaves_the_table(facts: StartupFacts) {
+fn a_server_absent_from_a_whole_list_leaves_the_table(facts: ControllerConfig) {
     let orders = running(&facts).decide(START + SECOND / 10, vec![listed((1..4).map(row))]);
-    assert!(orders.contains(&Order::Line { table: 0, server: 4, weight: 0.0 }));
+    assert!(orders.contains(&Action::SetWeight { table: 0, server: 4, weight: 0.0 }));
 }
 
 #[rstest]
 #[case::drain_binds(Readiness::Draining, true)]
-#[case::gone_does_not(Readiness::Gone, false)]
+#[case::gone_does_not(Readiness::Removed, false)]
 fn joiners_are_told_to_shun_what_drains_whatever_they_hold(
-    mut facts: StartupFacts,
+    mut facts: ControllerConfig,
     #[case] readiness: Readiness,
     #[case] told: bool,
 ) {
-    (facts.gone_does_not_bind, facts.drain_grace) = (true, 4 * SECOND);
+    (facts.removal_is_advisory, facts.drain_grace) = (true, 4 * SECOND);
     let mut brain = running(&facts);
-    brain.channel.pacing.waiting = facts.backlog * JOIN_ROOM;
+    brain.channel.pacing.waiting = facts.channel_capacity * JOIN_ROOM;
     brain.channel.pacing.at = START;
-    let gone = RosterRow { readiness, ..row(4) };
-    let orders = brain.decide(START + 1, vec![Event::Roster(RosterNews::Delta(vec![gone])), joined(2)]);
-    let shuns = |orders: Vec<Order>| orders.contains(&Order::Suspend { server: 4, on: true });
+    let gone = Endpoint { readiness, ..row(4) };
+    let orders = brain.decide(START + 1, vec![Event::Endpoints(WatchEvent::Delta(vec![gone])), joined(2)]);
+    let shuns = |orders: Vec<Action>| orders.contains(&Action::Exclude { server: 4, on: true });
     assert!(!shuns(orders), "its table may still come in time");
     // No room for a table, as before; a quarter of the grace, less what waits in the channel, has passed.
-    brain.channel.pacing.waiting = facts.backlog * JOIN_ROOM;
+    brain.channel.pacing.waiting = facts.channel_capacity * JOIN_ROOM;
     brain.channel.pacing.at = START + facts.drain_grace / 8 + 2;
     assert_eq!(shuns(brain.decide(START + facts.drain_grace / 8 + 2, vec![])), told);
 }
 
 #[rstest]
-fn a_failed_list_call_is_tried_again_within_the_time_after_which_we_are_deemed_told(mut facts: StartupFacts) {
-    facts.membership_on_request = true;
-    let mut brain = Brain::new(&facts);
-    assert!(brain.decide(START, vec![]).contains(&Order::Listen { on: true }));
+fn a_failed_list_call_is_tried_again_within_the_time_after_which_we_are_deemed_told(
+    mut facts: ControllerConfig,
+) {
+    facts.polls_endpoints = true;
+    let mut brain = Controller::new(&facts);
+    assert!(brain.decide(START, vec![]).contains(&Action::WatchEndpoints { on: true }));
     for _ in 0..9 {
-        let orders = brain.decide(START, vec![Event::Roster(RosterNews::Failed)]);
-        let again =
-            |o: &&Order| matches!(o, Order::Remind { span, ctx: LISTEN_AGAIN } if *span <= facts.ask_every);
+        let orders = brain.decide(START, vec![Event::Endpoints(WatchEvent::Failed)]);
+        let again = |o: &&Action| matches!(o, Action::SetTimer { delay: span, token: LISTEN_AGAIN } if *span <= facts.poll_interval);
         assert_eq!(orders.iter().filter(again).count(), 1);
     }
-    let orders = brain.decide(START, vec![Event::Fired { ctx: LISTEN_AGAIN }]);
-    assert!(orders.contains(&Order::Listen { on: true }));
+    let orders = brain.decide(START, vec![Event::TimerFired { token: LISTEN_AGAIN }]);
+    assert!(orders.contains(&Action::WatchEndpoints { on: true }));
 }
 
 #[rstest]
@@ -283,7 +292,7 @@
 #[case(10, 1.0)]
 fn a_restarted_server_is_held_to_the_slowest_warming_path(#[case] age: u64, #[case] part: f64) {
     let mut server = Server::new(row(1), 0);
-    let restarted = RosterRow { ready_at: START, ..row(1) };
+    let restarted = Endpoint { started_at: START, ..row(1) };
     server.take(Note::Listed(restarted), &judging(), &mut Post { now: START, ..Post::default() });
     let standing = server.weigh(Picture::default(), &judging(), START + age * SECOND);
     assert!((standing.weight - part).abs() < 1e-9);
@@ -393,13 +402,13 @@
 
 #[rstest]
 fn further_tries_stop_while_failures_are_general_and_come_back_after() {
-    let gate = Gate { operation: 0, amount: 1.0, further: FurtherTry::AfterProof };
+    let gate = Gate { operation: 0, amount: 1.0, further: RetryPolicy::IfNotExecuted };
     let mut fleet = Fleet { gates: vec![gate], ..fleet([]) };
     for (share, further) in [
-        (0.15, FurtherTry::AfterProof),
-        (0.3, FurtherTry::Never),
-        (0.15, FurtherTry::Never),
-        (0.05, FurtherTry::AfterProof),
+        (0.15, RetryPolicy::IfNotExecuted),
+        (0.3, RetryPolicy::Never),
+        (0.15, RetryPolicy::Never),
+        (0.05, RetryPolicy::IfNotExecuted),
     ] {
         fleet.set_gates(share, &mut Post::default());
         assert_eq!(fleet.gates[0].further, further);
@@ -407,8 +416,8 @@
 }
 
 /// Levels after two cycles at these mean answer times.
-fn levels(facts: &StartupFacts, times: [Nanos; 2]) -> Vec<f64> {
-    let mut fleet = Brain::new(facts).fleet;
+fn levels(facts: &ControllerConfig, times: [Nanos; 2]) -> Vec<f64> {
+    let mut fleet = Controller::new(facts).fleet;
     let mut post = Post::default();
     for (cycle, time) in times.into_iter().enumerate() {
         post.now = START + cycle as u64 * 10 * SECOND;
@@ -422,7 +431,7 @@
 }
 
 #[rstest]
-fn late_answers_shed_what_bills_least_for_its_objective(facts: StartupFacts) {
+fn late_answers_shed_what_bills_least_for_its_objective(facts: ControllerConfig) {
     let late = levels(&facts, [SECOND / 5, 3 * SECOND]);
     assert!(late[0] < 0.8 && late[1] == 1.0, "{late:?}");
 }
@@ -430,35 +439,35 @@
 #[rstest]
 #[case::calm([SECOND / 5, SECOND / 5])]
 #[case::first_reading_is_not_led([0, SECOND / 2])]
-fn calm_answers_let_everything_in(facts: StartupFacts, #[case] times: [Nanos; 2]) {
+fn calm_answers_let_everything_in(facts: ControllerConfig, #[case] times: [Nanos; 2]) {
     assert_eq!(levels(&facts, times), [1.0, 1.0]);
 }
 
 #[rstest]
-fn levels_stay_whole_where_they_are_not_heeded(mut facts: StartupFacts) {
-    facts.admission = Admission::Ignored;
+fn levels_stay_whole_where_they_are_not_heeded(mut facts: ControllerConfig) {
+    facts.admission_mode = AdmissionMode::Ignored;
     assert_eq!(levels(&facts, [SECOND, 9 * SECOND]), [1.0, 1.0]);
 }
 
 #[rstest]
-fn a_joiner_gets_the_whole_table_at_once(facts: StartupFacts) {
+fn a_joiner_gets_the_whole_table_at_once(facts: ControllerConfig) {
     let orders = running(&facts).decide(START + 1, vec![joined(2)]);
-    assert!(orders.contains(&Order::Install { proxy: 2, table: WHOLE, operations: 0 }));
-    assert!(!orders.iter().any(|order| matches!(order, Order::Line { .. })));
+    assert!(orders.contains(&Action::AssignTable { proxy: 2, table: WHOLE, operations: 0 }));
+    assert!(!orders.iter().any(|order| matches!(order, Action::SetWeight { .. })));
 }
 
 #[rstest]
-fn joins_are_spread_when_the_channel_is_full(mut facts: StartupFacts) {
-    facts.backlog = 40.0;
+fn joins_are_spread_when_the_channel_is_full(mut facts: ControllerConfig) {
+    facts.channel_capacity = 40.0;
     let orders = running(&facts).decide(START + 1, (2..30).map(joined).collect());
-    let installs = orders.iter().filter(|order| matches!(order, Order::Install { .. })).count();
+    let installs = orders.iter().filter(|order| matches!(order, Action::AssignTable { .. })).count();
     assert!(installs < 4, "{installs}");
 }
 
 #[rstest]
 #[case::a_twentieth(1.05, false)]
 #[case::a_fifth(1.2, true)]
-fn a_weight_moves_by_more_than_a_tenth(facts: StartupFacts, #[case] weight: f64, #[case] moves: bool) {
+fn a_weight_moves_by_more_than_a_tenth(facts: ControllerConfig, #[case] weight: f64, #[case] moves: bool) {
     let mut channel = running(&facts).channel;
     let want = Want { weight, ..channel.wants[&1] };
     channel.wants.insert(1, want);
@@ -469,29 +478,29 @@
 #[case::ordinary(Readiness::Ready, false)]
 #[case::drain(Readiness::Draining, true)]
 fn only_what_is_urgent_leaves_before_the_next_batch(
-    facts: StartupFacts,
+    facts: ControllerConfig,
     #[case] readiness: Readiness,
     #[case] at_once: bool,
 ) {
     let mut brain = running(&facts);
-    let changed = RosterRow { readiness, weight: 3.0, ..row(1) };
-    let news = vec![Event::Roster(RosterNews::Delta(vec![changed]))];
+    let changed = Endpoint { readiness, weight: 3.0, ..row(1) };
+    let news = vec![Event::Endpoints(WatchEvent::Delta(vec![changed]))];
     let orders = brain.decide(START + SECOND / 10, news);
-    assert_eq!(orders.iter().any(|order| matches!(order, Order::Line { server: 1, .. })), at_once);
+    assert_eq!(orders.iter().any(|order| matches!(order, Action::SetWeight { server: 1, .. })), at_once);
     let later = brain.decide(START + 2 * SECOND, vec![]);
-    assert_eq!(later.iter().any(|order| matches!(order, Order::Line { server: 1, .. })), !at_once);
+    assert_eq!(later.iter().any(|order| matches!(order, Action::SetWeight { server: 1, .. })), !at_once);
 }
 
 #[rstest]
-fn messages_stay_under_their_limit(mut facts: StartupFacts) {
-    (facts.messages_max, facts.messages_over) = (4, 10 * SECOND);
+fn messages_stay_under_their_limit(mut facts: ControllerConfig) {
+    (facts.message_limit, facts.message_limit_window) = (4, 10 * SECOND);
     let mut brain = running(&facts);
-    let drained = |server| RosterRow { readiness: Readiness::Draining, ..row(server) };
-    let told = |tenth: u64, brain: &mut Brain| {
+    let drained = |server| Endpoint { readiness: Readiness::Draining, ..row(server) };
+    let told = |tenth: u64, brain: &mut Controller| {
         let readiness = if tenth.is_multiple_of(2) { drained(1) } else { row(1) };
-        let news = vec![Event::Roster(RosterNews::Delta(vec![readiness]))];
+        let news = vec![Event::Endpoints(WatchEvent::Delta(vec![readiness]))];
         let orders = brain.decide(START + tenth * SECOND / 10, news);
-        orders.iter().any(|order| matches!(order, Order::Suspend { .. } | Order::Line { .. }))
+        orders.iter().any(|order| matches!(order, Action::Exclude { .. } | Action::SetWeight { .. }))
     };
     let messages = (1..60).filter(|&tenth| told(tenth, &mut brain)).count();
     assert!((1..4).contains(&messages), "{messages}");
@@ -502,12 +511,12 @@
 #[case::three_of_four_are_out(1, 1, 700.0)]
 #[case::taken_for_lost(1, 13, 0.0)]
 fn what_is_not_answered_still_waits(
-    facts: StartupFacts,
+    facts: ControllerConfig,
     #[case] answers: ProxyId,
     #[case] after: u64,
     #[case] waiting: f64,
 ) {
-    let mut pacing = Brain::new(&facts).channel.pacing;
+    let mut pacing = Controller::new(&facts).channel.pacing;
     let due = START + 20 * SECOND;
     pacing.fenced.insert(
         1,
@@ -518,8 +527,8 @@
 }
 
 #[rstest]
-fn an_answer_counts_once_and_for_all_that_was_sent_before(facts: StartupFacts) {
-    let mut pacing = Brain::new(&facts).channel.pacing;
+fn an_answer_counts_once_and_for_all_that_was_sent_before(facts: ControllerConfig) {
+    let mut pacing = Controller::new(&facts).channel.pacing;
     let mut book = |at: u64, proxies: &[ProxyId]| {
         let mut post = Post { now: START + at, ..Post::default() };
         pacing.book(1_000.0, proxies.iter().copied().collect(), &mut post);
@@ -544,15 +553,15 @@
 }
 
 #[rstest]
-fn newcomers_alone_are_told_again_what_is_shunned(mut facts: StartupFacts) {
-    (facts.proxies, facts.backlog) = (200, 5_000.0);
-    let mut brain = Brain::new(&facts);
-    let drained = (51..=100).map(|id| RosterRow { readiness: Readiness::Draining, ..row(id) });
+fn newcomers_alone_are_told_again_what_is_shunned(mut facts: ControllerConfig) {
+    (facts.proxy_count, facts.channel_capacity) = (200, 5_000.0);
+    let mut brain = Controller::new(&facts);
+    let drained = (51..=100).map(|id| Endpoint { readiness: Readiness::Draining, ..row(id) });
     // All others are cold: no small table can stand in.
-    let cold = (1..=50).map(|id| RosterRow { ready_at: START, ..row(id) });
+    let cold = (1..=50).map(|id| Endpoint { started_at: START, ..row(id) });
     brain.decide(START, vec![listed(cold.chain(drained))]);
     // No room for whole tables in time: all wait, and are told what is shunned.
-    let full = |brain: &mut Brain, at: u64| {
+    let full = |brain: &mut Controller, at: u64| {
         brain.channel.pacing.fenced.clear();
         (brain.channel.pacing.waiting, brain.channel.pacing.at) = (4_000.0 * JOIN_ROOM, START + at);
     };
@@ -563,7 +572,7 @@
         full(&mut brain, at);
         let proxy = 20 + at as ProxyId;
         let orders = brain.decide(START + at, vec![joined(proxy)]);
-        let shunned = orders.iter().filter(|order| matches!(order, Order::Suspend { on: true, .. })).count();
+        let shunned = orders.iter().filter(|order| matches!(order, Action::Exclude { on: true, .. })).count();
         assert_eq!((shunned, brain.channel.pacing.waiting), (50, 2_000.0 + 5.0 + 1.0 + 50.0), "{at}");
         let fence = brain.channel.pacing.fenced.values().next_back().unwrap();
         assert!(fence.open.iter().eq([&proxy]), "{:?}", fence.open);
@@ -571,17 +580,17 @@
 }
 
 #[rstest]
-fn a_whole_table_goes_ahead_of_what_a_newcomer_is_to_shun(facts: StartupFacts) {
+fn a_whole_table_goes_ahead_of_what_a_newcomer_is_to_shun(facts: ControllerConfig) {
     let mut brain = running(&facts);
-    let drained = RosterRow { readiness: Readiness::Draining, ..row(4) };
-    brain.decide(START + 1, vec![Event::Roster(RosterNews::Delta(vec![drained]))]);
+    let drained = Endpoint { readiness: Readiness::Draining, ..row(4) };
+    brain.decide(START + 1, vec![Event::Endpoints(WatchEvent::Delta(vec![drained]))]);
     let orders = answered(&mut brain, START + SECOND, vec![joined(7)]);
-    let installed = |order: &Order| matches!(order, Order::Install { proxy: 7, .. });
-    assert!(orders.iter().any(installed) && !orders.iter().any(|o| matches!(o, Order::Suspend { .. })));
+    let installed = |order: &Action| matches!(order, Action::AssignTable { proxy: 7, .. });
+    assert!(orders.iter().any(installed) && !orders.iter().any(|o| matches!(o, Action::Exclude { .. })));
 }
 
 #[rstest]
-fn what_a_proxy_that_left_did_not_answer_waits_no_more(facts: StartupFacts) {
+fn what_a_proxy_that_left_did_not_answer_waits_no_more(facts: ControllerConfig) {
     let mut channel = running(&facts).channel;
     channel.pacing.fenced.insert(
         9,
@@ -595,8 +604,8 @@
 #[case::no_small_table_can_stand_in(START, 0)]
 #[case::small_tables_stand_in(0, 20)]
 fn whole_tables_leave_room_while_a_rule_is_owed_lines(
-    facts: StartupFacts,
-    #[case] ready_at: Nanos,
+    facts: ControllerConfig,
+    #[case] started_at: Nanos,
     #[case] small: usize,
 ) {
     let mut brain = large(facts, 400, 40);
@@ -604,20 +613,20 @@
     brain.channel.members.values_mut().skip(20).for_each(|member| member.bound = None);
     (brain.channel.pacing.waiting, brain.channel.pacing.at) =
         (brain.channel.pacing.room / 2.0, START + SECOND);
-    let drained = (1..=200).map(|id| RosterRow { readiness: Readiness::Draining, ..row(id) });
-    let others = (201..=400).map(|id| RosterRow { ready_at, ..row(id) });
-    let news = vec![Event::Roster(RosterNews::Delta(drained.chain(others).collect()))];
+    let drained = (1..=200).map(|id| Endpoint { readiness: Readiness::Draining, ..row(id) });
+    let others = (201..=400).map(|id| Endpoint { started_at, ..row(id) });
+    let news = vec![Event::Endpoints(WatchEvent::Delta(drained.chain(others).collect()))];
     let orders = answered(&mut brain, START + SECOND, news);
-    let installed = |order: &&Order| matches!(order, Order::Install { .. });
-    assert!(!orders.iter().any(|order| matches!(order, Order::Install { table: WHOLE, .. })));
+    let installed = |order: &&Action| matches!(order, Action::AssignTable { .. });
+    assert!(!orders.iter().any(|order| matches!(order, Action::AssignTable { table: WHOLE, .. })));
     if small == 0 {
         // Drained servers leave the tables before joiners are told to shun them.
-        assert!(matches!(orders[0], Order::Line { table: WHOLE, weight: 0.0, .. }), "{:?}", orders[0]);
+        assert!(matches!(orders[0], Action::SetWeight { table: WHOLE, weight: 0.0, .. }), "{:?}", orders[0]);
         assert_eq!(orders.iter().filter(installed).count(), 0);
     } else {
         // Newcomers get theirs first, in place of 200 lines each.
         assert!(orders.iter().filter(installed).count() >= small, "{orders:?}");
-        assert!(!orders.iter().any(|order| matches!(order, Order::Suspend { .. })));
+        assert!(!orders.iter().any(|order| matches!(order, Action::Exclude { .. })));
     }
 }
 
@@ -626,36 +635,38 @@
     let judging = Judging { gone_does_not_bind: true, ..judging() };
     let mut server = Server::new(row(1), START);
     server.hear(&digest(1, 9, 0), START, &mut Post::default());
-    for readiness in [Readiness::Draining, Readiness::Gone] {
-        server.take(Note::Listed(RosterRow { readiness, ..row(1) }), &judging, &mut Post::default());
+    for readiness in [Readiness::Draining, Readiness::Removed] {
+        server.take(Note::Listed(Endpoint { readiness, ..row(1) }), &judging, &mut Post::default());
     }
     let standing = server.weigh(Picture::default(), &judging, START);
     assert!(standing.binds && !standing.ready());
 }
 
 /// An instance at full size: so many servers and proxies of a channel that takes a dozen whole tables.
-fn large(mut facts: StartupFacts, servers: u32, proxies: ProxyId) -> Brain {
-    (facts.backlog, facts.lines_per_s) = (f64::from(servers) * 12.0, f64::from(servers) * 8.0);
-    let mut brain = Brain::new(&facts);
+fn large(mut facts: ControllerConfig, servers: u32, proxies: ProxyId) -> Controller {
+    (facts.channel_capacity, facts.lines_per_s) = (f64::from(servers) * 12.0, f64::from(servers) * 8.0);
+    let mut brain = Controller::new(&facts);
     brain.decide(START, vec![listed((1..=servers).map(row))]);
     brain.decide(START + 1, (0..proxies).map(joined).collect());
     brain
 }
 
 /// Decides, and has all that was ordered answered.
-fn answered(brain: &mut Brain, now: Nanos, events: Vec<Event>) -> Vec<Order> {
+fn answered(brain: &mut Controller, now: Nanos, events: Vec<Event>) -> Vec<Action> {
     brain.channel.pacing.fenced.clear();
     brain.decide(now, events)
 }
 
 /// Lines that orders put into the channel, counted as the wire tells; `users` are those of each table before.
-fn lines(orders: &[Order], users: &BTreeMap<TableId, usize>, held: &BTreeMap<TableId, usize>) -> usize {
+fn lines(orders: &[Action], users: &BTreeMap<TableId, usize>, held: &BTreeMap<TableId, usize>) -> usize {
     let mut touched: BTreeMap<TableId, usize> = BTreeMap::new();
     let mut installed = 0;
     for order in orders {
         match order {
-            Order::Install { table, .. } => installed += held.get(table).copied().unwrap_or_default() + 9,
-            Order::Line { table, .. } | Order::Gate { table: Some(table), .. } => {
+            Action::AssignTable { table, .. } => {
+                installed += held.get(table).copied().unwrap_or_default() + 9
+            }
+            Action::SetWeight { table, .. } | Action::LimitAdmission { table: Some(table), .. } => {
                 *touched.entry(*table).or_default() += 1;
             }
             _ => {}
@@ -667,7 +678,7 @@
 }
 
 /// Proxies on each table.
-fn users(brain: &Brain) -> BTreeMap<TableId, usize> {
+fn users(brain: &Controller) -> BTreeMap<TableId, usize> {
     let mut users = BTreeMap::new();
     for table in brain.channel.members.values().filter_map(|member| member.bound) {
         *users.entry(table).or_default() += 1;
@@ -676,7 +687,7 @@
 }
 
 /// Servers on each table.
-fn held(brain: &Brain) -> BTreeMap<TableId, usize> {
+fn held(brain: &Controller) -> BTreeMap<TableId, usize> {
     let mut held = BTreeMap::new();
     for ((table, _), _) in brain.channel.told.iter().filter(|(_, weight)| **weight > 0.0) {
         *held.entry(*table).or_default() += 1;
@@ -688,14 +699,14 @@
 #[case::drained_at_once(Readiness::Draining, 0)]
 #[case::restarted_at_once(Readiness::Ready, START)]
 fn many_changes_at_once_go_in_pieces_that_the_channel_takes(
-    facts: StartupFacts,
+    facts: ControllerConfig,
     #[case] readiness: Readiness,
-    #[case] ready_at: Nanos,
+    #[case] started_at: Nanos,
 ) {
     let mut brain = large(facts, 400, 100);
     brain.channel.members.values_mut().for_each(|member| member.bound = Some(WHOLE));
-    let rows = (1..=200).map(|id| RosterRow { readiness, ready_at, ..row(id) });
-    let mut news = vec![Event::Roster(RosterNews::Delta(rows.collect()))];
+    let rows = (1..=200).map(|id| Endpoint { readiness, started_at, ..row(id) });
+    let mut news = vec![Event::Endpoints(WatchEvent::Delta(rows.collect()))];
     let (mut waiting, mut told) = (400.0 * 12.0 * JOIN_ROOM, 0);
     for tenth in 1..200 {
         waiting = f64::max(waiting - 320.0, 0.0);
@@ -703,14 +714,14 @@
         let orders = answered(&mut brain, START + tenth * SECOND / 10, std::mem::take(&mut news));
         waiting += lines(&orders, &before, &held(&brain)) as f64;
         assert!(waiting <= 4_800.0, "{waiting}");
-        told += orders.iter().filter(|order| matches!(order, Order::Line { .. })).count();
+        told += orders.iter().filter(|order| matches!(order, Action::SetWeight { .. })).count();
     }
     assert!(told >= 200, "{told}");
 }
 
 /// Proxies that were kept apart, each on its small table.
-fn apart(facts: StartupFacts) -> Channel {
-    let mut channel = large(StartupFacts { proxies: 40, ..facts }, 120, 20).channel;
+fn apart(facts: ControllerConfig) -> Channel {
+    let mut channel = large(ControllerConfig { proxy_count: 40, ..facts }, 120, 20).channel;
     let mut post = Post { now: START + SECOND, ..Post::default() };
     channel.pacing.fenced.clear();
     for note in [Note::Apart(true), Note::Flush] {
@@ -731,9 +742,10 @@
 }
 
 #[rstest]
-fn kept_apart_few_proxies_share_few_servers_and_supervisors_share_none(mut facts: StartupFacts) {
-    facts.supervisors = 2;
-    let [ours, theirs] = [0, 1].map(|supervisor| apart(StartupFacts { supervisor, ..facts.clone() }));
+fn kept_apart_few_proxies_share_few_servers_and_supervisors_share_none(mut facts: ControllerConfig) {
+    facts.supervisor_count = 2;
+    let [ours, theirs] =
+        [0, 1].map(|supervisor| apart(ControllerConfig { supervisor_index: supervisor, ..facts.clone() }));
     let servers = |channel: &Channel| channel.parts.iter().map(|part| part.1).collect::<BTreeSet<_>>();
     assert!(servers(&ours).is_disjoint(&servers(&theirs)));
     for member in ours.members.values() {
@@ -744,7 +756,7 @@
 }
 
 #[rstest]
-fn a_small_table_that_lost_its_servers_is_refilled_alone(facts: StartupFacts) {
+fn a_small_table_that_lost_its_servers_is_refilled_alone(facts: ControllerConfig) {
     let mut channel = apart(facts);
     let before = channel.parts.clone();
     let (table, post) = (WHOLE + 2, &mut Post { now: START + 2 * SECOND, ..Post::default() });
@@ -764,11 +776,11 @@
 #[case::ours(1_000, 1)]
 #[case::the_other_supervisors(1_001, 0)]
 fn a_server_first_listed_while_apart_goes_to_one_small_table(
-    mut facts: StartupFacts,
+    mut facts: ControllerConfig,
     #[case] server: ServerId,
     #[case] tables: usize,
 ) {
-    (facts.supervisors, facts.drain_grace) = (2, 10 * SECOND);
+    (facts.supervisor_count, facts.drain_grace) = (2, 10 * SECOND);
     let mut channel = apart(facts);
     let post = &mut Post { now: START + 2 * SECOND, ..Post::default() };
     let cold = Want { weight: 0.2, urgent: true, ..Want::default() };
@@ -783,7 +795,7 @@
 }
 
 #[rstest]
-fn small_tables_stand_until_the_last_proxy_has_left_them(facts: StartupFacts) {
+fn small_tables_stand_until_the_last_proxy_has_left_them(facts: ControllerConfig) {
     let mut channel = apart(facts);
     let post = &mut Post { now: START + 40 * SECOND, ..Post::default() };
     (channel.pacing.waiting, channel.pacing.at) = (channel.pacing.room / 2.5, post.now);
@@ -797,74 +809,86 @@
 }
 
 #[rstest]
-fn a_hundred_joiners_get_a_large_table_in_turn(facts: StartupFacts) {
+fn a_hundred_joiners_get_a_large_table_in_turn(facts: ControllerConfig) {
     let mut brain = large(facts, 400, 100);
     let mut installed = brain.channel.members.values().filter(|member| member.bound.is_some()).count();
     assert!((1..12).contains(&installed), "{installed}");
     for tenth in 1..150 {
         let orders = answered(&mut brain, START + tenth * SECOND / 10, vec![]);
-        installed += orders.iter().filter(|order| matches!(order, Order::Install { .. })).count();
+        installed += orders.iter().filter(|order| matches!(order, Action::AssignTable { .. })).count();
     }
     assert_eq!(installed, 100);
 }
 
 #[rstest]
-fn identical_events_give_identical_orders(facts: StartupFacts) {
+fn identical_events_give_identical_orders(facts: ControllerConfig) {
     let play = || {
         let mut brain = running(&facts);
-        let heard = |at: u64| (1..5).map(move |id| Event::Digest(digest(id, 9, (at % id as u64) as u32)));
+        let heard =
+            |at: u64| (1..5).map(move |id| Event::EndpointReport(digest(id, 9, (at % id as u64) as u32)));
         (1..40).map(|at| brain.decide(START + at * SECOND, heard(at).collect())).collect::<Vec<_>>()
     };
     assert_eq!(play(), play());
 }
 
 #[rstest]
-fn useless_events_give_no_order_that_names_them(facts: StartupFacts) {
+fn useless_events_give_no_order_that_names_them(facts: ControllerConfig) {
     let events = vec![
-        Event::Digest(digest(99, 5, 5)),
-        Event::Digest(digest(1, 0, 0)),
+        Event::EndpointReport(digest(99, 5, 5)),
+        Event::EndpointReport(digest(1, 0, 0)),
         Event::Left { proxy: 77 },
-        Event::Intake { proxy: 1, operation: 9, total: 5, lost: 5, window: 0 },
-        Event::Confirmed { proxy: 77, serial: u64::MAX, took: Nanos::MAX },
-        Event::Probed { server: 99, ending: ProbeEnding::Other, took: 0, load: vec![f64::NAN] },
-        Event::Fired { ctx: u64::MAX },
+        Event::DemandReport { proxy: 1, operation: 9, total: 5, failures: 5, window: 0 },
+        Event::Acknowledged { proxy: 77, serial: u64::MAX, elapsed: Nanos::MAX },
+        Event::HealthChecked {
+            server: 99,
+            outcome: HealthCheckOutcome::Other,
+            elapsed: 0,
+            load: vec![f64::NAN],
+        },
+        Event::TimerFired { token: u64::MAX },
     ];
     assert_eq!(running(&facts).decide(START + 2 * SECOND, events), []);
 }
 
-fn remembered(out_for: Nanos, silent: bool) -> Remembered {
-    let learned = |server| Learned {
+fn remembered(out_for: Nanos, silent: bool) -> Snapshot {
+    let learned = |server| ServerSnapshot {
         server,
-        tries: 40.0,
-        answered: 60.0,
-        time: 60.0 * SECOND as f64 / 5.0,
-        level: 1.0,
-        term: 2 * FIRST_TERM,
-        ..Learned::default()
+        attempts: 40.0,
+        responses: 60.0,
+        response_time_sum: 60.0 * SECOND as f64 / 5.0,
+        recovery: 1.0,
+        ejection_time: 2 * FIRST_TERM,
+        ..ServerSnapshot::default()
+    };
+    let sick = ServerSnapshot {
+        health: 2,
+        failures: 40.0,
+        ejected_for: Some(out_for),
+        unresponsive: silent,
+        ..learned(3)
     };
-    let sick = Learned { band: 2, lost: 40.0, out_for: Some(out_for), silent, ..learned(3) };
-    let slow = Learned { time: 60.0 * SECOND as f64 / 2.0, ..learned(4) };
+    let slow = ServerSnapshot { response_time_sum: 60.0 * SECOND as f64 / 2.0, ..learned(4) };
     let servers = vec![learned(1), learned(2), sick, slow, learned(5), learned(6)];
-    Remembered { servers, tries: 240.0, lost: 10.0, usual: 6.0, ..Remembered::default() }
+    Snapshot { servers, attempts: 240.0, failures: 10.0, usual_weight: 6.0, ..Snapshot::default() }
 }
 
 /// Weights of the first table that a new instance tells, by server.
-fn first_table(facts: &StartupFacts, away: Nanos) -> BTreeMap<ServerId, f64> {
-    let mut brain = Brain::new(facts);
+fn first_table(facts: &ControllerConfig, away: Nanos) -> BTreeMap<ServerId, f64> {
+    let mut brain = Controller::new(facts);
     let events = vec![
-        Event::Roster(RosterNews::Cached((1..7).map(row).collect())),
-        Event::Recalled { remembered: remembered(SECOND, false), away },
-        Event::Joined { proxy: 0, locality: 0, rate: 10.0, standing_only: true },
+        Event::Endpoints(WatchEvent::Cached((1..7).map(row).collect())),
+        Event::Restored { snapshot: remembered(SECOND, false), age: away },
+        Event::Joined { proxy: 0, locality: 0, rate: 10.0, is_new: true },
     ];
     let lines = brain.decide(START, events).into_iter().filter_map(|order| match order {
-        Order::Line { table: WHOLE, server, weight } => Some((server, weight)),
+        Action::SetWeight { table: WHOLE, server, weight } => Some((server, weight)),
         _ => None,
     });
     lines.collect()
 }
 
 #[rstest]
-fn what_was_known_before_a_restart_counts_by_its_age(facts: StartupFacts) {
+fn what_was_known_before_a_restart_counts_by_its_age(facts: ControllerConfig) {
     let told = first_table(&facts, 2 * SECOND);
     assert!(!told.contains_key(&3) && told.len() == 5, "{told:?}");
     assert!(told[&4] < told[&1], "{told:?}");
@@ -877,30 +901,30 @@
 }
 
 #[rstest]
-fn a_recalled_server_returns_by_its_answers_and_what_is_remembered_is_told_on(facts: StartupFacts) {
-    let mut brain = Brain::new(&facts);
+fn a_recalled_server_returns_by_its_answers_and_what_is_remembered_is_told_on(facts: ControllerConfig) {
+    let mut brain = Controller::new(&facts);
     let events = vec![
-        Event::Roster(RosterNews::Cached((1..7).map(row).collect())),
-        Event::Recalled { remembered: remembered(SECOND, true), away: SECOND },
+        Event::Endpoints(WatchEvent::Cached((1..7).map(row).collect())),
+        Event::Restored { snapshot: remembered(SECOND, true), age: SECOND },
     ];
     brain.decide(START, events);
     let now = START + 3 * SECOND;
-    let out = |brain: &mut Brain, now| brain.remember(now).servers[2].out_for;
+    let out = |brain: &mut Controller, now| brain.remember(now).servers[2].ejected_for;
     assert_eq!(out(&mut brain, now), Some(5 * SECOND));
     // Two restarts in a row: what the second one is told is older and weighs less, not more.
     let told = brain.remember(now);
-    assert!(told.servers[0].tries < 20.0 && told.tries < 120.0, "{told:?}");
-    brain.decide(now, vec![Event::Digest(digest(3, 9, 0))]);
+    assert!(told.servers[0].attempts < 20.0 && told.attempts < 120.0, "{told:?}");
+    brain.decide(now, vec![Event::EndpointReport(digest(3, 9, 0))]);
     assert_eq!(out(&mut brain, now + SECOND), None);
 }
 
 #[rstest]
-fn a_server_gone_for_long_is_forgotten_and_one_still_told_is_not(facts: StartupFacts) {
-    let mut brain = Brain::new(&facts);
-    brain.decide(START, vec![Event::Roster(RosterNews::Full(vec![row(1), row(2), row(3)]))]);
+fn a_server_gone_for_long_is_forgotten_and_one_still_told_is_not(facts: ControllerConfig) {
+    let mut brain = Controller::new(&facts);
+    brain.decide(START, vec![Event::Endpoints(WatchEvent::Full(vec![row(1), row(2), row(3)]))]);
     brain.channel.told.insert((WHOLE, 3), 1.0);
-    let gone = |server| RosterRow { readiness: Readiness::Gone, ..row(server) };
-    brain.decide(START + 1, vec![Event::Roster(RosterNews::Delta(vec![gone(2), gone(3)]))]);
+    let gone = |server| Endpoint { readiness: Readiness::Removed, ..row(server) };
+    brain.decide(START + 1, vec![Event::Endpoints(WatchEvent::Delta(vec![gone(2), gone(3)]))]);
     brain.channel.told.insert((WHOLE, 3), 1.0);
     brain.decide(START + GONE_KEPT, Vec::new());
     assert_eq!(brain.servers.len(), 3);
@@ -908,7 +932,7 @@
     brain.decide(START + GONE_KEPT + 2, Vec::new());
     assert_eq!(brain.servers.keys().copied().collect::<Vec<_>>(), [1, 3]);
     assert!(!brain.channel.wants.contains_key(&2) && !brain.fleet.standings.contains_key(&2));
-    brain.decide(START + GONE_KEPT + 3, vec![Event::Roster(RosterNews::Delta(vec![row(2)]))]);
+    brain.decide(START + GONE_KEPT + 3, vec![Event::Endpoints(WatchEvent::Delta(vec![row(2)]))]);
     assert!(brain.servers.contains_key(&2), "listed again it is known again");
 }
 
@@ -916,41 +940,44 @@
 #[case::one_operation_spared(0, true)]
 #[case::all_alike(12, false)]
 fn failures_that_spare_an_operation_are_not_general(
-    facts: StartupFacts,
+    facts: ControllerConfig,
     #[case] lost: u32,
     #[case] spared: bool,
 ) {
-    let mut brain = Brain::new(&facts);
-    brain.decide(START, vec![Event::Roster(RosterNews::Full((1..=5).map(row).collect()))]);
+    let mut brain = Controller::new(&facts);
+    brain.decide(START, vec![Event::Endpoints(WatchEvent::Full((1..=5).map(row).collect()))]);
     let window = SECOND;
-    let intake = |operation, lost| Event::Intake { proxy: 1, operation, total: 30, lost, window };
+    let intake =
+        |operation, lost| Event::DemandReport { proxy: 1, operation, total: 30, failures: lost, window };
     let mut events = vec![intake(0, 12), intake(1, lost)];
-    events.extend((1..=5).map(|server| Event::Digest(digest(server, 20, 10))));
+    events.extend((1..=5).map(|server| Event::EndpointReport(digest(server, 20, 10))));
     brain.decide(START + SECOND, events);
     brain.decide(START + SECOND + 1, Vec::new());
     assert_eq!((brain.fleet.apart_until == 0, brain.fleet.general), (spared, !spared));
 }
 
 #[rstest]
-fn changes_gather_longer_where_heads_would_fill_the_channel(facts: StartupFacts) {
+fn changes_gather_longer_where_heads_would_fill_the_channel(facts: ControllerConfig) {
     // 300 proxies, 6 lines of head each, at 1,000 lines a second: 1.8 s of the channel for heads alone.
     // The grace is long enough for all of them on the whole table.
-    let facts = StartupFacts { backlog: 9_000.0, proxies: 300, drain_grace: 10 * SECOND, ..facts };
-    let mut brain = Brain::new(&facts);
-    let joined = |proxy| Event::Joined { proxy, locality: 0, rate: 1.0, standing_only: true };
-    let mut events = vec![Event::Roster(RosterNews::Full(vec![row(1), row(2)]))];
+    let facts =
+        ControllerConfig { channel_capacity: 9_000.0, proxy_count: 300, drain_grace: 10 * SECOND, ..facts };
+    let mut brain = Controller::new(&facts);
+    let joined = |proxy| Event::Joined { proxy, locality: 0, rate: 1.0, is_new: true };
+    let mut events = vec![Event::Endpoints(WatchEvent::Full(vec![row(1), row(2)]))];
     events.extend((0..300).map(joined));
     // Lines of tables that nobody uses yet cost nothing.
-    let told =
-        |orders: &[Order]| orders.iter().any(|order| matches!(order, Order::Line { table: WHOLE, .. }));
+    let told = |orders: &[Action]| {
+        orders.iter().any(|order| matches!(order, Action::SetWeight { table: WHOLE, .. }))
+    };
     assert!(told(&brain.decide(START, events)));
-    let row = |at: u64| RosterRow { ready_at: START - 20 * SECOND, ..row(at as ServerId) };
+    let row = |at: u64| Endpoint { started_at: START - 20 * SECOND, ..row(at as ServerId) };
     for at in 1..10 {
         // A new warm server each second; nothing waits in the channel.
         brain.channel.pacing.waiting = 0.0;
         brain.channel.pacing.fenced.clear();
         let orders =
-            brain.decide(START + at * SECOND, vec![Event::Roster(RosterNews::Delta(vec![row(2 + at)]))]);
+            brain.decide(START + at * SECOND, vec![Event::Endpoints(WatchEvent::Delta(vec![row(2 + at)]))]);
         assert_eq!(told(&orders), at % 5 == 0, "after {at} s");
     }
 }
@@ -966,9 +993,11 @@
 }
 
 #[rstest]
-fn joiners_have_their_turn_between_changes_and_nothing_stands_behind_a_long_queue(mut facts: StartupFacts) {
-    (facts.proxies, facts.backlog, facts.drain_grace) = (400, 60_000.0, 30 * SECOND);
-    let mut brain = Brain::new(&facts);
+fn joiners_have_their_turn_between_changes_and_nothing_stands_behind_a_long_queue(
+    mut facts: ControllerConfig,
+) {
+    (facts.proxy_count, facts.channel_capacity, facts.drain_grace) = (400, 60_000.0, 30 * SECOND);
+    let mut brain = Controller::new(&facts);
     brain.decide(START, vec![listed((1..=100).map(row))]);
     let prompt = brain.channel.pacing.prompt;
     brain.decide(START + 1, (0..400).map(joined).collect());
@@ -976,11 +1005,11 @@
     for at in 1..120u32 {
         // A server drains every second; all that is sent is answered as the channel empties.
         brain.channel.pacing.fenced.clear();
-        let drained = RosterRow { readiness: Readiness::Draining, ..row(1 + at / 4) };
+        let drained = Endpoint { readiness: Readiness::Draining, ..row(1 + at / 4) };
         let now = START + Nanos::from(at) * SECOND / 4;
         let before = brain.channel.pacing.waiting(now);
-        let orders = brain.decide(now, vec![Event::Roster(RosterNews::Delta(vec![drained]))]);
-        let lines = orders.iter().filter(|order| matches!(order, Order::Line { .. })).count();
+        let orders = brain.decide(now, vec![Event::Endpoints(WatchEvent::Delta(vec![drained]))]);
+        let lines = orders.iter().filter(|order| matches!(order, Action::SetWeight { .. })).count();
         assert!(lines == 0 || before <= prompt, "{lines} behind {before}");
         told += lines;
         let sent = brain.channel.pacing.waiting - before;
@@ -998,11 +1027,12 @@
 #[case::in_time(0, 6_000.0 - 2_000.0 - 200.0)]
 #[case::late(2, 6_000.0)]
 fn a_slow_channel_shows_by_answers_that_are_late(
-    facts: StartupFacts,
+    facts: ControllerConfig,
     #[case] after: u64,
     #[case] waiting: f64,
 ) {
-    let mut pacing = Brain::new(&StartupFacts { backlog: 20_000.0, ..facts }).channel.pacing;
+    let mut pacing =
+        Controller::new(&ControllerConfig { channel_capacity: 20_000.0, ..facts }).channel.pacing;
     let mut post = Post { now: START, ..Post::default() };
     pacing.at = START;
     pacing.book(6_000.0, (0..6).collect(), &mut post);
@@ -1015,23 +1045,23 @@
 
 /// Whoever is bound to a table that still holds a server is told to shun it too: that must not go unbooked.
 #[rstest]
-fn nothing_is_shunned_before_it_has_left_the_tables(mut facts: StartupFacts) {
-    (facts.proxies, facts.backlog, facts.drain_grace) = (100, 2_000.0, SECOND / 10);
-    let mut brain = Brain::new(&facts);
+fn nothing_is_shunned_before_it_has_left_the_tables(mut facts: ControllerConfig) {
+    (facts.proxy_count, facts.channel_capacity, facts.drain_grace) = (100, 2_000.0, SECOND / 10);
+    let mut brain = Controller::new(&facts);
     // All are cold: no small table can stand in.
-    let cold = |id| RosterRow { ready_at: START, ..row(id) };
+    let cold = |id| Endpoint { started_at: START, ..row(id) };
     brain.decide(START, vec![listed((1..=60).map(cold))]);
     brain.decide(START + 1, (0..60).map(joined).collect());
     brain.channel.members.values_mut().take(40).for_each(|member| member.bound = Some(WHOLE));
-    let drained = (1..=50).map(|id| RosterRow { readiness: Readiness::Draining, ..cold(id) });
-    let mut news = vec![Event::Roster(RosterNews::Delta(drained.collect()))];
+    let drained = (1..=50).map(|id| Endpoint { readiness: Readiness::Draining, ..cold(id) });
+    let mut news = vec![Event::Endpoints(WatchEvent::Delta(drained.collect()))];
     let (mut left, mut shunned) = (BTreeSet::new(), 0);
     for tenth in 1..100 {
         let orders = answered(&mut brain, START + tenth * SECOND / 10, std::mem::take(&mut news));
         for order in orders {
             match order {
-                Order::Line { table: WHOLE, server, weight: 0.0 } => drop(left.insert(server)),
-                Order::Suspend { server, on: true } => {
+                Action::SetWeight { table: WHOLE, server, weight: 0.0 } => drop(left.insert(server)),
+                Action::Exclude { server, on: true } => {
                     assert!(left.contains(&server), "{server} is still in the table");
                     shunned += 1;
                 }
--- a/src/channel.rs
+++ b/src/channel.rs
@@ -139,11 +139,11 @@
 }
 
 impl Channel {
-    pub(crate) fn new(facts: &StartupFacts, gates: Vec<Gate>) -> Self {
+    pub(crate) fn new(facts: &ControllerConfig, gates: Vec<Gate>) -> Self {
         Channel {
-            supervisor: facts.supervisor.into(),
-            supervisors: facts.supervisors.into(),
-            proxies: facts.proxies.into(),
+            supervisor: facts.supervisor_index.into(),
+            supervisors: facts.supervisor_count.into(),
+            proxies: facts.proxy_count.into(),
             pacing: Pacing::new(facts),
             gates,
             grace: facts.drain_grace,
@@ -426,8 +426,8 @@
     fn order_line(&mut self, change: &Change, post: &mut Post) {
         let &Change { table, server, weight, .. } = change;
         post.orders.push(match table {
-            SHUNNED => Order::Suspend { server, on: weight > 0.0 },
-            _ => Order::Line { table, server, weight },
+            SHUNNED => Action::Exclude { server, on: weight > 0.0 },
+            _ => Action::SetWeight { table, server, weight },
         });
         if weight > 0.0 || table == WHOLE || table == SHUNNED {
             self.told.insert((table, server), weight);
@@ -438,7 +438,12 @@
 
     fn order_gate(&mut self, table: TableId, gate: Gate, post: &mut Post) {
         let (operations, amount, further) = (1 << gate.operation, gate.amount, gate.further);
-        post.orders.push(Order::Gate { table: Some(table), operations, amount, further });
+        post.orders.push(Action::LimitAdmission {
+            table: Some(table),
+            operations,
+            limit: amount,
+            retry_policy: further,
+        });
         self.gates_told.insert((table, gate.operation), gate);
     }
 
@@ -726,7 +731,7 @@
             if cost + more > room && !(one && reached.is_empty()) {
                 break;
             }
-            post.orders.push(Order::Install { proxy, table: member.table, operations: 0 });
+            post.orders.push(Action::AssignTable { proxy, table: member.table, operations: 0 });
             cost += more;
             reached.insert(proxy);
             entries.push((due, cost));
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,335 +1,396 @@
-//! What the decision module takes and gives, free of any wire: startup facts, events and orders.
+//! What the controller takes and gives, free of any wire format: its configuration, events and actions.
 
-/// Whole nanoseconds, a span or a time on the batch clock.
+/// Whole nanoseconds: a duration, or a time on the controller's clock.
 pub type Nanos = u64;
+/// Identifies a server; given by whoever lists it.
 pub type ServerId = u32;
+/// Identifies a proxy.
 pub type ProxyId = u16;
+/// Identifies a table of weighted endpoints.
 pub type TableId = u16;
 /// Position in the list of localities.
 pub type LocalityId = u16;
 /// Set of operations: bit k stands for the operation at position k.
 pub type OperationMask = u16;
 
-/// May an operation run again?
+/// Whether an operation may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
+    /// Any number of executions has the effect of one.
     Idempotent,
-    Fingerprinted,
-    SideEffecting,
+    /// Servers drop a repeat that carries the same idempotency key.
+    Keyed,
+    /// A second execution has a second effect.
+    NonIdempotent,
 }
 
-/// Which servers drop a repeat of a fingerprinted invocation.
+/// Which servers recognise a repeated idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatScope {
+pub enum DeduplicationScope {
+    /// All servers.
     Everywhere,
+    /// Servers of the locality that executed the request first.
     Locality,
+    /// Servers of the cell that executed the request first.
     Cell,
 }
 
+/// An operation that clients invoke, with its objectives.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    pub effect: Effect,
-    pub repeat_scope: RepeatScope,
-    pub repeat_window: Nanos,
+    /// Whether it may be executed more than once.
+    pub idempotency: Idempotency,
+    /// Which servers recognise its idempotency keys.
+    pub deduplication_scope: DeduplicationScope,
+    /// How long they remember a key.
+    pub deduplication_window: Nanos,
+    /// Response time below which a response has its full value.
     pub latency_objective: Nanos,
-    pub integration_timeout: Nanos,
-    pub billed_value: f64,
+    /// Time after which a client gives up.
+    pub timeout: Nanos,
+    /// Value of a response in time, relative to other operations.
+    pub priority_weight: f64,
     /// It may go only to servers of the proxy's own locality.
-    pub home_only: bool,
+    pub local_only: bool,
+    /// It changes state on the server.
     pub writes: bool,
 }
 
-/// How levels are heeded by proxies.
+/// How proxies apply admission limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admission {
+pub enum AdmissionMode {
+    /// Not at all.
     Ignored,
+    /// As the share of requests to admit, 0 to 1.
     Ratio,
+    /// As requests per second.
     Rate,
 }
 
-/// What a value of a load report means; columns not known here are read over.
+/// What a value of a server's load report means; columns not known here are skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadColumn {
+    /// Requests being executed.
     Active,
+    /// Requests queued.
     Waiting,
+    /// Share of the processor in use.
     Cpu,
+    /// Mean time of execution.
     ServiceTime,
+    /// Not known here.
     Other,
 }
 
-/// Where load reports come from.
+/// Where servers' load values come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadSource {
-    Digest,
-    Probe,
-    Nowhere,
+    /// Proxies' load reports.
+    Reports,
+    /// Answers to health checks.
+    HealthChecks,
+    /// There are none.
+    None,
 }
 
-/// How far a listed weight tells the size of its server.
+/// How much a listed weight says about the capacity of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListedSize {
-    Untold,
-    Rough,
+pub enum ListedCapacity {
+    /// Nothing: no weights are listed.
+    Unknown,
+    /// A rough measure, such as the number of cores.
+    Approximate,
+    /// The capacity itself.
     Nominal,
 }
 
-/// Everything that an instance is told at its start.
+/// Everything that a controller is configured with when it starts.
 #[derive(Clone, Debug)]
-pub struct StartupFacts {
+pub struct ControllerConfig {
+    /// Seed of all random choices.
     pub seed: u64,
-    pub supervisor: u16,
-    pub supervisors: u16,
+    /// Number of this supervisor, from 0.
+    pub supervisor_index: u16,
+    /// Supervisors that there are.
+    pub supervisor_count: u16,
+    /// Locality of this supervisor.
     pub locality: LocalityId,
-    pub localities: u16,
+    /// Localities that there are.
+    pub locality_count: u16,
+    /// The operations, by position.
     pub operations: Vec<Operation>,
-    pub membership_on_request: bool,
-    pub admission: Admission,
+    /// The endpoint list has to be polled; otherwise it is pushed.
+    pub polls_endpoints: bool,
+    /// How proxies apply admission limits.
+    pub admission_mode: AdmissionMode,
+    /// Where servers' load values come from.
     pub load_source: LoadSource,
+    /// What the values of a load report mean, by position.
     pub load_columns: Vec<LoadColumn>,
-    pub probes_allowed: bool,
-    pub listed_size: ListedSize,
-    pub proxies: u32,
-    pub backlog: f64,
+    /// Whether health checks may be sent.
+    pub health_checks_allowed: bool,
+    /// What listed weights say.
+    pub listed_capacity: ListedCapacity,
+    /// Proxies that all supervisors have together.
+    pub proxy_count: u32,
+    /// Lines that may wait in the channel to the proxies.
+    pub channel_capacity: f64,
+    /// Lines that the channel sends per second.
     pub lines_per_s: f64,
+    /// Cost of a message beside its lines, in lines.
     pub message_overhead: f64,
-    pub report_cycle: Nanos,
-    pub empty_for: Nanos,
+    /// Time between two reports of a proxy.
+    pub report_interval: Nanos,
+    /// How long a joined proxy may be without a usable server.
+    pub max_unserved_time: Nanos,
+    /// Share of its timeout that a client waits for its first server.
     pub first_wait: f64,
-    /// A proxy avoids a server after so many of its own losses there in a row; 0: never.
-    pub fails_to_avoid: u32,
+    /// A proxy avoids a server after so many consecutive failures of its own there; 0: never.
+    pub failures_to_avoid: u32,
+    /// Key ranges that operations are partitioned into; 0: none.
     pub slices: u16,
+    /// A key range has one owner at a time.
     pub sole_owner: bool,
-    pub tenure: Nanos,
+    /// How long a lease of a key range is valid.
+    pub lease_duration: Nanos,
+    /// Longest time that a request is in flight.
     pub in_flight_max: Nanos,
+    /// Mean time from leaving the channel to the proxy.
     pub mean_transit: Nanos,
+    /// Longest time from leaving the channel to the proxy.
     pub worst_transit: Nanos,
-    pub messages_max: u32,
-    pub messages_over: Nanos,
+    /// Messages to all proxies that are allowed per window; 0: no limit.
+    pub message_limit: u32,
+    /// Window of that limit.
+    pub message_limit_window: Nanos,
+    /// Retries of a proxy that was told nothing.
     pub retry_default: u8,
-    pub ask_every: Nanos,
-    pub cold_from: f64,
-    pub cold_for: Nanos,
-    pub tip_multiple: f64,
-    pub tip_after: Nanos,
+    /// Least time between two polls of the endpoint list.
+    pub poll_interval: Nanos,
+    /// Share of its capacity that a server has when it starts, 0 to 1.
+    pub slow_start_capacity: f64,
+    /// Time from its start until a server has its full capacity.
+    pub slow_start_duration: Nanos,
+    /// A server fails when it gets this multiple of what it can do.
+    pub overload_ratio: f64,
+    /// For how long it must get that much.
+    pub overload_delay: Nanos,
+    /// Time within which no request may go to a draining or removed server any more.
     pub drain_grace: Nanos,
-    pub gone_does_not_bind: bool,
+    /// Requests may still go to a server that was removed without having drained.
+    pub removal_is_advisory: bool,
 }
 
+/// Whether a server takes requests, as listed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
+    /// It is not listed any more.
     #[default]
-    Gone,
+    Removed,
+    /// It takes requests.
     Ready,
+    /// It finishes what it has and takes nothing new.
     Draining,
 }
 
-/// One row of the list of servers.
+/// One server of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RosterRow {
+pub struct Endpoint {
+    /// Which server.
     pub server: ServerId,
+    /// Where it runs.
     pub locality: LocalityId,
+    /// Hardware kind; servers of a kind are comparable.
     pub kind: u16,
+    /// Group of servers within a locality.
     pub cell: u16,
+    /// Whether it takes requests.
     pub readiness: Readiness,
+    /// Listed weight, see [`ListedCapacity`].
     pub weight: f64,
-    /// When it last started; 0 means long ago.
-    pub ready_at: Nanos,
+    /// When it last started; 0: long ago.
+    pub started_at: Nanos,
 }
 
+/// A change of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub enum RosterNews {
-    Delta(Vec<RosterRow>),
-    Full(Vec<RosterRow>),
-    Cached(Vec<RosterRow>),
+pub enum WatchEvent {
+    /// Servers that changed; all others are as they were.
+    Delta(Vec<Endpoint>),
+    /// The whole list: servers that it lacks are removed.
+    Full(Vec<Endpoint>),
+    /// The whole list as an earlier process stored it.
+    Cached(Vec<Endpoint>),
+    /// The list could not be fetched.
     Failed,
 }
 
-/// What an instance has learned of one server, as plain values; sums fade on from when they were told.
+/// What a controller has learned of one server, for the controller of a later process. Sums decay from when they
+/// were read.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Learned {
+pub struct ServerSnapshot {
+    /// Which server.
     pub server: ServerId,
-    pub tries: f64,
-    pub lost: f64,
-    pub answered: f64,
-    /// Of all answers together, ns.
-    pub time: f64,
-    /// Answers expected of it since its last one, and the share of the work that it was given.
-    pub unanswered: f64,
-    pub felt: f64,
-    /// 0 green, 1 yellow, 2 red.
-    pub band: u8,
-    /// Part of its weight that it has come back to.
-    pub level: f64,
-    /// Withdrawn for so long by now, and whether for silence.
-    pub out_for: Option<Nanos>,
-    pub silent: bool,
-    /// How long it stays out.
-    pub term: Nanos,
+    /// Recent attempts there.
+    pub attempts: f64,
+    /// Those of them that failed.
+    pub failures: f64,
+    /// Responses that its response time was learned from.
+    pub responses: f64,
+    /// Time of these responses together, ns.
+    pub response_time_sum: f64,
+    /// Responses expected of it since its last one.
+    pub missing_responses: f64,
+    /// Share of all requests that proxies have recently given it, 0 to 1.
+    pub applied_share: f64,
+    /// 0 healthy, 1 degraded, 2 unhealthy.
+    pub health: u8,
+    /// Share of its weight that it has recovered to, 0 to 1.
+    pub recovery: f64,
+    /// For how long it has been ejected, where it is.
+    pub ejected_for: Option<Nanos>,
+    /// It was ejected because it did not respond.
+    pub unresponsive: bool,
+    /// How long an ejection lasts.
+    pub ejection_time: Nanos,
 }
 
-/// What an instance has learned, for one that starts after it.
+/// What a controller has learned, for the controller of a later process.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Remembered {
-    pub servers: Vec<Learned>,
-    /// Tries at all servers together, and those lost.
-    pub tries: f64,
-    pub lost: f64,
+pub struct Snapshot {
+    /// Of each server.
+    pub servers: Vec<ServerSnapshot>,
+    /// Recent attempts at all servers together.
+    pub attempts: f64,
+    /// Those of them that failed.
+    pub failures: f64,
     /// Weight that is usually ready.
-    pub usual: f64,
-    /// Cost that a unit of weight has borne in a cycle, and the limit where one stood.
-    pub peak: f64,
-    pub capacity: Option<f64>,
-    /// Proxies are kept apart for so long yet, and for so long the next time.
-    pub apart_left: Nanos,
-    pub apart_for: Nanos,
+    pub usual_weight: f64,
+    /// Most work per unit of ready weight that was served in a report interval.
+    pub peak_load: f64,
+    /// Limit on that work, where one was in force.
+    pub load_limit: Option<f64>,
+    /// For how long proxies are still isolated on subsets.
+    pub isolation_left: Nanos,
+    /// For how long they were last isolated.
+    pub isolation_time: Nanos,
 }
 
-/// How a probe ended.
+/// How a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProbeEnding {
+pub enum HealthCheckOutcome {
+    /// The server said that it is well.
     Answered,
+    /// It answered with an error.
     Errored,
+    /// It rejected the check for lack of capacity.
     Rejected,
+    /// It did not answer in time.
     TimedOut,
+    /// No connection could be made.
     Unreachable,
+    /// The connection ended within the answer.
     Broken,
+    /// Anything else.
     Other,
 }
 
-/// What the joined proxies of one locality met at one server.
+/// What the joined proxies of one locality observed at one server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Digest {
+pub struct EndpointReport {
+    /// Which server.
     pub server: ServerId,
+    /// Locality of the proxies.
     pub locality: LocalityId,
-    pub tries: u32,
-    pub lost: u32,
-    /// Mean time of the succeeded tries, 0 where none succeeded.
-    pub answer_time: Nanos,
+    /// Attempts that ended.
+    pub attempts: u32,
+    /// Those of them that failed.
+    pub failures: u32,
+    /// Mean time of the successful attempts; 0 where none was successful.
+    pub response_time: Nanos,
+    /// Time that the report covers.
     pub window: Nanos,
+    /// The server's own load values, see [`LoadColumn`].
     pub load: Vec<f64>,
 }
 
+/// Something that the controller takes into account.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    Roster(RosterNews),
-    /// What an instance before this one had learned, and how long ago that was; after the first list.
-    Recalled {
-        remembered: Remembered,
-        away: Nanos,
-    },
-    /// Lines that were written to proxies before this instance began and are not answered: they may still wait.
-    Backlog {
-        lines: f64,
-    },
-    Joined {
-        proxy: ProxyId,
-        locality: LocalityId,
-        rate: f64,
-        standing_only: bool,
-    },
-    Left {
-        proxy: ProxyId,
-    },
-    Digest(Digest),
-    Intake {
-        proxy: ProxyId,
-        operation: u16,
-        total: u32,
-        lost: u32,
-        window: Nanos,
-    },
-    Hotness {
-        table: TableId,
-        operation: u16,
-        total: u32,
-        lost: u32,
-        window: Nanos,
-    },
-    Probed {
-        server: ServerId,
-        ending: ProbeEnding,
-        took: Nanos,
-        load: Vec<f64>,
-    },
-    Confirmed {
-        proxy: ProxyId,
-        serial: u64,
-        took: Nanos,
-    },
-    Leased {
-        table: TableId,
-        on: bool,
-    },
-    OnRecord {
-        table: TableId,
-        server: ServerId,
-        weight: f64,
-    },
-    Mail {
-        from: u16,
-        content: Vec<u8>,
-    },
-    Fired {
-        ctx: u64,
-    },
+    /// The endpoint list changed.
+    Endpoints(WatchEvent),
+    /// What an earlier process had learned, and how long ago; comes after the first list.
+    Restored { snapshot: Snapshot, age: Nanos },
+    /// Lines that were sent to proxies before this controller began and are not acknowledged: they may still wait.
+    Backlog { lines: f64 },
+    /// A proxy connected. It brings `rate` requests per second; `is_new`: no supervisor has told it anything yet.
+    Joined { proxy: ProxyId, locality: LocalityId, rate: f64, is_new: bool },
+    /// A proxy disconnected.
+    Left { proxy: ProxyId },
+    /// What proxies observed at a server.
+    EndpointReport(EndpointReport),
+    /// Requests that came to a proxy in `window`, and those of them that got no response.
+    DemandReport { proxy: ProxyId, operation: u16, total: u32, failures: u32, window: Nanos },
+    /// The same for the users of a table.
+    TableDemand { table: TableId, operation: u16, total: u32, failures: u32, window: Nanos },
+    /// A health check ended after `elapsed`.
+    HealthChecked { server: ServerId, outcome: HealthCheckOutcome, elapsed: Nanos, load: Vec<f64> },
+    /// A proxy has applied everything up to a mark, `elapsed` after it was sent.
+    Acknowledged { proxy: ProxyId, serial: u64, elapsed: Nanos },
+    /// A lease of a table began or ended.
+    LeaseChanged { table: TableId, on: bool },
+    /// A weight as it is recorded.
+    RecordedWeight { table: TableId, server: ServerId, weight: f64 },
+    /// Another supervisor sent a message.
+    PeerMessage { from: u16, content: Vec<u8> },
+    /// A timer set by [`Action::SetTimer`] has fired.
+    TimerFired { token: u64 },
 }
 
 /// When a proxy tries another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum FurtherTry {
+pub enum RetryPolicy {
+    /// Never.
     Never,
-    /// One, after proof that the first never ran.
-    AfterProof,
-    /// One, after any failure.
+    /// Once, if the first attempt provably was not executed.
+    IfNotExecuted,
+    /// Once, after any failure.
     Once,
-    /// Two, after any failure.
+    /// Twice, after any failure.
     Twice,
 }
 
+/// Something that the caller of the controller is to carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
-    Remind {
-        span: Nanos,
-        ctx: u64,
-    },
-    Probe {
-        server: ServerId,
-    },
-    Mail {
-        to: Option<u16>,
-        content: Vec<u8>,
-    },
-    Remark(String),
-    Listen {
-        on: bool,
-    },
-    GetList,
-    Line {
-        table: TableId,
-        server: ServerId,
-        weight: f64,
-    },
-    Truncate {
-        table: TableId,
-    },
-    Suspend {
-        server: ServerId,
-        on: bool,
-    },
-    Install {
-        proxy: ProxyId,
-        table: TableId,
-        operations: OperationMask,
-    },
+pub enum Action {
+    /// Give [`Event::TimerFired`] after `delay`.
+    SetTimer { delay: Nanos, token: u64 },
+    /// Send a health check.
+    CheckHealth { server: ServerId },
+    /// Send a message to one or all other supervisors.
+    SendToPeer { to: Option<u16>, content: Vec<u8> },
+    /// Write a line to the log.
+    Log(String),
+    /// Begin or end the watch of the endpoint list.
+    WatchEndpoints { on: bool },
+    /// Fetch the whole endpoint list.
+    FetchEndpoints,
+    /// Set the weight of a server in a table; 0 removes it.
+    SetWeight { table: TableId, server: ServerId, weight: f64 },
+    /// Remove all servers from a table.
+    ClearTable { table: TableId },
+    /// Have proxies exclude a server, whatever their tables say, or end that.
+    Exclude { server: ServerId, on: bool },
+    /// Have a proxy use a table for operations; `operations` 0: all of them.
+    AssignTable { proxy: ProxyId, table: TableId, operations: OperationMask },
+    /// Limit what is admitted of operations, in the unit of [`AdmissionMode`], and set when they are retried.
     /// `table` absent: for all joined proxies. `operations` 0: all of them.
-    Gate {
+    LimitAdmission {
         table: Option<TableId>,
         operations: OperationMask,
-        amount: f64,
-        further: FurtherTry,
-    },
-    FencePost {
-        serial: u16,
-        everyone: bool,
+        limit: f64,
+        retry_policy: RetryPolicy,
     },
+    /// Ask for [`Event::Acknowledged`] from each proxy that these actions reach, or from everyone.
+    RequestAck { serial: u16, everyone: bool },
 }
--- a/src/notes.rs
+++ b/src/notes.rs
@@ -8,8 +8,8 @@
 pub(crate) const SECOND: Nanos = 1_000_000_000;
 
 /// From one look of the module at everything to the next, at the longest.
-pub(crate) fn beat(facts: &StartupFacts) -> Nanos {
-    facts.report_cycle.clamp(SECOND / 10, SECOND) / 4
+pub(crate) fn beat(facts: &ControllerConfig) -> Nanos {
+    facts.report_interval.clamp(SECOND / 10, SECOND) / 4
 }
 
 /// A sum that fades: brought up to date when read.
@@ -42,13 +42,13 @@
 
 #[derive(Clone, Debug)]
 pub(crate) enum Note {
-    Roster(RosterNews),
-    Recalled(Remembered, Nanos),
-    Learned(Learned, Nanos),
+    Roster(WatchEvent),
+    Recalled(Snapshot, Nanos),
+    ServerSnapshot(ServerSnapshot, Nanos),
     ListenAgain,
-    Listed(RosterRow),
+    Listed(Endpoint),
     Delisted,
-    Digest(Digest),
+    EndpointReport(EndpointReport),
     Weigh(Picture),
     Held(bool),
     Intake {
@@ -107,7 +107,7 @@
 /// What a server reports of itself to the fleet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Standing {
-    pub(crate) row: RosterRow,
+    pub(crate) row: Endpoint,
     /// No proxy may send to it, whatever it holds.
     pub(crate) binds: bool,
     pub(crate) warm: bool,
@@ -149,7 +149,7 @@
 pub(crate) struct Gate {
     pub(crate) operation: usize,
     pub(crate) amount: f64,
-    pub(crate) further: FurtherTry,
+    pub(crate) further: RetryPolicy,
 }
 
 /// What came of one operation, and what one invocation of it costs: objectives stand in for work, which no
@@ -188,7 +188,7 @@
 pub(crate) struct Post {
     pub(crate) now: Nanos,
     pub(crate) inboxes: BTreeMap<Part, VecDeque<Note>>,
-    pub(crate) orders: Vec<Order>,
+    pub(crate) orders: Vec<Action>,
 }
 
 impl Post {
@@ -206,7 +206,7 @@
     }
 
     pub(crate) fn remark(&mut self, line: String) {
-        self.orders.push(Order::Remark(line));
+        self.orders.push(Action::Log(line));
     }
 }
 
--- a/src/pacing.rs
+++ b/src/pacing.rs
@@ -67,18 +67,18 @@
 }
 
 impl Pacing {
-    pub(crate) fn new(facts: &StartupFacts) -> Self {
+    pub(crate) fn new(facts: &ControllerConfig) -> Self {
         let mut pacing = Pacing {
             lines_per_ns: facts.lines_per_s / SECOND as f64,
-            room: facts.backlog,
+            room: facts.channel_capacity,
             overhead: facts.message_overhead,
             transit: facts.mean_transit,
             worst_transit: facts.worst_transit,
-            messages_half: match facts.messages_max {
+            messages_half: match facts.message_limit {
                 0 => f64::INFINITY,
                 most => f64::from(most) / 2.0,
             },
-            messages_over: facts.messages_over.max(1),
+            messages_over: facts.message_limit_window.max(1),
             ..Pacing::default()
         };
         let longest_way = PROMPT * facts.worst_transit as f64 * pacing.lines_per_ns;
@@ -130,7 +130,7 @@
         let fence = Fence { at: post.now, lines, ahead, messages: reached.len(), open: reached, due };
         self.fenced.insert(self.serial.into(), fence);
         self.written += 1.0;
-        post.orders.push(Order::FencePost { serial: self.serial, everyone: false });
+        post.orders.push(Action::RequestAck { serial: self.serial, everyone: false });
     }
 
     /// Takes over what an earlier instance wrote and nobody has answered.
--- a/src/state.rs
+++ b/src/state.rs
@@ -18,7 +18,7 @@
 /// One server as this instance's proxies meet it.
 #[derive(Debug, Default)]
 pub(crate) struct Server {
-    pub(crate) row: RosterRow,
+    pub(crate) row: Endpoint,
     pub(crate) tries: Fading,
     pub(crate) lost: Fading,
     pub(crate) answered: Fading,
@@ -81,36 +81,36 @@
 
 impl Server {
     /// What it has learned, as plain values; scores and learned times fade over these spans.
-    pub(crate) fn remember(&mut self, now: Nanos, score: Nanos, learning: Nanos) -> Learned {
-        Learned {
+    pub(crate) fn remember(&mut self, now: Nanos, score: Nanos, learning: Nanos) -> ServerSnapshot {
+        ServerSnapshot {
             server: self.row.server,
-            tries: self.tries.read(now, score),
-            lost: self.lost.read(now, score),
-            answered: self.answered.read(now, learning),
-            time: self.time.read(now, learning),
-            unanswered: self.unanswered.max(0.0),
-            felt: self.felt_share,
-            band: self.band as u8,
-            level: self.level,
-            out_for: self.out_since.map(|since| now.saturating_sub(since)),
-            silent: self.fault == Some(Fault::Silence),
-            term: self.term,
+            attempts: self.tries.read(now, score),
+            failures: self.lost.read(now, score),
+            responses: self.answered.read(now, learning),
+            response_time_sum: self.time.read(now, learning),
+            missing_responses: self.unanswered.max(0.0),
+            applied_share: self.felt_share,
+            health: self.band as u8,
+            recovery: self.level,
+            ejected_for: self.out_since.map(|since| now.saturating_sub(since)),
+            unresponsive: self.fault == Some(Fault::Silence),
+            ejection_time: self.term,
         }
     }
 }
 
 impl Fleet {
     /// The same of the fleet.
-    pub(crate) fn remember(&mut self, now: Nanos, score: Nanos, usual: Nanos) -> Remembered {
-        Remembered {
+    pub(crate) fn remember(&mut self, now: Nanos, score: Nanos, usual: Nanos) -> Snapshot {
+        Snapshot {
             servers: Vec::new(),
-            tries: self.tries.read(now, score),
-            lost: self.lost.read(now, score),
-            usual: self.usual.read(now, usual),
-            peak: self.peak,
-            capacity: self.capacity,
-            apart_left: self.apart_until.saturating_sub(now),
-            apart_for: self.apart_for,
+            attempts: self.tries.read(now, score),
+            failures: self.lost.read(now, score),
+            usual_weight: self.usual.read(now, usual),
+            peak_load: self.peak,
+            load_limit: self.capacity,
+            isolation_left: self.apart_until.saturating_sub(now),
+            isolation_time: self.apart_for,
         }
     }
 }
