--- a/crates/cli/src/daemon_command.rs
+++ b/crates/cli/src/daemon_command.rs
@@ -7,7 +7,7 @@
 use anyhow::Result;
 use clap::Args;
 use shalereel_standins::Ready;
-use shalereel_supervisor::{run, Deployment};
+use shalereel_xds_supervisor::{run, Deployment};
 use tracing_subscriber::EnvFilter;
 
 #[derive(Args)]
--- a/crates/cli/src/drill_command.rs
+++ b/crates/cli/src/drill_command.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use anyhow::{Context, Result};
-use shalereel_drill::{as_json, as_text, from_bench, play, Day};
+use shalereel_fault_scenarios::{as_json, as_text, from_bench, play, Day};
 
 /// Exit 0: the day stands; 1: it does not.
 pub fn drill(file: &Path, json: bool, keep: Option<PathBuf>) -> Result<ExitCode> {
--- a/crates/cli/src/expect_command.rs
+++ b/crates/cli/src/expect_command.rs
@@ -5,8 +5,8 @@
 
 use anyhow::{Context, Result};
 use clap::Args;
-use shalereel_expect::{captured, read_expectations, run};
-use shalereel_supervisor::Deployment;
+use shalereel_routing_checks::{captured, read_expectations, run};
+use shalereel_xds_supervisor::Deployment;
 
 #[derive(Args)]
 pub struct ExpectArguments {
--- a/crates/cli/src/group_command.rs
+++ b/crates/cli/src/group_command.rs
@@ -8,7 +8,7 @@
 use anyhow::{bail, Context, Result};
 use clap::{Args, Subcommand};
 use serde_json::Value;
-use shalereel_drill::{order_at, standing};
+use shalereel_fault_scenarios::{order_at, standing};
 use shalereel_group::sim::{play, Script, Tally, Violation};
 use shalereel_group::wire::{Act, Move, Order, Release, Seat, SeatChange};
 
--- a/crates/cli/src/group_measure.rs
+++ b/crates/cli/src/group_measure.rs
@@ -8,11 +8,11 @@
 
 use anyhow::{bail, Context, Result};
 use serde_json::Value;
-use shalereel_drill::{standing, Day, Stage};
+use shalereel_fault_scenarios::{standing, Day, Stage};
 use shalereel_group::wire::{Act, Command, Entry, Kept, Record, Release};
 use shalereel_group::{encode, HEAD};
 use shalereel_journal::frame;
-use shalereel_supervisor::{Block, Keeper, LOG};
+use shalereel_xds_supervisor::{Block, Keeper, LOG};
 
 /// A round that takes longer has failed.
 const PATIENCE: Duration = Duration::from_secs(60);
--- a/crates/cli/src/node_command.rs
+++ b/crates/cli/src/node_command.rs
@@ -22,5 +22,5 @@
         .with_ansi(false)
         .with_target(false)
         .init();
-    shalereel_node::run(&arguments.config)
+    shalereel_platform_supervisor::run(&arguments.config)
 }
--- a/crates/cli/src/restart_measure.rs
+++ b/crates/cli/src/restart_measure.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use anyhow::{bail, Context, Result};
-use shalereel_drill::{play, Day, TroubleKind, Verdict};
+use shalereel_fault_scenarios::{play, Day, TroubleKind, Verdict};
 
 /// Service is looked at for so long after the restart.
 const AFTER_S: f64 = 30.0;
--- a/crates/cli/src/tables_command.rs
+++ b/crates/cli/src/tables_command.rs
@@ -6,8 +6,8 @@
 use anyhow::{bail, Result};
 use clap::{Args, Subcommand};
 use serde_json::Value;
-use shalereel_drill::tables_at;
-use shalereel_supervisor::admin::{Back, Diff, HoldOne, List, Onward, Question, Show};
+use shalereel_fault_scenarios::tables_at;
+use shalereel_xds_supervisor::admin::{Back, Diff, HoldOne, List, Onward, Question, Show};
 
 #[derive(Subcommand)]
 pub enum TablesCommand {
--- a/crates/cli/src/tables_measure.rs
+++ b/crates/cli/src/tables_measure.rs
@@ -8,10 +8,10 @@
 use hdrhistogram::Histogram;
 use shalereel::interface::{ServerSnapshot, Snapshot};
 use shalereel_guard::{Guard, Limits, Line as GuardLine, Pool, Server, Standing};
-use shalereel_memory::Memory;
 use shalereel_reactor::{now, MILLI};
+use shalereel_snapshot::Memory;
 use shalereel_store::{Bounds, Digest, Follower, Heard, Line, Lines, Resync, Store, Why};
-use shalereel_supervisor::Deployment;
+use shalereel_xds_supervisor::Deployment;
 
 use crate::measure_command::{address, deployment, ms, Group, Registry, Size, Supervisor, Wait};
 
--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use rstest::rstest;
-use shalereel_drill::{play, Day, Rule, Verdict};
+use shalereel_fault_scenarios::{play, Day, Rule, Verdict};
 
 const SHORT: &str = include_str!("days/short.toml");
 
@@ -35,7 +35,7 @@
 }
 
 fn assert_stands(verdict: &Verdict) {
-    assert!(verdict.stands(), "{}", shalereel_drill::as_text(verdict));
+    assert!(verdict.stands(), "{}", shalereel_fault_scenarios::as_text(verdict));
 }
 
 #[rstest]
@@ -55,7 +55,7 @@
     let troubles: Vec<&str> = Some(trouble).filter(|trouble| !trouble.is_empty()).into_iter().collect();
     let verdict = day(planted, changes, &troubles);
     let broken: Vec<Rule> = verdict.broken().map(|measure| measure.rule).collect();
-    assert!(broken.contains(&rule), "{broken:?}\n{}", shalereel_drill::as_text(&verdict));
+    assert!(broken.contains(&rule), "{broken:?}\n{}", shalereel_fault_scenarios::as_text(&verdict));
     // Without the fault the same day stands.
     assert_stands(&day("", changes, &troubles));
 }
--- a/crates/cli/tests/memory.rs
+++ b/crates/cli/tests/memory.rs
@@ -6,9 +6,9 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use shalereel_memory::{Memory, MemoryError};
-use shalereel_supervisor::{Roster, MEMORY, TABLES};
+use shalereel_snapshot::{Memory, MemoryError};
 use shalereel_xds::{Assignment, Health, Row, ServerFacts};
+use shalereel_xds_supervisor::{Roster, MEMORY, TABLES};
 
 const DEPLOYMENT: &str = include_str!("../../../expect/deployment.toml");
 const BOUND: Duration = Duration::from_secs(20);
--- a/crates/cli/tests/shared.rs
+++ b/crates/cli/tests/shared.rs
@@ -6,9 +6,9 @@
 
 use rstest::rstest;
 use serde_json::Value;
-use shalereel_drill::{order_at, play, standing, Day, Rule, Stage, Verdict};
+use shalereel_fault_scenarios::{order_at, play, standing, Day, Rule, Stage, Verdict};
 use shalereel_group::wire::{Act, Order, Release, Seat, SeatChange};
-use shalereel_supervisor::LOG;
+use shalereel_xds_supervisor::LOG;
 
 const SHARED: &str = "[shared]\nelection_ms = 400.0\ndrift = 0.01\nranges = 6\ntenure_ms = 800.0\n\
                       in_flight_ms = 4500.0\nkeyed = \"order-place\"\n\n[rules]";
@@ -54,7 +54,7 @@
             "at_s = 12.0, for_s = 2.0, kind = \"links_one_way\", count = 1",
         ],
     ));
-    assert!(verdict.stands(), "{}", shalereel_drill::as_text(&verdict));
+    assert!(verdict.stands(), "{}", shalereel_fault_scenarios::as_text(&verdict));
     assert!(verdict.operations["order-place"] > 0.3, "{:?}", verdict.operations);
 }
 
@@ -72,9 +72,9 @@
     };
     let verdict = played(&keyed(day("no_fence", "length_s = 14.0", &moves)));
     let broken: Vec<Rule> = verdict.broken().map(|measure| measure.rule).collect();
-    assert!(broken.contains(&Rule::Fenced), "{}", shalereel_drill::as_text(&verdict));
+    assert!(broken.contains(&Rule::Fenced), "{}", shalereel_fault_scenarios::as_text(&verdict));
     let verdict = played(&keyed(day("", "length_s = 14.0", &moves)));
-    assert!(verdict.stands(), "{}", shalereel_drill::as_text(&verdict));
+    assert!(verdict.stands(), "{}", shalereel_fault_scenarios::as_text(&verdict));
 }
 
 /// Waits for some supervisor of whom this holds.
@@ -195,6 +195,7 @@
     let members: Vec<String> = (1..4).map(|at| format!("127.0.3.{at}:4000")).collect();
     let addresses = ["127.0.3.1:4000", "127.0.4.1:4001", "127.0.5.1:4002"];
     let text = day.deployment(0, addresses, "127.0.0.1:5000", "/nowhere", &members).replace(from, to);
-    let error = shalereel_supervisor::Deployment::parse(Path::new("d.toml"), &text).unwrap_err().to_string();
+    let error =
+        shalereel_xds_supervisor::Deployment::parse(Path::new("d.toml"), &text).unwrap_err().to_string();
     assert!(error.contains(&format!("shared.{key}")) && error.contains("d.toml:"), "{error}");
 }
--- a/crates/cli/tests/tables.rs
+++ b/crates/cli/tests/tables.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use shalereel_drill::{play, Day, Rule, Verdict};
+use shalereel_fault_scenarios::{play, Day, Rule, Verdict};
 
 const SHORT: &str = include_str!("days/short.toml");
 
@@ -31,10 +31,10 @@
 #[test]
 fn lost_lines_are_noticed_and_a_way_back_crosses_a_drain() {
     let (verdict, folder) = play_day("", &[LOSSY, DRAIN, BACK]);
-    assert!(verdict.stands(), "{}", shalereel_drill::as_text(&verdict));
+    assert!(verdict.stands(), "{}", shalereel_fault_scenarios::as_text(&verdict));
     assert!(verdict.traffic.disturbed > 20, "{:?}", verdict.traffic);
     // What was told is on the disk, whole, with the reasons.
-    let file = std::fs::read(folder.join("supervisor-0").join(shalereel_supervisor::TABLES)).unwrap();
+    let file = std::fs::read(folder.join("supervisor-0").join(shalereel_xds_supervisor::TABLES)).unwrap();
     let bounds = shalereel_store::Bounds { versions: 10_000, bytes: 1 << 24, age: u64::MAX };
     let mut store = shalereel_store::Store::new(bounds, 0);
     assert_eq!(store.recall(&file).unwrap(), file.len());
@@ -50,6 +50,6 @@
 fn a_way_back_that_outranks_the_module_is_found() {
     let (verdict, folder) = play_day("supervisor_way_outranks", &[DRAIN, BACK]);
     let broken: Vec<Rule> = verdict.broken().map(|measure| measure.rule).collect();
-    assert!(broken.contains(&Rule::DrainsKept), "{}", shalereel_drill::as_text(&verdict));
+    assert!(broken.contains(&Rule::DrainsKept), "{}", shalereel_fault_scenarios::as_text(&verdict));
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/drill/src/control.rs
+++ b/crates/fault-scenarios/src/control.rs
@@ -8,7 +8,7 @@
 use shalereel_group::wire::{Act, Command, ControlAnswer, ControlAsk, Order, Release, CONTROL};
 use shalereel_reactor::{now, Nanos, SECOND};
 use shalereel_rpc::{Bounds, Code, Hub, Input, Status};
-use shalereel_supervisor::admin::{AdminAnswer, AdminAsk, Back, List, Question, ADMIN};
+use shalereel_xds_supervisor::admin::{AdminAnswer, AdminAsk, Back, List, Question, ADMIN};
 
 /// An order that is not agreed on is given up by the supervisor before this.
 const PATIENCE: Nanos = 60 * SECOND;
--- a/crates/drill/src/day.rs
+++ b/crates/fault-scenarios/src/day.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 use shalereel_standins::{KindPlan, OperationPlan, Pick, Repeats, WhichEffect};
-use shalereel_supervisor::FileError;
+use shalereel_xds_supervisor::FileError;
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/crates/node/src/start.rs
+++ b/crates/platform-supervisor/src/start.rs
@@ -6,7 +6,7 @@
 
 use serde::Deserialize;
 use shalereel::interface::ControllerConfig;
-use shalereel_wire::read_profile;
+use shalereel_simulator_codec::read_profile;
 use thiserror::Error;
 
 use crate::words::List;
@@ -18,7 +18,7 @@
     #[error("{0}: {1}; the platform writes this file as JSON with listen, discovery, seed, limits, known and settings")]
     Bad(PathBuf, serde_json::Error),
     #[error("{0}: {1}")]
-    Profile(PathBuf, shalereel_wire::ProfileError),
+    Profile(PathBuf, shalereel_simulator_codec::ProfileError),
     #[error("{0}: seed: {1:?} is no number of sixteen hexadecimal digits")]
     Seed(PathBuf, String),
 }
--- a/crates/node/tests/codec.rs
+++ b/crates/platform-supervisor/tests/codec.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use shalereel_node::{read, Answer, Lines, Said, Unread};
+use shalereel_platform_supervisor::{read, Answer, Lines, Said, Unread};
 
 /// Cuts the bytes at these places and hands on the pieces.
 fn pieces<'a>(bytes: &'a [u8], cuts: &[usize]) -> Vec<&'a [u8]> {
--- a/crates/node/tests/core.rs
+++ b/crates/platform-supervisor/tests/core.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use serde_json::{json, Value};
 use shalereel::interface::Action;
-use shalereel_node::{Clocks, Core, Effect, List, Names, Start, Streams, Way};
+use shalereel_platform_supervisor::{Clocks, Core, Effect, List, Names, Start, Streams, Way};
 
 const MS: u64 = 1_000_000;
 const DISCOVERY: u32 = 1000;
--- a/crates/node/tests/deadlines/platform.rs
+++ b/crates/platform-supervisor/tests/deadlines/platform.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use serde_json::{json, Value};
-use shalereel_node::{Clocks, Core, Effect, Start, Way};
+use shalereel_platform_supervisor::{Clocks, Core, Effect, Start, Way};
 
 pub const MS: u64 = 1_000_000;
 pub const SECOND: u64 = 1_000 * MS;
--- a/crates/node/tests/deadlines/schedules.rs
+++ b/crates/platform-supervisor/tests/deadlines/schedules.rs
@@ -2,7 +2,7 @@
 //! slow channel, a module that fails. No deadline may be missed wherever a plan that keeps all of them plainly exists:
 //! every newcomer on a small table, every drain told to every proxy, earliest deadline first, with room to spare.
 //!
-//! Four seeds by default; `SHALEREEL_SEEDS=50 cargo test --release -p shalereel-node --test deadlines schedules` plays more.
+//! Four seeds by default; `SHALEREEL_SEEDS=50 cargo test --release -p shalereel-platform-supervisor --test deadlines schedules` plays more.
 
 use std::collections::BTreeSet;
 
--- a/crates/node/tests/streams.rs
+++ b/crates/platform-supervisor/tests/streams.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use serde_json::Value;
 use shalereel::interface::{Action, ProxyId, RetryPolicy, ServerId, TableId};
-use shalereel_node::{Clocks, List, Names, Streams};
+use shalereel_platform_supervisor::{Clocks, List, Names, Streams};
 
 const CLASSES: [&str; 2] = ["look", "buy"];
 const SERVERS: u32 = 5;
--- a/crates/expect/src/expectation.rs
+++ b/crates/routing-checks/src/expectation.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use serde::Deserialize;
-use shalereel_supervisor::{Deployment, FileError};
+use shalereel_xds_supervisor::{Deployment, FileError};
 
 use crate::fleet::{Seen, View};
 
--- a/crates/expect/src/fleet.rs
+++ b/crates/routing-checks/src/fleet.rs
@@ -7,8 +7,8 @@
 use shalereel::interface::{Action, EndpointReport, Event, Nanos, ProxyId, ServerId, TableId};
 use shalereel_guard::{Limits, Server, Standing};
 use shalereel_store::{Keeping, Why};
-use shalereel_supervisor::{Deployment, Facts, Planted, Roster, Tables};
 use shalereel_xds::{Assignment, Health, Row, ServerFacts};
+use shalereel_xds_supervisor::{Deployment, Facts, Planted, Roster, Tables};
 
 const SECOND: Nanos = 1_000_000_000;
 /// Batches of a run, and which of them sees the fleet change; four a second.
--- a/crates/expect/src/search.rs
+++ b/crates/routing-checks/src/search.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use shalereel_supervisor::Deployment;
+use shalereel_xds_supervisor::Deployment;
 
 use crate::expectation::{Bound, Expectation, Expectations};
 use crate::fleet::{play, Fleet, Seen, Shape, View};
--- a/crates/expect/tests/suite.rs
+++ b/crates/routing-checks/tests/suite.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use rstest::rstest;
-use shalereel_expect::{captured, read_expectations, run, Outcome};
-use shalereel_supervisor::Deployment;
+use shalereel_routing_checks::{captured, read_expectations, run, Outcome};
+use shalereel_xds_supervisor::Deployment;
 
 const DEPLOYMENT: &str = include_str!("../../../expect/deployment.toml");
 
--- a/crates/wirehost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -8,7 +8,7 @@
 use anyhow::{bail, Context, Result};
 use shalereel::brain::Controller;
 use shalereel::interface::{Action, Event, Nanos};
-use shalereel_wire::{
+use shalereel_simulator_codec::{
     decode_batch, encode_action, encode_bug, encode_reply, read_profile, Incoming, InstanceId, Reply,
 };
 
--- a/crates/wirehost/tests/hostile.rs
+++ b/crates/simulator-adapter/tests/hostile.rs
@@ -8,7 +8,7 @@
 use shalereel::interface::{
     Action, Endpoint, EndpointReport, Event, HealthCheckOutcome, Readiness, WatchEvent,
 };
-use shalereel_wire::{decode_batch, read_profile};
+use shalereel_simulator_codec::{decode_batch, read_profile};
 
 const PROFILE: &str = include_str!("profile.json");
 const SERVERS: u32 = 12;
--- a/crates/wire/tests/codec.rs
+++ b/crates/simulator-codec/tests/codec.rs
@@ -4,7 +4,9 @@
 use shalereel::interface::{
     Action, Endpoint, EndpointReport, Event, HealthCheckOutcome, Readiness, RetryPolicy, WatchEvent,
 };
-use shalereel_wire::{decode_batch, encode_action, encode_bug, encode_reply, DecodeError, Incoming, Reply};
+use shalereel_simulator_codec::{
+    decode_batch, encode_action, encode_bug, encode_reply, DecodeError, Incoming, Reply,
+};
 
 const CLOCK: &str = "40c06e2000000000";
 
--- a/crates/memory/tests/stored.rs
+++ b/crates/snapshot/tests/stored.rs
@@ -1,7 +1,7 @@
 //! A file written by an earlier version is read with the same content.
 
 use shalereel::interface::Snapshot;
-use shalereel_memory::Memory;
+use shalereel_snapshot::Memory;
 
 /// The literals of a value in the order of its fields, without the names of types and fields, which may change.
 fn literals(value: &impl std::fmt::Debug) -> String {
--- a/crates/supervisor/src/core.rs
+++ b/crates/xds-supervisor/src/core.rs
@@ -9,8 +9,8 @@
     Action, Event, HealthCheckOutcome, Nanos, ProxyId, RetryPolicy, ServerId, TableId, WatchEvent,
 };
 use shalereel_group::Fit;
-use shalereel_memory::{Ageing, Memory};
 use shalereel_rpc::{frame, Code, Status};
+use shalereel_snapshot::{Ageing, Memory};
 use shalereel_store::{Check, Keeping, Number, StoreError, Telling, Why, Writing};
 use shalereel_xds::{
     cluster, leds, listener, routes, types, Asked, Assignment, LoadAnswer, LoadReport, NodeFacts, Resource,
@@ -339,7 +339,7 @@
     }
 
     /// What an earlier run had learned. Errors: why nothing of it is recalled.
-    pub fn reminisce(&mut self, now: Nanos, memory: Memory) -> Result<Nanos, shalereel_memory::Distrust> {
+    pub fn reminisce(&mut self, now: Nanos, memory: Memory) -> Result<Nanos, shalereel_snapshot::Distrust> {
         let away = self.ageing.away(memory.at, now + self.wall)?;
         self.memory = Some((memory, away, now));
         if self.events.iter().any(|event| matches!(event, Event::Endpoints(_))) {
--- a/crates/supervisor/src/daemon.rs
+++ b/crates/xds-supervisor/src/daemon.rs
@@ -12,9 +12,9 @@
 use shalereel::interface::{HealthCheckOutcome, Nanos, ServerId};
 use shalereel_group::wire::{CONTROL, HOLD, SPEAK};
 use shalereel_group::{encode, Recovered, HEAD};
-use shalereel_memory::{Memory, MemoryError};
 use shalereel_reactor::{now, MILLI};
 use shalereel_rpc::{Code, ConnId, Hub, Input, Status, StreamId};
+use shalereel_snapshot::{Memory, MemoryError};
 use shalereel_xds::{
     types, Assignment, NodeFacts, Subscribing, Variant, ADS, DELTA_ADS, DELTA_EDS, DELTA_LEDS, EDS, HEALTH,
     LRS,
@@ -266,7 +266,7 @@
             Some(Err(MemoryError::Empty)) | None => {}
             Some(Err(error)) => tracing::warn!(%error, "what was learned is not believed"),
         }
-        match Keeper::open(&folder, MEMORY, shalereel_memory::HEAD, whole, nudge) {
+        match Keeper::open(&folder, MEMORY, shalereel_snapshot::HEAD, whole, nudge) {
             Ok(keeper) => self.memory = Some(keeper),
             Err(error) => {
                 let error = format!("{error:#}");
--- a/crates/supervisor/tests/core.rs
+++ b/crates/xds-supervisor/tests/core.rs
@@ -5,8 +5,8 @@
 use rstest::rstest;
 use shalereel_reactor::{Nanos, MILLI, SECOND};
 use shalereel_rpc::{Code, Framer};
-use shalereel_supervisor::{Core, Deployment, Effect, Peer, LISTENER};
 use shalereel_xds::*;
+use shalereel_xds_supervisor::{Core, Deployment, Effect, Peer, LISTENER};
 
 const FILE: &str = r#"
 listen = "127.0.0.1:0"
@@ -359,7 +359,7 @@
 #[test]
 fn load_of_a_server_that_never_was_is_no_demand() {
     use shalereel::interface::Event;
-    let mut roster = shalereel_supervisor::Roster::new(&["a".to_owned()]);
+    let mut roster = shalereel_xds_supervisor::Roster::new(&["a".to_owned()]);
     let row = Row {
         address: ([127, 1, 0, 1], 80).into(),
         zone: "a".into(),
@@ -389,7 +389,7 @@
         dropped: 2,
         endpoints,
     };
-    let mut reports = shalereel_supervisor::Reports::default();
+    let mut reports = shalereel_xds_supervisor::Reports::default();
     reports.add(1, 0, &LoadReport { node: None, clusters: vec![cluster] }, &["view".to_owned()], &roster);
     let events = reports.take();
     assert!(
@@ -724,7 +724,7 @@
 mod operators {
     use super::*;
     use prost::Message as _;
-    use shalereel_supervisor::admin::*;
+    use shalereel_xds_supervisor::admin::*;
 
     fn ask(world: &mut World, question: Question) -> Result<serde_json::Value, String> {
         let message = AdminAsk { question: Some(question) }.encode_to_vec();
--- a/crates/supervisor/tests/stored.rs
+++ b/crates/xds-supervisor/tests/stored.rs
@@ -1,6 +1,6 @@
 //! A file written by an earlier version is read with the same content, and written as it was.
 
-use shalereel_supervisor::Roster;
+use shalereel_xds_supervisor::Roster;
 
 /// Guards against a renamed field that changes the stored form without a word from the compiler.
 #[test]
