--- a/src/channel.rs
+++ b/src/channel.rs
@@ -5,8 +5,12 @@
 
 use crate::deadlines::{Ledger, Obligation};
 use crate::interface::*;
-use crate::notes::*;
+use crate::message::*;
 use crate::pacing::Pacing;
+use crate::statistics::DecayingSum;
+
+#[cfg(test)]
+mod tests;
 
 /// A weight moves only by more than this part of what was told.
 pub(crate) const WEIGHT_STEP: f64 = 0.1;
@@ -56,7 +60,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Member {
     /// Invocations that came to it.
-    pub(crate) came: Fading,
+    pub(crate) came: DecayingSum,
     /// The table that it should use, and the one that it was put on.
     pub(crate) table: TableId,
     pub(crate) bound: Option<TableId>,
@@ -72,7 +76,7 @@
 pub(crate) struct Channel {
     pub(crate) pacing: Pacing,
     pub(crate) members: BTreeMap<ProxyId, Member>,
-    pub(crate) wants: BTreeMap<ServerId, Want>,
+    pub(crate) wants: BTreeMap<ServerId, DesiredWeight>,
     /// Servers that are not ready, and since when that is known.
     unready: BTreeMap<ServerId, Nanos>,
     /// The lines of small tables, and the weight that each table should have.
@@ -87,8 +91,8 @@
     /// Numbers of the last deal's tables follow this one.
     pub(crate) deal_from: TableId,
     pub(crate) told: BTreeMap<(TableId, ServerId), f64>,
-    pub(crate) gates: Vec<Gate>,
-    pub(crate) gates_told: BTreeMap<(TableId, usize), Gate>,
+    pub(crate) gates: Vec<AdmissionLimit>,
+    pub(crate) gates_told: BTreeMap<(TableId, usize), AdmissionLimit>,
     flushed: Nanos,
     pub(crate) apart: bool,
     pub(crate) grace: Nanos,
@@ -115,7 +119,7 @@
 
 impl Sending {
     /// Takes one more line where it fits into what is left of the room.
-    fn take(&mut self, table: TableId, again: bool, room: f64) -> bool {
+    fn fits(&mut self, table: TableId, again: bool, room: f64) -> bool {
         let all = self.readers.get(&table).copied().unwrap_or_default();
         let readers = if again { self.newcomers } else { all };
         let headed = self.touched.contains(&(table, false)) || self.touched.contains(&(table, again));
@@ -139,58 +143,61 @@
 }
 
 impl Channel {
-    pub(crate) fn new(facts: &ControllerConfig, gates: Vec<Gate>) -> Self {
+    pub(crate) fn new(config: &ControllerConfig, gates: Vec<AdmissionLimit>) -> Self {
         Channel {
-            supervisor: facts.supervisor_index.into(),
-            supervisors: facts.supervisor_count.into(),
-            proxies: facts.proxy_count.into(),
-            pacing: Pacing::new(facts),
+            supervisor: config.supervisor_index.into(),
+            supervisors: config.supervisor_count.into(),
+            proxies: config.proxy_count.into(),
+            pacing: Pacing::new(config),
             gates,
-            grace: facts.drain_grace,
+            grace: config.drain_grace,
             ..Channel::default()
         }
     }
 
-    pub(crate) fn take(&mut self, note: Note, post: &mut Post) {
+    pub(crate) fn handle(&mut self, note: Message, mailboxes: &mut Mailboxes) {
         match note {
-            Note::Want(server, want) => {
+            Message::DesiredWeight(server, want) => {
                 self.wants.insert(server, want);
                 if want.unready {
-                    self.unready.entry(server).or_insert(post.now);
+                    self.unready.entry(server).or_insert(mailboxes.now);
                 } else {
                     self.unready.remove(&server);
                 }
             }
-            Note::Gates(gates) => self.gates = gates,
-            Note::Apart(apart) => {
+            Message::AdmissionLimits(gates) => self.gates = gates,
+            Message::Isolate(apart) => {
                 if apart != self.apart {
                     self.split(apart);
                 }
                 self.refill();
                 let used = self.parts.iter().filter(|_| self.apart).map(|part| part.1);
-                post.put(Part::Fleet, Note::Used(used.collect()));
+                mailboxes.send(Component::Fleet, Message::SubsetServers(used.collect()));
             }
-            Note::Joined(proxy, rate, new) => {
-                let came = Fading { sum: rate * TRAFFIC_MEMORY as f64 / SECOND as f64, at: post.now };
+            Message::Joined { proxy, rate, is_new: new } => {
+                let came = DecayingSum {
+                    sum: rate * TRAFFIC_MEMORY as f64 / SECOND as f64,
+                    updated_at: mailboxes.now,
+                };
                 // While kept apart it goes where least comes for the size.
                 let table = if self.apart { self.lightest() } else { None }.unwrap_or(WHOLE);
-                let (brought, joined) = (!new, post.now);
+                let (brought, joined) = (!new, mailboxes.now);
                 self.members.insert(proxy, Member { came, table, brought, joined, ..Member::default() });
                 // What was ordered before has not reached it.
                 self.told.range_mut((SHUNNED, 0)..).for_each(|(_, told)| *told /= 2.0);
             }
-            Note::Came(proxy, total) => {
+            Message::ProxyDemand { proxy, total } => {
                 if let Some(member) = self.members.get_mut(&proxy) {
-                    member.came.add(post.now, TRAFFIC_MEMORY, total);
+                    member.came.add(mailboxes.now, TRAFFIC_MEMORY, total);
                 }
             }
-            Note::Left(proxy) => {
+            Message::Left(proxy) => {
                 self.members.remove(&proxy);
                 self.pacing.left(proxy);
             }
-            Note::Confirmed(proxy, serial) => self.pacing.confirmed(proxy, serial, post.now),
-            Note::Backlog(lines) => self.pacing.inherit(lines, post.now),
-            Note::Flush => self.flush(post),
+            Message::Acknowledged { proxy, serial } => self.pacing.confirmed(proxy, serial, mailboxes.now),
+            Message::Backlog(lines) => self.pacing.inherit(lines, mailboxes.now),
+            Message::Flush => self.flush(mailboxes),
             _ => {}
         }
     }
@@ -210,32 +217,32 @@
     }
 
     /// What has a deadline goes first, by the earliest; whole tables and what only serves better share the rest.
-    fn flush(&mut self, post: &mut Post) {
-        self.pacing.waiting(post.now);
-        self.choose_tables(post.now);
-        self.fill_unused(post);
+    fn flush(&mut self, mailboxes: &mut Mailboxes) {
+        self.pacing.waiting(mailboxes.now);
+        self.choose_tables(mailboxes.now);
+        self.fill_unused(mailboxes);
         let newcomers_due = self.newcomers().map(|member| self.newcomer_due(member)).min();
         let changes_due = self.unready.values().map(|told| told + self.grace).min();
         // Newcomers are bound by what was told before them too: theirs may be due first.
         if newcomers_due < changes_due {
-            self.install(Joins::Urgent, post);
+            self.install(Joins::Urgent, mailboxes);
         }
-        let owed = self.differing(post.now);
+        let owed = self.differing(mailboxes.now);
         let mut told_all =
-            self.tell(owed.into_iter().filter(|change| change.rank == 0 && !change.again), post);
-        self.install(Joins::Urgent, post);
+            self.tell(owed.into_iter().filter(|change| change.rank == 0 && !change.again), mailboxes);
+        self.install(Joins::Urgent, mailboxes);
         if self.turn > 0.0 || told_all {
-            self.install(Joins::Within(JOIN_ROOM), post);
+            self.install(Joins::Within(JOIN_ROOM), mailboxes);
         }
-        told_all &= self.tell(self.differing(post.now).into_iter(), post);
-        self.install(Joins::Within(if told_all { JOIN_ROOM } else { ORDINARY_ROOM }), post);
-        self.report(post);
+        told_all &= self.tell(self.differing(mailboxes.now).into_iter(), mailboxes);
+        self.install(Joins::Within(if told_all { JOIN_ROOM } else { ORDINARY_ROOM }), mailboxes);
+        self.report(mailboxes);
     }
 
-    fn report(&mut self, post: &mut Post) {
+    fn report(&mut self, mailboxes: &mut Mailboxes) {
         let owed = self.newcomers().count();
-        if let Some(line) = self.ledger.report(owed, post.now, SECOND) {
-            post.remark(line);
+        if let Some(line) = self.ledger.report(owed, mailboxes.now, SECOND) {
+            mailboxes.log(line);
         }
     }
 
@@ -406,26 +413,26 @@
     }
 
     /// Brings tables that nobody uses up to date: that costs the channel nothing, and who is put on one gets it so.
-    fn fill_unused(&mut self, post: &mut Post) {
+    fn fill_unused(&mut self, mailboxes: &mut Mailboxes) {
         let users = self.users();
         let unused = |table: TableId| table != SHUNNED && !users.contains_key(&table);
-        for change in self.differing(post.now) {
+        for change in self.differing(mailboxes.now) {
             if unused(change.table) {
                 // The first table ever begins the gap to the next changes.
-                self.flushed = if self.flushed == 0 { post.now } else { self.flushed };
-                self.order_line(&change, post);
+                self.flushed = if self.flushed == 0 { mailboxes.now } else { self.flushed };
+                self.order_line(&change, mailboxes);
             }
         }
         let tables: BTreeSet<TableId> =
             self.members.values().map(|member| member.table).filter(|&table| unused(table)).collect();
         for (table, gate) in self.differing_gates(tables) {
-            self.order_gate(table, gate, post);
+            self.order_gate(table, gate, mailboxes);
         }
     }
 
-    fn order_line(&mut self, change: &Change, post: &mut Post) {
+    fn order_line(&mut self, change: &Change, mailboxes: &mut Mailboxes) {
         let &Change { table, server, weight, .. } = change;
-        post.orders.push(match table {
+        mailboxes.actions.push(match table {
             SHUNNED => Action::Exclude { server, on: weight > 0.0 },
             _ => Action::SetWeight { table, server, weight },
         });
@@ -436,9 +443,9 @@
         }
     }
 
-    fn order_gate(&mut self, table: TableId, gate: Gate, post: &mut Post) {
-        let (operations, amount, further) = (1 << gate.operation, gate.amount, gate.further);
-        post.orders.push(Action::LimitAdmission {
+    fn order_gate(&mut self, table: TableId, gate: AdmissionLimit, mailboxes: &mut Mailboxes) {
+        let (operations, amount, further) = (1 << gate.operation, gate.limit, gate.retry_policy);
+        mailboxes.actions.push(Action::LimitAdmission {
             table: Some(table),
             operations,
             limit: amount,
@@ -447,7 +454,7 @@
         self.gates_told.insert((table, gate.operation), gate);
     }
 
-    fn differing_gates(&self, tables: BTreeSet<TableId>) -> Vec<(TableId, Gate)> {
+    fn differing_gates(&self, tables: BTreeSet<TableId>) -> Vec<(TableId, AdmissionLimit)> {
         let gates = tables.into_iter().flat_map(|table| self.gates.iter().map(move |gate| (table, *gate)));
         gates.filter(|(table, gate)| self.gates_told.get(&(*table, gate.operation)) != Some(gate)).collect()
     }
@@ -468,7 +475,7 @@
 
     /// Are newcomers told what to shun? Only where a table of few servers takes no fewer lines, or there is none.
     fn warns(&self, now: Nanos) -> bool {
-        let binding = self.wants.values().filter(|want| want.binds).count();
+        let binding = self.wants.values().filter(|want| want.must_exclude).count();
         let small = self.stand_in_servers();
         if small > 0 && binding > small {
             return false;
@@ -497,7 +504,7 @@
         let warns = self.warns(now);
         let mut lines: BTreeSet<(TableId, ServerId)> = self.told.keys().chain(&self.parts).copied().collect();
         lines.extend(self.wants.keys().map(|&server| (WHOLE, server)));
-        let binds = self.wants.iter().filter(|(_, want)| warns && want.binds);
+        let binds = self.wants.iter().filter(|(_, want)| warns && want.must_exclude);
         lines.extend(binds.map(|(&server, _)| (SHUNNED, server)));
         let usable = self.usable();
         // While the channel is pressed only a table that has next to nothing left is filled at once.
@@ -517,7 +524,7 @@
                 let want = self.wants.get(&server).copied().unwrap_or_default();
                 let urgent = weight < told && want.urgent;
                 // What drains goes ahead of all, out of tables first: users of a table shun what it still holds.
-                let moved = if want.binds { f64::MAX / (1.0 + f64::from(table)) } else { moved };
+                let moved = if want.must_exclude { f64::MAX / (1.0 + f64::from(table)) } else { moved };
                 let adds = told == 0.0 && weight > 0.0 && table > WHOLE;
                 let missed = bare(table) || (roomy && weak(table) && !want.urgent);
                 let fills = (adds && missed) || (table == SHUNNED && weight > told);
@@ -536,8 +543,8 @@
     /// Guards the channel's limit against anything that changes many lines at once, a mass restart, a wrong
     /// list or noise. Drained or gone servers must be left, and cold ones kept from a full share, whatever
     /// else waits. It could harm where much changes for good reasons: then the table lags behind by seconds.
-    fn tell(&mut self, changes: impl Iterator<Item = Change>, post: &mut Post) -> bool {
-        let now = post.now;
+    fn tell(&mut self, changes: impl Iterator<Item = Change>, mailboxes: &mut Mailboxes) -> bool {
+        let now = mailboxes.now;
         let readers = self.users();
         let newcomers = self.newcomers().count() as f64;
         let mut changes: Vec<Change> = changes.collect();
@@ -593,17 +600,17 @@
         }
         // Changes that only serve better wait while joiners still lack the table.
         changes.retain(|change| match change.rank {
-            0 => worth.contains(&change.table) && sending.take(change.table, change.again, room(rule)),
+            0 => worth.contains(&change.table) && sending.fits(change.table, change.again, room(rule)),
             rank => {
                 prompt
                     && (rank < 2 || !strangers || !bound)
-                    && sending.take(change.table, false, room(ordinary))
+                    && sending.fits(change.table, false, room(ordinary))
             }
         });
         let used = |member: &Member| [member.table, member.bound.unwrap_or(WHOLE)];
         let tables: BTreeSet<TableId> = self.members.values().flat_map(used).collect();
         let mut gates = if prompt { self.differing_gates(tables) } else { Vec::new() };
-        gates.retain(|(table, _)| sending.take(*table, false, room(JOIN_ROOM)));
+        gates.retain(|(table, _)| sending.fits(*table, false, room(JOIN_ROOM)));
         let sent = changes.iter().filter(|change| change.rank == 0).count();
         if changes.is_empty() && gates.is_empty() {
             return sent == owed;
@@ -612,16 +619,16 @@
         self.flushed = if ordinary_sent { now } else { self.flushed };
         self.enter(&changes, &sending, now);
         for change in &changes {
-            self.order_line(change, post);
+            self.order_line(change, mailboxes);
         }
         for (table, gate) in gates {
-            self.order_gate(table, gate, post);
+            self.order_gate(table, gate, mailboxes);
         }
         let reached = self.reached(&sending.touched);
         if !reached.is_empty() {
             self.turn =
                 (TURN * sending.cost).min(WARN_PART / 2.0 * self.grace as f64 * self.pacing.lines_per_ns);
-            self.pacing.book(sending.cost, reached, post);
+            self.pacing.book(sending.cost, reached, mailboxes);
         }
         if sent == owed && sending.touched.iter().any(|(table, _)| *table == SHUNNED) {
             self.members.values_mut().for_each(|member| member.warned |= member.bound.is_none());
@@ -678,7 +685,7 @@
         let mut lines: BTreeMap<TableId, (f64, f64)> = BTreeMap::new();
         for ((table, server), _) in self.told.iter().filter(|(_, &weight)| weight > 0.0) {
             let counts = lines.entry(*table).or_insert((2.0 + self.gates.len() as f64, 0.0));
-            let started = self.wants.get(server).is_some_and(|want| want.started);
+            let started = self.wants.get(server).is_some_and(|want| want.restarted);
             *counts = (counts.0 + 1.0, counts.1 + f64::from(u8::from(started)));
         }
         lines
@@ -694,11 +701,11 @@
 
     /// Tables for those that joined or are to change theirs, as many as the channel has room for: what is due
     /// first, then the busiest proxies first.
-    fn install(&mut self, joins: Joins, post: &mut Post) {
+    fn install(&mut self, joins: Joins, mailboxes: &mut Mailboxes) {
         let lines = self.lines();
         let urgent = joins == Joins::Urgent;
-        let urgent_changes = if urgent { self.urgent_by_table(post.now) } else { BTreeMap::new() };
-        let moved_due = urgent_changes.get(&WHOLE).map_or(post.now + self.grace, |(_, due)| *due);
+        let urgent_changes = if urgent { self.urgent_by_table(mailboxes.now) } else { BTreeMap::new() };
+        let moved_due = urgent_changes.get(&WHOLE).map_or(mailboxes.now + self.grace, |(_, due)| *due);
         let due = |member: &Member| match (urgent, member.bound) {
             (false, _) => 0,
             (true, None) => self.newcomer_due(member),
@@ -714,14 +721,14 @@
         waiting.sort_by(|(due_a, _, a), (due_b, _, b)| {
             due_a.cmp(due_b).then(a.bound.cmp(&b.bound)).then(b.came.sum.total_cmp(&a.came.sum))
         });
-        let queued = self.pacing.waiting(post.now);
+        let queued = self.pacing.waiting(mailboxes.now);
         let rule = (URGENT_ROOM - self.pacing.travelling() / self.pacing.room).max(JOIN_ROOM);
         let room = match joins {
             Joins::Urgent => self.pacing.room * rule - queued,
             Joins::Within(part) => (self.pacing.room * part).min(self.pacing.prompt_lines()) - queued,
         };
         // One goes where nothing waits, or to see whether the channel is slow or proxies are gone.
-        let probes = self.pacing.may_probe(post.now) && self.pacing.room * JOIN_ROOM > queued;
+        let probes = self.pacing.may_probe(mailboxes.now) && self.pacing.room * JOIN_ROOM > queued;
         let one = !urgent && (self.pacing.waiting == 0.0 || probes);
         let (mut cost, mut reached) = (0.0, BTreeSet::new());
         let mut entries = Vec::new();
@@ -731,7 +738,7 @@
             if cost + more > room && !(one && reached.is_empty()) {
                 break;
             }
-            post.orders.push(Action::AssignTable { proxy, table: member.table, operations: 0 });
+            mailboxes.actions.push(Action::AssignTable { proxy, table: member.table, operations: 0 });
             cost += more;
             reached.insert(proxy);
             entries.push((due, cost));
@@ -739,7 +746,7 @@
         if reached.is_empty() {
             return;
         }
-        let capacity = self.pacing.capacity(post.now);
+        let capacity = self.pacing.capacity(mailboxes.now);
         for (due, lines) in entries.into_iter().filter(|_| urgent) {
             self.ledger.enter(1, due, capacity.arrival(lines));
         }
@@ -749,6 +756,6 @@
             }
         }
         self.turn -= cost;
-        self.pacing.book(cost, reached, post);
+        self.pacing.book(cost, reached, mailboxes);
     }
 }
--- a/src/brain.rs
+++ b/src/controller.rs
@@ -7,8 +7,9 @@
 
 use crate::channel::{Channel, WEIGHT_STEP};
 use crate::interface::*;
-use crate::notes::*;
+use crate::message::*;
 use crate::state::*;
+use crate::statistics::{median, DecayingSum};
 
 #[cfg(test)]
 mod tests;
@@ -92,37 +93,40 @@
 const LISTEN_AGAIN: u64 = 2;
 
 impl Registry {
-    fn take(&mut self, note: Note, post: &mut Post) {
+    fn handle(&mut self, note: Message, mailboxes: &mut Mailboxes) {
         match note {
-            Note::Roster(WatchEvent::Failed) => {
+            Message::Endpoints(WatchEvent::Failed) => {
                 // Guards against a crowd of calls at a list service that is late, in the time told for it.
                 let wait = (self.patience >> 4 << self.failures.min(4)) as f64;
                 self.failures += 1;
                 let span = (wait * (0.5 + 0.5 * self.chance.rand_float())) as Nanos;
-                post.orders.push(Action::SetTimer { delay: span, token: LISTEN_AGAIN });
+                mailboxes.actions.push(Action::SetTimer { delay: span, token: LISTEN_AGAIN });
             }
-            Note::Roster(WatchEvent::Delta(rows)) => self.follow(rows, post),
-            Note::Roster(WatchEvent::Full(rows) | WatchEvent::Cached(rows)) => {
+            Message::Endpoints(WatchEvent::Delta(rows)) => self.follow(rows, mailboxes),
+            Message::Endpoints(WatchEvent::Full(rows) | WatchEvent::Cached(rows)) => {
                 let present: BTreeSet<ServerId> = rows.iter().map(|row| row.server).collect();
                 for &server in self.listed.difference(&present) {
-                    post.put(Part::Server(server), Note::Delisted);
+                    mailboxes.send(Component::Server(server), Message::Removed);
                 }
                 self.listed = present;
-                self.follow(rows, post);
+                self.follow(rows, mailboxes);
             }
             // Behind the list that it speaks of, and to those alone that it has.
-            Note::Recalled(remembered, away) => {
+            Message::Restored { snapshot: remembered, age: away } => {
                 for &learned in &remembered.servers {
-                    post.put(Part::Server(learned.server), Note::ServerSnapshot(learned, away));
+                    mailboxes.send(
+                        Component::Server(learned.server),
+                        Message::RestoredServer { snapshot: learned, age: away },
+                    );
                 }
-                post.put(Part::Fleet, Note::Recalled(remembered, away));
+                mailboxes.send(Component::Fleet, Message::Restored { snapshot: remembered, age: away });
             }
-            Note::ListenAgain if self.asks => post.orders.push(Action::WatchEndpoints { on: true }),
+            Message::RetryWatch if self.asks => mailboxes.actions.push(Action::WatchEndpoints { on: true }),
             _ => {}
         }
     }
 
-    fn follow(&mut self, rows: Vec<Endpoint>, post: &mut Post) {
+    fn follow(&mut self, rows: Vec<Endpoint>, mailboxes: &mut Mailboxes) {
         self.failures = 0;
         for mut row in rows {
             let size = row.weight > 1.0 / SIZE_BOUND && row.weight < SIZE_BOUND;
@@ -132,7 +136,7 @@
             } else {
                 self.listed.insert(row.server);
             }
-            post.put(Part::Server(row.server), Note::Listed(row));
+            mailboxes.send(Component::Server(row.server), Message::Listed(row));
         }
     }
 }
@@ -150,10 +154,10 @@
         }
     }
 
-    fn take(&mut self, note: Note, judging: &Judging, post: &mut Post) {
-        let now = post.now;
+    fn handle(&mut self, note: Message, thresholds: &Thresholds, mailboxes: &mut Mailboxes) {
+        let now = mailboxes.now;
         match note {
-            Note::Listed(row) => {
+            Message::Listed(row) => {
                 let started = row.started_at > self.row.started_at
                     || (row.readiness == Readiness::Ready && self.row.readiness != Readiness::Ready);
                 if started {
@@ -167,23 +171,23 @@
                 self.row =
                     Endpoint { readiness: if drained { self.row.readiness } else { row.readiness }, ..row };
             }
-            Note::Delisted => {
+            Message::Removed => {
                 let ready = self.row.readiness == Readiness::Ready;
                 self.row.readiness = if ready { Readiness::Removed } else { self.row.readiness };
                 self.since = now;
             }
-            Note::ServerSnapshot(learned, away) if self.heard == 0 => {
-                self.recall(&learned, away, judging.echo, now)
+            Message::RestoredServer { snapshot: learned, age: away } if self.heard == 0 => {
+                self.recall(&learned, away, thresholds.feedback_delay, now)
             }
-            Note::EndpointReport(digest) => self.hear(&digest, now, post),
-            Note::Weigh(picture) => {
-                let standing = self.weigh(picture, judging, now);
-                post.put(Part::Fleet, Note::Standing(standing));
+            Message::Report(digest) => self.hear(&digest, now, mailboxes),
+            Message::Evaluate(picture) => {
+                let standing = self.weigh(picture, thresholds, now);
+                mailboxes.send(Component::Fleet, Message::Status(standing));
             }
-            Note::Held(true) if self.out_since.is_none() => {
+            Message::Ejection(true) if self.out_since.is_none() => {
                 let fault = self.fault.unwrap_or(Fault::Score);
                 self.out_since = Some(now);
-                post.remark(format!("server {} withdrawn: {fault:?}", self.row.server));
+                mailboxes.log(format!("server {} withdrawn: {fault:?}", self.row.server));
             }
             _ => {}
         }
@@ -192,7 +196,8 @@
     /// Takes what was known of it before a restart of ours. Guards callers against learning anew, at their cost,
     /// which servers fail; it could harm where they were healed meanwhile: they are back after their term at most.
     fn recall(&mut self, learned: &ServerSnapshot, away: Nanos, echo: Nanos, now: Nanos) {
-        let kept = |sum: f64, memory: Nanos| Fading { sum: sum * recalled(away, memory), at: now };
+        let kept =
+            |sum: f64, memory: Nanos| DecayingSum { sum: sum * recalled(away, memory), updated_at: now };
         self.tries = kept(learned.attempts, SCORE_MEMORY);
         self.lost = kept(learned.failures, SCORE_MEMORY);
         self.answered = kept(learned.responses, LEARNING);
@@ -201,7 +206,8 @@
             return;
         }
         self.level = learned.recovery.clamp(RETURN_LEVEL, 1.0);
-        self.band = [Band::Green, Band::Yellow, Band::Red][usize::from(learned.health.min(2))];
+        self.band =
+            [Health::Healthy, Health::Degraded, Health::Unhealthy][usize::from(learned.health.min(2))];
         self.term = learned.ejection_time.clamp(FIRST_TERM, 4 * FIRST_TERM);
         // Proxies have gone by the tables of then: what is silent now was silent before.
         (self.unanswered, self.felt_share) =
@@ -213,7 +219,7 @@
         match out_for.filter(|&out_for| out_for < self.term) {
             Some(out_for) => {
                 self.out_since = Some(now.saturating_sub(out_for));
-                self.fault = Some(if learned.unresponsive { Fault::Silence } else { Fault::Score });
+                self.fault = Some(if learned.unresponsive { Fault::Unresponsive } else { Fault::Score });
                 // So that its first answer shows: it has been expected to speak.
                 self.unanswered = 1.0 / FALSE_SILENCE;
             }
@@ -222,7 +228,7 @@
         }
     }
 
-    fn hear(&mut self, digest: &EndpointReport, now: Nanos, post: &mut Post) {
+    fn hear(&mut self, digest: &EndpointReport, now: Nanos, mailboxes: &mut Mailboxes) {
         let (tries, lost) = (f64::from(digest.attempts), f64::from(digest.failures.min(digest.attempts)));
         let answered = tries - lost;
         self.tries.add(now, SCORE_MEMORY, tries);
@@ -237,7 +243,10 @@
             (self.unanswered, self.heard) = (-1.0, now);
         }
         self.clean = answered > lost;
-        post.put(Part::Fleet, Note::Met { tries, lost, time, window: digest.window as f64 });
+        mailboxes.send(
+            Component::Fleet,
+            Message::Observed { attempts: tries, failures: lost, time, window: digest.window as f64 },
+        );
     }
 
     /// Mean answer time, drawn towards its kind's by some tries' worth of credit.
@@ -247,51 +256,53 @@
         (answered > 1.0).then(|| (self.time.read(now, LEARNING) + credit * kind_time) / (answered + credit))
     }
 
-    fn warm_part(&self, judging: &Judging, now: Nanos) -> f64 {
+    fn warm_part(&self, thresholds: &Thresholds, now: Nanos) -> f64 {
         let age = now.saturating_sub(self.row.started_at);
-        if self.row.started_at == 0 || age >= judging.cold_for {
+        if self.row.started_at == 0 || age >= thresholds.slow_start_duration {
             return 1.0;
         }
-        let able = judging.cold_from + (1.0 - judging.cold_from) * age as f64 / judging.cold_for as f64;
-        (able * judging.cold_stretch).min(1.0 - f64::EPSILON)
+        let able = thresholds.slow_start_capacity
+            + (1.0 - thresholds.slow_start_capacity) * age as f64 / thresholds.slow_start_duration as f64;
+        (able * thresholds.slow_start_stretch).min(1.0 - f64::EPSILON)
     }
 
-    fn weigh(&mut self, picture: Picture, judging: &Judging, now: Nanos) -> Standing {
+    fn weigh(&mut self, picture: FleetStatistics, thresholds: &Thresholds, now: Nanos) -> ServerStatus {
         let elapsed = now.saturating_sub(self.weighed);
         self.weighed = now;
-        let felt = 1.0 - (-(elapsed as f64) / judging.echo as f64).exp();
-        self.felt_share += (picture.share - self.felt_share) * felt;
+        let felt = 1.0 - (-(elapsed as f64) / thresholds.feedback_delay as f64).exp();
+        self.felt_share += (picture.weight_share - self.felt_share) * felt;
         // Guards against servers that take invocations and answer none, long before their time-outs are
         // reported; also against dead machines and cut links. It could harm where reports lack lines for
         // other reasons, so only reports that tell of other servers' answers count.
         if self.unanswered < 0.0 {
             self.unanswered = 0.0;
-        } else if now.saturating_sub(self.since) > judging.echo {
-            self.unanswered += picture.answered * self.felt_share;
+        } else if now.saturating_sub(self.since) > thresholds.feedback_delay {
+            self.unanswered += picture.responses * self.felt_share;
         }
         let error = self.lost.read(now, SCORE_MEMORY) / (self.tries.read(now, SCORE_MEMORY) + CREDIT);
-        let time = self.answer_time(now, picture.kind_time);
-        let error_score = ((error - picture.common_error) / CRITICAL_ERROR).clamp(0.0, 1.0);
-        let slower =
-            time.filter(|_| picture.median_time > 0.0).map_or(1.0, |time| time / picture.median_time);
+        let time = self.answer_time(now, picture.kind_response_time);
+        let error_score = ((error - picture.median_error_rate) / CRITICAL_ERROR).clamp(0.0, 1.0);
+        let slower = time
+            .filter(|_| picture.median_response_time > 0.0)
+            .map_or(1.0, |time| time / picture.median_response_time);
         let time_score = ((slower - 1.0) / (CRITICAL_TIME - 1.0)).clamp(0.0, 1.0);
         let goodness = 1.0 - (error_score + time_score) / 2.0;
-        let hushed = now.saturating_sub(self.heard.max(self.since)) as f64 > picture.hush;
-        let fault = if self.unanswered > picture.silence && hushed {
-            Some(Fault::Silence)
-        } else if picture.general {
+        let hushed = now.saturating_sub(self.heard.max(self.since)) as f64 > picture.max_report_gap;
+        let fault = if self.unanswered > picture.unresponsive_after && hushed {
+            Some(Fault::Unresponsive)
+        } else if picture.general_failure {
             None
         } else if error_score >= 1.0 {
             Some(Fault::Errors)
         } else {
             self.settle_band(goodness, now);
-            (self.band == Band::Red).then_some(Fault::Score)
+            (self.band == Health::Unhealthy).then_some(Fault::Score)
         };
         if self.out_since.is_none() {
             self.fault = fault;
         }
         if let Some(since) = self.out_since {
-            let answers = self.unanswered <= 0.0 && self.fault == Some(Fault::Silence);
+            let answers = self.unanswered <= 0.0 && self.fault == Some(Fault::Unresponsive);
             if now.saturating_sub(since) >= self.term || answers {
                 self.come_back(now);
             }
@@ -299,40 +310,40 @@
             self.level = (self.level + elapsed as f64 / SCORE_MEMORY as f64).min(1.0);
         }
         let ratio = (goodness - CRITICAL_GOODNESS) / (GOOD_GOODNESS - CRITICAL_GOODNESS);
-        let band = if self.band == Band::Green { 1.0 } else { ratio.clamp(RETURN_LEVEL, 1.0) };
-        let warm_part = self.warm_part(judging, now);
-        let listed = if judging.sizes_told { self.row.weight } else { 1.0 };
+        let band = if self.band == Health::Healthy { 1.0 } else { ratio.clamp(RETURN_LEVEL, 1.0) };
+        let warm_part = self.warm_part(thresholds, now);
+        let listed = if thresholds.capacities_listed { self.row.weight } else { 1.0 };
         let mut row = self.row;
         // Where a list may drop servers wrongly, one that still answers counts as ready.
-        let answers = judging.gone_does_not_bind && self.answered.read(now, LEARNING) > CREDIT;
+        let answers = thresholds.removal_is_advisory && self.answered.read(now, LEARNING) > CREDIT;
         if answers && row.readiness == Readiness::Removed {
             row.readiness = Readiness::Ready;
         }
-        Standing {
-            row,
-            binds: match row.readiness {
+        ServerStatus {
+            endpoint: row,
+            must_exclude: match row.readiness {
                 Readiness::Ready => false,
                 Readiness::Draining => true,
-                Readiness::Removed => !judging.gone_does_not_bind && self.tries.sum > RETURN_LEVEL,
+                Readiness::Removed => !thresholds.removal_is_advisory && self.tries.sum > RETURN_LEVEL,
             },
             warm: warm_part >= 1.0,
-            out: self.out_since.is_some(),
+            ejected: self.out_since.is_some(),
             fault: self.fault,
-            severity: error_score + time_score + self.unanswered / picture.silence.max(1.0),
-            weight: listed * factor(time, &picture, judging.kind_power) * band * self.level.min(warm_part),
-            listed,
-            cap: (warm_part < 1.0).then_some(listed * warm_part),
-            time: time.filter(|_| self.out_since.is_none()),
-            met: (self.time.sum, self.answered.sum),
-            error,
+            severity: error_score + time_score + self.unanswered / picture.unresponsive_after.max(1.0),
+            weight: listed * factor(time, &picture, thresholds.kind_power) * band * self.level.min(warm_part),
+            listed_weight: listed,
+            slow_start_limit: (warm_part < 1.0).then_some(listed * warm_part),
+            response_time: time.filter(|_| self.out_since.is_none()),
+            recent_responses: (self.time.sum, self.answered.sum),
+            error_rate: error,
         }
     }
 
     fn settle_band(&mut self, goodness: f64, now: Nanos) {
         let next = match goodness {
-            g if g < CRITICAL_GOODNESS => Band::Red,
-            g if g > GOOD_GOODNESS => Band::Green,
-            _ => Band::Yellow,
+            g if g < CRITICAL_GOODNESS => Health::Unhealthy,
+            g if g > GOOD_GOODNESS => Health::Healthy,
+            _ => Health::Degraded,
         };
         if next == self.band {
             self.edge = None;
@@ -351,8 +362,8 @@
 
 /// What the list does not tell of a capacity, learned from answer times and bounded: how a server does among
 /// its kind, and, less where sizes are listed, how its kind does among all.
-fn factor(time: Option<f64>, picture: &Picture, kind_power: f64) -> f64 {
-    let (kind, median) = (picture.kind_time, picture.median_time);
+fn factor(time: Option<f64>, picture: &FleetStatistics, kind_power: f64) -> f64 {
+    let (kind, median) = (picture.kind_response_time, picture.median_response_time);
     let Some(time) = time.filter(|&time| time > 0.0 && kind > 0.0 && median > 0.0) else { return 1.0 };
     let ratio = (kind / time).powf(FACTOR_POWER) * (median / kind).powf(kind_power);
     ratio.clamp(1.0 / FACTOR_BOUND, FACTOR_BOUND)
@@ -370,8 +381,10 @@
         if away > RECALLED_FOR {
             return;
         }
-        self.usual =
-            Fading { sum: remembered.usual_weight * recalled(away, 2 * BLIND_FOR) / RECALLED, at: now };
+        self.usual = DecayingSum {
+            sum: remembered.usual_weight * recalled(away, 2 * BLIND_FOR) / RECALLED,
+            updated_at: now,
+        };
         (self.peak, self.capacity) = (remembered.peak_load, remembered.load_limit);
         self.apart_for = remembered.isolation_time;
         if remembered.isolation_left > away {
@@ -379,87 +392,99 @@
         }
     }
 
-    fn take(&mut self, note: Note, post: &mut Post) {
+    fn handle(&mut self, note: Message, mailboxes: &mut Mailboxes) {
         match note {
-            Note::Recalled(remembered, away) => self.recall(&remembered, away, post.now),
-            Note::Met { tries, lost, time, window } => {
+            Message::Restored { snapshot: remembered, age: away } => {
+                self.recall(&remembered, away, mailboxes.now)
+            }
+            Message::Observed { attempts: tries, failures: lost, time, window } => {
                 // A gap in the reports: they come late, or this instance stood still or has just started.
-                let gap = post.now.saturating_sub(self.heard);
+                let gap = mailboxes.now.saturating_sub(self.heard);
                 if gap > 2 * self.cycle {
-                    self.blind_until = post.now + BLIND_FOR;
+                    self.blind_until = mailboxes.now + BLIND_FOR;
                     let tips_unseen = self.heard > 0 && gap > 2 * self.cycle + self.tip_after;
                     self.blind_part = if tips_unseen { 0.0 } else { BLIND_PART };
                 }
-                self.heard = post.now;
-                self.rounds.0.add(post.now, SCORE_MEMORY, window);
-                self.rounds.1.add(post.now, SCORE_MEMORY, 1.0);
+                self.heard = mailboxes.now;
+                self.rounds.0.add(mailboxes.now, SCORE_MEMORY, window);
+                self.rounds.1.add(mailboxes.now, SCORE_MEMORY, 1.0);
                 self.answered += tries - lost;
                 for (sum, amount) in self.recent.iter_mut().zip([tries, lost, tries - lost, time]) {
-                    sum.add(post.now, self.cycle, amount);
+                    sum.add(mailboxes.now, self.cycle, amount);
                 }
-                self.tries.add(post.now, SCORE_MEMORY, tries);
-                self.lost.add(post.now, SCORE_MEMORY, lost);
+                self.tries.add(mailboxes.now, SCORE_MEMORY, tries);
+                self.lost.add(mailboxes.now, SCORE_MEMORY, lost);
             }
-            Note::Intake { operation, total, lost } => {
+            Message::Demand { operation, total, failures: lost } => {
                 for (sum, amount) in self.asked.get_mut(operation).into_iter().flatten().zip([total, lost]) {
-                    sum.add(post.now, SCORE_MEMORY, amount);
+                    sum.add(mailboxes.now, SCORE_MEMORY, amount);
                 }
                 for demand in self.demands.iter_mut().filter(|demand| demand.operation == operation) {
-                    demand.came.add(post.now, self.cycle, total);
-                    demand.failed.add(post.now, self.cycle, lost);
+                    demand.total.add(mailboxes.now, self.cycle, total);
+                    demand.failures.add(mailboxes.now, self.cycle, lost);
                 }
             }
-            Note::Used(used) => self.used = used,
-            Note::Beat(ids) => self.ask_all(ids, post),
-            Note::Standing(standing) => {
-                self.standings.insert(standing.row.server, standing);
+            Message::SubsetServers(used) => self.used = used,
+            Message::Tick(ids) => self.ask_all(ids, mailboxes),
+            Message::Status(standing) => {
+                self.standings.insert(standing.endpoint.server, standing);
                 self.awaited = self.awaited.saturating_sub(1);
                 if self.awaited == 0 {
-                    self.conclude(post);
+                    self.conclude(mailboxes);
                 }
             }
             _ => {}
         }
     }
 
-    fn ask_all(&mut self, ids: Vec<ServerId>, post: &mut Post) {
-        let ready = || self.standings.values().filter(|s| s.ready());
+    fn ask_all(&mut self, ids: Vec<ServerId>, mailboxes: &mut Mailboxes) {
+        let ready = || self.standings.values().filter(|s| s.is_ready());
         self.told.retain(|id, _| self.used.is_empty() || self.used.contains(id));
         let total: f64 = self.told.values().sum();
-        let picture = Picture {
-            median_time: median(ready().filter_map(|s| s.time).collect()),
-            common_error: median(ready().map(|s| s.error).collect()),
-            answered: std::mem::take(&mut self.answered),
-            general: self.general,
-            silence: (ready().count().max(1) as f64 / FALSE_SILENCE).ln(),
-            hush: self.patience + self.rounds.0.sum / self.rounds.1.sum.max(1.0),
-            ..Picture::default()
+        let picture = FleetStatistics {
+            median_response_time: median(ready().filter_map(|s| s.response_time).collect()),
+            median_error_rate: median(ready().map(|s| s.error_rate).collect()),
+            responses: std::mem::take(&mut self.answered),
+            general_failure: self.general,
+            unresponsive_after: (ready().count().max(1) as f64 / FALSE_SILENCE).ln(),
+            max_report_gap: self.patience + self.rounds.0.sum / self.rounds.1.sum.max(1.0),
+            ..FleetStatistics::default()
         };
         let mut kinds: BTreeMap<u16, (f64, f64)> = BTreeMap::new();
         for standing in self.standings.values() {
-            let sums = kinds.entry(standing.row.kind).or_default();
-            *sums = (sums.0 + standing.met.0, sums.1 + standing.met.1);
+            let sums = kinds.entry(standing.endpoint.kind).or_default();
+            *sums = (sums.0 + standing.recent_responses.0, sums.1 + standing.recent_responses.1);
         }
         self.awaited = ids.len();
         if ids.is_empty() {
-            self.conclude(post);
+            self.conclude(mailboxes);
         }
         for id in ids {
             let share = self.told.get(&id).map_or(0.0, |weight| weight / total.max(f64::MIN_POSITIVE));
-            let kind = self.standings.get(&id).and_then(|standing| kinds.get(&standing.row.kind));
+            let kind = self.standings.get(&id).and_then(|standing| kinds.get(&standing.endpoint.kind));
             let kind_time = kind.filter(|sums| sums.1 > KIND_CREDIT).map_or(0.0, |sums| sums.0 / sums.1);
-            post.put(Part::Server(id), Note::Weigh(Picture { share, kind_time, ..picture }));
+            mailboxes.send(
+                Component::Server(id),
+                Message::Evaluate(FleetStatistics {
+                    weight_share: share,
+                    kind_response_time: kind_time,
+                    ..picture
+                }),
+            );
         }
     }
 
     /// Grants withdrawals, worst first, up to a third of the ready servers, and never the last warm one that
     /// proxies could pick: what a shared cause does to all must not empty the tables.
     fn granted(&self) -> BTreeSet<ServerId> {
-        let ready = || self.standings.values().filter(|s| s.ready());
+        let ready = || self.standings.values().filter(|s| s.is_ready());
         let mut warm = ready().filter(|s| s.warm).count();
-        let mut suspects: Vec<&Standing> = ready().filter(|s| s.fault.is_some() || s.out).collect();
+        let mut suspects: Vec<&ServerStatus> = ready().filter(|s| s.fault.is_some() || s.ejected).collect();
         suspects.sort_by(|a, b| {
-            b.out.cmp(&a.out).then(b.severity.total_cmp(&a.severity)).then(a.row.server.cmp(&b.row.server))
+            b.ejected
+                .cmp(&a.ejected)
+                .then(b.severity.total_cmp(&a.severity))
+                .then(a.endpoint.server.cmp(&b.endpoint.server))
         });
         let allowed = (ready().count() as f64 * WITHDRAWN_PART) as usize;
         let mut out = BTreeSet::new();
@@ -467,35 +492,36 @@
             let others = warm - usize::from(suspect.warm);
             if out.len() < allowed && others > 0 {
                 warm = others;
-                out.insert(suspect.row.server);
+                out.insert(suspect.endpoint.server);
             }
         }
         out
     }
 
-    fn conclude(&mut self, post: &mut Post) {
+    fn conclude(&mut self, mailboxes: &mut Mailboxes) {
         let out = self.granted();
-        let lost = self.lost.read(post.now, SCORE_MEMORY);
-        let lost_share = lost / (self.tries.read(post.now, SCORE_MEMORY) + CREDIT);
+        let lost = self.lost.read(mailboxes.now, SCORE_MEMORY);
+        let lost_share = lost / (self.tries.read(mailboxes.now, SCORE_MEMORY) + CREDIT);
         self.told.clear();
-        let inside = self.standings.values().filter(|s| s.ready() && !out.contains(&s.row.server));
-        let able = inside.map(|s| s.cap.unwrap_or(s.listed)).sum();
-        self.set_levels(able, post);
-        let general = if self.spares(post.now) { 0.0 } else { lost_share };
-        self.keep_apart(general, post);
-        self.set_gates(general, post);
-        let [tries, lost, ..] = self.recent.each_mut().map(|sum| sum.read(post.now, self.cycle));
-        self.weights(&out, 1.0 - lost_share.max(lost / (tries + CREDIT)), post.now);
+        let inside = self.standings.values().filter(|s| s.is_ready() && !out.contains(&s.endpoint.server));
+        let able = inside.map(|s| s.slow_start_limit.unwrap_or(s.listed_weight)).sum();
+        self.set_levels(able, mailboxes);
+        let general = if self.spares(mailboxes.now) { 0.0 } else { lost_share };
+        self.keep_apart(general, mailboxes);
+        self.set_gates(general, mailboxes);
+        let [tries, lost, ..] = self.recent.each_mut().map(|sum| sum.read(mailboxes.now, self.cycle));
+        self.weights(&out, 1.0 - lost_share.max(lost / (tries + CREDIT)), mailboxes.now);
         for (&id, standing) in &self.standings {
-            let (ready, held) = (standing.ready(), out.contains(&id));
-            post.put(Part::Server(id), Note::Held(held));
+            let (ready, held) = (standing.is_ready(), out.contains(&id));
+            mailboxes.send(Component::Server(id), Message::Ejection(held));
             let weight = self.told.get(&id).copied().unwrap_or(if ready { standing.weight } else { 0.0 });
             let weight = if ready && !held { weight } else { 0.0 };
-            let (urgent, binds) = (!ready || !standing.warm, standing.binds);
-            let started = standing.row.started_at > 0;
-            let (unready, locality) = (!ready, standing.row.locality);
-            let want = Want { weight, urgent, binds, unready, locality, started };
-            post.put(Part::Channel, Note::Want(id, want));
+            let (urgent, binds) = (!ready || !standing.warm, standing.must_exclude);
+            let started = standing.endpoint.started_at > 0;
+            let (unready, locality) = (!ready, standing.endpoint.locality);
+            let want =
+                DesiredWeight { weight, urgent, must_exclude: binds, unready, locality, restarted: started };
+            mailboxes.send(Component::Channel, Message::DesiredWeight(id, want));
         }
     }
 
@@ -508,30 +534,37 @@
     /// is known may be old. It costs capacity whenever losses have another cause. What a few servers lose does
     /// not count: the cold kept out for it leave the warm with all the work, which then jam.
     fn weights(&mut self, out: &BTreeSet<ServerId>, kept: f64, now: Nanos) {
-        let ready = self.standings.values().filter(|s| s.ready());
-        let known = ready.map(|s| s.listed).sum::<f64>() / kept;
-        let inside = |s: &Standing| s.ready() && !out.contains(&s.row.server);
-        let damped = |s: &Standing| if s.fault.is_some() { RETURN_LEVEL * s.weight } else { s.weight };
-        let (cold, warm): (Vec<&Standing>, Vec<&Standing>) =
-            self.standings.values().filter(|s| inside(s)).partition(|s| s.cap.is_some());
+        let ready = self.standings.values().filter(|s| s.is_ready());
+        let known = ready.map(|s| s.listed_weight).sum::<f64>() / kept;
+        let inside = |s: &ServerStatus| s.is_ready() && !out.contains(&s.endpoint.server);
+        let damped = |s: &ServerStatus| if s.fault.is_some() { RETURN_LEVEL * s.weight } else { s.weight };
+        let (cold, warm): (Vec<&ServerStatus>, Vec<&ServerStatus>) =
+            self.standings.values().filter(|s| inside(s)).partition(|s| s.slow_start_limit.is_some());
         let warm_sum: f64 = warm.iter().map(|s| damped(s)).sum();
-        let caps: f64 = cold.iter().filter_map(|s| s.cap).sum::<f64>() / known.max(f64::MIN_POSITIVE);
+        let caps: f64 =
+            cold.iter().filter_map(|s| s.slow_start_limit).sum::<f64>() / known.max(f64::MIN_POSITIVE);
         let total = if warm_sum > 0.0 { warm_sum / (1.0 - caps) } else { f64::MAX };
-        self.told.extend(warm.iter().map(|s| (s.row.server, damped(s))));
+        self.told.extend(warm.iter().map(|s| (s.endpoint.server, damped(s))));
         // What the list has taken away tells of a jam before any report does.
         self.usual.sum = self.usual.read(now, 2 * BLIND_FOR).max(known * kept);
-        let warm_part = warm.iter().map(|s| s.listed).sum::<f64>() / self.usual.sum;
+        let warm_part = warm.iter().map(|s| s.listed_weight).sum::<f64>() / self.usual.sum;
         let gap = now.saturating_sub(self.heard) > 2 * self.cycle;
         let sight = match gap || now < self.blind_until || warm_part < WARM_LEAST {
             _ if self.heard == 0 => 0.0,
             true => self.blind_part,
             false => 1.0,
         };
-        let common = RISING * median(warm.iter().map(|s| s.error).collect());
+        let common = RISING * median(warm.iter().map(|s| s.error_rate).collect());
         let wait = common.min(1.0 - kept) >= self.avoided_from * warm_part * sight && warm_sum > 0.0;
-        let most = |s: &Standing| if wait { 0.0 } else { s.cap.map_or(f64::MAX, |cap| cap / known * total) };
-        let capped = |s: &Standing| damped(s).min(most(s));
-        self.told.extend(cold.iter().map(|s| (s.row.server, capped(s))));
+        let most = |s: &ServerStatus| {
+            if wait {
+                0.0
+            } else {
+                s.slow_start_limit.map_or(f64::MAX, |cap| cap / known * total)
+            }
+        };
+        let capped = |s: &ServerStatus| damped(s).min(most(s));
+        self.told.extend(cold.iter().map(|s| (s.endpoint.server, capped(s))));
     }
 
     /// Is there an operation that hardly fails? Guards against taking servers that turn one operation away, or
@@ -547,48 +580,48 @@
     /// to set them up. Tries then fail at most servers though answers are not late; a table of all makes
     /// nearly each try at a large fleet a new connection. For a term, few proxies share few servers. It could
     /// harm in a failure of another kind that hits most servers at once, by uneven load.
-    fn keep_apart(&mut self, lost_share: f64, post: &mut Post) {
-        if post.now < self.apart_until {
-            return post.put(Part::Channel, Note::Apart(true));
+    fn keep_apart(&mut self, lost_share: f64, mailboxes: &mut Mailboxes) {
+        if mailboxes.now < self.apart_until {
+            return mailboxes.send(Component::Channel, Message::Isolate(true));
         }
-        let ready = || self.standings.values().filter(|s| s.ready());
-        let losing = ready().filter(|s| s.error > FURTHER_BACK).count() as f64;
-        let [.., served, time] = self.recent.each_mut().map(|sum| sum.read(post.now, self.cycle));
+        let ready = || self.standings.values().filter(|s| s.is_ready());
+        let losing = ready().filter(|s| s.error_rate > FURTHER_BACK).count() as f64;
+        let [.., served, time] = self.recent.each_mut().map(|sum| sum.read(mailboxes.now, self.cycle));
         let wide = losing / (ready().count() as f64).max(1.0);
         let slow = time / (served + CREDIT) / self.patience;
         if lost_share > FURTHER_CUT && wide > WIDE.max(slow / QUICK) {
             self.apart_for = (2 * self.apart_for).max(APART_FOR);
-            self.apart_until = post.now + self.apart_for;
-            post.remark("proxies kept apart: connections are hard to get".into());
+            self.apart_until = mailboxes.now + self.apart_for;
+            mailboxes.log("proxies kept apart: connections are hard to get".into());
         } else if self.apart_until > 0 {
             self.apart_until = 0;
-            post.remark("proxies back on one table".into());
+            mailboxes.log("proxies back on one table".into());
         }
-        post.put(Part::Channel, Note::Apart(self.apart_until > 0));
+        mailboxes.send(Component::Channel, Message::Isolate(self.apart_until > 0));
     }
 
     /// Further tries only after proof that the first never ran, safe for every operation. When failures are
     /// general even those only feed the load, and bring cold servers what the warm turned away.
-    fn set_gates(&mut self, share: f64, post: &mut Post) {
+    fn set_gates(&mut self, share: f64, mailboxes: &mut Mailboxes) {
         let before = self.general;
         self.general = share > if before { FURTHER_BACK } else { FURTHER_CUT };
         if before != self.general {
             let line = ["further tries restored", "further tries cut back: failures are general"];
-            post.remark(line[usize::from(self.general)].into());
+            mailboxes.log(line[usize::from(self.general)].into());
         }
         let further = !self.general || self.apart_until > 0;
         for gate in &mut self.gates {
-            gate.further = if !further { RetryPolicy::Never } else { RetryPolicy::IfNotExecuted };
+            gate.retry_policy = if !further { RetryPolicy::Never } else { RetryPolicy::IfNotExecuted };
         }
-        post.put(Part::Channel, Note::Gates(self.gates.clone()));
+        mailboxes.send(Component::Channel, Message::AdmissionLimits(self.gates.clone()));
     }
 
     /// Where levels are heeded: once answers come late, lets in what ready servers have shown to bear, kept
     /// for each unit of ready weight, the highest billed value for its objective first, and feels its way up.
     /// Guards against any lack of capacity, since late answers are worth next to nothing and cost as much. It
     /// could harm where answers are slow for reasons that less work does not mend.
-    fn set_levels(&mut self, ready: f64, post: &mut Post) {
-        let now = post.now;
+    fn set_levels(&mut self, ready: f64, mailboxes: &mut Mailboxes) {
+        let now = mailboxes.now;
         if self.demands.is_empty() || now.saturating_sub(self.levelled) < self.cycle {
             return;
         }
@@ -601,8 +634,8 @@
         let heat = if before > 0.0 { 2.0 * heat - before } else { heat };
         let mut borne = 0.0;
         for demand in &mut self.demands {
-            let came = demand.came.read(now, self.cycle) * self.gates[demand.operation].amount;
-            borne += demand.cost * (came - demand.failed.read(now, self.cycle)).max(0.0);
+            let came = demand.total.read(now, self.cycle) * self.gates[demand.operation].limit;
+            borne += demand.cost * (came - demand.failures.read(now, self.cycle)).max(0.0);
         }
         let borne = borne / ready.max(f64::MIN_POSITIVE);
         self.peak = borne.max(self.peak * PEAK_KEPT);
@@ -617,93 +650,95 @@
         let mut budget = self.capacity.map_or(f64::MAX, |capacity| capacity * ready * draining);
         let mut all_in = true;
         for demand in &self.demands {
-            let asked = (demand.cost * demand.came.sum).max(f64::MIN_POSITIVE);
+            let asked = (demand.cost * demand.total.sum).max(f64::MIN_POSITIVE);
             let amount = (budget / asked).clamp(LEAST_LEVEL, 1.0);
             budget = (budget - asked * amount).max(0.0);
             all_in &= amount >= 1.0;
             let gate = &mut self.gates[demand.operation];
-            if (gate.amount - amount).abs() > WEIGHT_STEP / 2.0 || amount >= 1.0 {
-                gate.amount = amount;
+            if (gate.limit - amount).abs() > WEIGHT_STEP / 2.0 || amount >= 1.0 {
+                gate.limit = amount;
             }
         }
         if all_in && heat < HEAT_LOW {
             self.capacity = None;
         }
         if limited != self.capacity.is_some() {
-            post.remark(if limited { "shedding ends" } else { "shedding: answers come late" }.into());
+            mailboxes.log(if limited { "shedding ends" } else { "shedding: answers come late" }.into());
         }
     }
 }
 
 /// Where levels are heeded, the operations in the order in which they are let in.
-fn demands(facts: &ControllerConfig) -> Vec<Demand> {
-    if facts.admission_mode != AdmissionMode::Ratio {
+fn demands(config: &ControllerConfig) -> Vec<OperationDemand> {
+    if config.admission_mode != AdmissionMode::Ratio {
         return Vec::new();
     }
-    let cost = |at: usize| facts.operations[at].latency_objective as f64;
-    let value = |at: usize| facts.operations[at].priority_weight / cost(at);
-    let mut order: Vec<usize> = (0..facts.operations.len()).collect();
+    let cost = |at: usize| config.operations[at].latency_objective as f64;
+    let value = |at: usize| config.operations[at].priority_weight / cost(at);
+    let mut order: Vec<usize> = (0..config.operations.len()).collect();
     order.sort_by(|&a, &b| value(b).total_cmp(&value(a)));
-    let demand = |operation| Demand { operation, cost: cost(operation), ..Demand::default() };
+    let demand =
+        |operation| OperationDemand { operation, cost: cost(operation), ..OperationDemand::default() };
     order.into_iter().map(demand).collect()
 }
 
 /// One instance of the decisions.
 #[derive(Debug)]
 pub struct Controller {
-    post: Post,
-    registry: Registry,
-    servers: BTreeMap<ServerId, Server>,
-    judging: Judging,
-    fleet: Fleet,
-    channel: Channel,
-    beat: Nanos,
-    started: bool,
+    pub(crate) mailboxes: Mailboxes,
+    pub(crate) registry: Registry,
+    pub(crate) servers: BTreeMap<ServerId, Server>,
+    pub(crate) thresholds: Thresholds,
+    pub(crate) fleet: Fleet,
+    pub(crate) channel: Channel,
+    pub(crate) tick_interval: Nanos,
+    pub(crate) started: bool,
 }
 
 impl Controller {
-    pub fn new(facts: &ControllerConfig) -> Self {
-        let cold_stretch = (facts.overload_ratio * TIP_PART).max(1.0);
-        let wait_stretch = (facts.overload_ratio * WAIT_PART).max(1.0);
-        let amount = if facts.admission_mode == AdmissionMode::Rate { f64::from(u32::MAX) } else { 1.0 };
-        let gate = |operation| Gate { operation, amount, further: RetryPolicy::IfNotExecuted };
-        let gates: Vec<Gate> = (0..facts.operations.len()).map(gate).collect();
+    pub fn new(config: &ControllerConfig) -> Self {
+        let cold_stretch = (config.overload_ratio * TIP_PART).max(1.0);
+        let wait_stretch = (config.overload_ratio * WAIT_PART).max(1.0);
+        let amount = if config.admission_mode == AdmissionMode::Rate { f64::from(u32::MAX) } else { 1.0 };
+        let gate =
+            |operation| AdmissionLimit { operation, limit: amount, retry_policy: RetryPolicy::IfNotExecuted };
+        let gates: Vec<AdmissionLimit> = (0..config.operations.len()).map(gate).collect();
         Controller {
-            post: Post::default(),
+            mailboxes: Mailboxes::default(),
             registry: Registry {
-                asks: facts.polls_endpoints,
-                patience: facts.poll_interval.max(SECOND),
+                asks: config.polls_endpoints,
+                patience: config.poll_interval.max(SECOND),
                 listed: BTreeSet::new(),
                 failures: 0,
-                chance: oorandom::Rand64::new(facts.seed.into()),
+                chance: oorandom::Rand64::new(config.seed.into()),
             },
             servers: BTreeMap::new(),
-            judging: Judging {
-                cold_from: facts.slow_start_capacity,
-                cold_for: facts.slow_start_duration,
-                cold_stretch,
-                echo: (facts.worst_transit + 2 * facts.report_interval).max(1),
-                sizes_told: facts.listed_capacity == ListedCapacity::Nominal,
-                kind_power: if facts.listed_capacity == ListedCapacity::Nominal {
+            thresholds: Thresholds {
+                slow_start_capacity: config.slow_start_capacity,
+                slow_start_duration: config.slow_start_duration,
+                slow_start_stretch: cold_stretch,
+                feedback_delay: (config.worst_transit + 2 * config.report_interval).max(1),
+                capacities_listed: config.listed_capacity == ListedCapacity::Nominal,
+                kind_power: if config.listed_capacity == ListedCapacity::Nominal {
                     KIND_POWER
                 } else {
                     FACTOR_POWER
                 },
-                gone_does_not_bind: facts.removal_is_advisory,
+                removal_is_advisory: config.removal_is_advisory,
             },
             fleet: Fleet {
-                demands: demands(facts),
-                asked: vec![Default::default(); facts.operations.len()],
-                patience: patience(facts),
-                cycle: facts.report_interval,
-                tip_after: facts.overload_delay,
+                demands: demands(config),
+                asked: vec![Default::default(); config.operations.len()],
+                patience: patience(config),
+                cycle: config.report_interval,
+                tip_after: config.overload_delay,
                 gates: gates.clone(),
                 blind_part: BLIND_PART,
-                avoided_from: AVOIDED.powf(1.0 / f64::from(facts.failures_to_avoid.max(1))) * wait_stretch,
+                avoided_from: AVOIDED.powf(1.0 / f64::from(config.failures_to_avoid.max(1))) * wait_stretch,
                 ..Fleet::default()
             },
-            channel: Channel::new(facts, gates),
-            beat: beat(facts),
+            channel: Channel::new(config, gates),
+            tick_interval: tick_interval(config),
             started: false,
         }
     }
@@ -717,11 +752,11 @@
 
     /// Takes the events of one batch and gives the orders, in order.
     pub fn decide(&mut self, now: Nanos, events: Vec<Event>) -> Vec<Action> {
-        self.post.now = now;
+        self.mailboxes.now = now;
         if !self.started {
             self.started = true;
-            self.post.orders.push(Action::SetTimer { delay: self.beat, token: BEAT });
-            self.post.put(Part::Registry, Note::ListenAgain);
+            self.mailboxes.actions.push(Action::SetTimer { delay: self.tick_interval, token: BEAT });
+            self.mailboxes.send(Component::Endpoints, Message::RetryWatch);
         }
         // Servers compare themselves with what the others said a beat before: after a recall nobody has yet.
         let beats = 1 + usize::from(events.iter().any(|event| matches!(event, Event::Restored { .. })));
@@ -731,20 +766,20 @@
         self.empty_inboxes();
         self.forget();
         for _ in 0..beats {
-            self.post.put(Part::Fleet, Note::Beat(self.servers.keys().copied().collect()));
+            self.mailboxes.send(Component::Fleet, Message::Tick(self.servers.keys().copied().collect()));
             self.empty_inboxes();
         }
-        self.post.put(Part::Channel, Note::Flush);
+        self.mailboxes.send(Component::Channel, Message::Flush);
         self.empty_inboxes();
-        std::mem::take(&mut self.post.orders)
+        std::mem::take(&mut self.mailboxes.actions)
     }
 
     /// Lets go of servers that are gone for good. Guards memory where servers are replaced all day under new ids.
     fn forget(&mut self) {
-        let Controller { servers, registry, fleet, channel, post, .. } = self;
+        let Controller { servers, registry, fleet, channel, mailboxes, .. } = self;
         servers.retain(|id, server| {
             let unlisted = !registry.listed.contains(id);
-            let long = post.now.saturating_sub(server.since.max(server.heard)) > GONE_KEPT;
+            let long = mailboxes.now.saturating_sub(server.since.max(server.heard)) > GONE_KEPT;
             if unlisted && long && channel.let_go(*id) {
                 fleet.standings.remove(id);
                 return false;
@@ -756,54 +791,61 @@
     /// Turns an event into a note for the part that it concerns.
     fn sort(&mut self, event: Event) {
         let (part, note) = match event {
-            Event::Endpoints(news) => (Part::Registry, Note::Roster(news)),
+            Event::Endpoints(news) => (Component::Endpoints, Message::Endpoints(news)),
             Event::Restored { snapshot: remembered, age: away } => {
-                (Part::Registry, Note::Recalled(remembered, away))
+                (Component::Endpoints, Message::Restored { snapshot: remembered, age: away })
             }
-            Event::Joined { proxy, rate, is_new: new, .. } => (Part::Channel, Note::Joined(proxy, rate, new)),
-            Event::Left { proxy } => (Part::Channel, Note::Left(proxy)),
-            Event::Backlog { lines } => (Part::Channel, Note::Backlog(lines)),
+            Event::Joined { proxy, rate, is_new: new, .. } => {
+                (Component::Channel, Message::Joined { proxy, rate, is_new: new })
+            }
+            Event::Left { proxy } => (Component::Channel, Message::Left(proxy)),
+            Event::Backlog { lines } => (Component::Channel, Message::Backlog(lines)),
             Event::EndpointReport(digest) if digest.attempts > 0 => {
-                (Part::Server(digest.server), Note::EndpointReport(digest))
+                (Component::Server(digest.server), Message::Report(digest))
             }
             Event::DemandReport { proxy, operation, total, failures: lost, .. } => {
                 let (total, lost) = (f64::from(total), f64::from(lost));
-                self.post.put(Part::Channel, Note::Came(proxy, total));
-                (Part::Fleet, Note::Intake { operation: operation.into(), total, lost })
+                self.mailboxes.send(Component::Channel, Message::ProxyDemand { proxy, total });
+                (Component::Fleet, Message::Demand { operation: operation.into(), total, failures: lost })
+            }
+            Event::Acknowledged { proxy, serial, .. } => {
+                (Component::Channel, Message::Acknowledged { proxy, serial })
             }
-            Event::Acknowledged { proxy, serial, .. } => (Part::Channel, Note::Confirmed(proxy, serial)),
             Event::TimerFired { token: BEAT } => {
-                return self.post.orders.push(Action::SetTimer { delay: self.beat, token: BEAT });
+                return self
+                    .mailboxes
+                    .actions
+                    .push(Action::SetTimer { delay: self.tick_interval, token: BEAT });
             }
-            Event::TimerFired { token: LISTEN_AGAIN } => (Part::Registry, Note::ListenAgain),
+            Event::TimerFired { token: LISTEN_AGAIN } => (Component::Endpoints, Message::RetryWatch),
             _ => return,
         };
-        self.post.put(part, note);
+        self.mailboxes.send(part, note);
     }
 
     /// The one loop that empties all inboxes.
     fn empty_inboxes(&mut self) {
-        while let Some((part, note)) = self.post.next() {
+        while let Some((part, note)) = self.mailboxes.next() {
             match part {
-                Part::Registry => self.registry.take(note, &mut self.post),
-                Part::Server(id) => {
-                    if let Note::Listed(row) = note {
-                        self.servers.entry(id).or_insert_with(|| Server::new(row, self.post.now));
+                Component::Endpoints => self.registry.handle(note, &mut self.mailboxes),
+                Component::Server(id) => {
+                    if let Message::Listed(row) = note {
+                        self.servers.entry(id).or_insert_with(|| Server::new(row, self.mailboxes.now));
                     }
                     if let Some(server) = self.servers.get_mut(&id) {
-                        server.take(note, &self.judging, &mut self.post);
+                        server.handle(note, &self.thresholds, &mut self.mailboxes);
                     }
                 }
-                Part::Fleet => self.fleet.take(note, &mut self.post),
-                Part::Channel => self.channel.take(note, &mut self.post),
+                Component::Fleet => self.fleet.handle(note, &mut self.mailboxes),
+                Component::Channel => self.channel.handle(note, &mut self.mailboxes),
             }
         }
     }
 }
 
 /// Mean answer time that still keeps most of the billed value.
-fn patience(facts: &ControllerConfig) -> f64 {
-    let value: f64 = facts.operations.iter().map(|operation| operation.priority_weight).sum();
-    let weighed = facts.operations.iter().map(|o| o.priority_weight * o.latency_objective as f64);
+fn patience(config: &ControllerConfig) -> f64 {
+    let value: f64 = config.operations.iter().map(|operation| operation.priority_weight).sum();
+    let weighed = config.operations.iter().map(|o| o.priority_weight * o.latency_objective as f64);
     PATIENCE * weighed.sum::<f64>() / value.max(f64::MIN_POSITIVE)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,17 @@
 //! shalereel: supervisors that see no invocation tell plain forwarders, by weighted tables, where work goes.
 
-pub mod brain;
 mod channel;
+pub mod controller;
 mod deadlines;
 pub mod interface;
-mod notes;
+mod message;
 mod pacing;
 mod state;
+mod statistics;
 mod subsets;
+#[cfg(test)]
+mod testing;
+
+/// The former name of [`controller`].
+pub use controller as brain;
+pub use controller::Controller;
--- /dev/null
+++ b/src/message.rs
@@ -0,0 +1,215 @@
+//! The components of the controller and the messages that they exchange. Nothing is decided here.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+use crate::interface::*;
+
+/// One second, in [`Nanos`].
+pub(crate) const SECOND: Nanos = 1_000_000_000;
+
+/// Time between two evaluations of everything, at the most.
+pub(crate) fn tick_interval(config: &ControllerConfig) -> Nanos {
+    config.report_interval.clamp(SECOND / 10, SECOND) / 4
+}
+
+/// A part of the controller with state and a mailbox of its own. Messages are handled in this order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum Component {
+    /// Follows the endpoint list.
+    Endpoints,
+    /// Knows one server.
+    Server(ServerId),
+    /// Compares the servers and decides for all of them.
+    Fleet,
+    /// Notifies proxies.
+    Channel,
+}
+
+/// A message to a component.
+#[derive(Clone, Debug)]
+pub(crate) enum Message {
+    // To the endpoint list.
+    /// The list changed.
+    Endpoints(WatchEvent),
+    /// What an earlier process had learned; also to the fleet.
+    Restored { snapshot: Snapshot, age: Nanos },
+    /// A watch that failed is due again.
+    RetryWatch,
+
+    // To a server.
+    /// The part of what was restored that concerns it.
+    RestoredServer { snapshot: ServerSnapshot, age: Nanos },
+    /// It is listed so.
+    Listed(Endpoint),
+    /// A full list lacks it.
+    Removed,
+    /// What proxies observed at it.
+    Report(EndpointReport),
+    /// It is to answer with its [`ServerStatus`].
+    Evaluate(FleetStatistics),
+    /// Whether the fleet ejects it.
+    Ejection(bool),
+
+    // To the fleet.
+    /// Requests of an operation, and those that got no response.
+    Demand { operation: usize, total: f64, failures: f64 },
+    /// What a report said, in sum: attempts, failures, time of all responses and the window, ns.
+    Observed { attempts: f64, failures: f64, time: f64, window: f64 },
+    /// A server's answer to `Evaluate`.
+    Status(ServerStatus),
+    /// Everything is to be evaluated; the servers that are known.
+    Tick(Vec<ServerId>),
+    /// Servers that stand in subsets which our proxies use.
+    SubsetServers(BTreeSet<ServerId>),
+
+    // To the channel.
+    /// What proxies are to be told of a server.
+    DesiredWeight(ServerId, DesiredWeight),
+    /// What is admitted, by operation.
+    AdmissionLimits(Vec<AdmissionLimit>),
+    /// Whether proxies are to be isolated on subsets of the servers.
+    Isolate(bool),
+    /// A proxy connected.
+    Joined { proxy: ProxyId, rate: f64, is_new: bool },
+    /// So many requests came to a proxy.
+    ProxyDemand { proxy: ProxyId, total: f64 },
+    /// A proxy disconnected.
+    Left(ProxyId),
+    /// A proxy has applied what was marked with this serial.
+    Acknowledged { proxy: ProxyId, serial: u64 },
+    /// Lines that an earlier controller sent and that may still wait.
+    Backlog(f64),
+    /// All messages of the batch were handled: notify proxies.
+    Flush,
+}
+
+/// What the fleet tells each server to compare itself with.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct FleetStatistics {
+    /// Median of the servers' mean response times, ns; 0 where none is known.
+    pub(crate) median_response_time: f64,
+    /// Mean response time of servers of its kind, ns; 0 where too little is known.
+    pub(crate) kind_response_time: f64,
+    /// Median share of failed attempts, 0 to 1.
+    pub(crate) median_error_rate: f64,
+    /// Failures are general: errors and slowness are then lack of capacity, not one server's fault.
+    pub(crate) general_failure: bool,
+    /// Responses in this batch's reports, of all servers together.
+    pub(crate) responses: f64,
+    /// So many missing responses make a server unresponsive.
+    pub(crate) unresponsive_after: f64,
+    /// Longest time in which nothing may be heard of a healthy server, ns.
+    pub(crate) max_report_gap: f64,
+    /// This server's share of the weight sent to proxies, 0 to 1.
+    pub(crate) weight_share: f64,
+}
+
+/// Why a server is an outlier.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum Fault {
+    /// Most attempts fail.
+    Errors,
+    /// Responses are missing.
+    Unresponsive,
+    /// Its health score is low.
+    Score,
+}
+
+/// What a server reports of itself to the fleet.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ServerStatus {
+    /// As it is listed.
+    pub(crate) endpoint: Endpoint,
+    /// No proxy may send to it, whatever its table says.
+    pub(crate) must_exclude: bool,
+    /// Its slow start is over.
+    pub(crate) warm: bool,
+    /// It is ejected.
+    pub(crate) ejected: bool,
+    /// Why it should be ejected, if it should.
+    pub(crate) fault: Option<Fault>,
+    /// Orders the outliers.
+    pub(crate) severity: f64,
+    /// Weight that it should have.
+    pub(crate) weight: f64,
+    /// Its listed weight.
+    pub(crate) listed_weight: f64,
+    /// Limit on its weight during slow start, beside the listed weights of all ready servers.
+    pub(crate) slow_start_limit: Option<f64>,
+    /// Its mean response time, ns.
+    pub(crate) response_time: Option<f64>,
+    /// Time of recent responses, ns, and how many they were.
+    pub(crate) recent_responses: (f64, f64),
+    /// Share of its attempts that failed, 0 to 1.
+    pub(crate) error_rate: f64,
+}
+
+impl ServerStatus {
+    pub(crate) fn is_ready(&self) -> bool {
+        self.endpoint.readiness == Readiness::Ready
+    }
+}
+
+/// What proxies are to be told of a server.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub(crate) struct DesiredWeight {
+    /// Its weight; 0: none.
+    pub(crate) weight: f64,
+    /// A rule depends on it: it does not wait for the next batch.
+    pub(crate) urgent: bool,
+    /// It drains or was removed: no joined proxy may send to it.
+    pub(crate) must_exclude: bool,
+    /// It is not ready, whether or not any proxy has sent to it.
+    pub(crate) unready: bool,
+    /// Where it runs.
+    pub(crate) locality: LocalityId,
+    /// It has started again since it was first listed: some proxies may exclude it since before.
+    pub(crate) restarted: bool,
+}
+
+/// What is admitted of an operation, in the unit of [`AdmissionMode`], and when it is retried.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct AdmissionLimit {
+    pub(crate) operation: usize,
+    pub(crate) limit: f64,
+    pub(crate) retry_policy: RetryPolicy,
+}
+
+/// The mailboxes of all components, and the actions decided so far in this batch.
+#[derive(Debug, Default)]
+pub(crate) struct Mailboxes {
+    /// Time of the batch.
+    pub(crate) now: Nanos,
+    pending: BTreeMap<Component, VecDeque<Message>>,
+    /// Actions in the order in which they are to be carried out.
+    pub(crate) actions: Vec<Action>,
+}
+
+impl Mailboxes {
+    /// Empty mailboxes of a batch at `now`.
+    #[cfg(test)]
+    pub(crate) fn at(now: Nanos) -> Self {
+        Mailboxes { now, ..Mailboxes::default() }
+    }
+
+    /// Leaves a message for a component.
+    pub(crate) fn send(&mut self, to: Component, message: Message) {
+        self.pending.entry(to).or_default().push_back(message);
+    }
+
+    /// The oldest message of the first component that has one.
+    pub(crate) fn next(&mut self) -> Option<(Component, Message)> {
+        let mut mailbox = self.pending.first_entry()?;
+        let component = *mailbox.key();
+        let message = mailbox.get_mut().pop_front();
+        if mailbox.get().is_empty() {
+            mailbox.remove();
+        }
+        message.map(|message| (component, message))
+    }
+
+    /// Writes a line to the log.
+    pub(crate) fn log(&mut self, line: String) {
+        self.actions.push(Action::Log(line));
+    }
+}
--- a/src/pacing.rs
+++ b/src/pacing.rs
@@ -4,7 +4,7 @@
 
 use crate::deadlines::Capacity;
 use crate::interface::*;
-use crate::notes::{beat, Post, SECOND};
+use crate::message::{tick_interval, Mailboxes, SECOND};
 
 /// Nothing that can wait is put into the channel while more is there than empties in so many times the longest way,
 /// nor than in this part of the time that a grace leaves for sending: what is due next must not stand behind it.
@@ -67,24 +67,24 @@
 }
 
 impl Pacing {
-    pub(crate) fn new(facts: &ControllerConfig) -> Self {
+    pub(crate) fn new(config: &ControllerConfig) -> Self {
         let mut pacing = Pacing {
-            lines_per_ns: facts.lines_per_s / SECOND as f64,
-            room: facts.channel_capacity,
-            overhead: facts.message_overhead,
-            transit: facts.mean_transit,
-            worst_transit: facts.worst_transit,
-            messages_half: match facts.message_limit {
+            lines_per_ns: config.lines_per_s / SECOND as f64,
+            room: config.channel_capacity,
+            overhead: config.message_overhead,
+            transit: config.mean_transit,
+            worst_transit: config.worst_transit,
+            messages_half: match config.message_limit {
                 0 => f64::INFINITY,
                 most => f64::from(most) / 2.0,
             },
-            messages_over: facts.message_limit_window.max(1),
+            messages_over: config.message_limit_window.max(1),
             ..Pacing::default()
         };
-        let longest_way = PROMPT * facts.worst_transit as f64 * pacing.lines_per_ns;
-        let of_the_grace = PROMPT_GRACE_PART * pacing.sending_lines(facts.drain_grace);
+        let longest_way = PROMPT * config.worst_transit as f64 * pacing.lines_per_ns;
+        let of_the_grace = PROMPT_GRACE_PART * pacing.sending_lines(config.drain_grace);
         // Enough at least that the channel is never idle from one decision to the next.
-        let until_next = beat(facts) as f64 * pacing.lines_per_ns;
+        let until_next = tick_interval(config) as f64 * pacing.lines_per_ns;
         pacing.prompt = longest_way.min(of_the_grace).max(until_next);
         pacing
     }
@@ -115,11 +115,13 @@
     }
 
     /// Books what was ordered, and has the messages answered. All orders of one reply to a proxy are one message.
-    pub(crate) fn book(&mut self, lines: f64, reached: BTreeSet<ProxyId>, post: &mut Post) {
+    pub(crate) fn book(&mut self, lines: f64, reached: BTreeSet<ProxyId>, mailboxes: &mut Mailboxes) {
         self.waiting += lines;
-        self.booked_at = post.now;
-        let due = post.now + (self.waiting / self.pace()) as Nanos + self.transit;
-        if let Some(fence) = self.fenced.get_mut(&self.serial.into()).filter(|fence| fence.at == post.now) {
+        self.booked_at = mailboxes.now;
+        let due = mailboxes.now + (self.waiting / self.pace()) as Nanos + self.transit;
+        if let Some(fence) =
+            self.fenced.get_mut(&self.serial.into()).filter(|fence| fence.at == mailboxes.now)
+        {
             fence.open.extend(reached);
             (fence.lines, fence.messages, fence.due) = (fence.lines + lines, fence.open.len(), due);
             fence.ahead = self.waiting;
@@ -127,10 +129,10 @@
         }
         self.serial = self.serial.wrapping_add(1);
         let ahead = self.waiting;
-        let fence = Fence { at: post.now, lines, ahead, messages: reached.len(), open: reached, due };
+        let fence = Fence { at: mailboxes.now, lines, ahead, messages: reached.len(), open: reached, due };
         self.fenced.insert(self.serial.into(), fence);
         self.written += 1.0;
-        post.orders.push(Action::RequestAck { serial: self.serial, everyone: false });
+        mailboxes.actions.push(Action::RequestAck { serial: self.serial, everyone: false });
     }
 
     /// Takes over what an earlier instance wrote and nobody has answered.
