--- a/crates/platform-supervisor/tests/core.rs
+++ b/crates/platform-supervisor/tests/core.rs
@@ -375,3 +375,51 @@
 ) {
     assert!((age_at_listing(steps, started, heard) - age).abs() < 1e-3);
 }
+
+#[rstest]
+#[case::bytes("\u{1}\u{2}\n", "not JSON")]
+#[case::push("{\"t\":\"push\",\"whole\":true,\"lines\":[]}\n", "no message of the protocol")]
+#[case::proxy(
+    "{\"t\":\"hello\",\"id\":9,\"site\":\"north\",\"rps\":1.0,\"new\":true}\n",
+    "proxy that does not exist"
+)]
+#[case::collector("{\"t\":\"agent\",\"site\":\"south\"}\n", "collector of an unknown zone")]
+#[case::report(
+    "{\"t\":\"demand\",\"id\":1,\"lane\":\"look\",\"count\":1,\"fail\":0,\"over\":1000.0}\n",
+    "report before joining"
+)]
+#[case::silent("", "not joined in time")]
+fn the_exact_bytes_of_each_error_line(#[case] text: &str, #[case] why: &str) {
+    let mut played = Played::new(3);
+    let mut did = played.open(1, text);
+    did.extend(played.pass(1_100));
+    assert_eq!(written(&did, 1), format!("{{\"t\":\"error\",\"why\":\"{why}\"}}\n"));
+}
+
+#[test]
+fn the_exact_bytes_of_the_error_line_for_a_message_without_end() {
+    let mut played = Played::new(3);
+    let did = played.open(1, &"x".repeat(8 << 10));
+    assert_eq!(written(&did, 1), "{\"t\":\"error\",\"why\":\"message without end\"}\n");
+}
+
+#[test]
+fn the_exact_bytes_of_requests_to_discovery_and_servers() {
+    let mut played = Played::new(3);
+    let after =
+        "GET /api/targets?watch=1&after=3 HTTP/1.1\r\nHost: 127.0.0.1:1\r\nAccept: application/json\r\n\r\n";
+    assert_eq!(written(&played.pass(1), DISCOVERY), after);
+    let address = "127.0.0.9:5000".parse().unwrap();
+    played.core.dialled(Way::Probe(1, address), Ok(50), played.now);
+    let probe = "GET /-/load HTTP/1.1\r\nHost: 127.0.0.9:5000\r\nConnection: close\r\n\r\n";
+    assert_eq!(written(&played.pass(1), 50), probe);
+    // Versions that go back: the complete list is requested.
+    played.say(DISCOVERY, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    let did = played.discovery(json!({"version": 1, "full": false, "servers": []}));
+    assert!(closed(&did, DISCOVERY), "{did:?}");
+    let way = Way::Discovery("127.0.0.1:1".parse().unwrap());
+    assert!(played.pass(1_000).contains(&Effect::Dial(way)));
+    played.core.dialled(way, Ok(2000), played.now);
+    let full = "GET /api/targets?watch=1 HTTP/1.1\r\nHost: 127.0.0.1:1\r\nAccept: application/json\r\n\r\n";
+    assert_eq!(written(&played.pass(1), 2000), full);
+}
