--- a/crates/group/tests/stored.rs
+++ b/crates/group/tests/stored.rs
@@ -1,7 +1,7 @@
 //! A file written by an earlier version is read with the same content.
 
-use shalereel_group::wire::{Act, Entry};
-use shalereel_group::Recovered;
+use shalereel_group::wire::{Act, DutyName, Entry};
+use shalereel_group::{Duties, Recovered};
 
 /// The literals of a value in the order of its fields, without the names of types and fields, which may change.
 fn literals(value: &impl std::fmt::Debug) -> String {
@@ -44,3 +44,27 @@
     }
     assert_eq!(read, include_str!("stored/group.txt"));
 }
+
+/// Guards against a changed form of the stored state, which would take all that was agreed from a member at its start.
+#[test]
+fn snapshot_of_an_earlier_version_is_read() {
+    let file = include_bytes!("stored/snapshot.log");
+    let found = Recovered::read(file).unwrap();
+    assert_eq!(found.whole, file.len());
+    let state = Duties::decode(&found.base.state).unwrap();
+    assert_eq!(state.encode(), found.base.state);
+    let mut read = literals(&(found.boot, &found.vote, &found.base));
+    for entry in &found.entries {
+        read += &format!("{} {}", command(entry), literals(entry));
+    }
+    for (&duty, held) in state.duties() {
+        let name = DutyName::from(duty);
+        read += &format!("duty {} {} {}", name.kind, name.at, literals(held));
+    }
+    state.orders().iter().for_each(|order| read += &format!("order {}", literals(&order)));
+    state.ranges().iter().for_each(|range| read += &format!("range {}", literals(&range)));
+    state.seats().iter().for_each(|seat| read += &format!("member {}", literals(&seat)));
+    let known: Vec<u64> = (0..2_000).filter(|&request| state.knows(request)).collect();
+    read += &format!("requests {}history {}\n", literals(&known), state.history());
+    assert_eq!(read, include_str!("stored/snapshot.txt"));
+}
