--- a/crates/store/tests/stored.rs
+++ b/crates/store/tests/stored.rs
@@ -1,6 +1,6 @@
 //! A file written by an earlier version is read with the same content.
 
-use shalereel_store::{Bounds, Store};
+use shalereel_store::{Bounds, Line, Store, Why, HEAD};
 
 /// The literals of a value in the order of its fields, without the names of types and fields, which may change.
 fn literals(value: &impl std::fmt::Debug) -> String {
@@ -28,3 +28,29 @@
     }
     assert_eq!(read, include_str!("stored/tables.txt"));
 }
+
+/// Guards against a change of the written form: other versions of the program would not read it.
+#[test]
+fn table_file_is_written_byte_by_byte_as_before() {
+    let mut store = Store::new(Bounds { versions: 2, bytes: 1 << 20, age: u64::MAX }, 1);
+    let first = Line { address: ([127, 1, 0, 1], 80).into(), weight: 10_000, draining: false, life: 7 };
+    let second =
+        Line { address: "[2001:db8::1]:8080".parse().unwrap(), weight: 5, draining: true, life: 300 };
+    let why = Why::new("module", "start");
+    store.publish(3, [(1, Some(first)), (2, Some(second))], 1_000, &why);
+    store.publish(3, [(1, Some(Line { weight: 9_000, ..first }))], 2_000, &why);
+    store.publish(3, [(2, None)], 3_000, &Why::new("anna", "slow disk"));
+    store.unwritten();
+    store.publish(3, [(1, None)], 4_000, &why);
+    let mut file = HEAD.to_vec();
+    let writings = store.writings();
+    assert!(writings.last().unwrap().whole);
+    writings.last().unwrap().parts.iter().for_each(|part| file.extend(shalereel_journal::frame(part)));
+    let hex: String = file.iter().map(|byte| format!("{byte:02x}")).collect();
+    let expected = "73686c7274626c313d000000e75f5c840a3b0a390803100218d00f220f080112067f010001005018a8462807221d08021212\
+        20010db80000000000000000000000011f901805200128ac0228043f000000d08d71fd0a3d123b08031003180220b8172a04\
+        616e6e613209736c6f77206469736b38014210826a644a1df0440aff842da157c5690049a62858e178f9a76c520208023b00\
+        0000b976ddcd0a39123708041003180320a01f2a066d6f64756c653205737461727442100000000000000000000000000000\
+        000049a62858e178f9a76c52020801";
+    assert_eq!(hex, expected);
+}
