--- a/crates/group/src/records.rs
+++ b/crates/group/src/records.rs
@@ -1,12 +1,12 @@
 //! The file that a member keeps: batches of records, each a frame of `shalereel_journal`.
 
 use prost::Message;
-use shalereel_journal::{bodies, JournalError};
+use shalereel_journal::JournalError;
 
 use crate::wire::{Batch, Entry, Kept, Record, Snapshot, Vote};
 
 /// Before the first batch: what file this is, and of which version.
-pub const HEAD: &shalereel_journal::Head = b"shlrgrp1";
+pub const HEAD: &shalereel_journal::Magic = b"shlrgrp1";
 
 /// What a file said.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -49,9 +49,9 @@
     /// Reads a file. Errors: no such file, or damage that no crash in the middle of a write explains.
     pub fn read(bytes: &[u8]) -> Result<Self, JournalError> {
         let mut found = Recovered { whole: HEAD.len(), ..Recovered::default() };
-        for (body, end) in bodies(bytes, HEAD)? {
+        for shalereel_journal::Record { payload, end } in shalereel_journal::records(bytes, HEAD)? {
             // What has its checksum and cannot be read was written by a later version.
-            let batch = Batch::decode(body).map_err(|_| JournalError::Damaged { at: found.whole })?;
+            let batch = Batch::decode(payload).map_err(|_| JournalError::Damaged { at: found.whole })?;
             batch.records.into_iter().for_each(|record| found.take(record));
             found.whole = end;
         }
--- a/crates/journal/tests/frames.rs
+++ b/crates/journal/tests/frames.rs
@@ -1,8 +1,8 @@
 //! Frames of append-only files: their bytes, files that were cut, and damage.
 
-use shalereel_journal::{bodies, frame, JournalError};
+use shalereel_journal::{frame, records, JournalError, Record};
 
-const HEAD: &[u8; 8] = b"testing1";
+const MAGIC: &[u8; 8] = b"testing1";
 
 /// Guards against a change of the stored form: existing files would not be read.
 #[test]
@@ -11,13 +11,13 @@
     assert_eq!(frame(b"123456789"), b"\x09\0\0\0\x83\x92\x06\xe3123456789");
     assert_eq!(frame(&[0; 32])[..8], [32, 0, 0, 0, 0xaa, 0x36, 0x91, 0x8a]);
     let file = b"testing1\x09\0\0\0\x83\x92\x06\xe3123456789";
-    assert_eq!(bodies(file, HEAD), Ok(vec![(&b"123456789"[..], 25)]));
+    assert_eq!(records(file, MAGIC), Ok(vec![Record { payload: b"123456789", end: 25 }]));
 }
 
 #[test]
 fn file_cut_at_any_byte_holds_the_frames_before_the_cut() {
     let parts: [&[u8]; 3] = [b"one", b"the second", b"3"];
-    let mut file = HEAD.to_vec();
+    let mut file = MAGIC.to_vec();
     let ends: Vec<usize> = parts
         .iter()
         .map(|part| {
@@ -26,12 +26,12 @@
         })
         .collect();
     for cut in 0..=file.len() {
-        let found = bodies(&file[..cut], HEAD).unwrap();
+        let found = records(&file[..cut], MAGIC).unwrap();
         assert_eq!(found.len(), ends.iter().filter(|end| **end <= cut).count(), "cut at {cut}");
-        assert!(found.iter().zip(parts).all(|((body, _), part)| *body == part));
+        assert!(found.iter().zip(parts).all(|(record, part)| record.payload == part));
     }
     let mut damaged = file.clone();
-    damaged[HEAD.len() + 9] ^= 1;
-    assert_eq!(bodies(&damaged, HEAD), Err(JournalError::Damaged { at: HEAD.len() }));
-    assert_eq!(bodies(b"another file", HEAD), Err(JournalError::Strange));
+    damaged[MAGIC.len() + 9] ^= 1;
+    assert_eq!(records(&damaged, MAGIC), Err(JournalError::Damaged { at: MAGIC.len() }));
+    assert_eq!(records(b"another file", MAGIC), Err(JournalError::UnknownFormat));
 }
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -12,11 +12,11 @@
 pub use ageing::{Ageing, Distrust};
 use serde::{Deserialize, Serialize};
 use shalereel::interface::{Nanos, ServerId, ServerSnapshot, Snapshot};
-use shalereel_journal::{bodies, JournalError};
+use shalereel_journal::JournalError;
 use thiserror::Error;
 
 /// What the file begins with.
-pub const HEAD: &shalereel_journal::Head = b"shlrmem1";
+pub const HEAD: &shalereel_journal::Magic = b"shlrmem1";
 /// Of what stands behind it.
 const SCHEMA: u16 = 2;
 
@@ -136,8 +136,8 @@
 
     /// Reads a whole file. Errors: damage, another schema, or what no supervisor writes; nothing of it is used then.
     pub fn read(file: &[u8]) -> Result<Self, MemoryError> {
-        let found = bodies(file, HEAD)?;
-        let (body, _) = found.last().ok_or(MemoryError::Empty)?;
+        let records = shalereel_journal::records(file, HEAD)?;
+        let body = records.last().ok_or(MemoryError::Empty)?.payload;
         let (schema, rest) = postcard::take_from_bytes::<u16>(body).map_err(|_| MemoryError::Content)?;
         let second = match schema {
             1 => {
--- a/crates/store/src/records.rs
+++ b/crates/store/src/records.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use prost::{Message, Oneof};
 use shalereel::interface::{ServerId, TableId};
-use shalereel_journal::{bodies, JournalError};
+use shalereel_journal::JournalError;
 use thiserror::Error;
 
 use crate::digest::{Digest, Line};
@@ -15,7 +15,7 @@
 use crate::store::{Chain, Change, Lines, Store, Version, Why, Written};
 
 /// What the file begins with.
-pub const HEAD: &shalereel_journal::Head = b"shlrtbl1";
+pub const HEAD: &shalereel_journal::Magic = b"shlrtbl1";
 
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum StoreError {
@@ -178,9 +178,9 @@
     let mut store = Store::new(bounds, seed);
     let mut whole = HEAD.len().min(file.len());
     let mut latest = 0;
-    for (body, end) in bodies(file, HEAD)? {
+    for shalereel_journal::Record { payload, end } in shalereel_journal::records(file, HEAD)? {
         let strange = || StoreError::Strange { at: end };
-        for record in Records::decode(body).map_err(|_| strange())?.records {
+        for record in Records::decode(payload).map_err(|_| strange())?.records {
             take(&mut store, record.kept.ok_or_else(strange)?, &mut latest, end)?;
         }
         whole = end;
--- a/crates/store/tests/schedules.rs
+++ b/crates/store/tests/schedules.rs
@@ -463,8 +463,11 @@
 #[test]
 fn a_file_that_does_not_add_up_is_not_believed() {
     let (_, file) = filled();
-    let bodies: Vec<Vec<u8>> =
-        shalereel_journal::bodies(&file, HEAD).unwrap().into_iter().map(|(body, _)| body.to_vec()).collect();
+    let bodies: Vec<Vec<u8>> = shalereel_journal::records(&file, HEAD)
+        .unwrap()
+        .iter()
+        .map(|record| record.payload.to_vec())
+        .collect();
     let build = |bodies: &[Vec<u8>]| {
         let mut file = HEAD.to_vec();
         bodies.iter().for_each(|body| file.extend(shalereel_journal::frame(body)));
--- a/crates/xds-supervisor/src/keeper.rs
+++ b/crates/xds-supervisor/src/keeper.rs
@@ -11,7 +11,7 @@
 use anyhow::{Context, Result};
 use bytes::Bytes;
 use rustix::fs::{flock, FlockOperation, OFlags};
-use shalereel_journal::{frame, Head};
+use shalereel_journal::{frame, Magic};
 
 /// File of the group's log, and of the tables' versions, in the deployment's folder.
 pub const LOG: &str = "group.log";
@@ -40,7 +40,7 @@
 struct Disk {
     folder: PathBuf,
     name: &'static str,
-    head: &'static Head,
+    head: &'static Magic,
     file: File,
 }
 
@@ -84,7 +84,7 @@
     pub fn open(
         folder: &Path,
         name: &'static str,
-        head: &'static Head,
+        head: &'static Magic,
         whole: Option<usize>,
         nudge: UnixStream,
     ) -> Result<Self> {
@@ -142,7 +142,7 @@
     fn open(
         folder: &Path,
         name: &'static str,
-        head: &'static Head,
+        head: &'static Magic,
         whole: Option<usize>,
     ) -> io::Result<Self> {
         let path = folder.join(name);
@@ -187,11 +187,11 @@
 mod tests {
     use std::time::{Duration, Instant};
 
-    use shalereel_journal::bodies;
+    use shalereel_journal::records;
 
     use super::*;
 
-    const HEAD: &Head = b"testing1";
+    const HEAD: &Magic = b"testing1";
 
     fn folder(name: &str) -> PathBuf {
         let folder = std::env::temp_dir().join(format!("shalereel-keeper-{}-{name}", std::process::id()));
@@ -207,7 +207,7 @@
     fn keep(folder: &Path, blocks: &[Block]) -> (Result<u64, String>, Vec<String>) {
         let before = kept(folder, TABLES).unwrap();
         let whole =
-            before.map(|bytes| bodies(&bytes, HEAD).unwrap().last().map_or(HEAD.len(), |body| body.1));
+            before.map(|bytes| records(&bytes, HEAD).unwrap().last().map_or(HEAD.len(), |record| record.end));
         let (ours, theirs) = UnixStream::pair().unwrap();
         let keeper = Keeper::open(folder, TABLES, HEAD, whole, theirs).unwrap();
         let (begun, mut done) = (Instant::now(), Ok(0));
@@ -224,8 +224,8 @@
         }
         drop(ours);
         let bytes = kept(folder, TABLES).unwrap().unwrap();
-        let found = bodies(&bytes, HEAD).unwrap();
-        (done, found.iter().map(|(body, _)| String::from_utf8(body.to_vec()).unwrap()).collect())
+        let found = records(&bytes, HEAD).unwrap();
+        (done, found.iter().map(|record| String::from_utf8(record.payload.to_vec()).unwrap()).collect())
     }
 
     #[test]
