--- a/crates/snapshot/tests/stored.rs
+++ b/crates/snapshot/tests/stored.rs
@@ -26,3 +26,12 @@
     read.extend(memory.remembered.servers.iter().map(literals));
     assert_eq!(read, include_str!("stored/memory.txt"));
 }
+
+/// Guards against a change of the written form: other versions of the program would not read it.
+#[test]
+fn learned_state_of_an_earlier_version_is_written_with_the_same_bytes() {
+    let file = include_bytes!("stored/memory.bin");
+    let memory = Memory::read(file).unwrap();
+    let written = [&shalereel_snapshot::HEAD[..], &shalereel_journal::frame(&memory.encode())].concat();
+    assert!(written == file, "{} and {} bytes", written.len(), file.len());
+}
