--- a/crates/cli/src/tables_measure.rs
+++ b/crates/cli/src/tables_measure.rs
@@ -9,7 +9,7 @@
 use shalereel::interface::{ServerSnapshot, Snapshot};
 use shalereel_guard::{Guard, Limits, Line as GuardLine, Pool, Server, Standing};
 use shalereel_reactor::{now, MILLI};
-use shalereel_snapshot::Memory;
+use shalereel_snapshot::StoredSnapshot;
 use shalereel_store::{Bounds, Digest, Follower, Heard, Line, Lines, Resync, Store, Why};
 use shalereel_xds_supervisor::Deployment;
 
@@ -186,14 +186,14 @@
         ..ServerSnapshot::default()
     };
     let servers = (0..count).map(learned).collect();
-    let memory = Memory {
-        at: 1_800_000_000_000_000_000,
-        remembered: Snapshot { servers, attempts: 1e4, failures: 10.0, ..Snapshot::default() },
-        lives: (0..count).map(|server| (server, 3)).collect(),
-        rates: (0..count / 3).map(|proxy| (format!("forwarder-{proxy}"), 12.5)).collect(),
+    let memory = StoredSnapshot {
+        taken_at: 1_800_000_000_000_000_000,
+        learned: Snapshot { servers, attempts: 1e4, failures: 10.0, ..Snapshot::default() },
+        incarnations: (0..count).map(|server| (server, 3)).collect(),
+        proxy_rates: (0..count / 3).map(|proxy| (format!("forwarder-{proxy}"), 12.5)).collect(),
     };
     let (rounds, begun) = (100, now());
-    let bytes: usize = (0..rounds).map(|_| memory.encode().len()).sum();
+    let bytes: usize = (0..rounds).map(|_| memory.encode_record().len()).sum();
     (bytes / rounds, (now() - begun) as f64 / rounds as f64 / 1e3)
 }
 
--- a/crates/cli/tests/memory.rs
+++ b/crates/cli/tests/memory.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use shalereel_snapshot::{Memory, MemoryError};
+use shalereel_snapshot::{SnapshotError, StoredSnapshot};
 use shalereel_xds::{Assignment, Health, Row, ServerFacts};
 use shalereel_xds_supervisor::{Roster, MEMORY, TABLES};
 
@@ -77,8 +77,8 @@
     }
 }
 
-fn read(folder: &Path) -> Result<Memory, MemoryError> {
-    Memory::read(&std::fs::read(folder.join(MEMORY)).unwrap_or_default())
+fn read(folder: &Path) -> Result<StoredSnapshot, SnapshotError> {
+    StoredSnapshot::decode_file(&std::fs::read(folder.join(MEMORY)).unwrap_or_default())
 }
 
 #[test]
@@ -99,10 +99,10 @@
         end(child);
         match read(&folder) {
             Ok(memory) => {
-                assert_eq!(memory.remembered.servers.len(), 300, "round {round}");
+                assert_eq!(memory.learned.servers.len(), 300, "round {round}");
                 written += 1;
             }
-            Err(error) => assert!(error == MemoryError::Empty && written == 0, "{error}"),
+            Err(error) => assert!(error == SnapshotError::Empty && written == 0, "{error}"),
         }
         let bounds = shalereel_store::Bounds { versions: 10_000, bytes: 1 << 24, age: u64::MAX };
         let tables = std::fs::read(folder.join(TABLES)).unwrap();
--- a/crates/snapshot/src/tests.rs
+++ b/crates/snapshot/src/tests.rs
@@ -1,12 +1,16 @@
+//! The snapshot's file read intact, damaged and of other schemas; the age of snapshots.
+
 use oorandom::Rand64;
 use rstest::rstest;
+use shalereel::interface::{Nanos, ServerSnapshot, Snapshot};
 use shalereel_journal::frame;
 
-use super::*;
+use crate::schema::{SchemaV1, SchemaV2};
+use crate::*;
 
 const SECOND: Nanos = 1_000_000_000;
 
-fn memory(servers: u32) -> Memory {
+fn snapshot(servers: u32) -> StoredSnapshot {
     let learned = |server| ServerSnapshot {
         server,
         attempts: 40.0,
@@ -21,84 +25,91 @@
         unresponsive: true,
         ejection_time: 10 * SECOND,
     };
-    Memory {
-        at: 1_700_000_000 * SECOND,
-        remembered: Snapshot {
+    StoredSnapshot {
+        taken_at: 1_700_000_000 * SECOND,
+        learned: Snapshot {
             servers: (0..servers).map(learned).collect(),
             attempts: 100.0,
             load_limit: Some(2.0),
             ..Snapshot::default()
         },
-        lives: (0..servers).map(|server| (server, 7)).collect(),
-        rates: [("f-1".to_owned(), 12.5)].into(),
+        incarnations: (0..servers).map(|server| (server, 7)).collect(),
+        proxy_rates: [("f-1".to_owned(), 12.5)].into(),
     }
 }
 
-fn file(body: &[u8]) -> Vec<u8> {
-    [&HEAD[..], &frame(body)].concat()
+fn file(record: &[u8]) -> Vec<u8> {
+    [&MAGIC[..], &frame(record)].concat()
 }
 
 #[test]
-fn what_is_written_is_read_and_a_restarted_server_is_a_new_one() {
-    let told = memory(6);
-    let read = Memory::read(&file(&told.encode())).unwrap();
-    assert_eq!(read, told);
-    let of_these = read.of_these(|server| [Some(7), Some(8), None, Some(7)].get(server as usize).copied()?);
-    assert_eq!(of_these.servers.iter().map(|one| one.server).collect::<Vec<_>>(), [0, 3]);
-    assert_eq!(of_these.attempts, 100.0);
+fn written_snapshot_is_read_back_without_restarted_servers() {
+    let written = snapshot(6);
+    let read = StoredSnapshot::decode_file(&file(&written.encode_record())).unwrap();
+    assert_eq!(read, written);
+    let current = [Some(7), Some(8), None, Some(7)];
+    let unrestarted = read.for_current_incarnations(|server| current.get(server as usize).copied()?);
+    assert_eq!(unrestarted.servers.iter().map(|learned| learned.server).collect::<Vec<_>>(), [0, 3]);
+    assert_eq!(unrestarted.attempts, 100.0);
 }
 
 #[test]
-fn a_file_of_the_first_schema_is_read_without_rates() {
-    let told = memory(3);
-    let (_, Second { at, servers, fleet, .. }): (u16, Second) = postcard::from_bytes(&told.encode()).unwrap();
-    let first = postcard::to_extend(&(1_u16, First { at, servers, fleet }), Vec::new()).unwrap();
-    let read = Memory::read(&file(&first)).unwrap();
-    assert_eq!((&read.remembered, read.rates.len()), (&told.remembered, 0));
+fn file_of_schema_1_is_read_without_proxy_rates() {
+    let written = snapshot(3);
+    let (_, SchemaV2 { taken_at, servers, fleet, .. }): (u16, SchemaV2) =
+        postcard::from_bytes(&written.encode_record()).unwrap();
+    let old = postcard::to_extend(&(1_u16, SchemaV1 { taken_at, servers, fleet }), Vec::new()).unwrap();
+    let read = StoredSnapshot::decode_file(&file(&old)).unwrap();
+    assert_eq!((&read.learned, read.proxy_rates.len()), (&written.learned, 0));
 }
 
 #[rstest]
-#[case::newer(postcard::to_extend(&(9_u16, 1_u8), Vec::new()).unwrap(), MemoryError::Schema(9))]
-#[case::nonsense(b"\x02nonsense".to_vec(), MemoryError::Content)]
-#[case::something_behind([memory(1).encode(), vec![0]].concat(), MemoryError::Content)]
-#[case::no_number(
-    Memory { rates: [("f".to_owned(), f64::NAN)].into(), ..memory(1) }.encode(),
-    MemoryError::Figure
+#[case::newer(postcard::to_extend(&(9_u16, 1_u8), Vec::new()).unwrap(), SnapshotError::UnsupportedSchema(9))]
+#[case::nonsense(b"\x02nonsense".to_vec(), SnapshotError::Malformed)]
+#[case::trailing_byte([snapshot(1).encode_record(), vec![0]].concat(), SnapshotError::Malformed)]
+#[case::rate_is_not_a_number(
+    StoredSnapshot { proxy_rates: [("f".to_owned(), f64::NAN)].into(), ..snapshot(1) }.encode_record(),
+    SnapshotError::InvalidNumber
 )]
-fn what_no_supervisor_writes_is_rejected_with_the_reason(#[case] body: Vec<u8>, #[case] error: MemoryError) {
-    assert_eq!(Memory::read(&file(&body)), Err(error));
+fn record_that_no_supervisor_writes_is_rejected_with_the_reason(
+    #[case] record: Vec<u8>,
+    #[case] error: SnapshotError,
+) {
+    assert_eq!(StoredSnapshot::decode_file(&file(&record)), Err(error));
 }
 
-/// Cut at every byte, a block lost or changed anywhere, two blocks in another order: whole as it was, or rejected.
+/// Guards against the use of a torn or damaged file: cut at every byte, blocks zeroed, changed or swapped.
 #[test]
-fn a_damaged_file_is_never_trusted() {
-    let told = memory(40);
-    let whole = file(&told.encode());
-    for cut in 0..whole.len() {
-        assert!(Memory::read(&whole[..cut]).is_err(), "cut at {cut}");
+fn damaged_file_is_rejected_or_read_unchanged() {
+    let written = snapshot(40);
+    let intact = file(&written.encode_record());
+    for cut in 0..intact.len() {
+        assert!(StoredSnapshot::decode_file(&intact[..cut]).is_err(), "cut at {cut}");
     }
     let mut chance = Rand64::new(3);
     let mut draw = |most: usize| chance.rand_range(0..most as u64) as usize;
     for _ in 0..3000 {
-        let mut damaged = whole.clone();
+        let mut damaged = intact.clone();
         match draw(3) {
-            0 => damaged[draw(whole.len())] ^= 1 << draw(8),
+            0 => damaged[draw(intact.len())] ^= 1 << draw(8),
             1 => {
-                let from = draw(whole.len());
-                let to = (from + 1 + draw(512)).min(whole.len());
+                let from = draw(intact.len());
+                let to = (from + 1 + draw(512)).min(intact.len());
                 damaged[from..to].fill(0);
             }
             _ => {
-                let (one, other) = (draw(whole.len() / 64), draw(whole.len() / 64));
+                let (one, other) = (draw(intact.len() / 64), draw(intact.len() / 64));
                 let (a, b) = (one.min(other) * 64, one.max(other) * 64);
                 let block = damaged[a..a + 64].to_vec();
                 damaged.copy_within(b..b + 64, a);
                 damaged[b..b + 64].copy_from_slice(&block);
             }
         }
-        match Memory::read(&damaged) {
-            Ok(read) => assert_eq!(read, told),
-            Err(error) => assert!(matches!(error, MemoryError::Journal(_) | MemoryError::Empty), "{error}"),
+        match StoredSnapshot::decode_file(&damaged) {
+            Ok(read) => assert_eq!(read, written),
+            Err(error) => {
+                assert!(matches!(error, SnapshotError::Journal(_) | SnapshotError::Empty), "{error}")
+            }
         }
     }
 }
@@ -106,25 +117,29 @@
 #[rstest]
 #[case::just_now(100, 100, Ok(0))]
 #[case::some_seconds(100, 108, Ok(8))]
-#[case::a_hair_ahead(100, 99, Ok(0))]
-#[case::a_clock_that_went_back(100, 40, Err(Distrust::Later(60)))]
-#[case::a_week(0, 604_800, Err(Distrust::Old(604_800)))]
-fn age_goes_by_the_wall_clock(#[case] at: u64, #[case] now: u64, #[case] away: Result<u64, Distrust>) {
-    let ageing = Ageing { cycle: SECOND };
+#[case::slightly_ahead(100, 99, Ok(0))]
+#[case::clock_set_back(100, 40, Err(RejectReason::FromFuture(60)))]
+#[case::a_week(0, 604_800, Err(RejectReason::TooOld(604_800)))]
+fn snapshot_age_is_by_the_wall_clock(
+    #[case] taken_at: u64,
+    #[case] now: u64,
+    #[case] expected: Result<u64, RejectReason>,
+) {
+    let policy = FreshnessPolicy { report_interval: SECOND };
     let seconds = |nanos: Nanos| nanos / SECOND;
-    let found = ageing.away(at * SECOND, now * SECOND).map(seconds).map_err(|distrust| match distrust {
-        Distrust::Later(span) => Distrust::Later(seconds(span)),
-        Distrust::Old(span) => Distrust::Old(seconds(span)),
+    let found = policy.age(taken_at * SECOND, now * SECOND).map(seconds).map_err(|reason| match reason {
+        RejectReason::FromFuture(span) => RejectReason::FromFuture(seconds(span)),
+        RejectReason::TooOld(span) => RejectReason::TooOld(seconds(span)),
     });
-    assert_eq!(found, away);
+    assert_eq!(found, expected);
 }
 
 #[test]
-fn a_remembered_rate_fades_to_what_the_proxy_says() {
-    let ageing = Ageing { cycle: SECOND };
-    assert_eq!(ageing.rate(10.0, None, 0), 10.0);
-    assert_eq!(ageing.rate(10.0, Some(30.0), 0), 20.0);
-    let late = ageing.rate(10.0, Some(30.0), 300 * SECOND);
+fn stored_proxy_rate_decays_to_the_reported_one() {
+    let policy = FreshnessPolicy { report_interval: SECOND };
+    assert_eq!(policy.expected_rate(10.0, None, 0), 10.0);
+    assert_eq!(policy.expected_rate(10.0, Some(30.0), 0), 20.0);
+    let late = policy.expected_rate(10.0, Some(30.0), 300 * SECOND);
     assert!(late > 10.0 && late < 10.01);
-    assert_eq!(ageing.written_by(SECOND), 3 * SECOND);
+    assert_eq!(policy.next_write(SECOND), 3 * SECOND);
 }
--- a/crates/snapshot/tests/stored.rs
+++ b/crates/snapshot/tests/stored.rs
@@ -1,7 +1,7 @@
 //! A file written by an earlier version is read with the same content.
 
 use shalereel::interface::Snapshot;
-use shalereel_snapshot::Memory;
+use shalereel_snapshot::StoredSnapshot;
 
 /// The literals of a value in the order of its fields, without the names of types and fields, which may change.
 fn literals(value: &impl std::fmt::Debug) -> String {
@@ -20,10 +20,10 @@
 /// Guards against a renamed or moved field that changes the stored form without a word from the compiler.
 #[test]
 fn learned_state_of_an_earlier_version_is_read() {
-    let memory = Memory::read(include_bytes!("stored/memory.bin")).unwrap();
-    let fleet = Snapshot { servers: Vec::new(), ..memory.remembered.clone() };
-    let mut read = literals(&(memory.at, &memory.lives, &memory.rates, &fleet));
-    read.extend(memory.remembered.servers.iter().map(literals));
+    let stored = StoredSnapshot::decode_file(include_bytes!("stored/memory.bin")).unwrap();
+    let fleet = Snapshot { servers: Vec::new(), ..stored.learned.clone() };
+    let mut read = literals(&(stored.taken_at, &stored.incarnations, &stored.proxy_rates, &fleet));
+    read.extend(stored.learned.servers.iter().map(literals));
     assert_eq!(read, include_str!("stored/memory.txt"));
 }
 
@@ -31,7 +31,8 @@
 #[test]
 fn learned_state_of_an_earlier_version_is_written_with_the_same_bytes() {
     let file = include_bytes!("stored/memory.bin");
-    let memory = Memory::read(file).unwrap();
-    let written = [&shalereel_snapshot::HEAD[..], &shalereel_journal::frame(&memory.encode())].concat();
+    let stored = StoredSnapshot::decode_file(file).unwrap();
+    let written =
+        [&shalereel_snapshot::MAGIC[..], &shalereel_journal::frame(&stored.encode_record())].concat();
     assert!(written == file, "{} and {} bytes", written.len(), file.len());
 }
--- a/crates/xds-supervisor/src/core.rs
+++ b/crates/xds-supervisor/src/core.rs
@@ -10,7 +10,7 @@
 };
 use shalereel_group::Fit;
 use shalereel_rpc::{frame, Code, Status};
-use shalereel_snapshot::{Ageing, Memory};
+use shalereel_snapshot::{FreshnessPolicy, RejectReason, StoredSnapshot};
 use shalereel_store::{Check, Keeping, Number, StoreError, Telling, Why, Writing};
 use shalereel_xds::{
     cluster, leds, listener, routes, types, Asked, Assignment, LoadAnswer, LoadReport, NodeFacts, Resource,
@@ -245,10 +245,10 @@
     wall: Nanos,
     /// Messages of which the module knows nothing, and that wait for room in the channel: to whom, how many lines.
     owed: VecDeque<(ProxyId, usize)>,
-    ageing: Ageing,
+    ageing: FreshnessPolicy,
     /// What an earlier run had learned, how long ago that was when this one began, and when it began; its servers' part
     /// waits for the first list.
-    memory: Option<(Memory, Nanos, Nanos)>,
+    memory: Option<(StoredSnapshot, Nanos, Nanos)>,
     recalled: bool,
     /// Invocations a second that came to each proxy in the last cycle.
     rates: BTreeMap<ProxyId, f64>,
@@ -294,7 +294,7 @@
             keeping,
             wall: 0,
             owed: VecDeque::new(),
-            ageing: Ageing::new(facts),
+            ageing: FreshnessPolicy::new(facts),
             memory: None,
             recalled: false,
             rates: BTreeMap::new(),
@@ -339,8 +339,8 @@
     }
 
     /// What an earlier run had learned. Errors: why nothing of it is recalled.
-    pub fn reminisce(&mut self, now: Nanos, memory: Memory) -> Result<Nanos, shalereel_snapshot::Distrust> {
-        let away = self.ageing.away(memory.at, now + self.wall)?;
+    pub fn reminisce(&mut self, now: Nanos, memory: StoredSnapshot) -> Result<Nanos, RejectReason> {
+        let away = self.ageing.age(memory.taken_at, now + self.wall)?;
         self.memory = Some((memory, away, now));
         if self.events.iter().any(|event| matches!(event, Event::Endpoints(_))) {
             self.recall_servers(now);
@@ -351,8 +351,8 @@
     /// Hands what was learned to the module, behind the first list.
     fn recall_servers(&mut self, now: Nanos) {
         let Some((memory, away, begun)) = self.memory.as_ref().filter(|_| !self.recalled) else { return };
-        let remembered =
-            memory.of_these(|server| self.roster.place(server).map(|_| self.roster.life(server)));
+        let remembered = memory
+            .for_current_incarnations(|server| self.roster.place(server).map(|_| self.roster.life(server)));
         let away = away + now.saturating_sub(*begun);
         self.events.push(Event::Restored { snapshot: remembered, age: away });
         self.recalled = true;
@@ -364,7 +364,13 @@
         let lives = remembered.servers.iter().map(|one| (one.server, self.roster.life(one.server))).collect();
         let rate = |(name, id): (&String, &ProxyId)| Some((name.clone(), *self.rates.get(id)?));
         let rates = self.numbers.iter().filter_map(rate).collect();
-        Memory { at: now + self.wall, remembered, lives, rates }.encode()
+        StoredSnapshot {
+            taken_at: now + self.wall,
+            learned: remembered,
+            incarnations: lives,
+            proxy_rates: rates,
+        }
+        .encode_record()
     }
 
     /// Versions were not kept, for whatever reason: they are written again with the next one.
@@ -540,7 +546,7 @@
         self.proxies.insert(proxy, member);
         let rate = match &self.memory {
             Some((memory, away, _)) => {
-                self.ageing.rate(node.rate, memory.rates.get(&node.id).copied(), *away)
+                self.ageing.expected_rate(node.rate, memory.proxy_rates.get(&node.id).copied(), *away)
             }
             None => node.rate,
         };
@@ -780,7 +786,7 @@
         }
         // What was learned before must not be written over by a run that has not met its servers yet.
         let met = self.decided.is_some() && (self.memory.is_none() || self.recalled);
-        let due = now >= self.ageing.written_by(self.memorised);
+        let due = now >= self.ageing.next_write(self.memorised);
         if met && due && !self.deployment.forgets && self.roster.version() > 0 {
             self.memorised = now;
             let memory = self.memorise(now);
--- a/crates/xds-supervisor/src/daemon.rs
+++ b/crates/xds-supervisor/src/daemon.rs
@@ -14,7 +14,7 @@
 use shalereel_group::{encode, Recovered, HEAD};
 use shalereel_reactor::{now, MILLI};
 use shalereel_rpc::{Code, ConnId, Hub, Input, Status, StreamId};
-use shalereel_snapshot::{Memory, MemoryError};
+use shalereel_snapshot::{SnapshotError, StoredSnapshot};
 use shalereel_xds::{
     types, Assignment, NodeFacts, Subscribing, Variant, ADS, DELTA_ADS, DELTA_EDS, DELTA_LEDS, EDS, HEALTH,
     LRS,
@@ -255,7 +255,7 @@
             }
         };
         let mut whole = None;
-        match file.as_deref().map(Memory::read) {
+        match file.as_deref().map(StoredSnapshot::decode_file) {
             Some(Ok(memory)) => {
                 whole = file.as_ref().map(Vec::len);
                 match self.core.reminisce(now(), memory) {
@@ -263,10 +263,10 @@
                     Err(why) => tracing::warn!(%why, "what was learned is not recalled"),
                 }
             }
-            Some(Err(MemoryError::Empty)) | None => {}
+            Some(Err(SnapshotError::Empty)) | None => {}
             Some(Err(error)) => tracing::warn!(%error, "what was learned is not believed"),
         }
-        match Keeper::open(&folder, MEMORY, shalereel_snapshot::HEAD, whole, nudge) {
+        match Keeper::open(&folder, MEMORY, shalereel_snapshot::MAGIC, whole, nudge) {
             Ok(keeper) => self.memory = Some(keeper),
             Err(error) => {
                 let error = format!("{error:#}");
