--- a/crates/cli/src/measure_command.rs
+++ b/crates/cli/src/measure_command.rs
@@ -16,8 +16,8 @@
 use shalereel_standins::Ready;
 use shalereel_store::Check;
 use shalereel_xds::{
-    leds, types, Asked, Assignment, ClusterLoad, EndpointLoad, Health, LoadReport, NodeFacts, Resource,
-    Response, Row, ServerFacts, Serving, Subscribing, Variant, ADS, DELTA_ADS, LRS,
+    leds, types, AssignedEndpoint, Assignment, ClientRequest, ClientStream, ClusterLoad, EndpointLoad,
+    Health, LoadReport, NodeInfo, Resource, Response, ServerInfo, ServerStream, Variant, ADS, DELTA_ADS, LRS,
 };
 
 const BOUNDS: Bounds =
@@ -106,7 +106,7 @@
 }
 
 struct Client {
-    list: Subscribing,
+    list: ClientStream,
     link: Option<(ConnId, StreamId)>,
     /// Of the first operation's table: how many lines are held, and whether the watched server is one of them.
     held: usize,
@@ -124,7 +124,7 @@
 pub(crate) struct Registry {
     hub: Hub<(), ()>,
     size: Size,
-    streams: BTreeMap<(ConnId, StreamId), Serving>,
+    streams: BTreeMap<(ConnId, StreamId), ServerStream>,
     pub(crate) draining: Option<u32>,
     version: u64,
 }
@@ -147,22 +147,28 @@
     /// Says the list; gives the time when its message stood ready.
     pub(crate) fn say_list(&mut self) -> Nanos {
         self.version += 1;
-        let rows = (0..self.size.servers).map(|server| Row {
+        let rows = (0..self.size.servers).map(|server| AssignedEndpoint {
             address: address(server),
             zone: "a".into(),
             health: if self.draining == Some(server) { Health::Draining } else { Health::Ready },
             weight: 2.0,
-            facts: Some(ServerFacts { server, kind: 0, cell: 0, incarnation: 1, age: None }),
+            info: Some(ServerInfo { server, kind: 0, cell: 0, incarnation: 1, age: None }),
         });
-        let any = Assignment { cluster: "fleet".into(), rows: rows.collect(), admitted: 1.0 }.encode();
+        let any = Assignment { cluster: "fleet".into(), endpoints: rows.collect(), admitted: 1.0 }.encode();
         let version = self.version.to_string();
         let mut begun = now();
         for (&(conn, stream), serving) in &mut self.streams {
             let resource = Resource { name: "fleet".into(), version: version.clone(), any: any.clone() };
             let (type_url, resources, removed) = (types::ASSIGNMENT, vec![resource], Vec::new());
             let (nonce, stamp) = (self.version, begun);
-            let message =
-                serving.say(Response { type_url, version: &version, resources, removed, nonce, stamp });
+            let message = serving.encode_response(Response {
+                type_url,
+                version: &version,
+                resources,
+                removed,
+                nonce,
+                stamp,
+            });
             begun = now();
             self.hub.send(conn, stream, &message);
         }
@@ -173,12 +179,13 @@
         for input in self.hub.wait(Some(until))? {
             match input {
                 Input::Call { conn, stream, .. } => {
-                    self.streams.insert((conn, stream), Serving::new(Variant::StateOfTheWorld, "registry"));
+                    self.streams
+                        .insert((conn, stream), ServerStream::new(Variant::StateOfTheWorld, "registry"));
                 }
                 Input::Message { conn, stream, message } => {
                     let Some(serving) = self.streams.get_mut(&(conn, stream)) else { continue };
-                    let asked = serving.hear(&message).map_err(plain)?;
-                    if asked.iter().any(|asked| matches!(asked, Asked::Wants { .. })) {
+                    let asked = serving.handle(&message).map_err(plain)?;
+                    if asked.iter().any(|asked| matches!(asked, ClientRequest::Subscribe { .. })) {
                         self.say_list();
                     }
                 }
@@ -240,11 +247,16 @@
 impl Group {
     fn new(first: u32, count: u32, supervisor: SocketAddr, lines: bool) -> Result<Self> {
         let client = |at: u32| {
-            let node =
-                NodeFacts { id: format!("f-{at}"), zone: "a".into(), rate: 10.0, standing_only: true, lines };
+            let node = NodeInfo {
+                id: format!("f-{at}"),
+                zone: "a".into(),
+                rate: 10.0,
+                is_new: true,
+                supports_lines: lines,
+            };
             let variant = if lines { Variant::Incremental } else { Variant::StateOfTheWorld };
-            let mut list = Subscribing::new(variant, node);
-            list.want(types::ASSIGNMENT, OPERATIONS.map(str::to_owned));
+            let mut list = ClientStream::new(variant, node);
+            list.subscribe(types::ASSIGNMENT, OPERATIONS.map(str::to_owned));
             Client {
                 list,
                 link: None,
@@ -296,7 +308,10 @@
         client.link = Some((conn, stream));
         self.links.insert(conn, at);
         let held = Some(client.check.clone()).filter(|check| self.resume && !check.is_empty());
-        client.list.hold(types::LINE, held.map(|check| (leds::collection(0), check)).into_iter().collect());
+        client.list.set_resource_versions(
+            types::LINE,
+            held.map(|check| (leds::collection(0), check)).into_iter().collect(),
+        );
         for message in client.list.reopen() {
             self.hub.send(conn, stream, &message);
         }
@@ -377,20 +392,20 @@
     /// Answers first; all forwarders of a group are told the same, so one of them reads a drain for all.
     fn update(&mut self, at: usize, conn: ConnId, stream: StreamId, message: &[u8]) -> Result<()> {
         let client = &mut self.clients[at];
-        let update = client.list.hear(message).map_err(plain)?;
+        let update = client.list.handle(message).map_err(plain)?;
         client.total += message.len();
         if self.lines && update.type_url == types::ASSIGNMENT {
-            let answer = client.list.accept(&update);
+            let answer = client.list.ack(&update);
             self.hub.send(conn, stream, &answer);
             if client.check.is_empty() && client.told == 0 {
                 client.told = 1;
-                let ask = client.list.again(types::LINE, [(leds::collection(0), None)].into());
+                let ask = client.list.resubscribe(types::LINE, [(leds::collection(0), None)].into());
                 self.hub.send(conn, stream, &ask);
             }
             return Ok(());
         }
         if self.lines {
-            let answer = client.list.accept(&update);
+            let answer = client.list.ack(&update);
             (client.bytes, client.answer) = (message.len(), answer.len());
             self.hub.send(conn, stream, &answer);
             let told =
@@ -403,14 +418,14 @@
             client.watched &= !update.removed.iter().any(|name| server(name) == self.watched);
             return Ok(());
         }
-        let answer = client.list.accept(&update);
+        let answer = client.list.ack(&update);
         (client.bytes, client.answer) = (message.len(), answer.len());
         self.hub.send(conn, stream, &answer);
         let reads = self.watched.is_none() || at == 0;
         for any in update.resources.iter().take(usize::from(reads)) {
             let table = Assignment::decode(any).map_err(plain)?;
-            client.held = table.rows.len();
-            client.watched = table.rows.iter().any(|row| Some(row.address) == self.watched);
+            client.held = table.endpoints.len();
+            client.watched = table.endpoints.iter().any(|row| Some(row.address) == self.watched);
         }
         client.watched &= reads;
         Ok(())
@@ -601,16 +616,16 @@
         cluster: name.into(),
         interval: SECOND,
         issued: 0,
-        errored: 0,
+        failures: 0,
         dropped: 0,
         endpoints: (0..size.servers)
             .map(|server| EndpointLoad {
                 address: address(server),
                 zone: "a".into(),
-                succeeded: 3,
-                errored: 0,
-                timed: 3,
-                time: 300 * MILLI,
+                successes: 3,
+                failures: 0,
+                timed_responses: 3,
+                response_time_sum: 300 * MILLI,
                 metrics: BTreeMap::new(),
             })
             .collect(),
--- a/crates/cli/tests/memory.rs
+++ b/crates/cli/tests/memory.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use shalereel_snapshot::{SnapshotError, StoredSnapshot};
-use shalereel_xds::{Assignment, Health, Row, ServerFacts};
+use shalereel_xds::{AssignedEndpoint, Assignment, Health, ServerInfo};
 use shalereel_xds_supervisor::{Roster, MEMORY, TABLES};
 
 const DEPLOYMENT: &str = include_str!("../../../expect/deployment.toml");
@@ -22,14 +22,14 @@
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
     let mut roster = Roster::new(&["hal-a".to_owned()]);
-    let row = |server: u32| Row {
+    let row = |server: u32| AssignedEndpoint {
         address: ([127, 30, (server >> 8) as u8, server as u8], 80).into(),
         zone: "hal-a".into(),
         health: Health::Ready,
         weight: 1.0,
-        facts: Some(ServerFacts { server, kind: 0, cell: 0, incarnation: 1, age: None }),
+        info: Some(ServerInfo { server, kind: 0, cell: 0, incarnation: 1, age: None }),
     };
-    let list = Assignment { cluster: "fleet".into(), rows: (0..300).map(row).collect(), admitted: 1.0 };
+    let list = Assignment { cluster: "fleet".into(), endpoints: (0..300).map(row).collect(), admitted: 1.0 };
     roster.hear(1, &list, &mut Vec::new());
     std::fs::write(folder.join("last-list.json"), roster.remember()).unwrap();
     let file = folder.join("deployment.toml");
--- a/crates/routing-checks/src/fleet.rs
+++ b/crates/routing-checks/src/fleet.rs
@@ -7,7 +7,7 @@
 use shalereel::interface::{Action, EndpointReport, Event, Nanos, ProxyId, ServerId, TableId};
 use shalereel_guard::{Limits, Server, Standing};
 use shalereel_store::{Keeping, Why};
-use shalereel_xds::{Assignment, Health, Row, ServerFacts};
+use shalereel_xds::{AssignedEndpoint, Assignment, Health, ServerInfo};
 use shalereel_xds_supervisor::{Deployment, Facts, Planted, Roster, Tables};
 
 const SECOND: Nanos = 1_000_000_000;
@@ -223,16 +223,16 @@
         }
         let [high, low] = (at as u16).to_be_bytes();
         let age = (incarnation > 1).then_some(0);
-        Some(Row {
+        Some(AssignedEndpoint {
             address: ([127, 20, high, low], 80).into(),
             zone: localities[locality].clone(),
             health,
             weight: sizes[at as usize % sizes.len()],
-            facts: Some(ServerFacts { server: 1000 + at, kind: 0, cell: 0, incarnation, age }),
+            info: Some(ServerInfo { server: 1000 + at, kind: 0, cell: 0, incarnation, age }),
         })
     };
     let rows = (0..fleet.servers).filter_map(row).collect();
-    Assignment { cluster: "fleet".into(), rows, admitted: 1.0 }
+    Assignment { cluster: "fleet".into(), endpoints: rows, admitted: 1.0 }
 }
 
 /// A table as `shalereel tables ... --json show` printed it. Errors: it is none.
--- a/crates/standins/src/forwarders.rs
+++ b/crates/standins/src/forwarders.rs
@@ -15,8 +15,8 @@
 use shalereel_sasp::{Body, Frames, Group, LbFlags, Member, MemberState, Message, ReturnCode, WeightEntry};
 use shalereel_store::{Check, Delta, Follower, Heard, Resync, UNIT};
 use shalereel_xds::{
-    leds, read_retries, types, Assignment, ClusterLoad, EndpointLoad, Health, LoadAnswer, LoadReport,
-    NodeFacts, Subscribing, Update, Variant, ADS, DELTA_ADS, LRS, SHUNNED,
+    decode_retries, leds, types, Assignment, ClientStream, ClusterLoad, EndpointLoad, Health, LoadReport,
+    LoadReportConfig, NodeInfo, Update, Variant, ADS, DELTA_ADS, EXCLUDED, LRS,
 };
 
 use crate::plan::{Command, ForwarderPlan, ForwardersPlan, Pick, Ready};
@@ -106,7 +106,7 @@
     /// Where it takes weights by SASP: what is not whole yet of a message.
     frames: Frames,
     up: bool,
-    list: Subscribing,
+    list: ClientStream,
     generation: u64,
     tables: Vec<Table>,
     shunned: BTreeSet<SocketAddr>,
@@ -232,17 +232,17 @@
         } else {
             Variant::StateOfTheWorld
         };
-        let node = NodeFacts {
+        let node = NodeInfo {
             id: format!("forwarder-{}", told.forwarder),
             zone: told.zone.clone(),
             rate: told.rate,
-            standing_only: true,
-            lines: self.plan.lines,
+            is_new: true,
+            supports_lines: self.plan.lines,
         };
-        let mut list = Subscribing::new(variant, node);
+        let mut list = ClientStream::new(variant, node);
         let names = self.plan.operations.iter().map(|operation| operation.name.clone());
-        list.want(types::ASSIGNMENT, names.chain([SHUNNED.to_owned()]));
-        list.want(types::ROUTES, [ROUTES.to_owned()]);
+        list.subscribe(types::ASSIGNMENT, names.chain([EXCLUDED.to_owned()]));
+        list.subscribe(types::ROUTES, [ROUTES.to_owned()]);
         let id = told.forwarder;
         self.last += 1;
         let forwarder = Forwarder {
@@ -475,7 +475,7 @@
             Some((leds::collection(table), follower.held()?.to_string()))
         };
         let held = forwarder.followers.iter().filter_map(held).collect();
-        forwarder.list.hold(types::LINE, held);
+        forwarder.list.set_resource_versions(types::LINE, held);
         forwarder.followers.values_mut().for_each(Follower::reopened);
         for message in forwarder.list.reopen() {
             self.hub.send(conn, stream, &message);
@@ -536,7 +536,7 @@
         if std::mem::replace(&mut forwarder.up, false) {
             self.trace.put(&Seen::Left { at: now(), forwarder: id });
         }
-        forwarder.list.node.standing_only = false;
+        forwarder.list.node.is_new = false;
         if forwarder.plan.sasp {
             // The next supervisor's first weights replace what is held.
             forwarder.tables.iter_mut().for_each(|table| table.told.clear());
@@ -549,7 +549,7 @@
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
         let Some((_, discovery, load)) = forwarder.link.filter(|link| link.0 == conn) else { return };
         if stream == load {
-            if let Ok(answer) = LoadAnswer::decode(message) {
+            if let Ok(answer) = LoadReportConfig::decode(message) {
                 forwarder.interval = answer.interval.max(SECOND / 100);
                 self.last += 1;
                 forwarder.generation = self.last;
@@ -562,7 +562,7 @@
         } else if Some(stream) == forwarder.hold {
             self.ranges(id, message);
         } else if stream == discovery {
-            match forwarder.list.hear(message) {
+            match forwarder.list.handle(message) {
                 Ok(update) if update.type_url == types::LINE => {
                     self.disturb(id, conn, stream, update, message.len());
                 }
@@ -598,7 +598,7 @@
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
         if forwarder.turns_down > 0 {
             forwarder.turns_down -= 1;
-            let answer = forwarder.list.turn_down(update, "told to turn it down".into());
+            let answer = forwarder.list.nack(update, "told to turn it down".into());
             return self.hub.send(conn, stream, &answer);
         }
         let (epoch, fenced) = (epoch_of(&update.version), update.version.contains('/'));
@@ -614,7 +614,7 @@
         let (table, delta) = match delta {
             Ok(read) => read,
             Err(status) => {
-                let answer = forwarder.list.turn_down(update, status.text);
+                let answer = forwarder.list.nack(update, status.text);
                 return self.hub.send(conn, stream, &answer);
             }
         };
@@ -623,7 +623,7 @@
         let heard = follower.hear(now(), &delta);
         let due = follower.due();
         if matches!(heard, Heard::Held | Heard::Old) {
-            let answer = forwarder.list.accept(update);
+            let answer = forwarder.list.ack(update);
             self.hub.send(conn, stream, &answer);
         }
         self.remind(id, due);
@@ -656,7 +656,7 @@
             return;
         }
         let due = forwarder.followers.values().filter_map(Follower::due).min();
-        let message = forwarder.list.again(types::LINE, asked);
+        let message = forwarder.list.resubscribe(types::LINE, asked);
         self.hub.send(conn, stream, &message);
         self.trace.put(&Seen::AskedAnew { at: time, forwarder: id });
         self.remind(id, due);
@@ -712,12 +712,13 @@
             forwarder.followers.keys().filter(|table| !used.contains(table)).copied().collect();
         for table in left {
             forwarder.followers.remove(&table);
-            forwarder.list.leave(types::LINE, &leds::collection(table));
+            forwarder.list.unsubscribe(types::LINE, &leds::collection(table));
         }
         if let Entry::Vacant(vacant) = forwarder.followers.entry(table) {
             let seed = self.plan.seed ^ u64::from(id) << 16 ^ u64::from(table);
             vacant.insert(Follower::new(Resync::new(self.plan.redial.0, seed)));
-            let message = forwarder.list.again(types::LINE, BTreeMap::from([(collection.to_owned(), None)]));
+            let message =
+                forwarder.list.resubscribe(types::LINE, BTreeMap::from([(collection.to_owned(), None)]));
             self.hub.send(conn, stream, &message);
         }
         self.follow(id, table);
@@ -728,19 +729,19 @@
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
         if forwarder.turns_down > 0 {
             forwarder.turns_down -= 1;
-            let answer = forwarder.list.turn_down(update, "told to turn it down".into());
+            let answer = forwarder.list.nack(update, "told to turn it down".into());
             return self.hub.send(conn, stream, &answer);
         }
         let epoch = epoch_of(&update.version);
         if epoch < forwarder.epoch && update.version.contains('/') && !self.plan.unfenced {
             let why = format!("epoch {epoch} is older than {} that is held", forwarder.epoch);
-            let answer = forwarder.list.turn_down(update, why);
+            let answer = forwarder.list.nack(update, why);
             return self.hub.send(conn, stream, &answer);
         }
         forwarder.epoch = if update.version.contains('/') { epoch } else { forwarder.epoch };
         let result = match update.type_url.as_str() {
             types::ROUTES => update.resources.iter().try_for_each(|any| {
-                for (name, further) in read_retries(any)? {
+                for (name, further) in decode_retries(any)? {
                     if let Some(at) = self.plan.operations.iter().position(|operation| operation.name == name)
                     {
                         forwarder.further[at] = further;
@@ -752,8 +753,8 @@
         };
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
         let answer = match result {
-            Ok(()) => forwarder.list.accept(update),
-            Err(status) => forwarder.list.turn_down(update, status.text),
+            Ok(()) => forwarder.list.ack(update),
+            Err(status) => forwarder.list.nack(update, status.text),
         };
         self.hub.send(conn, stream, &answer);
         self.look_for_lines(id);
@@ -775,8 +776,8 @@
         let mut changed = 0;
         for (told, collection) in tables.into_iter().zip(collections) {
             let Some(forwarder) = self.forwarders.get_mut(&id) else { return Ok(()) };
-            if told.cluster == SHUNNED {
-                let fresh: BTreeSet<SocketAddr> = told.rows.iter().map(|row| row.address).collect();
+            if told.cluster == EXCLUDED {
+                let fresh: BTreeSet<SocketAddr> = told.endpoints.iter().map(|row| row.address).collect();
                 changed = changed.max(fresh.symmetric_difference(&forwarder.shunned).count());
                 if !self.plan.ignore_drains {
                     forwarder.shunned = fresh;
@@ -794,14 +795,14 @@
                 continue;
             }
             let fresh: BTreeMap<SocketAddr, (u64, Health)> =
-                told.rows.iter().map(|row| (row.address, (row.weight.to_bits(), row.health))).collect();
+                told.endpoints.iter().map(|row| (row.address, (row.weight.to_bits(), row.health))).collect();
             let differs = |key: &&SocketAddr| fresh.get(*key) != table.told.get(*key);
             let keys: BTreeSet<&SocketAddr> = fresh.keys().chain(table.told.keys()).collect();
             changed = changed.max(keys.iter().filter(|key| differs(key)).count());
             table.told = fresh;
             let credits: BTreeMap<SocketAddr, f64> =
                 table.lines.iter().map(|line| (line.address, line.credit)).collect();
-            let ready = told.rows.iter().filter(|row| row.health == Health::Ready);
+            let ready = told.endpoints.iter().filter(|row| row.health == Health::Ready);
             let mut lines: Vec<Line> = ready
                 .map(|row| Line {
                     address: row.address,
@@ -810,8 +811,10 @@
                 })
                 .collect();
             if self.plan.ignore_drains {
-                let kept =
-                    table.lines.iter().filter(|old| !told.rows.iter().any(|row| row.address == old.address));
+                let kept = table
+                    .lines
+                    .iter()
+                    .filter(|old| !told.endpoints.iter().any(|row| row.address == old.address));
                 lines.extend(kept.cloned());
             }
             table.lines = lines;
@@ -870,10 +873,10 @@
                 .map(|(address, met)| EndpointLoad {
                     address,
                     zone: self.zones.get(&address).cloned().unwrap_or_default(),
-                    succeeded: met.succeeded,
-                    errored: met.errored,
-                    timed: met.timed,
-                    time: met.time,
+                    successes: met.succeeded,
+                    failures: met.errored,
+                    timed_responses: met.timed,
+                    response_time_sum: met.time,
                     metrics: met.cpu.map(|cpu| ("cpu".to_owned(), cpu)).into_iter().collect(),
                 })
                 .collect();
@@ -885,18 +888,18 @@
                 endpoints.push(EndpointLoad {
                     address,
                     zone,
-                    succeeded: 0,
-                    errored: 50,
-                    timed,
-                    time,
+                    successes: 0,
+                    failures: 50,
+                    timed_responses: timed,
+                    response_time_sum: time,
                     metrics,
                 });
             }
             clusters.push(ClusterLoad {
                 cluster: operation.name.clone(),
                 interval,
-                issued: endpoints.iter().map(|load| load.succeeded + load.errored).sum(),
-                errored: endpoints.iter().map(|load| load.errored).sum(),
+                issued: endpoints.iter().map(|load| load.successes + load.failures).sum(),
+                failures: endpoints.iter().map(|load| load.failures).sum(),
                 dropped: sums.dropped,
                 endpoints,
             });
--- a/crates/standins/src/registry.rs
+++ b/crates/standins/src/registry.rs
@@ -6,7 +6,8 @@
 use shalereel_reactor::{now, Token, MILLI};
 use shalereel_rpc::{ConnId, Hub, Input, Status, StreamId};
 use shalereel_xds::{
-    types, Asked, Assignment, Health, Resource, Response, Row, ServerFacts, Serving, Variant, DELTA_ADS,
+    types, AssignedEndpoint, Assignment, ClientRequest, Health, Resource, Response, ServerInfo, ServerStream,
+    Variant, DELTA_ADS,
 };
 
 use crate::plan::{Command, Listed, ListedAs, Ready, RegistryPlan};
@@ -21,7 +22,7 @@
     list: BTreeMap<u32, Listed>,
     left_out: Vec<u32>,
     mute: bool,
-    streams: BTreeMap<(ConnId, StreamId), (Serving, String)>,
+    streams: BTreeMap<(ConnId, StreamId), (ServerStream, String)>,
     version: u64,
     trace: Trace,
 }
@@ -51,7 +52,7 @@
                         if path == DELTA_ADS { Variant::Incremental } else { Variant::StateOfTheWorld };
                     registry
                         .streams
-                        .insert((conn, stream), (Serving::new(variant, "registry"), String::new()));
+                        .insert((conn, stream), (ServerStream::new(variant, "registry"), String::new()));
                 }
                 Input::Message { conn, stream, message } => registry.heard(conn, stream, &message),
                 Input::HalfClosed { conn, stream } => registry.hub.finish(conn, stream, Status::OK),
@@ -73,15 +74,17 @@
 impl Registry {
     fn heard(&mut self, conn: ConnId, stream: StreamId, message: &[u8]) {
         let Some((serving, who)) = self.streams.get_mut(&(conn, stream)) else { return };
-        match serving.hear(message) {
+        match serving.handle(message) {
             Ok(asked) => {
                 let mut wants = false;
                 for asked in asked {
                     match asked {
-                        Asked::Node(node) => *who = node.id,
-                        Asked::Wants { type_url, .. } => wants |= type_url == types::ASSIGNMENT,
-                        Asked::TurnedDown { why, .. } => eprintln!("the list was turned down: {why}"),
-                        Asked::Holds { nonce, .. } => {
+                        ClientRequest::Node(node) => *who = node.id,
+                        ClientRequest::Subscribe { type_url, .. } => wants |= type_url == types::ASSIGNMENT,
+                        ClientRequest::Nack { reason: why, .. } => {
+                            eprintln!("the list was turned down: {why}")
+                        }
+                        ClientRequest::Ack { nonce, .. } => {
                             let (at, to) = (now(), who.clone());
                             self.trace.put(&Seen::Acknowledged { at, to, version: nonce });
                         }
@@ -98,12 +101,12 @@
     fn say(&mut self, to: (ConnId, StreamId)) {
         let time = now();
         let listed = || self.list.values().filter(|row| !self.left_out.contains(&row.server));
-        let rows = listed().filter(|row| row.state != ListedAs::Gone).map(|row| Row {
+        let rows = listed().filter(|row| row.state != ListedAs::Gone).map(|row| AssignedEndpoint {
             address: row.address,
             zone: row.zone.clone(),
             health: if row.state == ListedAs::Draining { Health::Draining } else { Health::Ready },
             weight: row.weight,
-            facts: Some(ServerFacts {
+            info: Some(ServerInfo {
                 server: row.server,
                 kind: row.kind,
                 cell: row.cell,
@@ -111,7 +114,7 @@
                 age: (row.started > 0).then(|| time.saturating_sub(row.started) / MILLI * MILLI),
             }),
         });
-        let any = Assignment { cluster: FLEET.into(), rows: rows.collect(), admitted: 1.0 }.encode();
+        let any = Assignment { cluster: FLEET.into(), endpoints: rows.collect(), admitted: 1.0 }.encode();
         let ready = listed().filter(|row| row.state == ListedAs::Ready);
         let ready = ready.map(|row| (row.server, row.incarnation, row.started)).collect();
         let draining = listed().filter(|row| row.state == ListedAs::Draining).map(|row| row.server).collect();
@@ -122,8 +125,14 @@
         let resource = Resource { name: FLEET.into(), version: version.clone(), any };
         let resources = vec![resource];
         let (type_url, removed, nonce) = (types::ASSIGNMENT, Vec::new(), self.version);
-        let message =
-            serving.say(Response { type_url, version: &version, resources, removed, nonce, stamp: time });
+        let message = serving.encode_response(Response {
+            type_url,
+            version: &version,
+            resources,
+            removed,
+            nonce,
+            stamp: time,
+        });
         let to_whom = who.clone();
         self.trace.put(&Seen::Said { at: time, to: to_whom, version: self.version, ready, draining, gone });
         self.hub.send(to.0, to.1, &message);
--- a/crates/xds-supervisor/src/core.rs
+++ b/crates/xds-supervisor/src/core.rs
@@ -13,8 +13,8 @@
 use shalereel_snapshot::{FreshnessPolicy, RejectReason, StoredSnapshot};
 use shalereel_store::{Check, Keeping, Number, StoreError, Telling, Why, Writing};
 use shalereel_xds::{
-    cluster, leds, listener, routes, types, Asked, Assignment, LoadAnswer, LoadReport, NodeFacts, Resource,
-    Response, Serving, Variant, SHUNNED,
+    cluster, leds, listener, routes, types, Assignment, ClientRequest, LoadReport, LoadReportConfig,
+    NodeInfo, Resource, Response, ServerStream, Variant, EXCLUDED,
 };
 
 use crate::admin;
@@ -115,7 +115,7 @@
     version: Version,
 ) -> Resource {
     let (name, any) = match part {
-        Part::Shunned => (SHUNNED, tables.shunned(roster)),
+        Part::Shunned => (EXCLUDED, tables.shunned(roster)),
         Part::Table(table, at) => {
             let name = &operations[usize::from(*at)];
             (name.as_str(), tables.assignment(*table, *at, name, roster))
@@ -229,7 +229,7 @@
 
 #[derive(Debug)]
 struct Stream {
-    serving: Serving,
+    serving: ServerStream,
     /// Known once its first message was read.
     proxy: Option<ProxyId>,
 }
@@ -435,7 +435,7 @@
 
     /// A discovery stream was opened.
     pub fn opened(&mut self, peer: Peer, variant: Variant) {
-        let serving = Serving::new(variant, &self.identity);
+        let serving = ServerStream::new(variant, &self.identity);
         self.streams.insert(peer, Stream { serving, proxy: None });
     }
 
@@ -465,7 +465,7 @@
             let first = self.loads.insert(peer, proxy.map(|proxy| (proxy, locality)));
             if first == Some(None) {
                 let answer =
-                    LoadAnswer { interval: self.deployment.facts.report_interval, by_endpoint: true };
+                    LoadReportConfig { interval: self.deployment.facts.report_interval, by_endpoint: true };
                 self.effects.push(Effect::Say { peer, message: frame(&answer.encode()) });
             }
         }
@@ -480,17 +480,17 @@
 
     fn discover(&mut self, now: Nanos, peer: Peer, message: &[u8]) -> Result<(), Status> {
         let Some(stream) = self.streams.get_mut(&peer) else { return Ok(()) };
-        for asked in stream.serving.hear(message)? {
+        for asked in stream.serving.handle(message)? {
             match asked {
-                Asked::Node(node) => self.join(peer, &node)?,
-                Asked::Wants { type_url, names } => {
+                ClientRequest::Node(node) => self.join(peer, &node)?,
+                ClientRequest::Subscribe { type_url, names } => {
                     if let (Some(shared), Some(stream)) = (&mut self.shared_with, self.streams.get(&peer)) {
-                        shared.brought(stream.serving.brought(&type_url));
+                        shared.brought(stream.serving.initial_version(&type_url));
                     }
                     self.answer(now, peer, &type_url, names);
                 }
-                Asked::Holds { type_url, nonce } => self.answered(now, peer, &type_url, nonce),
-                Asked::TurnedDown { type_url, nonce, why } => {
+                ClientRequest::Ack { type_url, nonce } => self.answered(now, peer, &type_url, nonce),
+                ClientRequest::Nack { type_url, nonce, reason: why } => {
                     self.turned_down(now, peer, &type_url, nonce, &why);
                 }
             }
@@ -498,7 +498,7 @@
         Ok(())
     }
 
-    fn join(&mut self, peer: Peer, node: &NodeFacts) -> Result<(), Status> {
+    fn join(&mut self, peer: Peer, node: &NodeInfo) -> Result<(), Status> {
         let Some(locality) = self.roster.locality(&node.zone) else {
             let text = format!("zone {:?} of node {:?} is not one of this deployment's", node.zone, node.id);
             return Err(Status::new(Code::FailedPrecondition, text));
@@ -514,13 +514,7 @@
     }
 
     /// A proxy joins, on whichever front.
-    fn enter(
-        &mut self,
-        peer: Peer,
-        front: Front,
-        node: &NodeFacts,
-        locality: u16,
-    ) -> Result<ProxyId, Status> {
+    fn enter(&mut self, peer: Peer, front: Front, node: &NodeInfo, locality: u16) -> Result<ProxyId, Status> {
         let proxy = self.number(&node.id)?;
         // The same node again: its older stream is half open at best.
         if let Some(older) = self.proxies.get(&proxy).map(|proxy| proxy.peer) {
@@ -538,7 +532,7 @@
             turned_down: 0,
             parked: Vec::new(),
             again_at: None,
-            lines: node.lines && front == Front::Discovery,
+            lines: node.supports_lines && front == Front::Discovery,
             telling: BTreeMap::new(),
             borne: BTreeSet::new(),
             nonces: VecDeque::new(),
@@ -550,7 +544,7 @@
             }
             None => node.rate,
         };
-        let standing_only = node.standing_only;
+        let standing_only = node.is_new;
         self.events.push(Event::Joined { proxy, locality, rate, is_new: standing_only });
         Ok(proxy)
     }
@@ -576,11 +570,11 @@
             Outcome::Joined { balancer } => {
                 let locality = self.deployment.facts.locality;
                 let zone = self.deployment.localities[usize::from(locality)].clone();
-                let node = NodeFacts {
+                let node = NodeInfo {
                     id: format!("balancer {balancer}"),
                     zone,
-                    standing_only: true,
-                    ..NodeFacts::default()
+                    is_new: true,
+                    ..NodeInfo::default()
                 };
                 if let Err(status) = self.enter(peer, Front::Advice, &node, locality) {
                     self.ended(peer);
@@ -1035,12 +1029,13 @@
         let mut parts: Vec<(Part, Version)> = Vec::new();
         let mut collections = BTreeSet::new();
         let shun = (self.tables.shunned_version(), self.roster.version());
-        if stream.serving.wants(types::ASSIGNMENT, SHUNNED) && shun.0 > 0 && changed(SHUNNED, shun) {
+        if stream.serving.is_subscribed(types::ASSIGNMENT, EXCLUDED) && shun.0 > 0 && changed(EXCLUDED, shun)
+        {
             parts.push((Part::Shunned, shun));
         }
         for (&at, &table) in &tables {
             let name = &self.deployment.operations[usize::from(at)];
-            if !stream.serving.wants(types::ASSIGNMENT, name) || !self.tables.told(table) {
+            if !stream.serving.is_subscribed(types::ASSIGNMENT, name) || !self.tables.told(table) {
                 continue;
             }
             let (part, version) = if proxy.lines {
@@ -1059,7 +1054,7 @@
             .map(|at| tables.get(&at).map_or(RetryPolicy::Never, |&table| self.tables.further(table, at)))
             .collect();
         let number = ways.iter().fold(1, |sum, &way| sum * 4 + way as u64);
-        let routed = !tables.is_empty() && stream.serving.wants(types::ROUTES, LISTENER);
+        let routed = !tables.is_empty() && stream.serving.is_subscribed(types::ROUTES, LISTENER);
         let routes = routed && changed(types::ROUTES, (number, 0));
         let variant = stream.serving.variant();
         for (type_url, parts) in [
@@ -1093,7 +1088,7 @@
                     shared
                 }
             };
-            stream.serving.expect(type_url, nonce);
+            stream.serving.expect_ack(type_url, nonce);
             *if type_url == types::ROUTES { &mut said.routes } else { &mut said.assignment } = Some(nonce);
             self.effects.push(Effect::Say { peer: proxy.peer, message });
         }
@@ -1104,7 +1099,7 @@
             }
             for table in collections {
                 let published = self.tables.store.number(table) > 0;
-                if !stream.serving.wants(types::LINE, &leds::collection(table)) {
+                if !stream.serving.is_subscribed(types::LINE, &leds::collection(table)) {
                     said.awaits |= published;
                     continue;
                 }
@@ -1126,7 +1121,7 @@
                 let (nonce, message, number) = shared;
                 telling.left(now, number);
                 proxy.borne.remove(&table);
-                stream.serving.expect(types::LINE, nonce);
+                stream.serving.expect_ack(types::LINE, nonce);
                 proxy.nonces.push_back((nonce, table, number));
                 said.lines = Some(nonce);
                 for earlier in proxy.said.iter_mut().filter(|said| said.awaits) {
@@ -1149,7 +1144,7 @@
             types::ASSIGNMENT | types::ROUTES => {
                 let known = |name: &String| match type_url {
                     types::ROUTES => name == LISTENER,
-                    _ => name == SHUNNED || operations.contains(name),
+                    _ => name == EXCLUDED || operations.contains(name),
                 };
                 let (ours, strange): (Vec<String>, Vec<String>) =
                     names.into_iter().flatten().partition(known);
@@ -1158,7 +1153,7 @@
                     for name in &ours {
                         proxy.told.remove(if type_url == types::ROUTES { types::ROUTES } else { name });
                         // Which collection an operation goes by says the same in any supervisor's words.
-                        let held = stream.serving.holds(type_url, name).filter(|_| proxy.lines);
+                        let held = stream.serving.resource_version(type_url, name).filter(|_| proxy.lines);
                         let held = held.and_then(|held| {
                             let (admitted, table) = held.split_once('.')?;
                             Some((admitted.parse().ok()?, table.parse().ok()?))
@@ -1179,7 +1174,8 @@
                 {
                     for name in &ours {
                         let Some(table) = leds::table_of(name) else { continue };
-                        let brought = stream.serving.holds(types::LINE, name).and_then(Check::parse);
+                        let brought =
+                            stream.serving.resource_version(types::LINE, name).and_then(Check::parse);
                         let telling = proxy.telling.entry(table).or_default();
                         telling.asked(&self.tables.store, table, brought);
                         if proxy.borne.remove(&table) {
@@ -1221,7 +1217,7 @@
             self.nonce += 1;
             let (nonce, removed) = (self.nonce, missing);
             let response = Response { type_url, version: "1", resources, removed, nonce, stamp: now };
-            let message = frame(&stream.serving.say(response));
+            let message = frame(&stream.serving.encode_response(response));
             self.effects.push(Effect::Say { peer, message });
         }
     }
--- a/crates/xds-supervisor/src/daemon.rs
+++ b/crates/xds-supervisor/src/daemon.rs
@@ -16,7 +16,7 @@
 use shalereel_rpc::{Code, ConnId, Hub, Input, Status, StreamId};
 use shalereel_snapshot::{SnapshotError, StoredSnapshot};
 use shalereel_xds::{
-    types, Assignment, NodeFacts, Subscribing, Variant, ADS, DELTA_ADS, DELTA_EDS, DELTA_LEDS, EDS, HEALTH,
+    types, Assignment, ClientStream, NodeInfo, Variant, ADS, DELTA_ADS, DELTA_EDS, DELTA_LEDS, EDS, HEALTH,
     LRS,
 };
 
@@ -77,7 +77,7 @@
     peers: BTreeMap<Peer, (ConnId, StreamId)>,
     last_peer: Peer,
     registry: Option<ConnId>,
-    list: Subscribing,
+    list: ClientStream,
     listening: bool,
     probes: BTreeMap<ConnId, (ServerId, Nanos)>,
     /// Connections of the second front, both ways.
@@ -142,10 +142,10 @@
         None => None,
     };
     let facts = &deployment.facts;
-    let node = NodeFacts {
+    let node = NodeInfo {
         id: format!("supervisor-{}", facts.supervisor_index),
         zone: deployment.localities[usize::from(facts.locality)].clone(),
-        ..NodeFacts::default()
+        ..NodeInfo::default()
     };
     let pushed = !facts.polls_endpoints;
     let mut daemon = Daemon {
@@ -156,7 +156,7 @@
         peers: BTreeMap::new(),
         last_peer: 0,
         registry: None,
-        list: Subscribing::new(Variant::StateOfTheWorld, node),
+        list: ClientStream::new(Variant::StateOfTheWorld, node),
         listening: pushed,
         probes: BTreeMap::new(),
         advised: BTreeMap::new(),
@@ -179,7 +179,7 @@
     daemon.recall(nudge.try_clone()?);
     daemon.reminisce(nudge);
     // What opens the list's stream, whenever it is dialled.
-    daemon.list.want(types::ASSIGNMENT, [FLEET.to_owned()]);
+    daemon.list.subscribe(types::ASSIGNMENT, [FLEET.to_owned()]);
     tracing::info!(%address, supervisor = daemon.deployment.facts.supervisor_index, "serving");
     ready([address].into_iter().chain(sasp).chain(admin).collect())?;
     if pushed {
@@ -643,7 +643,7 @@
     }
 
     fn listed(&mut self, conn: ConnId, stream: StreamId, message: &[u8]) {
-        let update = match self.list.hear(message) {
+        let update = match self.list.handle(message) {
             Ok(update) => update,
             Err(status) => {
                 tracing::warn!(%status, "the registry's message cannot be read");
@@ -658,11 +658,11 @@
                 for list in lists.iter().filter(|list| list.cluster == FLEET) {
                     self.core.listed(now(), list);
                 }
-                self.list.accept(&update)
+                self.list.ack(&update)
             }
             Err(status) => {
                 tracing::warn!(%status, version = update.version, "the list is turned down");
-                self.list.turn_down(&update, status.text)
+                self.list.nack(&update, status.text)
             }
         };
         self.hub.send(conn, stream, &answer);
--- a/crates/xds-supervisor/src/reports.rs
+++ b/crates/xds-supervisor/src/reports.rs
@@ -55,19 +55,19 @@
                     self.strangers += 1;
                     continue;
                 };
-                issued = issued.saturating_add(load.succeeded).saturating_add(load.errored);
-                errored = errored.saturating_add(load.errored);
+                issued = issued.saturating_add(load.successes).saturating_add(load.failures);
+                errored = errored.saturating_add(load.failures);
                 let met = self.met.entry((server, locality)).or_default();
-                met.succeeded = met.succeeded.saturating_add(load.succeeded);
-                met.errored = met.errored.saturating_add(load.errored);
-                met.timed = met.timed.saturating_add(load.timed);
-                met.time += u128::from(load.time);
+                met.succeeded = met.succeeded.saturating_add(load.successes);
+                met.errored = met.errored.saturating_add(load.failures);
+                met.timed = met.timed.saturating_add(load.timed_responses);
+                met.time += u128::from(load.response_time_sum);
                 met.window = met.window.max(cluster.interval);
                 met.cpu = load.metrics.get("cpu").copied().or(met.cpu);
             }
             // Tries at servers that never were are no demand; a client that tells of none by name is believed.
             if cluster.endpoints.is_empty() {
-                (issued, errored) = (cluster.issued, cluster.errored);
+                (issued, errored) = (cluster.issued, cluster.failures);
             }
             let came = self.came.entry((proxy, at as u16)).or_default();
             came.total = came.total.saturating_add(issued).saturating_add(cluster.dropped);
--- a/crates/xds-supervisor/src/roster.rs
+++ b/crates/xds-supervisor/src/roster.rs
@@ -61,9 +61,9 @@
     /// Takes a whole list. Rows without facts or of an unknown zone are left out and named in `odd`.
     pub fn hear(&mut self, now: Nanos, list: &Assignment, odd: &mut Vec<String>) -> WatchEvent {
         let mut present = BTreeSet::new();
-        for row in &list.rows {
+        for row in &list.endpoints {
             let known = self.localities.contains(&row.zone);
-            let Some(facts) = row.facts.filter(|_| known) else {
+            let Some(facts) = row.info.filter(|_| known) else {
                 let lacks = if known { "metadata of a server" } else { "a known zone" };
                 odd.push(format!("{} has no {lacks}", row.address));
                 continue;
--- a/crates/xds-supervisor/src/tables.rs
+++ b/crates/xds-supervisor/src/tables.rs
@@ -8,7 +8,7 @@
 use shalereel_store::{
     least, plan, Bending, Bounds, Facing, Hold, Line, Lines, Number, Plan, Refusal, Store, Way, Why, UNIT,
 };
-use shalereel_xds::{Any, Assignment, Body, Health, Row, SHUNNED};
+use shalereel_xds::{Any, AssignedEndpoint, Assignment, EncodedAssignment, Health, EXCLUDED};
 
 use crate::roster::Roster;
 
@@ -80,7 +80,7 @@
     /// What the guard has to say.
     words: Vec<String>,
     /// Encoded tables by level; operations with one level differ in the name alone.
-    rendered: BTreeMap<(TableId, u64), ((u64, u64), Body)>,
+    rendered: BTreeMap<(TableId, u64), ((u64, u64), EncodedAssignment)>,
 }
 
 /// What a line is made from, beside the orders.
@@ -526,7 +526,7 @@
         if !fresh {
             let rows =
                 self.store.lines(table).filter_map(|(server, line)| row(server, line, roster)).collect();
-            let body = Assignment { cluster: String::new(), rows, admitted }.body();
+            let body = Assignment { cluster: String::new(), endpoints: rows, admitted }.body();
             // Levels that no operation has any more are not kept.
             self.rendered.retain(|other, (of, _)| other.0 != table || *of == version);
             self.rendered.insert(key, (version, body));
@@ -539,9 +539,9 @@
         let rows = self.suspended.iter().filter_map(|&server| {
             let place = roster.place(server)?;
             let (address, zone) = (place.address, place.zone.clone());
-            Some(Row { address, zone, health: Health::Draining, weight: 1.0, facts: None })
+            Some(AssignedEndpoint { address, zone, health: Health::Draining, weight: 1.0, info: None })
         });
-        Assignment { cluster: SHUNNED.into(), rows: rows.collect(), admitted: 1.0 }.encode()
+        Assignment { cluster: EXCLUDED.into(), endpoints: rows.collect(), admitted: 1.0 }.encode()
     }
 }
 
@@ -599,9 +599,9 @@
     words
 }
 
-fn row(server: ServerId, line: &Line, roster: &Roster) -> Option<Row> {
+fn row(server: ServerId, line: &Line, roster: &Roster) -> Option<AssignedEndpoint> {
     let place = roster.place(server)?;
     let health = if line.draining { Health::Draining } else { Health::Ready };
     let weight = f64::from(line.weight) / UNIT;
-    Some(Row { address: line.address, zone: place.zone.clone(), health, weight, facts: None })
+    Some(AssignedEndpoint { address: line.address, zone: place.zone.clone(), health, weight, info: None })
 }
--- a/crates/xds-supervisor/tests/core.rs
+++ b/crates/xds-supervisor/tests/core.rs
@@ -126,31 +126,32 @@
     }
 
     fn list_sized(&mut self, draining: &[u32], sizes: &[f64]) {
-        let row = |server: u32| Row {
+        let row = |server: u32| AssignedEndpoint {
             address: ([127, 1, 0, server as u8], 80).into(),
             zone: "a".into(),
             health: if draining.contains(&server) { Health::Draining } else { Health::Ready },
             weight: sizes[server as usize - 1],
-            facts: Some(ServerFacts { server, kind: 0, cell: 0, incarnation: 1, age: None }),
+            info: Some(ServerInfo { server, kind: 0, cell: 0, incarnation: 1, age: None }),
         };
-        let list = Assignment { cluster: "fleet".into(), rows: (1..6).map(row).collect(), admitted: 1.0 };
+        let list =
+            Assignment { cluster: "fleet".into(), endpoints: (1..6).map(row).collect(), admitted: 1.0 };
         self.core.listed(self.now, &list);
     }
 
-    fn open(&mut self, peer: Peer, id: &str, variant: Variant) -> Subscribing {
+    fn open(&mut self, peer: Peer, id: &str, variant: Variant) -> ClientStream {
         self.core.opened(peer, variant);
-        Subscribing::new(variant, NodeFacts { id: id.into(), zone: "a".into(), ..NodeFacts::default() })
+        ClientStream::new(variant, NodeInfo { id: id.into(), zone: "a".into(), ..NodeInfo::default() })
     }
 
     /// Lets a client read all that was said to it and acknowledge it; gives the updates.
-    fn read(&mut self, peer: Peer, client: &mut Subscribing) -> Vec<Update> {
+    fn read(&mut self, peer: Peer, client: &mut ClientStream) -> Vec<Update> {
         let (ours, rest) = std::mem::take(&mut self.said).into_iter().partition(|said| said.0 == peer);
         self.said = rest;
         let ours: Vec<(Peer, Vec<u8>)> = ours;
         ours.into_iter()
             .map(|(_, message)| {
-                let update = client.hear(&message).unwrap();
-                let answer = client.accept(&update);
+                let update = client.handle(&message).unwrap();
+                let answer = client.ack(&update);
                 self.core.said(self.now, peer, &answer);
                 update
             })
@@ -161,8 +162,8 @@
 fn ports(update: &Update) -> Vec<(String, usize, usize)> {
     let tables = update.resources.iter().map(|any| Assignment::decode(any).unwrap());
     let draining =
-        |table: &Assignment| table.rows.iter().filter(|row| row.health == Health::Draining).count();
-    tables.map(|table| (table.cluster.clone(), table.rows.len(), draining(&table))).collect()
+        |table: &Assignment| table.endpoints.iter().filter(|row| row.health == Health::Draining).count();
+    tables.map(|table| (table.cluster.clone(), table.endpoints.len(), draining(&table))).collect()
 }
 
 /// From the listener to the endpoints by the book, with no word of what the specification does not know.
@@ -173,8 +174,8 @@
     let mut world = World::new(None);
     world.list(&[]);
     let mut client = world.open(7, "stock", variant);
-    let want = |world: &mut World, client: &mut Subscribing, url: &str, names: &[&str]| {
-        let message = client.want(url, names.iter().map(|name| name.to_string()));
+    let want = |world: &mut World, client: &mut ClientStream, url: &str, names: &[&str]| {
+        let message = client.subscribe(url, names.iter().map(|name| name.to_string()));
         world.core.said(world.now, 7, &message);
         world.run(1500);
         world.read(7, client)
@@ -182,7 +183,7 @@
     let listeners = want(&mut world, &mut client, types::LISTENER, &[LISTENER]);
     assert_eq!(listeners[0].resources.len(), 1);
     let found = want(&mut world, &mut client, types::ROUTES, &[LISTENER]);
-    let ways = read_retries(&found.last().unwrap().resources[0]).unwrap();
+    let ways = decode_retries(&found.last().unwrap().resources[0]).unwrap();
     assert_eq!(ways.iter().map(|way| way.0.as_str()).collect::<Vec<_>>(), ["view", "order"]);
     let clusters = want(&mut world, &mut client, types::CLUSTER, &["view", "order"]);
     assert_eq!(clusters[0].resources.len(), 2);
@@ -203,7 +204,7 @@
     let mut world = World::of(&format!("planted = \"drop_suspensions\"\n{FILE}"), None);
     world.list(&[]);
     let mut client = world.open(7, "stock", Variant::StateOfTheWorld);
-    let message = client.want(types::ASSIGNMENT, ["view".to_owned()]);
+    let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned()]);
     world.core.said(world.now, 7, &message);
     world.run(1500);
     assert_eq!(ports(world.read(7, &mut client).last().unwrap()), [("view".into(), 5, 0)]);
@@ -217,10 +218,10 @@
 fn a_channel_keeps_its_pace_and_a_newer_state_is_said_once() {
     let mut world = World::new(None);
     world.list(&[]);
-    let mut clients: Vec<Subscribing> =
+    let mut clients: Vec<ClientStream> =
         (0..4).map(|at| world.open(at, &format!("f-{at}"), Variant::StateOfTheWorld)).collect();
     for (peer, client) in clients.iter_mut().enumerate() {
-        let message = client.want(types::ASSIGNMENT, ["view".to_owned(), SHUNNED.to_owned()]);
+        let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned(), EXCLUDED.to_owned()]);
         world.core.said(world.now, peer as Peer, &message);
     }
     // Each is put on a table of five: 10 for its head, 1 + 5 lines + 2 levels, 1 for its mark: 19 ms at 1 a ms.
@@ -234,13 +235,13 @@
 }
 
 #[rstest]
-#[case::unknown_zone(NodeFacts { id: "f".into(), zone: "z".into(), ..NodeFacts::default() }, Code::FailedPrecondition)]
-#[case::nobody(NodeFacts { zone: "a".into(), ..NodeFacts::default() }, Code::InvalidArgument)]
-fn a_node_that_does_not_fit_is_told_why(#[case] node: NodeFacts, #[case] code: Code) {
+#[case::unknown_zone(NodeInfo { id: "f".into(), zone: "z".into(), ..NodeInfo::default() }, Code::FailedPrecondition)]
+#[case::nobody(NodeInfo { zone: "a".into(), ..NodeInfo::default() }, Code::InvalidArgument)]
+fn a_node_that_does_not_fit_is_told_why(#[case] node: NodeInfo, #[case] code: Code) {
     let mut world = World::new(None);
     world.core.opened(1, Variant::StateOfTheWorld);
     let message =
-        Subscribing::new(Variant::StateOfTheWorld, node).want(types::ASSIGNMENT, ["view".to_owned()]);
+        ClientStream::new(Variant::StateOfTheWorld, node).subscribe(types::ASSIGNMENT, ["view".to_owned()]);
     world.core.said(world.now, 1, &message);
     world.run(1);
     assert_eq!(world.ended, [(1, code)]);
@@ -252,7 +253,7 @@
     let mut world = World::new(None);
     for peer in [1, 2] {
         let mut client = world.open(peer, "same", Variant::StateOfTheWorld);
-        let message = client.want(types::ASSIGNMENT, ["view".to_owned()]);
+        let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned()]);
         world.core.said(world.now, peer, &message);
         world.run(1);
     }
@@ -267,16 +268,16 @@
     let mut world = World::new(None);
     world.list(&[]);
     let mut client = world.open(1, "f", Variant::StateOfTheWorld);
-    let message = client.want(types::ASSIGNMENT, ["view".to_owned()]);
+    let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned()]);
     world.core.said(world.now, 1, &message);
     for _ in 0..3 {
         while world.said.is_empty() {
             world.run(1);
         }
         let (_, message) = world.said.remove(0);
-        let update = client.hear(&message).unwrap();
+        let update = client.handle(&message).unwrap();
         assert_eq!(ports(&update), [("view".into(), 5, 0)], "the whole table each time");
-        let no = client.turn_down(&update, "not like this".into());
+        let no = client.nack(&update, "not like this".into());
         world.core.said(world.now, 1, &no);
     }
     world.run(1);
@@ -289,7 +290,7 @@
     world.list(&[]);
     for peer in [1, 2] {
         let mut client = world.open(peer, &format!("f-{peer}"), Variant::StateOfTheWorld);
-        let message = client.want(types::ASSIGNMENT, ["view".to_owned()]);
+        let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned()]);
         world.core.said(world.now, peer, &message);
         world.run(100);
         if peer == 2 {
@@ -311,7 +312,7 @@
     for (kept, rows) in [(&kept[..], 4), (&b"{half a li"[..], 0)] {
         let mut world = World::new(Some(kept));
         let mut client = world.open(1, "f", Variant::StateOfTheWorld);
-        let message = client.want(types::ASSIGNMENT, ["view".to_owned()]);
+        let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned()]);
         world.core.said(world.now, 1, &message);
         world.run(500);
         let held = world.read(1, &mut client).last().map_or(0, |update| ports(update)[0].1);
@@ -360,24 +361,24 @@
 fn load_of_a_server_that_never_was_is_no_demand() {
     use shalereel::interface::Event;
     let mut roster = shalereel_xds_supervisor::Roster::new(&["a".to_owned()]);
-    let row = Row {
+    let row = AssignedEndpoint {
         address: ([127, 1, 0, 1], 80).into(),
         zone: "a".into(),
         health: Health::Ready,
         weight: 1.0,
-        facts: Some(ServerFacts { server: 4, kind: 0, cell: 0, incarnation: 1, age: None }),
+        info: Some(ServerInfo { server: 4, kind: 0, cell: 0, incarnation: 1, age: None }),
     };
-    let list = |rows| Assignment { cluster: "fleet".into(), rows, admitted: 1.0 };
+    let list = |rows| Assignment { cluster: "fleet".into(), endpoints: rows, admitted: 1.0 };
     roster.hear(SECOND, &list(vec![row]), &mut vec![]);
     // Gone by now: what is told of it still counts, since tries were under way.
     roster.hear(SECOND, &list(vec![]), &mut vec![]);
     let load = |last: u8, errored| EndpointLoad {
         address: ([127, 1, 0, last], 80).into(),
         zone: "a".into(),
-        succeeded: 3,
-        errored,
-        timed: 3,
-        time: 60 * MILLI,
+        successes: 3,
+        failures: errored,
+        timed_responses: 3,
+        response_time_sum: 60 * MILLI,
         metrics: Default::default(),
     };
     let endpoints = vec![load(1, 1), load(9, 5000)];
@@ -385,7 +386,7 @@
         cluster: "view".into(),
         interval: SECOND,
         issued: 5007,
-        errored: 5001,
+        failures: 5001,
         dropped: 2,
         endpoints,
     };
@@ -456,7 +457,7 @@
         let mut world = World::new(None);
         world.list(&[]);
         let mut client = world.open(1, "f", Variant::StateOfTheWorld);
-        let message = client.want(types::ASSIGNMENT, ["view".to_owned()]);
+        let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned()]);
         world.core.said(world.now, 1, &message);
         balancer(&mut world, 2, true, false);
         for draining in [&[][..], &[3], &[3, 4], &[2]] {
@@ -465,10 +466,12 @@
             let update = world.read(1, &mut client).pop().unwrap();
             let table = Assignment::decode(&update.resources[0]).unwrap();
             let said = weights(&bodies(&mut world, 2), "view").unwrap();
-            let most = table.rows.iter().map(|row| row.weight).fold(0.0, f64::max);
+            let most = table.endpoints.iter().map(|row| row.weight).fold(0.0, f64::max);
             for (server, weight, quiesce) in said {
-                let row =
-                    table.rows.iter().find(|row| row.address.ip().to_string() == format!("127.1.0.{server}"));
+                let row = table
+                    .endpoints
+                    .iter()
+                    .find(|row| row.address.ip().to_string() == format!("127.1.0.{server}"));
                 let told = row.map_or(0.0, |row| row.weight / most * 65535.0);
                 assert!(
                     (f64::from(weight) - told).abs() <= 1.0 + told / 5000.0,
@@ -508,19 +511,19 @@
         let mut world = World::new(None);
         world.list(&[]);
         let mut client = world.open(1, "f", Variant::StateOfTheWorld);
-        let message = client.want(types::ASSIGNMENT, ["view".to_owned()]);
+        let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned()]);
         world.core.said(world.now, 1, &message);
         balancer(&mut world, 2, true, true);
         world.run(1500);
         world.core.advised(3);
         let groups = vec![(group("view"), vec![member(77)])];
         tell(&mut world, 3, Body::Register { from_balancer: false, groups });
-        let held = |world: &mut World, client: &mut Subscribing| {
+        let held = |world: &mut World, client: &mut ClientStream| {
             // It is cold at first, and waits outside as long as nothing is known of the others.
             world.run(10_000);
             world.written.clear();
             let update = world.read(1, client).pop().unwrap();
-            let rows = Assignment::decode(&update.resources[0]).unwrap().rows;
+            let rows = Assignment::decode(&update.resources[0]).unwrap().endpoints;
             let zone = rows
                 .iter()
                 .find(|row| row.address.ip().to_string() == "127.1.0.77")
@@ -548,7 +551,7 @@
     use shalereel_store::{Check, Delta, Follower, Heard, Line, Resync};
 
     struct Client {
-        list: Subscribing,
+        list: ClientStream,
         follower: Follower,
         peer: Peer,
         /// Deltas read so far: from which version, and how many lines.
@@ -559,9 +562,10 @@
     impl Client {
         fn join(world: &mut World, peer: Peer, id: &str) -> Self {
             world.core.opened(peer, Variant::Incremental);
-            let node = NodeFacts { id: id.into(), zone: "a".into(), lines: true, ..NodeFacts::default() };
-            let mut list = Subscribing::new(Variant::Incremental, node);
-            let message = list.want(types::ASSIGNMENT, ["view".to_owned(), "order".to_owned()]);
+            let node =
+                NodeInfo { id: id.into(), zone: "a".into(), supports_lines: true, ..NodeInfo::default() };
+            let mut list = ClientStream::new(Variant::Incremental, node);
+            let message = list.subscribe(types::ASSIGNMENT, ["view".to_owned(), "order".to_owned()]);
             world.core.said(world.now, peer, &message);
             Client {
                 list,
@@ -576,7 +580,7 @@
             self.peer = peer;
             world.core.opened(peer, Variant::Incremental);
             let held = self.follower.held().map(|check| (leds::collection(0), check.to_string()));
-            self.list.hold(types::LINE, held.into_iter().collect());
+            self.list.set_resource_versions(types::LINE, held.into_iter().collect());
             self.follower.reopened();
             for message in self.list.reopen() {
                 world.core.said(world.now, peer, &message);
@@ -592,15 +596,15 @@
                 world.said = rest;
                 let ours: Vec<(Peer, Vec<u8>)> = ours;
                 for (_, message) in ours {
-                    let update = self.list.hear(&message).unwrap();
+                    let update = self.list.handle(&message).unwrap();
                     if update.type_url == types::ASSIGNMENT {
                         let named = leds::collection_of(&update.resources[0]).unwrap().unwrap();
                         assert_eq!(named, leds::collection(0));
-                        let answer = self.list.accept(&update);
+                        let answer = self.list.ack(&update);
                         world.core.said(world.now, self.peer, &answer);
                         // Later streams ask for it as they are opened.
                         if !std::mem::replace(&mut self.asked, true) {
-                            let ask = self.list.again(types::LINE, [(named, None)].into());
+                            let ask = self.list.resubscribe(types::LINE, [(named, None)].into());
                             world.core.said(world.now, self.peer, &ask);
                         }
                         continue;
@@ -620,7 +624,7 @@
                     self.read.push((delta.from, delta.lines()));
                     if !deaf {
                         assert_eq!(self.follower.hear(world.now, &delta), Heard::Held);
-                        let answer = self.list.accept(&update);
+                        let answer = self.list.ack(&update);
                         world.core.said(world.now, self.peer, &answer);
                     }
                 }
@@ -799,13 +803,13 @@
         let mut world = World::new(None);
         world.list(&[]);
         let mut client = world.open(1, "f", Variant::StateOfTheWorld);
-        let message = client.want(types::ASSIGNMENT, ["view".to_owned()]);
+        let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned()]);
         world.core.said(world.now, 1, &message);
-        let weights = |world: &mut World, client: &mut Subscribing| {
+        let weights = |world: &mut World, client: &mut ClientStream| {
             let update = world.read(1, client).pop()?;
             let table = Assignment::decode(&update.resources[0]).unwrap();
-            let row = |row: &Row| (row.address.to_string(), (row.weight * 100.0).round() as u32);
-            Some(table.rows.iter().map(row).collect::<std::collections::BTreeMap<String, u32>>())
+            let row = |row: &AssignedEndpoint| (row.address.to_string(), (row.weight * 100.0).round() as u32);
+            Some(table.endpoints.iter().map(row).collect::<std::collections::BTreeMap<String, u32>>())
         };
         world.run(500);
         assert_eq!(weights(&mut world, &mut client).unwrap().values().sum::<u32>(), 500);
--- a/crates/xds/src/assignment.rs
+++ b/crates/xds/src/assignment.rs
@@ -1,3 +1,5 @@
+//! Tables and endpoint lists as `envoy.config.endpoint.v3.ClusterLoadAssignment`.
+
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, SocketAddr};
 
@@ -17,28 +19,32 @@
 
 use crate::{decoded, types};
 
-/// Name of the resource that lists the endpoints nobody may send to, whatever tables say. The one resource
+/// Name of the resource that lists the excluded endpoints: nobody may send to them, whatever tables say. The one resource
 /// that the specification does not know: a client that does not ask for it learns the same from its tables.
-pub const SHUNNED: &str = "shalereel.shunned";
-/// Metadata filter that carries [`ServerFacts`], as a message of this type.
-const FACTS: &str = "shalereel.server";
-const FACTS_TYPE: &str = "type.googleapis.com/shalereel.v1.ServerFacts";
-/// Category of the drops that carry a level.
-const LEVEL: &str = "level";
+pub const EXCLUDED: &str = "shalereel.shunned";
+/// Metadata filter that carries [`ServerInfo`], as a message of this type.
+const SERVER_INFO: &str = "shalereel.server";
+const SERVER_INFO_TYPE: &str = "type.googleapis.com/shalereel.v1.ServerFacts";
+/// Category of the drops that carry an admission limit.
+const ADMISSION_CATEGORY: &str = "level";
 /// A weight of 1 on the wire, where weights are whole numbers from 1 up.
-const UNIT: f64 = 10_000.0;
+const WEIGHT_UNIT: f64 = 10_000.0;
 const MILLION: f64 = 1e6;
 
+/// Health of an endpoint, as far as it is told apart here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Health {
+    /// It takes requests.
     Ready,
+    /// It finishes what it has.
     Draining,
+    /// Any other status: it is not to be used.
     Unhealthy,
 }
 
-/// [`ServerFacts`] on the wire.
+/// [`ServerInfo`] on the wire.
 #[derive(Clone, PartialEq, Message)]
-struct FactsMessage {
+struct ServerInfoMessage {
     #[prost(uint32, tag = "1")]
     server: u32,
     #[prost(uint32, tag = "2")]
@@ -52,39 +58,48 @@
     age_ms: Option<u64>,
 }
 
-/// What a registry says of a server beyond what the specification has fields for.
+/// What a registry says of a server beyond the fields of the specification.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ServerFacts {
+pub struct ServerInfo {
+    /// Its number in the registry.
     pub server: u32,
+    /// Hardware kind.
     pub kind: u16,
+    /// Group of servers within its locality.
     pub cell: u16,
-    /// Another one at every start.
+    /// Another number at every start.
     pub incarnation: u64,
     /// Time since that start as of sending, whole milliseconds; nothing: long ago.
     pub age: Option<Nanos>,
 }
 
+/// One endpoint of a table or list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct AssignedEndpoint {
+    /// Where it listens.
     pub address: SocketAddr,
     /// `Locality.zone`.
     pub zone: String,
+    /// Whether it takes requests.
     pub health: Health,
     /// Above 0; kept to 1/10,000 and never rounded to nothing.
     pub weight: f64,
-    pub facts: Option<ServerFacts>,
+    /// What a registry says of the server beyond the fields of the specification.
+    pub info: Option<ServerInfo>,
 }
 
 /// One table as the specification has it (`envoy.config.endpoint.v3.ClusterLoadAssignment`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Assignment {
+    /// The operation, or the registry's list.
     pub cluster: String,
-    pub rows: Vec<Row>,
-    /// Share of the invocations that is let in, 0 to 1; said as `drop_overloads`.
+    /// Its endpoints.
+    pub endpoints: Vec<AssignedEndpoint>,
+    /// Share of the requests that is admitted, 0 to 1; encoded as `drop_overloads`.
     pub admitted: f64,
 }
 
-pub(crate) fn address_out(address: SocketAddr) -> Address {
+pub(crate) fn encode_address(address: SocketAddr) -> Address {
     Address {
         address: Some(address::Address::SocketAddress(SocketAddress {
             address: address.ip().to_string(),
@@ -94,17 +109,17 @@
     }
 }
 
-pub(crate) fn address_in(address: Option<&Address>) -> Option<SocketAddr> {
+pub(crate) fn decode_address(address: Option<&Address>) -> Option<SocketAddr> {
     let address::Address::SocketAddress(socket) = address?.address.as_ref()? else { return None };
     let Some(socket_address::PortSpecifier::PortValue(port)) = socket.port_specifier else { return None };
     Some(SocketAddr::new(socket.address.parse::<IpAddr>().ok()?, u16::try_from(port).ok()?))
 }
 
-/// A level as drops; none where all is let in.
+/// An admission limit as drops; none where everything is admitted.
 pub(crate) fn policy(admitted: f64) -> Option<Policy> {
     let dropped = 1.0 - admitted.clamp(0.0, 1.0);
     let drops = DropOverload {
-        category: LEVEL.into(),
+        category: ADMISSION_CATEGORY.into(),
         drop_percentage: Some(FractionalPercent {
             numerator: (dropped * MILLION).round() as u32,
             denominator: DenominatorType::Million as i32,
@@ -113,23 +128,27 @@
     (dropped > 0.0).then(|| Policy { drop_overloads: vec![drops], ..Policy::default() })
 }
 
-impl ServerFacts {
+impl ServerInfo {
     fn encode(self) -> Metadata {
-        let message = FactsMessage {
+        let message = ServerInfoMessage {
             server: self.server,
             kind: self.kind.into(),
             cell: self.cell.into(),
             incarnation: self.incarnation,
             age_ms: self.age.map(|age| age / 1_000_000),
         };
-        let any = Any { type_url: FACTS_TYPE.into(), value: message.encode_to_vec() };
-        Metadata { typed_filter_metadata: HashMap::from([(FACTS.to_owned(), any)]), ..Metadata::default() }
+        let any = Any { type_url: SERVER_INFO_TYPE.into(), value: message.encode_to_vec() };
+        Metadata {
+            typed_filter_metadata: HashMap::from([(SERVER_INFO.to_owned(), any)]),
+            ..Metadata::default()
+        }
     }
 
     fn decode(metadata: &Metadata) -> Option<Self> {
-        let any = metadata.typed_filter_metadata.get(FACTS).filter(|any| any.type_url == FACTS_TYPE)?;
-        let message = FactsMessage::decode(&any.value[..]).ok()?;
-        Some(ServerFacts {
+        let any =
+            metadata.typed_filter_metadata.get(SERVER_INFO).filter(|any| any.type_url == SERVER_INFO_TYPE)?;
+        let message = ServerInfoMessage::decode(&any.value[..]).ok()?;
+        Some(ServerInfo {
             server: message.server,
             kind: u16::try_from(message.kind).ok()?,
             cell: u16::try_from(message.cell).ok()?,
@@ -141,9 +160,9 @@
 
 /// An encoded assignment but for its name; protobuf fields may come in any order and be put one after another.
 #[derive(Clone, Debug)]
-pub struct Body(Vec<u8>);
+pub struct EncodedAssignment(Vec<u8>);
 
-impl Body {
+impl EncodedAssignment {
     /// The assignment of the cluster with this name.
     pub fn named(&self, cluster: &str) -> Any {
         let name =
@@ -157,17 +176,18 @@
 }
 
 impl Assignment {
+    /// The resource.
     pub fn encode(&self) -> Any {
         self.body().named(&self.cluster)
     }
 
-    /// All but the name, to be shared by clusters that have the same rows and level.
-    pub fn body(&self) -> Body {
-        let sum: f64 = self.rows.iter().map(|row| row.weight).sum();
+    /// All but the name, to be shared by clusters that have the same endpoints and admission limit.
+    pub fn body(&self) -> EncodedAssignment {
+        let sum: f64 = self.endpoints.iter().map(|row| row.weight).sum();
         // The specification bounds the sum of a priority's weights by 32 bits.
-        let unit = UNIT.min(f64::from(u32::MAX / 2) / sum.max(f64::MIN_POSITIVE));
-        let mut zones: BTreeMap<&str, Vec<&Row>> = BTreeMap::new();
-        for row in &self.rows {
+        let unit = WEIGHT_UNIT.min(f64::from(u32::MAX / 2) / sum.max(f64::MIN_POSITIVE));
+        let mut zones: BTreeMap<&str, Vec<&AssignedEndpoint>> = BTreeMap::new();
+        for row in &self.endpoints {
             zones.entry(&row.zone).or_default().push(row);
         }
         let endpoints = zones.into_iter().map(|(zone, rows)| {
@@ -179,10 +199,10 @@
                     Health::Draining => HealthStatus::Draining,
                     Health::Unhealthy => HealthStatus::Unhealthy,
                 } as i32,
-                metadata: row.facts.map(ServerFacts::encode),
+                metadata: row.info.map(ServerInfo::encode),
                 load_balancing_weight: Some(UInt32Value { value: weight }),
                 host_identifier: Some(HostIdentifier::Endpoint(Endpoint {
-                    address: Some(address_out(row.address)),
+                    address: Some(encode_address(row.address)),
                     ..Endpoint::default()
                 })),
             });
@@ -199,57 +219,74 @@
         let policy = policy(self.admitted);
         let endpoints = endpoints.collect();
         let message = ClusterLoadAssignment { endpoints, policy, ..ClusterLoadAssignment::default() };
-        Body(message.encode_to_vec())
+        EncodedAssignment(message.encode_to_vec())
     }
 
-    /// Errors: not an assignment, an endpoint without an address or with a weight of 0.
+    /// Decodes the resource.
+    ///
+    /// # Errors
+    ///
+    /// It is no assignment, or an endpoint has no socket address or a weight of 0.
     pub fn decode(any: &Any) -> Result<Self, Status> {
-        let wrong = |text: String| Status::new(Code::InvalidArgument, text);
         if any.type_url != types::ASSIGNMENT {
-            return Err(wrong(format!("{} where a ClusterLoadAssignment was asked for", any.type_url)));
+            return Err(invalid(format!("{} where a ClusterLoadAssignment was asked for", any.type_url)));
         }
         let message: ClusterLoadAssignment = decoded(&any.value, "ClusterLoadAssignment")?;
         let cluster = message.cluster_name;
-        let mut rows = Vec::new();
+        let mut endpoints = Vec::new();
         for group in &message.endpoints {
             let zone = group.locality.as_ref().map(|locality| locality.zone.clone()).unwrap_or_default();
             for endpoint in &group.lb_endpoints {
-                let host = match &endpoint.host_identifier {
-                    Some(HostIdentifier::Endpoint(host)) => address_in(host.address.as_ref()),
-                    _ => None,
-                };
-                let Some(address) = host else {
-                    return Err(wrong(format!("{cluster}: an endpoint without a socket address")));
-                };
-                let weight = endpoint.load_balancing_weight.as_ref().map_or(1, |weight| weight.value);
-                if weight == 0 {
-                    return Err(wrong(format!("{cluster}: endpoint {address} has weight 0; leave it out")));
-                }
-                rows.push(Row {
-                    address,
-                    zone: zone.clone(),
-                    health: match endpoint.health_status() {
-                        HealthStatus::Unknown | HealthStatus::Healthy => Health::Ready,
-                        HealthStatus::Draining => Health::Draining,
-                        _ => Health::Unhealthy,
-                    },
-                    weight: f64::from(weight) / UNIT,
-                    facts: endpoint.metadata.as_ref().and_then(ServerFacts::decode),
-                });
+                endpoints.push(AssignedEndpoint::decode(&cluster, &zone, endpoint)?);
             }
         }
-        let mut admitted = 1.0;
-        for drop in message.policy.iter().flat_map(|policy| &policy.drop_overloads) {
-            if let Some(part) = &drop.drop_percentage {
-                let whole = match part.denominator() {
-                    DenominatorType::Hundred => 100.0,
-                    DenominatorType::TenThousand => 10_000.0,
-                    DenominatorType::Million => MILLION,
-                };
-                // Each category drops from what the ones before let through.
-                admitted *= 1.0 - (f64::from(part.numerator) / whole).min(1.0);
-            }
+        let admitted = message.policy.as_ref().map_or(1.0, decode_admitted);
+        Ok(Assignment { cluster, endpoints, admitted })
+    }
+}
+
+fn invalid(text: String) -> Status {
+    Status::new(Code::InvalidArgument, text)
+}
+
+impl AssignedEndpoint {
+    fn decode(cluster: &str, zone: &str, endpoint: &LbEndpoint) -> Result<Self, Status> {
+        let address = match &endpoint.host_identifier {
+            Some(HostIdentifier::Endpoint(host)) => decode_address(host.address.as_ref()),
+            _ => None,
+        };
+        let Some(address) = address else {
+            return Err(invalid(format!("{cluster}: an endpoint without a socket address")));
+        };
+        let weight = endpoint.load_balancing_weight.as_ref().map_or(1, |weight| weight.value);
+        if weight == 0 {
+            return Err(invalid(format!("{cluster}: endpoint {address} has weight 0; leave it out")));
         }
-        Ok(Assignment { cluster, rows, admitted })
+        Ok(AssignedEndpoint {
+            address,
+            zone: zone.to_owned(),
+            health: match endpoint.health_status() {
+                HealthStatus::Unknown | HealthStatus::Healthy => Health::Ready,
+                HealthStatus::Draining => Health::Draining,
+                _ => Health::Unhealthy,
+            },
+            weight: f64::from(weight) / WEIGHT_UNIT,
+            info: endpoint.metadata.as_ref().and_then(ServerInfo::decode),
+        })
+    }
+}
+
+/// The share of requests that a policy's drops leave, 0 to 1.
+fn decode_admitted(policy: &Policy) -> f64 {
+    let mut admitted = 1.0;
+    for dropped in policy.drop_overloads.iter().filter_map(|drop| drop.drop_percentage.as_ref()) {
+        let denominator = match dropped.denominator() {
+            DenominatorType::Hundred => 100.0,
+            DenominatorType::TenThousand => 10_000.0,
+            DenominatorType::Million => MILLION,
+        };
+        // Each category drops from what the ones before let through.
+        admitted *= 1.0 - (f64::from(dropped.numerator) / denominator).min(1.0);
     }
+    admitted
 }
--- /dev/null
+++ b/crates/xds/src/client_stream.rs
@@ -0,0 +1,219 @@
+//! The subscribing side of discovery streams. It outlives a stream: a new one begins with all subscriptions.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use prost::Message;
+use shalereel_rpc::{Code, Status};
+use xds_api::pb::envoy::service::discovery::v3::{
+    DeltaDiscoveryRequest, DeltaDiscoveryResponse, DiscoveryRequest, DiscoveryResponse,
+};
+use xds_api::pb::google::rpc;
+
+use crate::{decoded, NodeInfo, Update, Variant};
+
+/// Why a request is sent.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Purpose {
+    /// To subscribe to more names, or to all of them on a new stream.
+    Subscribe,
+    /// To subscribe anew to names that were subscribed to already.
+    Resubscribe,
+    /// To acknowledge or reject a response.
+    Acknowledge,
+}
+
+/// What is subscribed to and held of one type of resource.
+#[derive(Debug, Default)]
+struct Subscription {
+    names: BTreeSet<String>,
+    version: String,
+    /// Of the last response that was acknowledged or rejected on this stream.
+    nonce: String,
+    /// Versions of single resources that are subscription.
+    resource_versions: BTreeMap<String, String>,
+}
+
+/// The subscribing side of the streams to one server, one after another.
+#[derive(Debug)]
+pub struct ClientStream {
+    variant: Variant,
+    /// Who the client is.
+    pub node: NodeInfo,
+    node_sent: bool,
+    subscriptions: BTreeMap<String, Subscription>,
+}
+
+impl ClientStream {
+    /// Nothing is subscribed to yet.
+    pub fn new(variant: Variant, node: NodeInfo) -> Self {
+        ClientStream { variant, node, node_sent: false, subscriptions: BTreeMap::new() }
+    }
+
+    /// Subscribes to more names of a type; gives the request to send.
+    pub fn subscribe(&mut self, type_url: &str, names: impl IntoIterator<Item = String>) -> Vec<u8> {
+        let fresh: Vec<String> = names.into_iter().collect();
+        self.subscriptions.entry(type_url.to_owned()).or_default().names.extend(fresh.iter().cloned());
+        self.request(type_url, fresh, Purpose::Subscribe, None)
+    }
+
+    /// Subscribes anew to some names, and says of each which version is held, if any; gives the request to send.
+    pub fn resubscribe(&mut self, type_url: &str, names: BTreeMap<String, Option<String>>) -> Vec<u8> {
+        let subscription = self.subscriptions.entry(type_url.to_owned()).or_default();
+        subscription.names.extend(names.keys().cloned());
+        for (name, version) in &names {
+            match version {
+                Some(version) => subscription.resource_versions.insert(name.clone(), version.clone()),
+                None => subscription.resource_versions.remove(name),
+            };
+        }
+        self.request(type_url, names.into_keys().collect(), Purpose::Resubscribe, None)
+    }
+
+    /// Forgets a name and the version held of it.
+    pub fn unsubscribe(&mut self, type_url: &str, name: &str) {
+        if let Some(subscription) = self.subscriptions.get_mut(type_url) {
+            subscription.names.remove(name);
+            subscription.resource_versions.remove(name);
+        }
+    }
+
+    /// Replaces the versions that came with updates by those that are held.
+    pub fn set_resource_versions(&mut self, type_url: &str, versions: BTreeMap<String, String>) {
+        if let Some(subscription) = self.subscriptions.get_mut(type_url) {
+            subscription.resource_versions = versions;
+        }
+    }
+
+    /// Begins a new stream; gives the requests that open it, one for each type.
+    pub fn reopen(&mut self) -> Vec<Vec<u8>> {
+        self.node_sent = false;
+        self.subscriptions.values_mut().for_each(|subscribed| subscribed.nonce.clear());
+        let types: Vec<(String, Vec<String>)> = self
+            .subscriptions
+            .iter()
+            .map(|(url, subscription)| (url.clone(), subscription.names.iter().cloned().collect()))
+            .collect();
+        types.into_iter().map(|(url, names)| self.request(&url, names, Purpose::Subscribe, None)).collect()
+    }
+
+    /// Decodes a response.
+    ///
+    /// # Errors
+    ///
+    /// The message cannot be decoded, or its type was not subscribed to.
+    pub fn handle(&mut self, message: &[u8]) -> Result<Update, Status> {
+        let update = match self.variant {
+            Variant::StateOfTheWorld => {
+                let response: DiscoveryResponse = decoded(message, "DiscoveryResponse")?;
+                Update {
+                    type_url: response.type_url,
+                    version: response.version_info,
+                    nonce: response.nonce,
+                    resources: response.resources,
+                    names: Vec::new(),
+                    removed: Vec::new(),
+                    resource_versions: BTreeMap::new(),
+                    control_plane: response.control_plane.map(|plane| plane.identifier).unwrap_or_default(),
+                }
+            }
+            Variant::Incremental => {
+                let response: DeltaDiscoveryResponse = decoded(message, "DeltaDiscoveryResponse")?;
+                let resources = response.resources;
+                Update {
+                    type_url: response.type_url,
+                    version: response.system_version_info,
+                    nonce: response.nonce,
+                    resource_versions: resources
+                        .iter()
+                        .map(|r| (r.name.clone(), r.version.clone()))
+                        .collect(),
+                    names: resources.iter().map(|resource| resource.name.clone()).collect(),
+                    resources: resources.into_iter().filter_map(|resource| resource.resource).collect(),
+                    removed: response.removed_resources,
+                    control_plane: response.control_plane.map(|plane| plane.identifier).unwrap_or_default(),
+                }
+            }
+        };
+        if !self.subscriptions.contains_key(&update.type_url) {
+            let text = format!("resources of type {:?} were not asked for", update.type_url);
+            return Err(Status::new(Code::InvalidArgument, text));
+        }
+        Ok(update)
+    }
+
+    /// Acknowledges an update that is applied; gives the request to send.
+    pub fn ack(&mut self, update: &Update) -> Vec<u8> {
+        if let Some(subscription) = self.subscriptions.get_mut(&update.type_url) {
+            (subscription.version, subscription.nonce) = (update.version.clone(), update.nonce.clone());
+            subscription.resource_versions.extend(update.resource_versions.clone());
+            update.removed.iter().for_each(|name| drop(subscription.resource_versions.remove(name)));
+        }
+        self.request(&update.type_url, Vec::new(), Purpose::Acknowledge, None)
+    }
+
+    /// Rejects an update: what was held before stays; gives the request to send.
+    pub fn nack(&mut self, update: &Update, reason: String) -> Vec<u8> {
+        if let Some(subscription) = self.subscriptions.get_mut(&update.type_url) {
+            subscription.nonce.clone_from(&update.nonce);
+        }
+        self.request(&update.type_url, Vec::new(), Purpose::Acknowledge, Some(reason))
+    }
+
+    fn request(
+        &mut self,
+        url: &str,
+        fresh: Vec<String>,
+        purpose: Purpose,
+        reason: Option<String>,
+    ) -> Vec<u8> {
+        let first = !std::mem::replace(&mut self.node_sent, true);
+        let node = first.then(|| self.node.encode());
+        let error_detail = reason.map(|message| rpc::Status {
+            code: Code::InvalidArgument as i32,
+            message,
+            ..rpc::Status::default()
+        });
+        let subscription = self.subscriptions.entry(url.to_owned()).or_default();
+        let asked = if purpose == Purpose::Resubscribe { fresh.clone() } else { Vec::new() };
+        match self.variant {
+            Variant::StateOfTheWorld => DiscoveryRequest {
+                version_info: subscription.version.clone(),
+                node,
+                resource_names: subscription.names.iter().cloned().collect(),
+                type_url: url.to_owned(),
+                response_nonce: subscription.nonce.clone(),
+                error_detail,
+                ..DiscoveryRequest::default()
+            }
+            .encode_to_vec(),
+            Variant::Incremental => DeltaDiscoveryRequest {
+                node,
+                type_url: url.to_owned(),
+                resource_names_subscribe: fresh,
+                initial_resource_versions: match purpose {
+                    Purpose::Subscribe if subscription.nonce.is_empty() => {
+                        subscription.resource_versions.clone().into_iter().collect()
+                    }
+                    Purpose::Resubscribe => asked
+                        .into_iter()
+                        .filter_map(|name| {
+                            subscription
+                                .resource_versions
+                                .get_key_value(&name)
+                                .map(|(name, version)| (name.clone(), version.clone()))
+                        })
+                        .collect(),
+                    _ => Default::default(),
+                },
+                response_nonce: if purpose == Purpose::Acknowledge {
+                    subscription.nonce.clone()
+                } else {
+                    String::new()
+                },
+                error_detail,
+                ..DeltaDiscoveryRequest::default()
+            }
+            .encode_to_vec(),
+        }
+    }
+}
--- a/crates/xds/src/leds.rs
+++ b/crates/xds/src/leds.rs
@@ -16,8 +16,8 @@
 };
 use xds_api::pb::google::protobuf::{Any, UInt32Value};
 
-use crate::assignment::{address_in, address_out, policy};
-use crate::services::from_ads;
+use crate::assignment::{decode_address, encode_address, policy};
+use crate::routing::from_ads;
 use crate::{decoded, types};
 
 /// Before a table's number.
@@ -26,9 +26,11 @@
 /// One endpoint, as a line of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Line {
+    /// Where it listens.
     pub address: SocketAddr,
     /// Whole, at least 1.
     pub weight: u32,
+    /// It finishes what it has and takes nothing new.
     pub draining: bool,
 }
 
@@ -53,12 +55,13 @@
     Some((table.parse().ok()?, server.parse().ok()?))
 }
 
+/// The resource of a line.
 pub fn encode_line(line: &Line) -> Any {
     let endpoint = LbEndpoint {
         health_status: if line.draining { HealthStatus::Draining } else { HealthStatus::Healthy } as i32,
         load_balancing_weight: Some(UInt32Value { value: line.weight }),
         host_identifier: Some(HostIdentifier::Endpoint(Endpoint {
-            address: Some(address_out(line.address)),
+            address: Some(encode_address(line.address)),
             ..Endpoint::default()
         })),
         ..LbEndpoint::default()
@@ -66,7 +69,11 @@
     Any { type_url: types::LINE.into(), value: endpoint.encode_to_vec() }
 }
 
-/// Errors: no endpoint, one without an address, or with a weight of 0.
+/// Decodes the resource of a line.
+///
+/// # Errors
+///
+/// It is no endpoint, or one without a socket address or with a weight of 0.
 pub fn decode_line(any: &Any) -> Result<Line, Status> {
     let wrong = |text: String| Status::new(Code::InvalidArgument, text);
     if any.type_url != types::LINE {
@@ -74,7 +81,7 @@
     }
     let message: LbEndpoint = decoded(&any.value, "LbEndpoint")?;
     let address = match &message.host_identifier {
-        Some(HostIdentifier::Endpoint(host)) => address_in(host.address.as_ref()),
+        Some(HostIdentifier::Endpoint(host)) => decode_address(host.address.as_ref()),
         _ => None,
     };
     let address = address.ok_or_else(|| wrong("a line without a socket address".into()))?;
@@ -87,7 +94,7 @@
 }
 
 /// An operation's assignment whose endpoints are a collection. One for all localities: with a collection each, weights
-/// of localities would have to be told anew whenever a line changes.
+/// of localities would have to be sent anew whenever a line changes.
 pub fn assignment_of(cluster: &str, table: u16, admitted: f64) -> Any {
     let config =
         LedsClusterLocalityConfig { leds_config: Some(from_ads()), leds_collection_name: collection(table) };
@@ -106,7 +113,11 @@
     Any { type_url: types::ASSIGNMENT.into(), value: message.encode_to_vec() }
 }
 
-/// The collection that an assignment names in place of endpoints, where it names one. Errors: not an assignment.
+/// The collection that an assignment names in place of endpoints, where it names one.
+///
+/// # Errors
+///
+/// The resource is no assignment.
 pub fn collection_of(any: &Any) -> Result<Option<String>, Status> {
     let message: ClusterLoadAssignment = decoded(&any.value, "ClusterLoadAssignment")?;
     Ok(message.endpoints.into_iter().find_map(|group| match group.lb_config {
--- a/crates/xds/src/load.rs
+++ b/crates/xds/src/load_report.rs
@@ -1,3 +1,5 @@
+//! Load reports, as the load reporting service (LRS) carries them.
+
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -12,22 +14,27 @@
 use xds_api::pb::envoy::service::load_stats::v3::{LoadStatsRequest, LoadStatsResponse};
 use xds_api::pb::google::protobuf::Duration;
 
-use crate::assignment::{address_in, address_out};
-use crate::{decoded, NodeFacts};
+use crate::assignment::{decode_address, encode_address};
+use crate::{decoded, NodeInfo};
 
-/// Name of the load metric that tells answer times of succeeded tries, their sum in milliseconds.
-pub const ANSWER_TIME: &str = "answer_time_ms";
+/// Name of the load metric of successful attempts' response times: their sum in milliseconds.
+pub const RESPONSE_TIME_METRIC: &str = "answer_time_ms";
 
-/// Tries at one endpoint in one interval (`UpstreamEndpointStats`).
+/// Attempts at one endpoint in one interval (`UpstreamEndpointStats`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointLoad {
+    /// Which endpoint.
     pub address: SocketAddr,
+    /// `Locality.zone`.
     pub zone: String,
-    pub succeeded: u64,
-    pub errored: u64,
-    /// Answers with a known time, and that time's sum, nanoseconds.
-    pub timed: u64,
-    pub time: Nanos,
+    /// Attempts that were successful.
+    pub successes: u64,
+    /// Attempts that failed.
+    pub failures: u64,
+    /// Responses with a known time.
+    pub timed_responses: u64,
+    /// Sum of these times.
+    pub response_time_sum: Nanos,
     /// Other named metrics: mean values.
     pub metrics: BTreeMap<String, f64>,
 }
@@ -35,13 +42,17 @@
 /// What came to one cluster in one interval (`ClusterStats`).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClusterLoad {
+    /// Name of the cluster.
     pub cluster: String,
+    /// Time that the report covers.
     pub interval: Nanos,
-    /// Tries begun, by any endpoint, and those that failed.
+    /// Attempts begun, at any endpoint.
     pub issued: u64,
-    pub errored: u64,
-    /// Invocations turned away before a try, by a level or for want of a line.
+    /// Attempts that failed.
+    pub failures: u64,
+    /// Requests rejected before an attempt, by the admission limit or for want of an endpoint.
     pub dropped: u64,
+    /// The same by endpoint.
     pub endpoints: Vec<EndpointLoad>,
 }
 
@@ -49,15 +60,16 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// In the first report of a stream.
-    pub node: Option<NodeFacts>,
+    pub node: Option<NodeInfo>,
+    /// One for each cluster that requests came to.
     pub clusters: Vec<ClusterLoad>,
 }
 
-fn span_out(span: Nanos) -> Duration {
+fn encode_duration(span: Nanos) -> Duration {
     Duration { seconds: (span / 1_000_000_000) as i64, nanos: (span % 1_000_000_000) as i32 }
 }
 
-fn span_in(span: Option<&Duration>) -> Nanos {
+fn decode_duration(span: Option<&Duration>) -> Nanos {
     let whole = |span: &Duration| (span.seconds.max(0) as Nanos).saturating_mul(1_000_000_000);
     span.map_or(0, |span| whole(span).saturating_add(span.nanos.max(0) as Nanos))
 }
@@ -69,13 +81,14 @@
             num_requests_finished_with_metric: count,
             total_metric_value: total,
         };
-        let mut metrics = vec![metric(ANSWER_TIME, self.timed, self.time as f64 / 1e6)];
+        let mut metrics =
+            vec![metric(RESPONSE_TIME_METRIC, self.timed_responses, self.response_time_sum as f64 / 1e6)];
         metrics.extend(self.metrics.iter().map(|(name, value)| metric(name, 1, *value)));
         UpstreamEndpointStats {
-            address: Some(address_out(self.address)),
-            total_successful_requests: self.succeeded,
-            total_error_requests: self.errored,
-            total_issued_requests: self.succeeded + self.errored,
+            address: Some(encode_address(self.address)),
+            total_successful_requests: self.successes,
+            total_error_requests: self.failures,
+            total_issued_requests: self.successes + self.failures,
             load_metric_stats: metrics,
             ..UpstreamEndpointStats::default()
         }
@@ -83,12 +96,12 @@
 
     fn decode(stats: &UpstreamEndpointStats, zone: &str) -> Option<Self> {
         let mut load = EndpointLoad {
-            address: address_in(stats.address.as_ref())?,
+            address: decode_address(stats.address.as_ref())?,
             zone: zone.to_owned(),
-            succeeded: stats.total_successful_requests,
-            errored: stats.total_error_requests,
-            timed: 0,
-            time: 0,
+            successes: stats.total_successful_requests,
+            failures: stats.total_error_requests,
+            timed_responses: 0,
+            response_time_sum: 0,
             metrics: BTreeMap::new(),
         };
         for metric in &stats.load_metric_stats {
@@ -96,8 +109,9 @@
             if count == 0 || !total.is_finite() || total < 0.0 {
                 continue;
             }
-            if metric.metric_name == ANSWER_TIME {
-                (load.timed, load.time) = (count, (total * 1e6) as Nanos);
+            if metric.metric_name == RESPONSE_TIME_METRIC {
+                load.timed_responses = count;
+                load.response_time_sum = (total * 1e6) as Nanos;
             } else {
                 load.metrics.insert(metric.metric_name.clone(), total / count as f64);
             }
@@ -107,6 +121,7 @@
 }
 
 impl LoadReport {
+    /// Encodes a `LoadStatsRequest`.
     pub fn encode(&self) -> Vec<u8> {
         let cluster_stats = self.clusters.iter().map(|cluster| {
             let mut zones: BTreeMap<&str, Vec<&EndpointLoad>> = BTreeMap::new();
@@ -117,9 +132,9 @@
                 let sum = |of: fn(&EndpointLoad) -> u64| endpoints.iter().map(|load| of(load)).sum::<u64>();
                 UpstreamLocalityStats {
                     locality: Some(Locality { zone: zone.to_owned(), ..Locality::default() }),
-                    total_successful_requests: sum(|load| load.succeeded),
-                    total_error_requests: sum(|load| load.errored),
-                    total_issued_requests: sum(|load| load.succeeded + load.errored),
+                    total_successful_requests: sum(|load| load.successes),
+                    total_error_requests: sum(|load| load.failures),
+                    total_issued_requests: sum(|load| load.successes + load.failures),
                     upstream_endpoint_stats: endpoints.iter().map(|load| load.encode()).collect(),
                     ..UpstreamLocalityStats::default()
                 }
@@ -132,18 +147,22 @@
                     category: "level".into(),
                     dropped_count: cluster.dropped,
                 }],
-                load_report_interval: Some(span_out(cluster.interval)),
+                load_report_interval: Some(encode_duration(cluster.interval)),
                 ..ClusterStats::default()
             }
         });
         let request = LoadStatsRequest {
-            node: self.node.as_ref().map(NodeFacts::encode),
+            node: self.node.as_ref().map(NodeInfo::encode),
             cluster_stats: cluster_stats.collect(),
         };
         request.encode_to_vec()
     }
 
-    /// Endpoints without a socket address are read over. Errors: not a `LoadStatsRequest`.
+    /// Decodes a `LoadStatsRequest`; endpoints without a socket address are skipped.
+    ///
+    /// # Errors
+    ///
+    /// The message is no `LoadStatsRequest`.
     pub fn decode(bytes: &[u8]) -> Result<Self, Status> {
         let request: LoadStatsRequest = decoded(bytes, "LoadStatsRequest")?;
         let clusters = request.cluster_stats.into_iter().map(|stats| {
@@ -160,37 +179,45 @@
             ClusterLoad {
                 endpoints: endpoints.collect(),
                 issued: localities.iter().fold(0, |sum, l| sum.saturating_add(issued(l))),
-                errored: localities.iter().fold(0, |sum, l| sum.saturating_add(l.total_error_requests)),
+                failures: localities.iter().fold(0, |sum, l| sum.saturating_add(l.total_error_requests)),
                 dropped: stats.total_dropped_requests,
-                interval: span_in(stats.load_report_interval.as_ref()),
+                interval: decode_duration(stats.load_report_interval.as_ref()),
                 cluster: stats.cluster_name,
             }
         });
-        Ok(LoadReport { clusters: clusters.collect(), node: request.node.as_ref().map(NodeFacts::decode) })
+        Ok(LoadReport { clusters: clusters.collect(), node: request.node.as_ref().map(NodeInfo::decode) })
     }
 }
 
 /// What a client is asked to report (`LoadStatsResponse`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LoadAnswer {
+pub struct LoadReportConfig {
+    /// Time from one report to the next.
     pub interval: Nanos,
+    /// Loads are to be reported by endpoint.
     pub by_endpoint: bool,
 }
 
-impl LoadAnswer {
+impl LoadReportConfig {
+    /// Encodes a `LoadStatsResponse`.
     pub fn encode(&self) -> Vec<u8> {
         let response = LoadStatsResponse {
             send_all_clusters: true,
-            load_reporting_interval: Some(span_out(self.interval)),
+            load_reporting_interval: Some(encode_duration(self.interval)),
             report_endpoint_granularity: self.by_endpoint,
             ..LoadStatsResponse::default()
         };
         response.encode_to_vec()
     }
 
+    /// Decodes a `LoadStatsResponse`.
+    ///
+    /// # Errors
+    ///
+    /// The message is no `LoadStatsResponse`.
     pub fn decode(bytes: &[u8]) -> Result<Self, Status> {
         let response: LoadStatsResponse = decoded(bytes, "LoadStatsResponse")?;
-        let interval = span_in(response.load_reporting_interval.as_ref());
-        Ok(LoadAnswer { interval, by_endpoint: response.report_endpoint_granularity })
+        let interval = decode_duration(response.load_reporting_interval.as_ref());
+        Ok(LoadReportConfig { interval, by_endpoint: response.report_endpoint_granularity })
     }
 }
--- a/crates/xds/src/services.rs
+++ b/crates/xds/src/routing.rs
@@ -22,10 +22,10 @@
 
 use crate::{decoded, types};
 
-/// Failures that prove that a try never ran.
-const PROOF: &str = "connect-failure,refused-stream";
+/// Failures that prove that an attempt was not executed.
+const NOT_EXECUTED: &str = "connect-failure,refused-stream";
 /// Any failure.
-const FAILURE: &str = "5xx,reset,connect-failure,refused-stream,cancelled,deadline-exceeded,unavailable";
+const ANY_FAILURE: &str = "5xx,reset,connect-failure,refused-stream,cancelled,deadline-exceeded,unavailable";
 
 pub(crate) fn from_ads() -> ConfigSource {
     ConfigSource {
@@ -67,16 +67,16 @@
     Any { type_url: types::CLUSTER.into(), value: cluster.encode_to_vec() }
 }
 
-fn retries(further: interface::RetryPolicy) -> Option<RetryPolicy> {
-    let (retry_on, most) = match further {
+fn encode_retries(policy: interface::RetryPolicy) -> Option<RetryPolicy> {
+    let (retry_on, count) = match policy {
         interface::RetryPolicy::Never => return None,
-        interface::RetryPolicy::IfNotExecuted => (PROOF, 1),
-        interface::RetryPolicy::Once => (FAILURE, 1),
-        interface::RetryPolicy::Twice => (FAILURE, 2),
+        interface::RetryPolicy::IfNotExecuted => (NOT_EXECUTED, 1),
+        interface::RetryPolicy::Once => (ANY_FAILURE, 1),
+        interface::RetryPolicy::Twice => (ANY_FAILURE, 2),
     };
     Some(RetryPolicy {
         retry_on: retry_on.into(),
-        num_retries: Some(UInt32Value { value: most }),
+        num_retries: Some(UInt32Value { value: count }),
         ..RetryPolicy::default()
     })
 }
@@ -87,7 +87,7 @@
     prefix: &str,
     operations: impl Iterator<Item = (&'a str, interface::RetryPolicy)>,
 ) -> Any {
-    let route = |(operation, further): (&str, interface::RetryPolicy)| Route {
+    let route = |(operation, policy): (&str, interface::RetryPolicy)| Route {
         name: operation.into(),
         r#match: Some(RouteMatch {
             path_specifier: Some(PathSpecifier::Path(format!("{prefix}{operation}"))),
@@ -95,7 +95,7 @@
         }),
         action: Some(route::Action::Route(RouteAction {
             cluster_specifier: Some(ClusterSpecifier::Cluster(operation.into())),
-            retry_policy: retries(further),
+            retry_policy: encode_retries(policy),
             ..RouteAction::default()
         })),
         ..Route::default()
@@ -111,27 +111,32 @@
     Any { type_url: types::ROUTES.into(), value: routes.encode_to_vec() }
 }
 
-/// Client side: what the routes say of further tries, by operation.
-pub fn read_retries(any: &Any) -> Result<Vec<(String, interface::RetryPolicy)>, Status> {
+/// The retry policies in routes, by operation.
+///
+/// # Errors
+///
+/// The message is no `RouteConfiguration`.
+pub fn decode_retries(any: &Any) -> Result<Vec<(String, interface::RetryPolicy)>, Status> {
     let routes: RouteConfiguration = decoded(&any.value, "RouteConfiguration")?;
     let mut found = Vec::new();
     for route in routes.virtual_hosts.iter().flat_map(|host| &host.routes) {
         let Some(route::Action::Route(action)) = &route.action else { continue };
         let Some(ClusterSpecifier::Cluster(cluster)) = &action.cluster_specifier else { continue };
-        let most = |policy: &RetryPolicy| policy.num_retries.as_ref().map_or(1, |number| number.value);
-        let further = match &action.retry_policy {
+        let max_retries =
+            |retries: &RetryPolicy| retries.num_retries.as_ref().map_or(1, |number| number.value);
+        let policy = match &action.retry_policy {
             None => interface::RetryPolicy::Never,
-            Some(policy) if most(policy) == 0 => interface::RetryPolicy::Never,
-            // What is not known to be proof alone counts as any failure.
+            Some(policy) if max_retries(policy) == 0 => interface::RetryPolicy::Never,
+            // Conditions that do not all prove that nothing was executed count as any failure.
             Some(policy)
-                if policy.retry_on.split(',').all(|on| PROOF.split(',').any(|proof| proof == on)) =>
+                if policy.retry_on.split(',').all(|on| NOT_EXECUTED.split(',').any(|proof| proof == on)) =>
             {
                 interface::RetryPolicy::IfNotExecuted
             }
-            Some(policy) if most(policy) == 1 => interface::RetryPolicy::Once,
+            Some(policy) if max_retries(policy) == 1 => interface::RetryPolicy::Once,
             Some(_) => interface::RetryPolicy::Twice,
         };
-        found.push((cluster.clone(), further));
+        found.push((cluster.clone(), policy));
     }
     Ok(found)
 }
--- a/crates/xds/tests/bytes.rs
+++ b/crates/xds/tests/bytes.rs
@@ -35,9 +35,9 @@
     [field(2, node()), names, long(4, types::ASSIGNMENT)].concat()
 }
 
-fn row(port: u16, weight: f64, health: Health) -> Row {
+fn row(port: u16, weight: f64, health: Health) -> AssignedEndpoint {
     let address = ([127, 0, 0, 1], port).into();
-    Row { address, zone: "a".into(), health, weight, facts: None }
+    AssignedEndpoint { address, zone: "a".into(), health, weight, info: None }
 }
 
 fn response(version: &str, resources: Vec<Resource>, nonce: u64, stamp: u64) -> Response<'_> {
@@ -45,17 +45,23 @@
 }
 
 #[test]
-fn a_request_by_hand_is_understood_and_answered_by_the_book() {
-    let mut serving = Serving::new(Variant::StateOfTheWorld, "us");
-    let asked = serving.hear(&first_request(&["x", "y"])).unwrap();
-    let node = NodeFacts { id: "f-1".into(), zone: "a".into(), ..NodeFacts::default() };
+fn hand_assembled_request_is_decoded_and_answered_as_specified() {
+    let mut serving = ServerStream::new(Variant::StateOfTheWorld, "us");
+    let asked = serving.handle(&first_request(&["x", "y"])).unwrap();
+    let node = NodeInfo { id: "f-1".into(), zone: "a".into(), ..NodeInfo::default() };
     let type_url = types::ASSIGNMENT.to_owned();
     let names = Some(vec!["x".to_owned(), "y".to_owned()]);
-    assert_eq!(asked, [Asked::Node(node), Asked::Wants { type_url: type_url.clone(), names }]);
-    let table =
-        Assignment { cluster: "x".into(), rows: vec![row(80, 0.0002, Health::Draining)], admitted: 0.75 };
+    assert_eq!(
+        asked,
+        [ClientRequest::Node(node), ClientRequest::Subscribe { type_url: type_url.clone(), names }]
+    );
+    let table = Assignment {
+        cluster: "x".into(),
+        endpoints: vec![row(80, 0.0002, Health::Draining)],
+        admitted: 0.75,
+    };
     let resource = Resource { name: "x".into(), version: "1".into(), any: table.encode() };
-    let said = serving.say(response("v1", vec![resource], 5, 77));
+    let said = serving.encode_response(response("v1", vec![resource], 5, 77));
     // ClusterLoadAssignment { cluster_name = 1, endpoints = 2, policy = 4 }.
     let socket = [field(2, "127.0.0.1"), varint(3, 80)].concat();
     let endpoint = [
@@ -78,16 +84,16 @@
     // ACK: version_info = 1, names, type_url, response_nonce = 5.
     let ack =
         [field(1, "v1"), field(3, "x"), field(3, "y"), long(4, types::ASSIGNMENT), field(5, "5@77")].concat();
-    assert_eq!(serving.hear(&ack).unwrap(), [Asked::Holds { type_url: type_url.clone(), nonce: 5 }]);
+    assert_eq!(serving.handle(&ack).unwrap(), [ClientRequest::Ack { type_url: type_url.clone(), nonce: 5 }]);
     // NACK of the next: error_detail = 6 { message = 2 }.
-    serving.say(response("v2", vec![], 9, 0));
+    serving.encode_response(response("v2", vec![], 9, 0));
     let nack = [ack[..ack.len() - 6].to_vec(), field(5, "9@0"), field(6, field(2, "no"))].concat();
     assert_eq!(
-        serving.hear(&nack).unwrap(),
-        [Asked::TurnedDown { type_url, nonce: 9, why: "no".into() }],
+        serving.handle(&nack).unwrap(),
+        [ClientRequest::Nack { type_url, nonce: 9, reason: "no".into() }],
         "and the subscription stands"
     );
-    assert_eq!(serving.hear(&ack).unwrap(), [], "a nonce of long ago says nothing");
+    assert_eq!(serving.handle(&ack).unwrap(), [], "a nonce of long ago says nothing");
 }
 
 #[rstest]
@@ -98,46 +104,51 @@
     [first_request(&[]), (0..4097).flat_map(|at| field(3, format!("{at}"))).collect()].concat(),
     Code::ResourceExhausted
 )]
-fn what_is_wrong_ends_the_stream_with_a_status(#[case] message: Vec<u8>, #[case] code: Code) {
-    let mut serving = Serving::new(Variant::StateOfTheWorld, "us");
-    assert_eq!(serving.hear(&message).unwrap_err().code, code);
+fn invalid_request_ends_the_stream_with_a_status(#[case] message: Vec<u8>, #[case] code: Code) {
+    let mut serving = ServerStream::new(Variant::StateOfTheWorld, "us");
+    assert_eq!(serving.handle(&message).unwrap_err().code, code);
 }
 
 #[rstest]
 #[case(Variant::StateOfTheWorld)]
 #[case(Variant::Incremental)]
-fn both_sides_agree_over_a_break(#[case] variant: Variant) {
-    let node = NodeFacts { id: "f".into(), zone: "a".into(), rate: 2.5, standing_only: true, lines: false };
-    let mut client = Subscribing::new(variant, node.clone());
-    let opening = client.want(types::ASSIGNMENT, ["x".to_owned()]);
+fn both_sides_agree_after_a_reconnect(#[case] variant: Variant) {
+    let node = NodeInfo { id: "f".into(), zone: "a".into(), rate: 2.5, is_new: true, supports_lines: false };
+    let mut client = ClientStream::new(variant, node.clone());
+    let opening = client.subscribe(types::ASSIGNMENT, ["x".to_owned()]);
     for round in 0..3_u64 {
-        let mut serving = Serving::new(variant, "us");
+        let mut serving = ServerStream::new(variant, "us");
         let messages = if round == 0 { vec![opening.clone()] } else { client.reopen() };
-        let asked: Vec<Asked> = messages.iter().flat_map(|message| serving.hear(message).unwrap()).collect();
-        let wants = Asked::Wants { type_url: types::ASSIGNMENT.into(), names: Some(vec!["x".into()]) };
-        assert_eq!(asked, [Asked::Node(node.clone()), wants]);
-        assert!(serving.wants(types::ASSIGNMENT, "x") && !serving.wants(types::ASSIGNMENT, "z"));
-        let table = Assignment { cluster: "x".into(), rows: vec![row(1, 1.5, Health::Ready)], admitted: 1.0 };
+        let asked: Vec<ClientRequest> =
+            messages.iter().flat_map(|message| serving.handle(message).unwrap()).collect();
+        let wants =
+            ClientRequest::Subscribe { type_url: types::ASSIGNMENT.into(), names: Some(vec!["x".into()]) };
+        assert_eq!(asked, [ClientRequest::Node(node.clone()), wants]);
+        assert!(
+            serving.is_subscribed(types::ASSIGNMENT, "x") && !serving.is_subscribed(types::ASSIGNMENT, "z")
+        );
+        let table =
+            Assignment { cluster: "x".into(), endpoints: vec![row(1, 1.5, Health::Ready)], admitted: 1.0 };
         let resource = Resource { name: "x".into(), version: "7".into(), any: table.encode() };
-        let said = serving.say(response("v", vec![resource], round + 1, 99));
-        let update = client.hear(&said).unwrap();
-        assert_eq!((update.stamp(), update.from.as_str()), (Some((round + 1, 99)), "us"));
+        let said = serving.encode_response(response("v", vec![resource], round + 1, 99));
+        let update = client.handle(&said).unwrap();
+        assert_eq!((update.stamp(), update.control_plane.as_str()), (Some((round + 1, 99)), "us"));
         assert_eq!(Assignment::decode(&update.resources[0]).unwrap(), table);
-        let holds = Asked::Holds { type_url: types::ASSIGNMENT.into(), nonce: round + 1 };
-        assert_eq!(serving.hear(&client.accept(&update)).unwrap(), [holds]);
-        let again = serving.say(response("w", vec![], round + 2, 0));
-        let update = client.hear(&again).unwrap();
-        let answer = serving.hear(&client.turn_down(&update, "no".into())).unwrap();
-        assert!(matches!(&answer[..], [Asked::TurnedDown { why, .. }] if why == "no"));
+        let holds = ClientRequest::Ack { type_url: types::ASSIGNMENT.into(), nonce: round + 1 };
+        assert_eq!(serving.handle(&client.ack(&update)).unwrap(), [holds]);
+        let again = serving.encode_response(response("w", vec![], round + 2, 0));
+        let update = client.handle(&again).unwrap();
+        let answer = serving.handle(&client.nack(&update, "no".into())).unwrap();
+        assert!(matches!(&answer[..], [ClientRequest::Nack { reason: why, .. }] if why == "no"));
     }
 }
 
 #[test]
-fn a_load_report_by_hand_is_understood() {
+fn hand_assembled_load_report_is_decoded() {
     // LoadStatsRequest { node = 1, cluster_stats = 2 }, ClusterStats { cluster_name = 1,
     // upstream_locality_stats = 2, total_dropped_requests = 3, load_report_interval = 4 }.
     let double = |value: f64| [vec![3 << 3 | 1], value.to_le_bytes().to_vec()].concat();
-    let metric = [field(1, ANSWER_TIME), varint(2, 4), double(100.0)].concat();
+    let metric = [field(1, RESPONSE_TIME_METRIC), varint(2, 4), double(100.0)].concat();
     let address = field(1, [field(2, "127.0.0.1"), varint(3, 80)].concat());
     let endpoint = [field(1, address), varint(2, 4), varint(4, 3), field(5, metric), varint(7, 7)].concat();
     let locality = [field(1, field(2, "a")), varint(2, 4), varint(4, 3), field(7, endpoint)].concat();
@@ -149,15 +160,18 @@
     assert_eq!(report.node.unwrap().id, "f-1");
     let cluster = &report.clusters[0];
     assert_eq!(
-        (cluster.issued, cluster.errored, cluster.dropped, cluster.interval),
+        (cluster.issued, cluster.failures, cluster.dropped, cluster.interval),
         (7, 3, 2, 1_000_000_000)
     );
     let load = &cluster.endpoints[0];
-    assert_eq!((load.succeeded, load.errored, load.timed, load.time), (4, 3, 4, 100_000_000));
+    assert_eq!(
+        (load.successes, load.failures, load.timed_responses, load.response_time_sum),
+        (4, 3, 4, 100_000_000)
+    );
     // LoadStatsResponse { load_reporting_interval = 2, report_endpoint_granularity = 3, send_all_clusters = 4 }.
-    let answer = LoadAnswer { interval: 2_000_000_000, by_endpoint: true };
+    let answer = LoadReportConfig { interval: 2_000_000_000, by_endpoint: true };
     assert_eq!(answer.encode(), [field(2, varint(1, 2)), varint(3, 1), varint(4, 1)].concat());
-    assert_eq!(LoadAnswer::decode(&answer.encode()).unwrap(), answer);
+    assert_eq!(LoadReportConfig::decode(&answer.encode()).unwrap(), answer);
 }
 
 #[rstest]
@@ -165,42 +179,42 @@
 #[case(RetryPolicy::IfNotExecuted)]
 #[case(RetryPolicy::Once)]
 #[case(RetryPolicy::Twice)]
-fn ways_of_trying_again_travel_as_retry_policies(#[case] further: RetryPolicy) {
+fn retry_policies_survive_encoding(#[case] further: RetryPolicy) {
     let any = routes("l", "/p/", [("x", further), ("y", RetryPolicy::Never)].into_iter());
     let wanted = [("x".to_owned(), further), ("y".to_owned(), RetryPolicy::Never)];
-    assert_eq!(read_retries(&any).unwrap(), wanted);
+    assert_eq!(decode_retries(&any).unwrap(), wanted);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, rng_seed: RngSeed::Fixed(10), ..ProptestConfig::default() })]
     #[test]
-    fn nothing_that_comes_is_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), delta: bool) {
+    fn arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), delta: bool) {
         let variant = if delta { Variant::Incremental } else { Variant::StateOfTheWorld };
-        let mut serving = Serving::new(variant, "us");
-        let _ = serving.hear(&bytes);
-        let mut client = Subscribing::new(variant, NodeFacts::default());
-        client.want(types::ASSIGNMENT, ["x".to_owned()]);
-        let _ = client.hear(&bytes);
+        let mut serving = ServerStream::new(variant, "us");
+        let _ = serving.handle(&bytes);
+        let mut client = ClientStream::new(variant, NodeInfo::default());
+        client.subscribe(types::ASSIGNMENT, ["x".to_owned()]);
+        let _ = client.handle(&bytes);
         let _ = LoadReport::decode(&bytes);
-        let _ = LoadAnswer::decode(&bytes);
+        let _ = LoadReportConfig::decode(&bytes);
         let _ = Assignment::decode(&Any { type_url: types::ASSIGNMENT.into(), value: bytes });
     }
 
     #[test]
-    fn any_table_comes_back_within_rounding(
+    fn any_table_is_decoded_within_rounding(
         rows in prop::collection::vec((1_u16..9999, 1e-6..1e7_f64, 0..3_u8), 0..20),
         admitted in 0.0..1.0_f64,
     ) {
         let health = [Health::Ready, Health::Draining, Health::Unhealthy];
-        let rows: Vec<Row> =
+        let rows: Vec<AssignedEndpoint> =
             rows.into_iter().map(|(port, weight, of)| row(port, weight, health[usize::from(of)])).collect();
         let sum: f64 = rows.iter().map(|row| row.weight).sum();
-        let table = Assignment { cluster: "x".into(), rows, admitted };
+        let table = Assignment { cluster: "x".into(), endpoints: rows, admitted };
         let back = Assignment::decode(&table.encode()).unwrap();
         prop_assert!((back.admitted - admitted).abs() < 1e-6);
-        prop_assert_eq!(back.rows.len(), table.rows.len());
-        let unit = back.rows.iter().map(|row| row.weight).sum::<f64>() / sum;
-        for (got, told) in back.rows.iter().zip(&table.rows) {
+        prop_assert_eq!(back.endpoints.len(), table.endpoints.len());
+        let unit = back.endpoints.iter().map(|row| row.weight).sum::<f64>() / sum;
+        for (got, told) in back.endpoints.iter().zip(&table.endpoints) {
             prop_assert_eq!((got.address, got.health), (told.address, told.health));
             prop_assert!(got.weight > 0.0, "no sound server becomes nothing");
             prop_assert!((got.weight - told.weight * unit).abs() <= 0.0002 + 0.001 * got.weight.max(told.weight * unit));
