--- a/crates/cli/src/group_command.rs
+++ b/crates/cli/src/group_command.rs
@@ -9,8 +9,10 @@
 use clap::{Args, Subcommand};
 use serde_json::Value;
 use shalereel_fault_scenarios::{order_at, standing};
-use shalereel_group::sim::{play, Script, Tally, Violation};
-use shalereel_group::wire::{Act, Move, Order, Release, Seat, SeatChange};
+use shalereel_group::sim::{play, ScheduleSettings, ScheduleStats, Violation};
+use shalereel_group::wire::{
+    CommandPayload, MemberAddress, MembershipChange, MoveRange, OperatorOrder, ReleaseOrder,
+};
 
 #[derive(Subcommand)]
 pub enum OrderCommand {
@@ -107,25 +109,33 @@
 
 pub fn order(at: SocketAddr, order: &OrderCommand) -> Result<()> {
     let act = match order {
-        OrderCommand::Drain { server, locality: name } => {
-            Act::Order(Order { server: *server, locality: locality(at, name)?, hold: None })
-        }
+        OrderCommand::Drain { server, locality: name } => CommandPayload::OperatorOrder(OperatorOrder {
+            server: *server,
+            locality: locality(at, name)?,
+            weight_cap_millionths: None,
+        }),
         OrderCommand::Hold { server, locality: name, part } => {
             if !(*part > 0.0 && *part <= 1.0) {
                 bail!("{part} is no part; give a number above 0 and up to 1, or drain the server");
             }
             let hold = Some((part * 1e6).ceil() as u32);
-            Act::Order(Order { server: *server, locality: locality(at, name)?, hold })
+            CommandPayload::OperatorOrder(OperatorOrder {
+                server: *server,
+                locality: locality(at, name)?,
+                weight_cap_millionths: hold,
+            })
+        }
+        OrderCommand::Release { order } => CommandPayload::ReleaseOrder(ReleaseOrder { order_index: *order }),
+        OrderCommand::Move { range, server } => {
+            CommandPayload::MoveRange(MoveRange { range: *range, to_server: *server, epoch: 0 })
         }
-        OrderCommand::Release { order } => Act::Release(Release { order: *order }),
-        OrderCommand::Move { range, server } => Act::Move(Move { range: *range, to: *server, epoch: 0 }),
         OrderCommand::SeatIn { number, address } => {
-            let seat = Some(Seat { number: *number, address: address.to_string() });
-            Act::Seat(SeatChange { seat, out: false })
+            let seat = Some(MemberAddress { id: *number, address: address.to_string() });
+            CommandPayload::ChangeMembership(MembershipChange { member: seat, removed: false })
         }
         OrderCommand::SeatOut { number } => {
-            let seat = Some(Seat { number: *number, address: String::new() });
-            Act::Seat(SeatChange { seat, out: true })
+            let seat = Some(MemberAddress { id: *number, address: String::new() });
+            CommandPayload::ChangeMembership(MembershipChange { member: seat, removed: true })
         }
     };
     println!("agreed: {}", order_at(at, act)?);
@@ -134,10 +144,11 @@
 
 /// Exit 1 at the first schedule that breaks something; it is named by its seed.
 pub fn rehearse(arguments: &RehearseArguments) -> ExitCode {
-    let script = Script { nodes: arguments.nodes, batch: arguments.batch, ..Script::default() };
+    let script =
+        ScheduleSettings { nodes: arguments.nodes, batch: arguments.batch, ..ScheduleSettings::default() };
     let next = AtomicU64::new(0);
     let found: Mutex<Option<Violation>> = Mutex::new(None);
-    let sum: Mutex<Tally> = Mutex::new(Tally::default());
+    let sum: Mutex<ScheduleStats> = Mutex::new(ScheduleStats::default());
     std::thread::scope(|scope| {
         for _ in 0..arguments.threads.max(1) {
             scope.spawn(|| loop {
--- a/crates/cli/src/group_measure.rs
+++ b/crates/cli/src/group_measure.rs
@@ -9,8 +9,8 @@
 use anyhow::{bail, Context, Result};
 use serde_json::Value;
 use shalereel_fault_scenarios::{standing, Day, Stage};
-use shalereel_group::wire::{Act, Command, Entry, Kept, Record, Release};
-use shalereel_group::{encode, HEAD};
+use shalereel_group::wire::{Command, CommandPayload, Entry, RecordKind, ReleaseOrder, StoredRecord};
+use shalereel_group::{encode, LOG_FILE_HEAD};
 use shalereel_journal::frame;
 use shalereel_xds_supervisor::{Block, Keeper, LOG};
 
@@ -122,10 +122,15 @@
     Ok(())
 }
 
-fn records(at: u64) -> Vec<Record> {
-    let act = Some(Act::Release(Release { order: at }));
-    let entry = Entry { index: at, term: 1, command: Some(Command { request: at, act }), seats: None };
-    vec![Record { kept: Some(Kept::Entry(entry)) }]
+fn records(at: u64) -> Vec<StoredRecord> {
+    let act = Some(CommandPayload::ReleaseOrder(ReleaseOrder { order_index: at }));
+    let entry = Entry {
+        index: at,
+        term: 1,
+        command: Some(Command { request_id: at, payload: act }),
+        configuration: None,
+    };
+    vec![StoredRecord { kind: Some(RecordKind::Entry(entry)) }]
 }
 
 /// Entries a second through the keeper, which syncs what has come together, beside bare writes of the same bytes.
@@ -134,7 +139,7 @@
     fs::create_dir_all(&folder)?;
     let (ours, theirs) = UnixStream::pair()?;
     theirs.set_nonblocking(true)?;
-    let keeper = Keeper::open(&folder, LOG, HEAD, None, theirs)?;
+    let keeper = Keeper::open(&folder, LOG, LOG_FILE_HEAD, None, theirs)?;
     let block = |number| Block { number, whole: false, parts: vec![encode(&records(number)).into()] };
     let wait = |number: u64| -> Result<()> {
         let begun = Instant::now();
--- a/crates/cli/tests/shared.rs
+++ b/crates/cli/tests/shared.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use serde_json::Value;
 use shalereel_fault_scenarios::{order_at, play, standing, Day, Rule, Stage, Verdict};
-use shalereel_group::wire::{Act, Order, Release, Seat, SeatChange};
+use shalereel_group::wire::{CommandPayload, MemberAddress, MembershipChange, OperatorOrder, ReleaseOrder};
 use shalereel_xds_supervisor::LOG;
 
 const SHARED: &str = "[shared]\nelection_ms = 400.0\ndrift = 0.01\nranges = 6\ntenure_ms = 800.0\n\
@@ -96,8 +96,8 @@
     until(stage, |number, told| (told["state"] == "leads" && told["duties"][0].is_object()).then_some(number))
 }
 
-fn drain(server: u32) -> Act {
-    Act::Order(Order { server, locality: 0, hold: None })
+fn drain(server: u32) -> CommandPayload {
+    CommandPayload::OperatorOrder(OperatorOrder { server, locality: 0, weight_cap_millionths: None })
 }
 
 #[test]
@@ -130,7 +130,7 @@
     assert!(
         stands(&standing(stage.address(first)).unwrap()) || stands(&standing(stage.address(last)).unwrap())
     );
-    order_at(stage.address(last), Act::Release(Release { order })).unwrap();
+    order_at(stage.address(last), CommandPayload::ReleaseOrder(ReleaseOrder { order_index: order })).unwrap();
     until(&stage, |_, told| told["orders"].as_array().is_some_and(Vec::is_empty).then_some(()));
     stage.close().unwrap();
     let _ = std::fs::remove_dir_all(folder);
@@ -161,8 +161,12 @@
         .spawn()
         .unwrap();
     let seat = |number, address: String, out| {
-        let seat = Some(Seat { number, address });
-        order_at(stage.address(first), Act::Seat(SeatChange { seat, out })).unwrap();
+        let seat = Some(MemberAddress { id: number, address });
+        order_at(
+            stage.address(first),
+            CommandPayload::ChangeMembership(MembershipChange { member: seat, removed: out }),
+        )
+        .unwrap();
     };
     seat(3, free.to_string(), false);
     let has = |told: &Value, number: usize, seat: &str| {
--- a/crates/fault-scenarios/src/control.rs
+++ b/crates/fault-scenarios/src/control.rs
@@ -5,7 +5,9 @@
 use anyhow::{anyhow, bail, Context, Result};
 use prost::Message;
 use serde_json::Value;
-use shalereel_group::wire::{Act, Command, ControlAnswer, ControlAsk, Order, Release, CONTROL};
+use shalereel_group::wire::{
+    Command, CommandPayload, ControlRequest, ControlResponse, OperatorOrder, ReleaseOrder, CONTROL_PATH,
+};
 use shalereel_reactor::{now, Nanos, SECOND};
 use shalereel_rpc::{Bounds, Code, Hub, Input, Status};
 use shalereel_xds_supervisor::admin::{AdminAnswer, AdminAsk, Back, List, Question, ADMIN};
@@ -15,24 +17,24 @@
 
 /// How things stand at a supervisor. Errors: it is not there, or shares nothing.
 pub fn standing(at: SocketAddr) -> Result<Value> {
-    ask(at, ControlAsk { order: None })
+    ask(at, ControlRequest { command: None })
 }
 
 /// An order. Errors: it was refused, and why.
-pub fn order_at(at: SocketAddr, act: Act) -> Result<Value> {
-    ask(at, ControlAsk { order: Some(Command { request: 0, act: Some(act) }) })
+pub fn order_at(at: SocketAddr, act: CommandPayload) -> Result<Value> {
+    ask(at, ControlRequest { command: Some(Command { request_id: 0, payload: Some(act) }) })
 }
 
 /// Ends the order about a server that is like this one. Errors: none stands.
-pub fn release(at: SocketAddr, order: &Order) -> Result<Value> {
+pub fn release(at: SocketAddr, order: &OperatorOrder) -> Result<Value> {
     let standing = standing(at)?;
-    let does = if order.hold.is_some() { "hold" } else { "drain" };
+    let does = if order.weight_cap_millionths.is_some() { "hold" } else { "drain" };
     let like = |one: &&Value| one["server"] == order.server && one["does"] == does;
     let orders = standing["orders"].as_array().into_iter().flatten();
     let Some(found) = orders.into_iter().find(like).and_then(|one| one["order"].as_u64()) else {
         bail!("no order to {does} server {} stands", order.server);
     };
-    order_at(at, Act::Release(Release { order: found }))
+    order_at(at, CommandPayload::ReleaseOrder(ReleaseOrder { order_index: found }))
 }
 
 /// Asks about tables, or orders a way back. Errors: it is not there, or refused, and why.
@@ -56,9 +58,9 @@
     tables_at(at, Question::Back(Back { version, for_ms, dry_run: false, who, why }))
 }
 
-fn ask(at: SocketAddr, question: ControlAsk) -> Result<Value> {
-    let answer = unary(at, CONTROL, &question.encode_to_vec())?;
-    Ok(serde_json::from_str(&ControlAnswer::decode(&answer[..])?.told)?)
+fn ask(at: SocketAddr, question: ControlRequest) -> Result<Value> {
+    let answer = unary(at, CONTROL_PATH, &question.encode_to_vec())?;
+    Ok(serde_json::from_str(&ControlResponse::decode(&answer[..])?.json)?)
 }
 
 /// One message there and one back.
--- a/crates/fault-scenarios/src/play.rs
+++ b/crates/fault-scenarios/src/play.rs
@@ -7,7 +7,7 @@
 use anyhow::Result;
 use oorandom::Rand64;
 use shalereel::interface::Nanos;
-use shalereel_group::wire::{Act, Move, Order};
+use shalereel_group::wire::{CommandPayload, MoveRange, OperatorOrder};
 use shalereel_reactor::{now, SECOND};
 use shalereel_standins::{read_trace, Command, ListedAs, Seen};
 
@@ -384,7 +384,9 @@
         Action::Move { number, range, to } => {
             let at = stage.address(number);
             std::thread::spawn(move || {
-                if let Err(error) = order_at(at, Act::Move(Move { range, to, epoch: 0 })) {
+                if let Err(error) =
+                    order_at(at, CommandPayload::MoveRange(MoveRange { range, to_server: to, epoch: 0 }))
+                {
                     eprintln!("a move at {at}: {error:#}");
                 }
             });
@@ -394,8 +396,12 @@
             let locality = stage.locality(server);
             // Refused or not, it is for the judge to see what became of it.
             std::thread::spawn(move || {
-                let order = Order { server, locality, hold };
-                let told = if off { release(at, &order) } else { order_at(at, Act::Order(order)) };
+                let order = OperatorOrder { server, locality, weight_cap_millionths: hold };
+                let told = if off {
+                    release(at, &order)
+                } else {
+                    order_at(at, CommandPayload::OperatorOrder(order))
+                };
                 if let Err(error) = told {
                     eprintln!("an order at {at}: {error:#}");
                 }
--- a/crates/group/src/group.rs
+++ b/crates/group/src/group.rs
@@ -5,165 +5,166 @@
 use shalereel::interface::{EndpointReport, Nanos};
 use thiserror::Error;
 
-use crate::choices::{assignments, drains, next_owner, Fit};
-use crate::duties::{Changed, Duties};
-use crate::leases::{Book, Landlord, Lease, RangeLine};
-use crate::members::Members;
-use crate::pace::{Pace, Told, COMPACT};
-use crate::raft::{Raft, Writing};
-use crate::records::Recovered;
-use crate::sums::{digests, told, Merger};
+use crate::fault::InjectedFault;
+use crate::leases::{Lease, LeaseTable, RangeGrantor, RangeRoute};
+use crate::membership::Membership;
+use crate::placement::{assignments, drains, next_owner, ServerAvailability};
+use crate::raft::{LogWrite, Raft};
+use crate::report_merge::{digests, told, ReportMerger};
+use crate::state_machine::{AppliedChange, StateMachine};
+use crate::storage::StoredLog;
+use crate::timing::{Timing, TimingSettings, SNAPSHOT_EVERY_ENTRIES};
 use crate::wire::{
-    Act, Assign, Begin, Body, Cleared, Command, Duty, Entry, Envelope, Epoch, Give, Index, Move, Node,
-    Others, Propose, Renew, Renewed, Seat, Seats, Standing,
+    AssignDuty, AssignRange, BeginDrain, Body, Command, CommandPayload, Configuration, Duty, Entry, Envelope,
+    Epoch, LeaseGrant, LeaseRequest, LogIndex, MemberAddress, MemberId, MemberStatus, MoveRange, PeerReports,
+    Proposal, RangeCleared,
 };
-use crate::Planted;
 
 /// What a member is told at its start.
 #[derive(Clone, Debug)]
-pub struct Charter {
-    pub me: Node,
+pub struct GroupConfig {
+    pub id: MemberId,
     /// Where others reach it.
     pub address: String,
     /// Of the group; members of groups of other names are not heard.
     pub name: String,
     /// The voters that the group began with.
-    pub seats: Vec<Seat>,
+    pub initial_voters: Vec<MemberAddress>,
     /// It comes later and is taken in by an order; until then it only learns who is there.
     pub joining: bool,
-    pub told: Told,
+    pub timing: TimingSettings,
     pub seed: u64,
     /// What there is to be held.
     pub duties: Vec<Duty>,
-    pub planted: Option<Planted>,
+    pub injected_fault: Option<InjectedFault>,
 }
 
 /// What the shell is to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Effect {
+pub enum Action {
     Send {
-        to: Node,
+        to: MemberId,
         address: String,
         envelope: Envelope,
     },
     /// To be kept and synced, then [`Group::stored`].
-    Write(Writing),
+    Store(LogWrite),
     /// An operator's request is in force, or never will be by this way.
     Answer {
         ticket: u64,
-        result: Result<Index, Refusal>,
+        result: Result<LogIndex, OrderError>,
     },
-    Changed(Changed),
+    Applied(AppliedChange),
     /// A leader's snapshot stands in place of all changes up to it.
-    Restored,
+    SnapshotRestored,
     /// What all others met of late.
-    Others(Vec<EndpointReport>),
-    Remark(String),
+    PeerReports(Vec<EndpointReport>),
+    Log(String),
 }
 
 /// Why an order was not taken.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum Refusal {
-    #[error("no leader is known: {there} of {seats} controllers are reached, {needed} are needed; nothing was ordered")]
-    NoLeader { there: usize, seats: usize, needed: usize },
+pub enum OrderError {
+    #[error("no leader is known: {reachable} of {configured} controllers are reached, {quorum} are needed; nothing was ordered")]
+    NoLeader { reachable: usize, configured: usize, quorum: usize },
     #[error(
         "not agreed in time; it may still come into force: look at the duties before it is ordered again"
     )]
-    Late,
+    TimedOut,
     #[error("{0}")]
-    Stale(&'static str),
+    Rejected(&'static str),
     #[error("this controller's log cannot be written; order by another one")]
-    Broken,
+    StorageFailed,
 }
 
 /// How a member stands to its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    Leads,
-    Follows(Node),
+pub enum MemberRole {
+    Leader,
+    Follower(MemberId),
     /// It reaches no leader: published tables and its own rules go on, orders are refused.
-    Alone,
+    NoLeader,
     /// Its log cannot be written.
-    Broken,
+    StorageFailed,
 }
 
 #[derive(Debug)]
-struct Pending {
+struct PendingCommand {
     command: Command,
-    until: Nanos,
+    expires_at: Nanos,
     ticket: Option<u64>,
-    sent: Option<Nanos>,
-    term: u64,
+    sent_at: Option<Nanos>,
+    sent_in_term: u64,
 }
 
 /// One member of a group.
 #[derive(Debug)]
 pub struct Group {
-    charter: Charter,
-    pace: Pace,
-    hash: u64,
+    config: GroupConfig,
+    timing: Timing,
+    group_hash: u64,
     raft: Raft,
-    members: Members,
-    duties: Duties,
-    applied: Index,
+    membership: Membership,
+    state_machine: StateMachine,
+    last_applied: LogIndex,
     lease: Lease,
-    renew_at: Nanos,
-    book: Option<Book>,
-    landlord: Landlord,
-    merger: Merger,
-    others_epoch: Epoch,
-    fits: BTreeMap<u32, Fit>,
-    pending: BTreeMap<u64, Pending>,
-    requests: u64,
-    look_at: Nanos,
-    state: State,
-    effects: Vec<Effect>,
+    renew_lease_at: Nanos,
+    lease_table: Option<LeaseTable>,
+    range_grantor: RangeGrantor,
+    report_merger: ReportMerger,
+    reports_epoch: Epoch,
+    servers: BTreeMap<u32, ServerAvailability>,
+    pending: BTreeMap<u64, PendingCommand>,
+    last_request_id: u64,
+    review_at: Nanos,
+    role: MemberRole,
+    actions: Vec<Action>,
 }
 
 impl Group {
     /// `kept`: what its file said, or nothing at a first start.
-    pub fn new(charter: Charter, now: Nanos, kept: Option<Recovered>) -> Self {
-        let pace = Pace::new(charter.told);
-        let seats = Seats { voters: charter.seats.clone(), learners: Vec::new() };
-        let begun = if charter.joining { Seats::default() } else { seats };
+    pub fn new(config: GroupConfig, now: Nanos, kept: Option<StoredLog>) -> Self {
+        let timing = Timing::new(config.timing);
+        let seats = Configuration { voters: config.initial_voters.clone(), learners: Vec::new() };
+        let begun = if config.joining { Configuration::default() } else { seats };
         let mut kept = kept.unwrap_or_default();
-        if kept.base.index == 0 {
-            kept.base.seats = Some(begun);
+        if kept.snapshot.last_included_index == 0 {
+            kept.snapshot.configuration = Some(begun);
         }
-        let state = Duties::decode(&kept.base.state);
-        let (planted, seed) = (charter.planted, charter.seed);
-        let applied = kept.base.index;
-        let raft = Raft::new(charter.me, now, kept, pace, seed, planted);
-        let seeds: Vec<(Node, String)> =
-            charter.seats.iter().map(|seat| (seat.number, seat.address.clone())).collect();
-        let members = Members::new(charter.me, &charter.address, raft.boot(), &seeds, pace, seed);
-        let hash = u64::from(crc32c::crc32c(charter.name.as_bytes()));
-        let requests = (u64::from(charter.me) + 1) << 48 | (raft.boot() & 0xffff) << 32;
+        let state = StateMachine::decode(&kept.snapshot.state);
+        let (injected_fault, seed) = (config.injected_fault, config.seed);
+        let applied = kept.snapshot.last_included_index;
+        let raft = Raft::new(config.id, now, kept, timing, seed, injected_fault);
+        let seeds: Vec<(MemberId, String)> =
+            config.initial_voters.iter().map(|seat| (seat.id, seat.address.clone())).collect();
+        let members = Membership::new(config.id, &config.address, raft.boot(), &seeds, timing, seed);
+        let hash = u64::from(crc32c::crc32c(config.name.as_bytes()));
+        let requests = (u64::from(config.id) + 1) << 48 | (raft.boot() & 0xffff) << 32;
         let mut group = Group {
-            pace,
-            hash,
+            timing,
+            group_hash: hash,
             raft,
-            members,
-            duties: state.unwrap_or_default(),
-            applied,
+            membership: members,
+            state_machine: state.unwrap_or_default(),
+            last_applied: applied,
             lease: Lease::default(),
-            renew_at: now,
-            book: None,
-            landlord: Landlord::new(&pace, now),
-            merger: Merger::default(),
-            others_epoch: 0,
-            fits: BTreeMap::new(),
+            renew_lease_at: now,
+            lease_table: None,
+            range_grantor: RangeGrantor::new(&timing, now),
+            report_merger: ReportMerger::default(),
+            reports_epoch: 0,
+            servers: BTreeMap::new(),
             pending: BTreeMap::new(),
-            requests,
-            look_at: now,
-            state: State::Alone,
-            effects: Vec::new(),
-            charter,
+            last_request_id: requests,
+            review_at: now,
+            role: MemberRole::NoLeader,
+            actions: Vec::new(),
+            config,
         };
-        if Duties::decode(group.raft.base_state()).is_err() {
+        if StateMachine::decode(group.raft.snapshot_state()).is_err() {
             // Without it nothing after it means anything: it is learned anew from the leader's snapshot.
-            group.raft.failed();
-            group.remark(
+            group.raft.fail_storage();
+            group.log_event(
                 "the kept state cannot be read; move the file away to take this member in as a new one"
                     .into(),
             );
@@ -171,349 +172,385 @@
         group
     }
 
-    fn remark(&mut self, text: String) {
-        self.effects.push(Effect::Remark(text));
+    fn log_event(&mut self, text: String) {
+        self.actions.push(Action::Log(text));
     }
 
     // What is known.
 
-    pub fn me(&self) -> Node {
-        self.charter.me
+    pub fn id(&self) -> MemberId {
+        self.config.id
     }
 
-    pub fn members(&self) -> &Members {
-        &self.members
+    pub fn membership(&self) -> &Membership {
+        &self.membership
     }
 
-    pub fn duties(&self) -> &Duties {
-        &self.duties
+    pub fn state_machine(&self) -> &StateMachine {
+        &self.state_machine
     }
 
-    pub fn seats(&self) -> Seats {
-        self.raft.seats()
+    pub fn configuration(&self) -> Configuration {
+        self.raft.configuration()
     }
 
     /// Term, last entry, committed, carried out, begin of the log.
-    pub fn log(&self) -> (u64, Index, Index, Index, Index) {
-        (self.raft.term(), self.raft.last(), self.raft.commit(), self.applied, self.raft.base())
+    pub fn log_status(&self) -> (u64, LogIndex, LogIndex, LogIndex, LogIndex) {
+        (
+            self.raft.term(),
+            self.raft.last_index(),
+            self.raft.commit_index(),
+            self.last_applied,
+            self.raft.snapshot_index(),
+        )
     }
 
-    pub fn state(&self) -> State {
-        self.state
+    pub fn role(&self) -> MemberRole {
+        self.role
     }
 
-    pub fn leads(&self) -> bool {
-        self.raft.leads()
+    pub fn is_leader(&self) -> bool {
+        self.raft.is_leader()
     }
 
     /// May it give forwarders lines of ranges at this moment?
-    pub fn may_lease(&self, now: Nanos) -> bool {
-        self.lease.holds(now, self.applied) || self.charter.planted == Some(Planted::NoFence)
+    pub fn may_grant_ranges(&self, now: Nanos) -> bool {
+        self.lease.is_valid(now, self.last_applied)
+            || self.config.injected_fault == Some(InjectedFault::NoFence)
     }
 
     /// The highest epoch of any operation's table: what all that is published carries at least.
-    pub fn fence(&self) -> Epoch {
-        let tables = self.duties.duties().iter().filter(|(duty, _)| matches!(duty, Duty::Table(_)));
+    pub fn min_table_epoch(&self) -> Epoch {
+        let tables =
+            self.state_machine.duties().iter().filter(|(duty, _)| matches!(duty, Duty::FenceTable(_)));
         tables.map(|(_, held)| held.epoch).max().unwrap_or(0)
     }
 
     pub fn tenure(&self) -> Nanos {
-        self.pace.tenure()
+        self.timing.tenure()
     }
 
     /// When [`Group::turn`] is due.
-    pub fn next(&self) -> Nanos {
-        let cleared = self.landlord.next(&self.pace, &self.duties).unwrap_or(Nanos::MAX);
+    pub fn next_deadline(&self) -> Nanos {
+        let cleared =
+            self.range_grantor.next_deadline(&self.timing, &self.state_machine).unwrap_or(Nanos::MAX);
         self.raft
-            .next()
-            .min(self.members.next())
-            .min(self.look_at)
-            .min(self.renew_at)
-            .min(cleared.max(self.look_at))
+            .next_deadline()
+            .min(self.membership.next_deadline())
+            .min(self.review_at)
+            .min(self.renew_lease_at)
+            .min(cleared.max(self.review_at))
     }
 
     // What comes.
 
     /// A message of another member, in time order with all else.
-    pub fn heard(&mut self, now: Nanos, envelope: Envelope) {
+    pub fn handle_message(&mut self, now: Nanos, envelope: Envelope) {
         let from = envelope.from;
-        if envelope.to != self.charter.me || envelope.group != self.hash || from == self.charter.me {
+        if envelope.to != self.config.id || envelope.group_hash != self.group_hash || from == self.config.id {
             return;
         }
         match envelope.body {
-            Some(Body::Gossip(gossip)) => self.members.heard(now, from, gossip),
-            Some(Body::Propose(Propose { command: Some(command) })) => self.take(now, command),
-            Some(Body::Renew(Renew { sent })) => {
-                let book = self.book.as_mut().filter(|_| self.raft.holds(now));
-                if let Some(book) = book {
-                    book.grant(now, &self.pace, from);
-                    self.send(from, Body::Renewed(Renewed { sent, commit: self.applied }));
+            Some(Body::Gossip(gossip)) => self.membership.handle_gossip(now, from, gossip),
+            Some(Body::Proposal(Proposal { command: Some(command) })) => self.append_command(now, command),
+            Some(Body::LeaseRequest(LeaseRequest { sent_at: sent })) => {
+                let lease_table = self.lease_table.as_mut().filter(|_| self.raft.holds_quorum(now));
+                if let Some(lease_table) = lease_table {
+                    lease_table.grant(now, &self.timing, from);
+                    self.send(
+                        from,
+                        Body::LeaseGrant(LeaseGrant {
+                            request_sent_at: sent,
+                            commit_index: self.last_applied,
+                        }),
+                    );
                 }
             }
-            Some(Body::Renewed(Renewed { sent, commit })) => {
+            Some(Body::LeaseGrant(LeaseGrant { request_sent_at: sent, commit_index: commit })) => {
                 // An answer to a question of a time to come is no answer to ours.
-                self.lease.renewed(&self.pace, sent.min(now), commit);
+                self.lease.renew(&self.timing, sent.min(now), commit);
             }
-            Some(Body::Sums(sums)) => {
-                let members = self.seated();
-                self.merger.add(from, &sums, &members);
+            Some(Body::ReportTotals(sums)) => {
+                let members = self.configured_members();
+                self.report_merger.add(from, &sums, &members);
             }
-            Some(Body::Others(others)) => {
-                let known = self.duties.held(Duty::Reports).map_or(0, |held| held.epoch);
-                let unfenced = self.charter.planted == Some(Planted::NoFence);
-                if others.epoch >= self.others_epoch.max(known) || unfenced {
-                    self.others_epoch = others.epoch;
-                    let rows = digests(&others.sums.unwrap_or_default());
-                    self.effects.push(Effect::Others(rows));
+            Some(Body::PeerReports(others)) => {
+                let known = self.state_machine.assignment(Duty::MergeReports).map_or(0, |held| held.epoch);
+                let unfenced = self.config.injected_fault == Some(InjectedFault::NoFence);
+                if others.epoch >= self.reports_epoch.max(known) || unfenced {
+                    self.reports_epoch = others.epoch;
+                    let rows = digests(&others.totals.unwrap_or_default());
+                    self.actions.push(Action::PeerReports(rows));
                 }
             }
-            Some(body) => self.raft.heard(now, from, body),
+            Some(body) => self.raft.handle_message(now, from, body),
             None => {}
         }
     }
 
     /// All writes up to this one are synced.
-    pub fn stored(&mut self, now: Nanos, number: u64) {
-        self.raft.stored(now, number);
+    pub fn handle_write_done(&mut self, now: Nanos, number: u64) {
+        self.raft.handle_write_done(now, number);
     }
 
     /// The disk refused; nothing is promised any more until a restart.
-    pub fn store_failed(&mut self, why: &str) {
-        self.raft.failed();
-        self.remark(format!(
+    pub fn handle_write_failed(&mut self, why: &str) {
+        self.raft.fail_storage();
+        self.log_event(format!(
             "the group's log cannot be written ({why}): this controller votes and leads no more"
         ));
     }
 
-    /// An operator's order; answered by [`Effect::Answer`] with its ticket.
-    pub fn order(&mut self, now: Nanos, ticket: u64, act: Act) {
-        let refusal = match self.state {
-            State::Broken => Some(Refusal::Broken),
-            State::Alone => {
-                let seats: Vec<Node> = self.seated();
-                let there = seats.iter().filter(|&&seat| self.members.there(seat)).count();
-                Some(Refusal::NoLeader { there, seats: seats.len(), needed: seats.len() / 2 + 1 })
+    /// An operator's order; answered by [`Action::Answer`] with its ticket.
+    pub fn submit_order(&mut self, now: Nanos, ticket: u64, payload: CommandPayload) {
+        let refusal = match self.role {
+            MemberRole::StorageFailed => Some(OrderError::StorageFailed),
+            MemberRole::NoLeader => {
+                let seats: Vec<MemberId> = self.configured_members();
+                let there = seats.iter().filter(|&&seat| self.membership.is_present(seat)).count();
+                Some(OrderError::NoLeader {
+                    reachable: there,
+                    configured: seats.len(),
+                    quorum: seats.len() / 2 + 1,
+                })
             }
             _ => None,
         };
         match refusal {
-            Some(refusal) => self.effects.push(Effect::Answer { ticket, result: Err(refusal) }),
-            None => self.want(now, act, Some(ticket)),
+            Some(refusal) => self.actions.push(Action::Answer { ticket, result: Err(refusal) }),
+            None => self.request_command(now, payload, Some(ticket)),
         }
     }
 
     /// Own reports of one cycle: to whoever merges them.
-    pub fn report<'a>(&mut self, reported: impl Iterator<Item = &'a EndpointReport>) {
-        let Some(held) = self.duties.held(Duty::Reports) else { return };
-        let (me, sums, members) = (self.charter.me, told(reported), self.seated());
+    pub fn handle_reports<'a>(&mut self, reported: impl Iterator<Item = &'a EndpointReport>) {
+        let Some(held) = self.state_machine.assignment(Duty::MergeReports) else { return };
+        let (me, sums, members) = (self.config.id, told(reported), self.configured_members());
         if held.holder != me {
-            return self.send(held.holder, Body::Sums(sums));
+            return self.send(held.holder, Body::ReportTotals(sums));
         }
-        self.merger.add(me, &sums, &members);
+        self.report_merger.add(me, &sums, &members);
         for to in members {
-            let (sums, supervisors) = self.merger.take(to);
+            let (sums, supervisors) = self.report_merger.take(to);
             if to == me {
-                self.effects.push(Effect::Others(digests(&sums)));
-            } else if self.members.there(to) {
-                let others = Others { epoch: held.epoch, sums: Some(sums), supervisors };
-                self.send(to, Body::Others(others));
+                self.actions.push(Action::PeerReports(digests(&sums)));
+            } else if self.membership.is_present(to) {
+                let others = PeerReports { epoch: held.epoch, totals: Some(sums), reporters: supervisors };
+                self.send(to, Body::PeerReports(others));
             }
         }
     }
 
     /// What servers are like, whenever that changed.
-    pub fn servers(&mut self, fits: BTreeMap<u32, Fit>) {
-        self.fits = fits;
+    pub fn update_servers(&mut self, fits: BTreeMap<u32, ServerAvailability>) {
+        self.servers = fits;
     }
 
-    /// A forwarder asks for key ranges: see [`Landlord::asked`].
-    pub fn ranges_asked(
+    /// A forwarder asks for key ranges: see [`RangeGrantor::asked`].
+    pub fn handle_range_request(
         &mut self,
         now: Nanos,
         stream: u64,
         seen: u64,
         holds: &[(u32, Epoch)],
-    ) -> (u64, Option<Vec<RangeLine>>) {
-        let may = self.may_lease(now);
-        self.landlord.asked(now, stream, (seen, holds), &self.duties, may)
+    ) -> (u64, Option<Vec<RangeRoute>>) {
+        let may = self.may_grant_ranges(now);
+        self.range_grantor.handle_request(now, stream, (seen, holds), &self.state_machine, may)
     }
 
-    /// What still stands of key ranges, to be said when one leaves its owner: see [`Landlord::standing`].
-    pub fn ranges_standing(&mut self) -> (u64, Vec<RangeLine>) {
-        self.landlord.standing(&self.duties)
+    /// What still stands of key ranges, to be said when one leaves its owner: see [`RangeGrantor::standing`].
+    pub fn current_routes(&mut self) -> (u64, Vec<RangeRoute>) {
+        self.range_grantor.current_routes(&self.state_machine)
     }
 
     /// Stops in order: others need not find out.
-    pub fn leave(&mut self, now: Nanos) -> Vec<Effect> {
-        self.members.leave(now);
-        self.turn(now)
+    pub fn leave(&mut self, now: Nanos) -> Vec<Action> {
+        self.membership.leave(now);
+        self.poll(now)
     }
 
     // What follows.
 
     /// All that is due, and what is to be done about it.
-    pub fn turn(&mut self, now: Nanos) -> Vec<Effect> {
-        self.members.tick(now);
+    pub fn poll(&mut self, now: Nanos) -> Vec<Action> {
+        self.membership.tick(now);
         self.raft.tick(now);
-        if now >= self.look_at {
-            self.look_at = now + self.pace.heartbeat();
-            self.look(now);
+        if now >= self.review_at {
+            self.review_at = now + self.timing.heartbeat_interval();
+            self.review(now);
         }
-        if now >= self.renew_at {
-            self.renew_at = now + self.pace.renewal();
-            self.renew(now);
+        if now >= self.renew_lease_at {
+            self.renew_lease_at = now + self.timing.lease_renewal_interval();
+            self.renew_lease(now);
         }
         loop {
-            let turn = self.raft.turn();
-            let quiet = turn.sends.is_empty()
-                && turn.writing.is_none()
+            let turn = self.raft.take_output();
+            let quiet = turn.messages.is_empty()
+                && turn.write.is_none()
                 && turn.committed.is_empty()
-                && turn.restored.is_none();
-            self.effects.extend(turn.writing.map(Effect::Write));
-            for (to, body) in turn.sends {
+                && turn.restored_snapshot.is_none();
+            self.actions.extend(turn.write.map(Action::Store));
+            for (to, body) in turn.messages {
                 self.send(to, body);
             }
-            if let Some(base) = turn.restored {
-                self.restored(&base);
+            if let Some(base) = turn.restored_snapshot {
+                self.install_snapshot(&base);
             }
             for entry in turn.committed {
                 self.apply(&entry);
             }
-            self.give_safe(now);
+            self.assign_cleared_ranges(now);
             if quiet {
                 break;
             }
         }
-        if self.applied >= self.raft.base() + COMPACT {
-            self.raft.compact(self.applied, self.duties.encode());
+        if self.last_applied >= self.raft.snapshot_index() + SNAPSHOT_EVERY_ENTRIES {
+            self.raft.compact(self.last_applied, self.state_machine.encode());
         }
-        for change in self.members.changes() {
-            let stands = match change.standing {
-                Standing::Alive => "is there",
-                Standing::Suspect => "does not answer",
-                Standing::Dead => "is held for dead",
-                Standing::Left => "has left",
+        for change in self.membership.take_changes() {
+            let stands = match change.status {
+                MemberStatus::Alive => "is there",
+                MemberStatus::Suspect => "does not answer",
+                MemberStatus::Dead => "is held for dead",
+                MemberStatus::Left => "has left",
             };
-            self.remark(format!("controller {} {stands}", change.number));
+            self.log_event(format!("controller {} {stands}", change.member));
         }
-        for (to, gossip) in self.members.sends() {
+        for (to, gossip) in self.membership.take_messages() {
             self.send(to, Body::Gossip(gossip));
         }
-        self.restate();
-        std::mem::take(&mut self.effects)
+        self.update_role();
+        std::mem::take(&mut self.actions)
     }
 
-    fn restate(&mut self) {
+    fn update_role(&mut self) {
         let state = match self.raft.leader() {
-            _ if self.raft.broken => State::Broken,
-            Some(leader) if leader == self.charter.me => State::Leads,
-            Some(leader) => State::Follows(leader),
-            None => State::Alone,
+            _ if self.raft.storage_failed => MemberRole::StorageFailed,
+            Some(leader) if leader == self.config.id => MemberRole::Leader,
+            Some(leader) => MemberRole::Follower(leader),
+            None => MemberRole::NoLeader,
         };
-        if state != std::mem::replace(&mut self.state, state) {
+        if state != std::mem::replace(&mut self.role, state) {
             let term = self.raft.term();
-            self.remark(match state {
-                State::Leads => format!("leads the group in term {term}"),
-                State::Follows(leader) => format!("follows controller {leader} in term {term}"),
-                State::Alone => {
+            self.log_event(match state {
+                MemberRole::Leader => format!("leads the group in term {term}"),
+                MemberRole::Follower(leader) => format!("follows controller {leader} in term {term}"),
+                MemberRole::NoLeader => {
                     "reaches no leader: tables and rules go on, orders and moves of ranges wait".into()
                 }
-                State::Broken => "takes no part in the group any more".into(),
+                MemberRole::StorageFailed => "takes no part in the group any more".into(),
             });
         }
     }
 
-    fn seated(&self) -> Vec<Node> {
-        let seats = self.raft.seats();
-        seats.voters.iter().chain(&seats.learners).map(|seat| seat.number).collect()
+    fn configured_members(&self) -> Vec<MemberId> {
+        let seats = self.raft.configuration();
+        seats.voters.iter().chain(&seats.learners).map(|seat| seat.id).collect()
     }
 
-    fn send(&mut self, to: Node, body: Body) {
-        let seats = self.raft.seats();
-        let known =
-            |seats: &[Seat]| seats.iter().find(|seat| seat.number == to).map(|seat| seat.address.clone());
+    fn send(&mut self, to: MemberId, body: Body) {
+        let seats = self.raft.configuration();
+        let known = |seats: &[MemberAddress]| {
+            seats.iter().find(|seat| seat.id == to).map(|seat| seat.address.clone())
+        };
         // What this one's own file says is nearest to how it reaches others.
-        let address = known(&self.charter.seats)
-            .or_else(|| self.members.address(to).map(str::to_owned))
+        let address = known(&self.config.initial_voters)
+            .or_else(|| self.membership.address(to).map(str::to_owned))
             .or_else(|| known(&seats.voters))
             .or_else(|| known(&seats.learners));
         if let Some(address) = address {
-            let envelope = Envelope { from: self.charter.me, to, group: self.hash, body: Some(body) };
-            self.effects.push(Effect::Send { to, address, envelope });
+            let envelope =
+                Envelope { from: self.config.id, to, group_hash: self.group_hash, body: Some(body) };
+            self.actions.push(Action::Send { to, address, envelope });
         }
     }
 
-    fn restored(&mut self, base: &crate::wire::Snapshot) {
-        match Duties::decode(&base.state) {
+    fn install_snapshot(&mut self, base: &crate::wire::Snapshot) {
+        match StateMachine::decode(&base.state) {
             Ok(duties) => {
-                self.duties = duties;
-                self.applied = base.index;
-                self.effects.push(Effect::Restored);
-                self.remark(format!("took over all that was agreed up to entry {}", base.index));
+                self.state_machine = duties;
+                self.last_applied = base.last_included_index;
+                self.actions.push(Action::SnapshotRestored);
+                self.log_event(format!(
+                    "took over all that was agreed up to entry {}",
+                    base.last_included_index
+                ));
             }
             Err(error) => {
-                self.raft.failed();
-                self.remark(format!("the leader's snapshot cannot be read ({error})"));
+                self.raft.fail_storage();
+                self.log_event(format!("the leader's snapshot cannot be read ({error})"));
             }
         }
     }
 
     fn apply(&mut self, entry: &Entry) {
-        self.applied = entry.index;
-        self.duties.follows(entry);
+        self.last_applied = entry.index;
+        self.state_machine.append_to_history(entry);
         let Some(command) = &entry.command else { return };
-        let changed = self.duties.apply(entry.index, entry.term, command, self.charter.planted);
-        if let Some(pending) = self.pending.remove(&command.request) {
+        let changed = self.state_machine.apply(entry.index, entry.term, command, self.config.injected_fault);
+        if let Some(pending) = self.pending.remove(&command.request_id) {
             if let Some(ticket) = pending.ticket {
                 let result = match changed {
-                    Changed::Stale(why) => Err(Refusal::Stale(why)),
+                    AppliedChange::Rejected(why) => Err(OrderError::Rejected(why)),
                     _ => Ok(entry.index),
                 };
-                self.effects.push(Effect::Answer { ticket, result });
+                self.actions.push(Action::Answer { ticket, result });
             }
         }
-        self.effects.push(Effect::Changed(changed));
+        self.actions.push(Action::Applied(changed));
     }
 
     /// The leader gives ranges away that nobody can use any more.
-    fn give_safe(&mut self, now: Nanos) {
-        match self.raft.leads_since().filter(|_| self.raft.leads()) {
-            None => self.book = None,
+    fn assign_cleared_ranges(&mut self, now: Nanos) {
+        match self.raft.elected_at().filter(|_| self.raft.is_leader()) {
+            None => self.lease_table = None,
             Some(since) => {
-                let members = self.seated();
-                let book = self.book.get_or_insert_with(|| Book::new(&self.pace, since));
-                let mut safe = book.safe(now, &self.pace, &self.duties, &members);
-                if self.charter.planted == Some(Planted::NoFence) {
-                    let moving = self.duties.ranges().iter();
-                    safe = moving.filter_map(|(&range, o)| Some((range, o.moving.as_ref()?.moved))).collect();
+                let members = self.configured_members();
+                let lease_table =
+                    self.lease_table.get_or_insert_with(|| LeaseTable::new(&self.timing, since));
+                let mut safe =
+                    lease_table.assignable_ranges(now, &self.timing, &self.state_machine, &members);
+                if self.config.injected_fault == Some(InjectedFault::NoFence) {
+                    let moving = self.state_machine.ranges().iter();
+                    safe = moving
+                        .filter_map(|(&range, o)| Some((range, o.pending_move.as_ref()?.move_index)))
+                        .collect();
                 }
                 let term = self.raft.term();
                 for (range, moved) in safe {
-                    self.want(now, Act::Give(Give { range, moved, term }), None);
+                    self.request_command(
+                        now,
+                        CommandPayload::AssignRange(AssignRange { range, move_index: moved, term }),
+                        None,
+                    );
                 }
             }
         }
     }
 
-    fn renew(&mut self, now: Nanos) {
-        if self.raft.holds(now) {
-            if let Some(book) = &mut self.book {
-                book.grant(now, &self.pace, self.charter.me);
-                self.lease.renewed(&self.pace, now, self.applied);
+    fn renew_lease(&mut self, now: Nanos) {
+        if self.raft.holds_quorum(now) {
+            if let Some(lease_table) = &mut self.lease_table {
+                lease_table.grant(now, &self.timing, self.config.id);
+                self.lease.renew(&self.timing, now, self.last_applied);
             }
-        } else if let Some(leader) = self.raft.leader().filter(|&leader| leader != self.charter.me) {
-            self.send(leader, Body::Renew(Renew { sent: now }));
+        } else if let Some(leader) = self.raft.leader().filter(|&leader| leader != self.config.id) {
+            self.send(leader, Body::LeaseRequest(LeaseRequest { sent_at: now }));
         }
     }
 
     /// What there is to do for whoever leads or holds a duty, and what was asked for and is not answered yet.
-    fn look(&mut self, now: Nanos) {
-        let me = self.charter.me;
-        for (range, moved) in self.landlord.cleared(now, &self.pace, me, &self.duties) {
-            self.want(now, Act::Cleared(Cleared { range, moved, by: me }), None);
+    fn review(&mut self, now: Nanos) {
+        let me = self.config.id;
+        for (range, moved) in self.range_grantor.cleared_moves(now, &self.timing, me, &self.state_machine) {
+            self.request_command(
+                now,
+                CommandPayload::RangeCleared(RangeCleared { range, move_index: moved, by_member: me }),
+                None,
+            );
         }
         let held: Vec<(Duty, Epoch)> = self
-            .duties
+            .state_machine
             .duties()
             .iter()
             .filter(|(_, held)| held.holder == me)
@@ -521,116 +558,136 @@
             .collect();
         for (duty, epoch) in held {
             match duty {
-                Duty::Drains(locality) => {
+                Duty::RunDrains(locality) => {
                     let listed =
-                        self.fits.values().filter(|fit| fit.locality == locality && fit.listed).count();
-                    for order in drains(&self.duties, locality, listed) {
-                        self.want(now, Act::Begin(Begin { order, epoch }), None);
+                        self.servers.values().filter(|fit| fit.locality == locality && fit.listed).count();
+                    for order in drains(&self.state_machine, locality, listed) {
+                        self.request_command(
+                            now,
+                            CommandPayload::BeginDrain(BeginDrain { order_index: order, epoch }),
+                            None,
+                        );
                     }
                 }
-                Duty::Range(range) => {
-                    if let Some(to) = next_owner(&self.duties, range, &self.fits) {
-                        self.want(now, Act::Move(Move { range, to, epoch }), None);
+                Duty::PlaceRange(range) => {
+                    if let Some(to) = next_owner(&self.state_machine, range, &self.servers) {
+                        self.request_command(
+                            now,
+                            CommandPayload::MoveRange(MoveRange { range, to_server: to, epoch }),
+                            None,
+                        );
                     }
                 }
-                Duty::Reports | Duty::Table(_) => {}
+                Duty::MergeReports | Duty::FenceTable(_) => {}
             }
         }
-        if self.raft.leads() {
-            self.lead(now);
+        if self.raft.is_leader() {
+            self.review_as_leader(now);
         }
-        self.repeat(now);
-    }
-
-    fn lead(&mut self, now: Nanos) {
-        let seats = self.raft.seats();
-        let voters: Vec<Node> = seats.voters.iter().map(|seat| seat.number).collect();
-        let there: BTreeSet<Node> =
-            voters.iter().copied().filter(|&voter| self.members.there(voter)).collect();
-        let span = self.pace.settled();
-        let settled: BTreeSet<Node> =
-            there.iter().copied().filter(|&voter| self.members.alive_for(now, voter, span)).collect();
-        let wanted = self.charter.duties.clone();
-        for (duty, holder) in assignments(&self.duties, &wanted, &there, &settled) {
-            self.want(now, Act::Assign(Assign { duty: Some(duty.into()), holder }), None);
+        self.resend_commands(now);
+    }
+
+    fn review_as_leader(&mut self, now: Nanos) {
+        let seats = self.raft.configuration();
+        let voters: Vec<MemberId> = seats.voters.iter().map(|seat| seat.id).collect();
+        let there: BTreeSet<MemberId> =
+            voters.iter().copied().filter(|&voter| self.membership.is_present(voter)).collect();
+        let span = self.timing.stable_span();
+        let settled: BTreeSet<MemberId> =
+            there.iter().copied().filter(|&voter| self.membership.is_alive_for(now, voter, span)).collect();
+        let wanted = self.config.duties.clone();
+        for (duty, holder) in assignments(&self.state_machine, &wanted, &there, &settled) {
+            self.request_command(
+                now,
+                CommandPayload::AssignDuty(AssignDuty { duty: Some(duty.into()), holder }),
+                None,
+            );
         }
-        self.reseat(now, seats);
+        self.change_configuration(now, seats);
     }
 
     /// One change of seats at a time, as ordered; a learner votes once it has nearly all.
-    fn reseat(&mut self, now: Nanos, mut seats: Seats) {
-        let is = |seats: &[Seat], number: Node| seats.iter().any(|seat| seat.number == number);
-        if let Some(seat) = self.raft.ripe() {
-            seats.learners.retain(|other| other.number != seat.number);
+    fn change_configuration(&mut self, now: Nanos, mut seats: Configuration) {
+        let is = |seats: &[MemberAddress], number: MemberId| seats.iter().any(|seat| seat.id == number);
+        if let Some(seat) = self.raft.learner_ready_to_vote() {
+            seats.learners.retain(|other| other.id != seat.id);
             seats.voters.push(seat);
-            let _ = self.raft.reseat(now, seats);
+            let _ = self.raft.change_configuration(now, seats);
             return;
         }
-        for change in self.duties.seats().values() {
-            let Some(seat) = &change.seat else { continue };
-            let (votes, learns) = (is(&seats.voters, seat.number), is(&seats.learners, seat.number));
+        for change in self.state_machine.membership_changes().values() {
+            let Some(seat) = &change.member else { continue };
+            let (votes, learns) = (is(&seats.voters, seat.id), is(&seats.learners, seat.id));
             let mut next = seats.clone();
-            if change.out && (votes || learns) && (next.voters.len() > 1 || !votes) {
-                next.voters.retain(|other| other.number != seat.number);
-                next.learners.retain(|other| other.number != seat.number);
-            } else if !change.out && !votes && !learns {
+            if change.removed && (votes || learns) && (next.voters.len() > 1 || !votes) {
+                next.voters.retain(|other| other.id != seat.id);
+                next.learners.retain(|other| other.id != seat.id);
+            } else if !change.removed && !votes && !learns {
                 next.learners.push(seat.clone());
             } else {
                 continue;
             }
             // Not now: it is looked at again at the next heartbeat.
-            let _ = self.raft.reseat(now, next);
+            let _ = self.raft.change_configuration(now, next);
             return;
         }
     }
 
     /// Asks for a command once, until it is carried out or given up.
-    fn want(&mut self, now: Nanos, act: Act, ticket: Option<u64>) {
-        let asked = self.pending.values().any(|pending| pending.command.act.as_ref() == Some(&act));
+    fn request_command(&mut self, now: Nanos, payload: CommandPayload, ticket: Option<u64>) {
+        let asked = self.pending.values().any(|pending| pending.command.payload.as_ref() == Some(&payload));
         if ticket.is_none() && asked {
             return;
         }
-        self.requests += 1;
-        let command = Command { request: self.requests, act: Some(act) };
-        let until = now + self.pace.patience();
-        self.pending.insert(self.requests, Pending { command, until, ticket, sent: None, term: 0 });
-        self.repeat(now);
+        self.last_request_id += 1;
+        let command = Command { request_id: self.last_request_id, payload: Some(payload) };
+        let until = now + self.timing.command_timeout();
+        self.pending.insert(
+            self.last_request_id,
+            PendingCommand { command, expires_at: until, ticket, sent_at: None, sent_in_term: 0 },
+        );
+        self.resend_commands(now);
     }
 
-    fn repeat(&mut self, now: Nanos) {
+    fn resend_commands(&mut self, now: Nanos) {
         let over: Vec<u64> =
-            self.pending.iter().filter(|(_, pending)| now >= pending.until).map(|(&id, _)| id).collect();
+            self.pending.iter().filter(|(_, pending)| now >= pending.expires_at).map(|(&id, _)| id).collect();
         for id in over {
             let ticket = self.pending.remove(&id).and_then(|pending| pending.ticket);
-            self.effects.extend(ticket.map(|ticket| Effect::Answer { ticket, result: Err(Refusal::Late) }));
+            self.actions
+                .extend(ticket.map(|ticket| Action::Answer { ticket, result: Err(OrderError::TimedOut) }));
         }
-        let (leader, term, resend) = (self.raft.leader(), self.raft.term(), self.pace.resend());
+        let (leader, term, resend) =
+            (self.raft.leader(), self.raft.term(), self.timing.retransmit_interval());
         let due: Vec<Command> = self
             .pending
             .values_mut()
             // Once a term to a leader's own log; to another's every now and then, since messages get lost.
             .filter(|pending| {
-                pending.term != term
-                    || (leader != Some(self.charter.me)
-                        && pending.sent.is_none_or(|sent| now >= sent + resend))
+                pending.sent_in_term != term
+                    || (leader != Some(self.config.id)
+                        && pending.sent_at.is_none_or(|sent| now >= sent + resend))
             })
             .map(|pending| {
-                (pending.sent, pending.term) = (Some(now), if leader.is_some() { term } else { 0 });
+                (pending.sent_at, pending.sent_in_term) =
+                    (Some(now), if leader.is_some() { term } else { 0 });
                 pending.command.clone()
             })
             .collect();
         for command in due {
             match leader {
-                Some(leader) if leader == self.charter.me => self.take(now, command),
-                Some(leader) => self.send(leader, Body::Propose(Propose { command: Some(command) })),
+                Some(leader) if leader == self.config.id => self.append_command(now, command),
+                Some(leader) => self.send(leader, Body::Proposal(Proposal { command: Some(command) })),
                 None => {}
             }
         }
     }
 
     /// For the leader's log, unless it stands there already.
-    fn take(&mut self, now: Nanos, command: Command) {
-        if !self.duties.knows(command.request) && !self.raft.has(command.request) {
+    fn append_command(&mut self, now: Nanos, command: Command) {
+        if !self.state_machine.has_applied(command.request_id)
+            && !self.raft.has_uncommitted(command.request_id)
+        {
             self.raft.propose(now, command);
         }
     }
--- a/crates/group/src/leases.rs
+++ b/crates/group/src/leases.rs
@@ -9,95 +9,109 @@
 
 use shalereel::interface::Nanos;
 
-use crate::duties::{Duties, Owned};
-use crate::pace::Pace;
-use crate::wire::{Epoch, Index, Node};
+use crate::state_machine::{RangeOwnership, StateMachine};
+use crate::timing::Timing;
+use crate::wire::{Epoch, LogIndex, MemberId};
 
 /// A member's own lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Lease {
-    until: Nanos,
+    expires_at: Nanos,
     /// It holds for whoever has carried out the log up to here.
-    commit: Index,
+    commit_index: LogIndex,
 }
 
 impl Lease {
     /// The leader has answered what was asked at `sent`.
-    pub fn renewed(&mut self, pace: &Pace, sent: Nanos, commit: Index) {
-        if sent + pace.lease() > self.until {
-            *self = Lease { until: sent + pace.lease(), commit: self.commit.max(commit) };
+    pub fn renew(&mut self, timing: &Timing, sent: Nanos, commit: LogIndex) {
+        if sent + timing.lease_duration() > self.expires_at {
+            *self = Lease {
+                expires_at: sent + timing.lease_duration(),
+                commit_index: self.commit_index.max(commit),
+            };
         }
     }
 
-    pub fn holds(&self, now: Nanos, applied: Index) -> bool {
-        now < self.until && applied >= self.commit
+    pub fn is_valid(&self, now: Nanos, applied: LogIndex) -> bool {
+        now < self.expires_at && applied >= self.commit_index
     }
 }
 
 /// The leader's book of leases, and what it waits for before a range is given away.
 #[derive(Clone, Debug)]
-pub struct Book {
+pub struct LeaseTable {
     /// Until when leases that leaders before may have granted live.
-    earlier: Nanos,
-    granted: BTreeMap<Node, Nanos>,
+    earlier_leases_expire_at: Nanos,
+    expires_at: BTreeMap<MemberId, Nanos>,
     /// By move: until when each member that has not cleared it may have somebody who sends to the owner before.
-    waits: BTreeMap<(u32, Index), (Nanos, BTreeMap<Node, Nanos>)>,
+    move_waits: BTreeMap<(u32, LogIndex), (Nanos, BTreeMap<MemberId, Nanos>)>,
 }
 
-impl Book {
+impl LeaseTable {
     /// A leader begins with what others may have granted until this moment.
-    pub fn new(pace: &Pace, since: Nanos) -> Self {
-        let earlier = since + pace.surely(pace.lease());
-        Book { earlier, granted: BTreeMap::new(), waits: BTreeMap::new() }
+    pub fn new(timing: &Timing, since: Nanos) -> Self {
+        let earlier = since + timing.upper_bound(timing.lease_duration());
+        LeaseTable {
+            earlier_leases_expire_at: earlier,
+            expires_at: BTreeMap::new(),
+            move_waits: BTreeMap::new(),
+        }
     }
 
     /// A lease is granted now, to one that asked at some moment before.
-    pub fn grant(&mut self, now: Nanos, pace: &Pace, to: Node) {
-        self.granted.insert(to, now + pace.surely(pace.lease()));
+    pub fn grant(&mut self, now: Nanos, timing: &Timing, to: MemberId) {
+        self.expires_at.insert(to, now + timing.upper_bound(timing.lease_duration()));
     }
 
     /// Ranges that may be given to their next owner. `members`: all seats.
-    pub fn safe(&mut self, now: Nanos, pace: &Pace, duties: &Duties, members: &[Node]) -> Vec<(u32, Index)> {
-        let moves: Vec<(u32, &Owned)> =
+    pub fn assignable_ranges(
+        &mut self,
+        now: Nanos,
+        timing: &Timing,
+        duties: &StateMachine,
+        members: &[MemberId],
+    ) -> Vec<(u32, LogIndex)> {
+        let moves: Vec<(u32, &RangeOwnership)> =
             duties.ranges().iter().map(|(&range, owned)| (range, owned)).collect();
         let mut safe = Vec::new();
         let mut open = BTreeSet::new();
         for (range, owned) in moves {
-            let Some(moving) = &owned.moving else { continue };
-            open.insert((range, moving.moved));
+            let Some(moving) = &owned.pending_move else { continue };
+            open.insert((range, moving.move_index));
             // A range that never had an owner has nobody to wait for.
             if owned.epoch == 0 {
-                safe.push((range, moving.moved));
+                safe.push((range, moving.move_index));
                 continue;
             }
-            let lapse = pace.lapse();
-            let (earlier, granted) = (self.earlier, &self.granted);
+            let route_lapse = timing.route_lapse();
+            let (earlier, granted) = (self.earlier_leases_expire_at, &self.expires_at);
             // Leases granted later carry the move with them, and count no more.
-            let (others, each) = self.waits.entry((range, moving.moved)).or_insert_with(|| {
-                let until = |node: Node| granted.get(&node).copied().unwrap_or(0).max(earlier) + lapse;
-                let known: BTreeSet<Node> = members.iter().chain(granted.keys()).copied().collect();
+            let (others, each) = self.move_waits.entry((range, moving.move_index)).or_insert_with(|| {
+                let until =
+                    |node: MemberId| granted.get(&node).copied().unwrap_or(0).max(earlier) + route_lapse;
+                let known: BTreeSet<MemberId> = members.iter().chain(granted.keys()).copied().collect();
                 // Whoever is known to nobody here has its lease from a leader before.
-                (earlier + lapse, known.into_iter().map(|node| (node, until(node))).collect())
+                (earlier + route_lapse, known.into_iter().map(|node| (node, until(node))).collect())
             });
             let waits = each
                 .iter()
-                .filter(|(node, _)| !moving.cleared.contains(node))
+                .filter(|(node, _)| !moving.cleared_by.contains(node))
                 .map(|(_, until)| *until)
                 .chain(std::iter::once(*others))
                 .max();
             // What has a seat and has cleared it needs no wait; strangers do, once after each change of leaders.
             if waits.is_none_or(|until| now >= until) {
-                safe.push((range, moving.moved));
+                safe.push((range, moving.move_index));
             }
         }
-        self.waits.retain(|key, _| open.contains(key));
+        self.move_waits.retain(|key, _| open.contains(key));
         safe
     }
 }
 
 /// A line that a forwarder may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RangeLine {
+pub struct RangeRoute {
     pub range: u32,
     pub owner: u32,
     pub epoch: Epoch,
@@ -105,35 +119,40 @@
 
 /// What a member has told its forwarders of ranges, and until when each may use it.
 #[derive(Clone, Debug)]
-pub struct Landlord {
+pub struct RangeGrantor {
     /// What earlier starts of this member told lives until here.
-    earlier: Nanos,
+    earlier_grants_lapse_at: Nanos,
     /// By range and epoch: which streams of forwarders were told, when last, and with which answer.
-    told: BTreeMap<(u32, Epoch), BTreeMap<u64, (Nanos, u64)>>,
-    answers: u64,
+    granted: BTreeMap<(u32, Epoch), BTreeMap<u64, (Nanos, u64)>>,
+    responses: u64,
     /// By range: when the last forwarder said that it has left the owner before.
-    left: BTreeMap<u32, Nanos>,
+    left_at: BTreeMap<u32, Nanos>,
 }
 
-impl Landlord {
-    pub fn new(pace: &Pace, born: Nanos) -> Self {
-        Landlord { earlier: born + pace.lapse(), told: BTreeMap::new(), answers: 0, left: BTreeMap::new() }
+impl RangeGrantor {
+    pub fn new(timing: &Timing, born: Nanos) -> Self {
+        RangeGrantor {
+            earlier_grants_lapse_at: born + timing.route_lapse(),
+            granted: BTreeMap::new(),
+            responses: 0,
+            left_at: BTreeMap::new(),
+        }
     }
 
     /// A forwarder asks on its stream, says up to which answer it has read, and which lines it holds by now. Gives
     /// the answer's number and the lines that it may use for a tenure from when it asked; what is missing it must
     /// leave. Without a lease (`may`) nothing is said of lines: it goes on with what it has, until that ends. One that joins anew is a new stream: what was told on the old one lapses by time.
-    pub fn asked(
+    pub fn handle_request(
         &mut self,
         now: Nanos,
         stream: u64,
         (seen, holds): (u64, &[(u32, Epoch)]),
-        duties: &Duties,
+        duties: &StateMachine,
         may: bool,
-    ) -> (u64, Option<Vec<RangeLine>>) {
-        self.answers += 1;
+    ) -> (u64, Option<Vec<RangeRoute>>) {
+        self.responses += 1;
         let holds: BTreeSet<(u32, Epoch)> = holds.iter().copied().collect();
-        for ((range, epoch), told) in &mut self.told {
+        for ((range, epoch), told) in &mut self.granted {
             let stands = duties
                 .ranges()
                 .get(range)
@@ -142,59 +161,67 @@
             let over = !stands && !holds.contains(&(*range, *epoch));
             if over && told.get(&stream).is_some_and(|(_, answer)| *answer <= seen) {
                 told.remove(&stream);
-                self.left.insert(*range, now);
+                self.left_at.insert(*range, now);
             }
         }
         if !may {
-            return (self.answers, None);
+            return (self.responses, None);
         }
         let mut lines = Vec::new();
         for (&range, owned) in duties.ranges() {
             if let Some(owner) = owned.owner {
-                self.told.entry((range, owned.epoch)).or_default().insert(stream, (now, self.answers));
-                lines.push(RangeLine { range, owner, epoch: owned.epoch });
+                self.granted.entry((range, owned.epoch)).or_default().insert(stream, (now, self.responses));
+                lines.push(RangeRoute { range, owner, epoch: owned.epoch });
             }
         }
-        (self.answers, Some(lines))
+        (self.responses, Some(lines))
     }
 
     /// Unasked, when a range leaves its owner: what still stands. It lengthens nothing.
-    pub fn standing(&mut self, duties: &Duties) -> (u64, Vec<RangeLine>) {
-        self.answers += 1;
-        let line = |(&range, owned): (&u32, &Owned)| {
-            owned.owner.map(|owner| RangeLine { range, owner, epoch: owned.epoch })
+    pub fn current_routes(&mut self, duties: &StateMachine) -> (u64, Vec<RangeRoute>) {
+        self.responses += 1;
+        let line = |(&range, owned): (&u32, &RangeOwnership)| {
+            owned.owner.map(|owner| RangeRoute { range, owner, epoch: owned.epoch })
         };
-        (self.answers, duties.ranges().iter().filter_map(line).collect())
+        (self.responses, duties.ranges().iter().filter_map(line).collect())
     }
 
     /// Moves that nobody of this member's forwarders stands against any more.
-    pub fn cleared(&mut self, now: Nanos, pace: &Pace, me: Node, duties: &Duties) -> Vec<(u32, Index)> {
-        let lapse = pace.lapse();
-        self.told.retain(|_, told| {
-            told.retain(|_, (at, _)| *at + lapse > now);
+    pub fn cleared_moves(
+        &mut self,
+        now: Nanos,
+        timing: &Timing,
+        me: MemberId,
+        duties: &StateMachine,
+    ) -> Vec<(u32, LogIndex)> {
+        let route_lapse = timing.route_lapse();
+        self.granted.retain(|_, told| {
+            told.retain(|_, (at, _)| *at + route_lapse > now);
             !told.is_empty()
         });
         let mut found = Vec::new();
         for (&range, owned) in duties.ranges() {
-            let Some(moving) = owned.moving.as_ref().filter(|moving| !moving.cleared.contains(&me)) else {
+            let Some(moving) = owned.pending_move.as_ref().filter(|moving| !moving.cleared_by.contains(&me))
+            else {
                 continue;
             };
-            let used = self.told.keys().any(|(of, _)| *of == range);
-            let flown = self.left.get(&range).is_none_or(|left| now >= left + pace.in_flight());
-            if now >= self.earlier && !used && flown {
-                found.push((range, moving.moved));
+            let used = self.granted.keys().any(|(of, _)| *of == range);
+            let flown = self.left_at.get(&range).is_none_or(|left| now >= left + timing.in_flight_span());
+            if now >= self.earlier_grants_lapse_at && !used && flown {
+                found.push((range, moving.move_index));
             }
         }
         found
     }
 
     /// When something may be cleared that is not yet, if anything is on its way.
-    pub fn next(&self, pace: &Pace, duties: &Duties) -> Option<Nanos> {
-        let moving = duties.ranges().values().any(|owned| owned.moving.is_some());
+    pub fn next_deadline(&self, timing: &Timing, duties: &StateMachine) -> Option<Nanos> {
+        let moving = duties.ranges().values().any(|owned| owned.pending_move.is_some());
         moving.then(|| {
-            let told = self.told.values().flat_map(|told| told.values()).map(|(at, _)| at + pace.lapse());
-            let left = self.left.values().map(|at| at + pace.in_flight());
-            told.chain(left).chain(std::iter::once(self.earlier)).min().unwrap_or(Nanos::MAX)
+            let told =
+                self.granted.values().flat_map(|told| told.values()).map(|(at, _)| at + timing.route_lapse());
+            let left = self.left_at.values().map(|at| at + timing.in_flight_span());
+            told.chain(left).chain(std::iter::once(self.earlier_grants_lapse_at)).min().unwrap_or(Nanos::MAX)
         })
     }
 }
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -1,41 +1,34 @@
-//! Supervisors as a group: who is there, what is agreed, who holds which duty, and who may still use what was
-//! taken back. [`Group`] is all of it, free of I/O and clock; [`sim`] plays groups on a simulated network.
+//! Supervisors as a group: SWIM membership, a Raft log, duties with epochs, leases, key ranges and merged reports.
+//! [`Group`] joins them, free of I/O and of clocks; [`sim`] runs groups on a simulated network.
 //!
-//! Sharing only adds. What a supervisor must do for its own proxies it does without any of this.
+//! The group is optional: what a supervisor does for its own proxies needs none of it.
 
-mod choices;
-mod duties;
+mod fault;
 mod group;
+mod lease_client;
 mod leases;
 mod log;
-mod members;
-mod pace;
+mod membership;
+mod placement;
 mod raft;
-mod records;
+mod report_merge;
 pub mod sim;
-mod sums;
-mod tenant;
+mod state_machine;
+mod storage;
+mod timing;
 #[cfg(test)]
 mod walk;
 pub mod wire;
 
-pub use choices::Fit;
-pub use duties::{Changed, Duties, Held, Moving, Owned, Standing};
-pub use group::{Charter, Effect, Group, Refusal, State};
-pub use leases::{Book, Landlord, Lease, RangeLine};
-pub use members::{Change, Member, Members};
-pub use pace::{Pace, Told};
-pub use raft::Writing;
-pub use records::{encode, Recovered, HEAD};
-pub use tenant::Tenant;
-
-/// A fault put in on purpose, to show that a check finds it. Never in service.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
-    /// A leader commits an entry of an earlier term by counting who keeps it.
-    CommitOldTerm,
-    /// What is not synced counts as kept.
-    NoSync,
-    /// Neither epochs nor leases bind.
-    NoFence,
-}
+pub use fault::InjectedFault;
+pub use group::{Action, Group, GroupConfig, MemberRole, OrderError};
+pub use lease_client::LeaseClient;
+pub use leases::{Lease, LeaseTable, RangeGrantor, RangeRoute};
+pub use membership::{Member, Membership, StatusChange};
+pub use placement::ServerAvailability;
+pub use raft::LogWrite;
+pub use state_machine::{
+    AppliedChange, DutyAssignment, PendingMove, RangeOwnership, StandingOrder, StateMachine,
+};
+pub use storage::{encode, StoredLog, LOG_FILE_HEAD};
+pub use timing::{Timing, TimingSettings};
--- a/crates/group/src/raft.rs
+++ b/crates/group/src/raft.rs
@@ -7,144 +7,144 @@
 use oorandom::Rand64;
 use shalereel::interface::Nanos;
 
+use crate::fault::InjectedFault;
 use crate::log::Log;
-use crate::pace::Pace;
-use crate::records::{record, Recovered};
+use crate::storage::{record, StoredLog};
+use crate::timing::Timing;
 use crate::wire::{
-    Append, Appended, Ask, Body, Command, Entry, Index, Kept, Node, Record, Seat, Seats, Snapshot, Vote,
-    Voted,
+    AppendEntries, AppendResponse, Body, Command, Configuration, Entry, LogIndex, MemberAddress, MemberId,
+    RecordKind, RequestVote, Snapshot, StoredRecord, Vote, VoteResponse,
 };
-use crate::Planted;
 
 /// How a leader sees one other member.
 #[derive(Debug, Default)]
-struct Follower {
-    next: Index,
-    matched: Index,
+struct FollowerProgress {
+    next_index: LogIndex,
+    match_index: LogIndex,
     /// The newest heartbeat that it answered.
-    round: u64,
+    acknowledged_round: u64,
     /// Entries are under way since then.
-    sent: Option<Nanos>,
+    in_flight_since: Option<Nanos>,
 }
 
 #[derive(Debug)]
-struct Lead {
-    followers: BTreeMap<Node, Follower>,
-    round: u64,
+struct LeaderState {
+    followers: BTreeMap<MemberId, FollowerProgress>,
+    heartbeat_round: u64,
     /// When each heartbeat left that a quorum has not answered yet.
-    left: VecDeque<(u64, Nanos)>,
+    unacknowledged_rounds: VecDeque<(u64, Nanos)>,
     /// When the newest heartbeat left that a quorum has answered; votes alone are no promise to stay.
-    held: Option<Nanos>,
-    since: Nanos,
-    beat_at: Nanos,
+    quorum_contact_at: Option<Nanos>,
+    elected_at: Nanos,
+    next_heartbeat_at: Nanos,
 }
 
 #[derive(Debug)]
 enum Role {
     Follower,
-    Candidate { pre: bool, granted: BTreeSet<Node> },
-    Leader(Lead),
+    Candidate { pre_vote: bool, votes: BTreeSet<MemberId> },
+    Leader(LeaderState),
 }
 
 /// Records to be kept, and whether they replace the file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Writing {
-    pub number: u64,
-    pub whole: bool,
-    pub records: Vec<Record>,
+pub struct LogWrite {
+    pub sequence: u64,
+    pub replaces_file: bool,
+    pub records: Vec<StoredRecord>,
 }
 
 /// What a step brought about.
 #[derive(Debug, Default)]
-pub(crate) struct Turn {
-    pub sends: Vec<(Node, Body)>,
-    pub writing: Option<Writing>,
+pub(crate) struct RaftOutput {
+    pub messages: Vec<(MemberId, Body)>,
+    pub write: Option<LogWrite>,
     /// Newly committed, in order.
     pub committed: Vec<Entry>,
     /// A leader's snapshot stands in place of all that was carried out.
-    pub restored: Option<Snapshot>,
+    pub restored_snapshot: Option<Snapshot>,
 }
 
 /// One member of the log.
 #[derive(Debug)]
 pub(crate) struct Raft {
-    me: Node,
-    pace: Pace,
-    chance: Rand64,
+    id: MemberId,
+    timing: Timing,
+    rng: Rand64,
     boot: u64,
     term: u64,
-    voted: Option<Node>,
+    voted_for: Option<MemberId>,
     log: Log,
     role: Role,
-    leader: Option<Node>,
+    leader: Option<MemberId>,
     /// When a leader was last heard of; a start counts, since promises made before it are forgotten.
-    heard: Nanos,
-    election_at: Nanos,
-    commit: Index,
-    applied: Index,
+    leader_heard_at: Nanos,
+    election_due_at: Nanos,
+    commit_index: LogIndex,
+    last_applied: LogIndex,
     /// How far the log agrees with the leader's of this term.
-    agreed: Index,
+    match_index: LogIndex,
     /// The last write begun, and those not done yet.
-    writes: u64,
-    stored: u64,
-    unkept: Vec<Record>,
-    whole: bool,
+    writes_started: u64,
+    writes_done: u64,
+    unwritten_records: Vec<StoredRecord>,
+    rewrite_pending: bool,
     /// Waits until the write with its number is done.
-    held: VecDeque<(u64, Node, Body)>,
-    out: Vec<(Node, Body)>,
-    restored: Option<Snapshot>,
+    held_messages: VecDeque<(u64, MemberId, Body)>,
+    outbox: Vec<(MemberId, Body)>,
+    restored_snapshot: Option<Snapshot>,
     /// Its disk failed: it promises nothing any more.
-    pub(crate) broken: bool,
-    planted: Option<Planted>,
+    pub(crate) storage_failed: bool,
+    injected_fault: Option<InjectedFault>,
 }
 
-fn seat(seats: &Seats, number: Node) -> bool {
-    seats.voters.iter().any(|seat| seat.number == number)
+fn seat(seats: &Configuration, number: MemberId) -> bool {
+    seats.voters.iter().any(|seat| seat.id == number)
 }
 
 impl Raft {
     pub(crate) fn new(
-        me: Node,
+        me: MemberId,
         now: Nanos,
-        kept: Recovered,
-        pace: Pace,
+        kept: StoredLog,
+        timing: Timing,
         seed: u64,
-        planted: Option<Planted>,
+        injected_fault: Option<InjectedFault>,
     ) -> Self {
-        let boot = kept.boot + 1;
-        let base = kept.base.index;
+        let boot = kept.start_count + 1;
+        let base = kept.snapshot.last_included_index;
         let mut raft = Raft {
-            me,
-            pace,
-            chance: Rand64::new((u128::from(seed) << 64) | (u128::from(boot) << 16) | u128::from(me)),
+            id: me,
+            timing,
+            rng: Rand64::new((u128::from(seed) << 64) | (u128::from(boot) << 16) | u128::from(me)),
             boot,
-            term: kept.vote.term.max(kept.base.index_term),
-            voted: kept.vote.voted,
-            log: Log::recovered(kept.base, kept.entries),
+            term: kept.vote.term.max(kept.snapshot.last_included_term),
+            voted_for: kept.vote.voted_for,
+            log: Log::recovered(kept.snapshot, kept.entries),
             role: Role::Follower,
             leader: None,
-            heard: now,
-            election_at: now,
-            commit: base,
-            applied: base,
-            agreed: 0,
-            writes: 0,
-            stored: 0,
-            unkept: vec![record(Kept::Boot(boot))],
-            whole: false,
-            held: VecDeque::new(),
-            out: Vec::new(),
-            restored: None,
-            broken: false,
-            planted,
+            leader_heard_at: now,
+            election_due_at: now,
+            commit_index: base,
+            last_applied: base,
+            match_index: 0,
+            writes_started: 0,
+            writes_done: 0,
+            unwritten_records: vec![record(RecordKind::StartCount(boot))],
+            rewrite_pending: false,
+            held_messages: VecDeque::new(),
+            outbox: Vec::new(),
+            restored_snapshot: None,
+            storage_failed: false,
+            injected_fault,
         };
-        raft.election_at = now + raft.pace.election() + raft.draw();
+        raft.election_due_at = now + raft.timing.election_timeout() + raft.randomized_timeout();
         raft
     }
 
-    fn draw(&mut self) -> Nanos {
-        let draw = self.chance.rand_float();
-        self.pace.election_drawn(draw)
+    fn randomized_timeout(&mut self) -> Nanos {
+        let draw = self.rng.rand_float();
+        self.timing.randomized_election_timeout(draw)
     }
 
     pub(crate) fn boot(&self) -> u64 {
@@ -155,124 +155,136 @@
         self.term
     }
 
-    pub(crate) fn leader(&self) -> Option<Node> {
+    pub(crate) fn leader(&self) -> Option<MemberId> {
         self.leader
     }
 
-    pub(crate) fn commit(&self) -> Index {
-        self.commit
+    pub(crate) fn commit_index(&self) -> LogIndex {
+        self.commit_index
     }
 
-    pub(crate) fn last(&self) -> Index {
-        self.log.last().0
+    pub(crate) fn last_index(&self) -> LogIndex {
+        self.log.last_index_and_term().0
     }
 
-    pub(crate) fn base(&self) -> Index {
-        self.log.base().index
+    pub(crate) fn snapshot_index(&self) -> LogIndex {
+        self.log.snapshot().last_included_index
     }
 
-    pub(crate) fn base_state(&self) -> &[u8] {
-        &self.log.base().state
+    pub(crate) fn snapshot_state(&self) -> &[u8] {
+        &self.log.snapshot().state
     }
 
-    pub(crate) fn seats(&self) -> Seats {
-        self.log.seats().1
+    pub(crate) fn configuration(&self) -> Configuration {
+        self.log.latest_configuration().1
     }
 
     /// Does it lead, and has it committed in its own term? Only then it knows all that was ever committed.
-    pub(crate) fn leads(&self) -> bool {
-        matches!(self.role, Role::Leader(_)) && self.log.term(self.commit) == Some(self.term)
+    pub(crate) fn is_leader(&self) -> bool {
+        matches!(self.role, Role::Leader(_)) && self.log.term_at(self.commit_index) == Some(self.term)
     }
 
     /// Since when it leads.
-    pub(crate) fn leads_since(&self) -> Option<Nanos> {
+    pub(crate) fn elected_at(&self) -> Option<Nanos> {
         match &self.role {
-            Role::Leader(lead) => Some(lead.since),
+            Role::Leader(lead) => Some(lead.elected_at),
             _ => None,
         }
     }
 
     /// May it speak for the group at this moment? Until a quorum may have turned to another leader.
-    pub(crate) fn holds(&self, now: Nanos) -> bool {
+    pub(crate) fn holds_quorum(&self, now: Nanos) -> bool {
         let Role::Leader(lead) = &self.role else { return false };
-        let span = self.pace.not_before(self.pace.election());
-        self.leads() && lead.held.is_some_and(|held| now < held + span)
+        let span = self.timing.lower_bound(self.timing.election_timeout());
+        self.is_leader() && lead.quorum_contact_at.is_some_and(|held| now < held + span)
     }
 
     /// When [`Raft::tick`] is due.
-    pub(crate) fn next(&self) -> Nanos {
+    pub(crate) fn next_deadline(&self) -> Nanos {
         match &self.role {
-            Role::Leader(lead) => lead.beat_at,
-            _ => self.election_at,
+            Role::Leader(lead) => lead.next_heartbeat_at,
+            _ => self.election_due_at,
         }
     }
 
     /// All that has to leave after a step.
-    pub(crate) fn turn(&mut self) -> Turn {
-        let writing = (!self.unkept.is_empty()).then(|| {
-            self.writes += 1;
-            self.log.begin_write(self.writes);
-            Writing {
-                number: self.writes,
-                whole: std::mem::take(&mut self.whole),
-                records: std::mem::take(&mut self.unkept),
+    pub(crate) fn take_output(&mut self) -> RaftOutput {
+        let writing = (!self.unwritten_records.is_empty()).then(|| {
+            self.writes_started += 1;
+            self.log.begin_write(self.writes_started);
+            LogWrite {
+                sequence: self.writes_started,
+                replaces_file: std::mem::take(&mut self.rewrite_pending),
+                records: std::mem::take(&mut self.unwritten_records),
             }
         });
-        if self.planted == Some(Planted::NoSync) && writing.is_some() {
-            self.stored(0, self.writes);
+        if self.injected_fault == Some(InjectedFault::NoSync) && writing.is_some() {
+            self.handle_write_done(0, self.writes_started);
         }
         let mut committed = Vec::new();
-        while self.applied < self.commit {
-            let Some(entry) = self.log.entry(self.applied + 1) else { break };
+        while self.last_applied < self.commit_index {
+            let Some(entry) = self.log.entry(self.last_applied + 1) else { break };
             committed.push(entry.clone());
-            self.applied += 1;
+            self.last_applied += 1;
+        }
+        let sends = std::mem::take(&mut self.outbox);
+        RaftOutput {
+            messages: sends,
+            write: writing,
+            committed,
+            restored_snapshot: self.restored_snapshot.take(),
         }
-        let sends = std::mem::take(&mut self.out);
-        Turn { sends, writing, committed, restored: self.restored.take() }
     }
 
-    fn keep(&mut self, kept: Kept) {
-        self.unkept.push(record(kept));
+    fn store(&mut self, kept: RecordKind) {
+        self.unwritten_records.push(record(kept));
     }
 
-    fn keep_vote(&mut self) {
-        self.keep(Kept::Vote(Vote { term: self.term, voted: self.voted }));
+    fn store_vote(&mut self) {
+        self.store(RecordKind::Vote(Vote { term: self.term, voted_for: self.voted_for }));
     }
 
     /// Says something that promises what is not kept yet.
-    fn promise(&mut self, to: Node, body: Body) {
-        let needed = self.writes + u64::from(!self.unkept.is_empty());
-        if needed <= self.stored {
-            self.out.push((to, body));
+    fn promise(&mut self, to: MemberId, body: Body) {
+        let needed = self.writes_started + u64::from(!self.unwritten_records.is_empty());
+        if needed <= self.writes_done {
+            self.outbox.push((to, body));
         } else {
-            self.held.push_back((needed, to, body));
+            self.held_messages.push_back((needed, to, body));
         }
     }
 
     /// A write is done, and with it all before it.
-    pub(crate) fn stored(&mut self, now: Nanos, number: u64) {
-        if self.broken {
+    pub(crate) fn handle_write_done(&mut self, now: Nanos, number: u64) {
+        if self.storage_failed {
             return;
         }
-        self.stored = self.stored.max(number);
-        self.log.wrote(number);
-        while self.held.front().is_some_and(|(needed, ..)| *needed <= self.stored) {
-            if let Some((_, to, body)) = self.held.pop_front() {
-                self.out.push((to, body));
+        self.writes_done = self.writes_done.max(number);
+        self.log.finish_write(number);
+        while self.held_messages.front().is_some_and(|(needed, ..)| *needed <= self.writes_done) {
+            if let Some((_, to, body)) = self.held_messages.pop_front() {
+                self.outbox.push((to, body));
             }
         }
         match &mut self.role {
-            Role::Candidate { granted, .. } if self.writes == self.stored && self.unkept.is_empty() => {
-                granted.insert(self.me);
-                self.count(now);
+            Role::Candidate { votes: granted, .. }
+                if self.writes_started == self.writes_done && self.unwritten_records.is_empty() =>
+            {
+                granted.insert(self.id);
+                self.count_votes(now);
             }
-            Role::Leader(_) => self.advance(now),
+            Role::Leader(_) => self.advance_commit(now),
             _ => {
-                if let Some(leader) = self.leader.filter(|_| self.agreed > 0) {
-                    let index = self.agreed.min(self.log.stored());
-                    self.out.push((
+                if let Some(leader) = self.leader.filter(|_| self.match_index > 0) {
+                    let index = self.match_index.min(self.log.stored_index());
+                    self.outbox.push((
                         leader,
-                        Body::Appended(Appended { term: self.term, fits: true, index, round: 0 }),
+                        Body::AppendResponse(AppendResponse {
+                            term: self.term,
+                            success: true,
+                            index,
+                            heartbeat_round: 0,
+                        }),
                     ));
                 }
             }
@@ -280,254 +292,290 @@
     }
 
     /// The disk does not keep what it is given: from now on this one neither leads, votes nor confirms.
-    pub(crate) fn failed(&mut self) {
-        self.broken = true;
-        self.held.clear();
+    pub(crate) fn fail_storage(&mut self) {
+        self.storage_failed = true;
+        self.held_messages.clear();
         self.role = Role::Follower;
         self.leader = None;
     }
 
     pub(crate) fn tick(&mut self, now: Nanos) {
-        if self.broken {
-            self.election_at = now + self.pace.election();
+        if self.storage_failed {
+            self.election_due_at = now + self.timing.election_timeout();
             return;
         }
         if let Role::Leader(lead) = &self.role {
-            if now < lead.beat_at {
+            if now < lead.next_heartbeat_at {
                 return;
             }
             // A leader that no quorum answers cannot know whether it still is one.
-            if now > lead.held.unwrap_or(lead.since) + self.pace.election() + self.pace.heartbeat()
-                && !self.alone()
+            if now
+                > lead.quorum_contact_at.unwrap_or(lead.elected_at)
+                    + self.timing.election_timeout()
+                    + self.timing.heartbeat_interval()
+                && !self.is_sole_voter()
             {
-                return self.follow(now, self.term, None);
+                return self.become_follower(now, self.term, None);
             }
-            self.beat(now);
-        } else if now >= self.election_at {
-            self.election_at = now + self.draw();
-            if seat(&self.seats(), self.me) {
-                self.stand(now, true);
+            self.send_heartbeats(now);
+        } else if now >= self.election_due_at {
+            self.election_due_at = now + self.randomized_timeout();
+            if seat(&self.configuration(), self.id) {
+                self.start_election(now, true);
             }
         }
     }
 
-    fn alone(&self) -> bool {
-        let seats = self.seats();
-        seats.voters.len() == 1 && seat(&seats, self.me)
+    fn is_sole_voter(&self) -> bool {
+        let seats = self.configuration();
+        seats.voters.len() == 1 && seat(&seats, self.id)
     }
 
-    fn follow(&mut self, now: Nanos, term: u64, leader: Option<Node>) {
+    fn become_follower(&mut self, now: Nanos, term: u64, leader: Option<MemberId>) {
         if term > self.term {
             self.term = term;
-            self.voted = None;
-            self.agreed = 0;
-            self.keep_vote();
+            self.voted_for = None;
+            self.match_index = 0;
+            self.store_vote();
         }
         if self.leader != leader {
-            self.agreed = 0;
+            self.match_index = 0;
         }
         self.role = Role::Follower;
         self.leader = leader;
-        self.election_at = now + self.draw();
+        self.election_due_at = now + self.randomized_timeout();
     }
 
-    fn voters(&self) -> Vec<Node> {
-        self.seats().voters.iter().map(|seat| seat.number).collect()
+    fn voters(&self) -> Vec<MemberId> {
+        self.configuration().voters.iter().map(|seat| seat.id).collect()
     }
 
-    fn others(&self) -> Vec<Node> {
-        let seats = self.seats();
-        let all = seats.voters.iter().chain(&seats.learners).map(|seat| seat.number);
-        all.filter(|&number| number != self.me).collect()
+    fn other_members(&self) -> Vec<MemberId> {
+        let seats = self.configuration();
+        let all = seats.voters.iter().chain(&seats.learners).map(|seat| seat.id);
+        all.filter(|&number| number != self.id).collect()
     }
 
-    fn stand(&mut self, now: Nanos, pre: bool) {
+    fn start_election(&mut self, now: Nanos, pre: bool) {
         self.leader = None;
         let mut term = self.term + 1;
         let mut granted = BTreeSet::new();
         if pre {
-            granted.insert(self.me);
+            granted.insert(self.id);
         } else {
             self.term = term;
-            self.voted = Some(self.me);
-            self.agreed = 0;
-            self.keep_vote();
+            self.voted_for = Some(self.id);
+            self.match_index = 0;
+            self.store_vote();
             term = self.term;
         }
-        self.role = Role::Candidate { pre, granted };
-        let (last_index, last_term) = self.log.last();
-        let me = self.me;
+        self.role = Role::Candidate { pre_vote: pre, votes: granted };
+        let (last_index, last_term) = self.log.last_index_and_term();
+        let me = self.id;
         for to in self.voters().into_iter().filter(|&to| to != me) {
-            let ask = Body::Ask(Ask { term, last_index, last_term, pre });
+            let ask = Body::RequestVote(RequestVote {
+                term,
+                last_log_index: last_index,
+                last_log_term: last_term,
+                pre_vote: pre,
+            });
             if pre {
-                self.out.push((to, ask));
+                self.outbox.push((to, ask));
             } else {
                 self.promise(to, ask);
             }
         }
-        self.count(now);
+        self.count_votes(now);
     }
 
-    fn count(&mut self, now: Nanos) {
+    fn count_votes(&mut self, now: Nanos) {
         let voters = self.voters();
-        let Role::Candidate { pre, granted } = &self.role else { return };
+        let Role::Candidate { pre_vote: pre, votes: granted } = &self.role else { return };
         let yes = voters.iter().filter(|voter| granted.contains(voter)).count();
         if 2 * yes <= voters.len() {
             return;
         }
         if *pre {
-            self.stand(now, false);
+            self.start_election(now, false);
         } else {
-            self.lead(now);
+            self.become_leader(now);
         }
     }
 
-    fn lead(&mut self, now: Nanos) {
-        let next = self.log.last().0 + 1;
-        let fresh = |number: Node| (number, Follower { next, ..Follower::default() });
-        let followers = self.others().into_iter().map(fresh).collect();
+    fn become_leader(&mut self, now: Nanos) {
+        let next = self.log.last_index_and_term().0 + 1;
+        let fresh =
+            |number: MemberId| (number, FollowerProgress { next_index: next, ..FollowerProgress::default() });
+        let followers = self.other_members().into_iter().map(fresh).collect();
         let (left, held) = (VecDeque::new(), None);
-        self.role = Role::Leader(Lead { followers, round: 0, left, held, since: now, beat_at: now });
-        self.leader = Some(self.me);
+        self.role = Role::Leader(LeaderState {
+            followers,
+            heartbeat_round: 0,
+            unacknowledged_rounds: left,
+            quorum_contact_at: held,
+            elected_at: now,
+            next_heartbeat_at: now,
+        });
+        self.leader = Some(self.id);
         self.append(None, None);
-        self.beat(now);
+        self.send_heartbeats(now);
     }
 
-    fn append(&mut self, command: Option<Command>, seats: Option<Seats>) -> Index {
-        let index = self.log.last().0 + 1;
-        let entry = Entry { index, term: self.term, command, seats };
-        self.log.put(entry.clone());
-        self.keep(Kept::Entry(entry));
+    fn append(&mut self, command: Option<Command>, seats: Option<Configuration>) -> LogIndex {
+        let index = self.log.last_index_and_term().0 + 1;
+        let entry = Entry { index, term: self.term, command, configuration: seats };
+        self.log.append(entry.clone());
+        self.store(RecordKind::Entry(entry));
         index
     }
 
     /// For the leader: one more command. Nothing where it does not lead.
-    pub(crate) fn propose(&mut self, now: Nanos, command: Command) -> Option<Index> {
-        if !matches!(self.role, Role::Leader(_)) || self.broken {
+    pub(crate) fn propose(&mut self, now: Nanos, command: Command) -> Option<LogIndex> {
+        if !matches!(self.role, Role::Leader(_)) || self.storage_failed {
             return None;
         }
         let index = self.append(Some(command), None);
-        self.spread(now);
+        self.replicate(now);
         Some(index)
     }
 
     /// Does a request stand in the log and wait to be committed?
-    pub(crate) fn has(&self, request: u64) -> bool {
-        let waiting = self.log.from(self.commit + 1).iter();
-        waiting.filter_map(|entry| entry.command.as_ref()).any(|command| command.request == request)
+    pub(crate) fn has_uncommitted(&self, request: u64) -> bool {
+        let waiting = self.log.entries_from(self.commit_index + 1).iter();
+        waiting.filter_map(|entry| entry.command.as_ref()).any(|command| command.request_id == request)
     }
 
     /// For the leader: one seat more or less. Errors: why not now.
-    pub(crate) fn reseat(&mut self, now: Nanos, wanted: Seats) -> Result<Index, &'static str> {
-        if !self.leads() {
+    pub(crate) fn change_configuration(
+        &mut self,
+        now: Nanos,
+        wanted: Configuration,
+    ) -> Result<LogIndex, &'static str> {
+        if !self.is_leader() {
             return Err("it has committed nothing in its term yet");
         }
-        let (at, seats) = self.log.seats();
-        if at > self.commit {
+        let (at, seats) = self.log.latest_configuration();
+        if at > self.commit_index {
             return Err("another change of seats is under way");
         }
-        let set = |seats: &Seats| seats.voters.iter().map(|seat| seat.number).collect::<BTreeSet<_>>();
+        let set = |seats: &Configuration| seats.voters.iter().map(|seat| seat.id).collect::<BTreeSet<_>>();
         if set(&seats).symmetric_difference(&set(&wanted)).count() > 1 || wanted.voters.is_empty() {
             return Err("one voter at a time");
         }
         let index = self.append(None, Some(wanted));
-        let others = self.others();
-        let next = self.log.last().0;
+        let others = self.other_members();
+        let next = self.log.last_index_and_term().0;
         if let Role::Leader(lead) = &mut self.role {
             lead.followers.retain(|number, _| others.contains(number));
             for number in others {
-                lead.followers.entry(number).or_insert(Follower { next, ..Follower::default() });
+                lead.followers
+                    .entry(number)
+                    .or_insert(FollowerProgress { next_index: next, ..FollowerProgress::default() });
             }
         }
-        self.spread(now);
+        self.replicate(now);
         Ok(index)
     }
 
     /// Does a learner have nearly all, so that its vote would hold nobody up?
-    pub(crate) fn caught_up(&self, number: Node) -> bool {
+    pub(crate) fn is_caught_up(&self, number: MemberId) -> bool {
         let Role::Leader(lead) = &self.role else { return false };
         lead.followers.get(&number).is_some_and(|follower| {
-            follower.matched + self.pace.batch() as u64 > self.commit && follower.matched > 0
+            follower.match_index + self.timing.max_batch_entries() as u64 > self.commit_index
+                && follower.match_index > 0
         })
     }
 
     /// The next learner that could vote by now.
-    pub(crate) fn ripe(&self) -> Option<Seat> {
-        let (at, seats) = self.log.seats();
-        seats.learners.into_iter().find(|seat| at <= self.commit && self.caught_up(seat.number))
+    pub(crate) fn learner_ready_to_vote(&self) -> Option<MemberAddress> {
+        let (at, seats) = self.log.latest_configuration();
+        seats.learners.into_iter().find(|seat| at <= self.commit_index && self.is_caught_up(seat.id))
     }
 
-    fn beat(&mut self, now: Nanos) {
-        let beat = self.pace.heartbeat();
+    fn send_heartbeats(&mut self, now: Nanos) {
+        let beat = self.timing.heartbeat_interval();
         let Role::Leader(lead) = &mut self.role else { return };
-        lead.beat_at = now + beat;
-        lead.round += 1;
-        lead.left.push_back((lead.round, now));
-        let all: Vec<Node> = lead.followers.keys().copied().collect();
+        lead.next_heartbeat_at = now + beat;
+        lead.heartbeat_round += 1;
+        lead.unacknowledged_rounds.push_back((lead.heartbeat_round, now));
+        let all: Vec<MemberId> = lead.followers.keys().copied().collect();
         for to in all {
-            self.send_to(now, to, true);
+            self.send_entries(now, to, true);
         }
         // With nobody else to answer, one's own word is a quorum.
-        self.advance(now);
+        self.advance_commit(now);
     }
 
-    fn spread(&mut self, now: Nanos) {
+    fn replicate(&mut self, now: Nanos) {
         let Role::Leader(lead) = &self.role else { return };
-        let all: Vec<Node> = lead.followers.keys().copied().collect();
+        let all: Vec<MemberId> = lead.followers.keys().copied().collect();
         for to in all {
-            self.send_to(now, to, false);
+            self.send_entries(now, to, false);
         }
     }
 
     /// What a follower lacks, if nothing is under way to it; else, where `beat`, a sign of life.
-    fn send_to(&mut self, now: Nanos, to: Node, beat: bool) {
-        let resend = self.pace.resend();
-        let (last, base) = (self.log.last().0, self.log.base().index);
+    fn send_entries(&mut self, now: Nanos, to: MemberId, beat: bool) {
+        let resend = self.timing.retransmit_interval();
+        let (last, base) = (self.log.last_index_and_term().0, self.log.snapshot().last_included_index);
         let Role::Leader(lead) = &mut self.role else { return };
-        let round = lead.round;
+        let round = lead.heartbeat_round;
         let Some(follower) = lead.followers.get_mut(&to) else { return };
-        let due = follower.sent.is_none_or(|sent| now >= sent + resend);
-        let lacks = follower.next <= last;
+        let due = follower.in_flight_since.is_none_or(|sent| now >= sent + resend);
+        let lacks = follower.next_index <= last;
         if !(beat || lacks && due) {
             return;
         }
-        if follower.next <= base && due {
-            follower.sent = Some(now);
-            let snapshot = Snapshot { term: self.term, round, ..self.log.base().clone() };
-            return self.out.push((to, Body::Snapshot(snapshot)));
+        if follower.next_index <= base && due {
+            follower.in_flight_since = Some(now);
+            let snapshot =
+                Snapshot { term: self.term, heartbeat_round: round, ..self.log.snapshot().clone() };
+            return self.outbox.push((to, Body::InstallSnapshot(snapshot)));
         }
-        let prev_index = follower.next.max(base + 1) - 1;
+        let prev_log_index = follower.next_index.max(base + 1) - 1;
         let entries: Vec<Entry> = if lacks && due {
-            self.log.from(follower.next).iter().take(self.pace.batch()).cloned().collect()
+            self.log
+                .entries_from(follower.next_index)
+                .iter()
+                .take(self.timing.max_batch_entries())
+                .cloned()
+                .collect()
         } else {
             Vec::new()
         };
         if !entries.is_empty() {
-            follower.sent = Some(now);
-        }
-        let prev_term = self.log.term(prev_index).unwrap_or(0);
-        let append = Append { term: self.term, prev_index, prev_term, entries, commit: self.commit, round };
-        self.out.push((to, Body::Append(append)));
+            follower.in_flight_since = Some(now);
+        }
+        let prev_log_term = self.log.term_at(prev_log_index).unwrap_or(0);
+        let append = AppendEntries {
+            term: self.term,
+            prev_log_index,
+            prev_log_term,
+            entries,
+            leader_commit: self.commit_index,
+            heartbeat_round: round,
+        };
+        self.outbox.push((to, Body::AppendEntries(append)));
     }
 
     /// Commits what a quorum keeps, and notes how long a quorum has held to this leader.
-    fn advance(&mut self, now: Nanos) {
-        let (voters, stored, term) = (self.voters(), self.log.stored(), self.term);
-        let any_term = self.planted == Some(Planted::CommitOldTerm);
+    fn advance_commit(&mut self, now: Nanos) {
+        let (voters, stored, term) = (self.voters(), self.log.stored_index(), self.term);
+        let any_term = self.injected_fault == Some(InjectedFault::CommitOldTerm);
         let Role::Leader(lead) = &mut self.role else { return };
-        let mut kept: Vec<Index> = Vec::new();
+        let mut kept: Vec<LogIndex> = Vec::new();
         let mut rounds: Vec<u64> = Vec::new();
         for voter in &voters {
             let follower = lead.followers.get(voter);
-            kept.push(if *voter == self.me {
+            kept.push(if *voter == self.id {
                 stored
             } else {
-                follower.map_or(0, |follower| follower.matched)
+                follower.map_or(0, |follower| follower.match_index)
             });
-            rounds.push(if *voter == self.me {
-                lead.round
+            rounds.push(if *voter == self.id {
+                lead.heartbeat_round
             } else {
-                follower.map_or(0, |follower| follower.round)
+                follower.map_or(0, |follower| follower.acknowledged_round)
             });
         }
         kept.sort_unstable();
@@ -535,194 +583,219 @@
         let quorum = (voters.len().max(1) - 1) / 2;
         let (index, round) =
             (kept.get(quorum).copied().unwrap_or(0), rounds.get(quorum).copied().unwrap_or(0));
-        while lead.left.front().is_some_and(|(of, _)| *of <= round) {
-            if let Some((_, at)) = lead.left.pop_front() {
-                lead.held = lead.held.max(Some(at));
+        while lead.unacknowledged_rounds.front().is_some_and(|(of, _)| *of <= round) {
+            if let Some((_, at)) = lead.unacknowledged_rounds.pop_front() {
+                lead.quorum_contact_at = lead.quorum_contact_at.max(Some(at));
             }
         }
-        if index > self.commit && (any_term || self.log.term(index) == Some(term)) {
-            self.commit = index;
+        if index > self.commit_index && (any_term || self.log.term_at(index) == Some(term)) {
+            self.commit_index = index;
             // Out by its own entry: the rest elect another.
-            let (at, seats) = self.log.seats();
-            let followers: Vec<Node> = match &self.role {
+            let (at, seats) = self.log.latest_configuration();
+            let followers: Vec<MemberId> = match &self.role {
                 Role::Leader(lead) => lead.followers.keys().copied().collect(),
                 _ => Vec::new(),
             };
             for to in followers {
-                self.send_to(now, to, true);
+                self.send_entries(now, to, true);
             }
-            if at <= index && !seat(&seats, self.me) {
-                self.follow(now, term, None);
+            if at <= index && !seat(&seats, self.id) {
+                self.become_follower(now, term, None);
             }
         }
     }
 
     /// A message of the log.
-    pub(crate) fn heard(&mut self, now: Nanos, from: Node, body: Body) {
-        if self.broken {
+    pub(crate) fn handle_message(&mut self, now: Nanos, from: MemberId, body: Body) {
+        if self.storage_failed {
             return;
         }
         match body {
-            Body::Ask(ask) => self.asked(now, from, &ask),
-            Body::Voted(voted) => self.voted(now, from, &voted),
-            Body::Append(append) => self.append_from(now, from, append),
-            Body::Appended(appended) => self.appended(now, from, &appended),
-            Body::Snapshot(snapshot) => self.snapshot_from(now, from, snapshot),
+            Body::RequestVote(ask) => self.handle_vote_request(now, from, &ask),
+            Body::VoteResponse(voted) => self.handle_vote_response(now, from, &voted),
+            Body::AppendEntries(append) => self.handle_append(now, from, append),
+            Body::AppendResponse(appended) => self.appended(now, from, &appended),
+            Body::InstallSnapshot(snapshot) => self.handle_snapshot(now, from, snapshot),
             _ => {}
         }
     }
 
-    fn asked(&mut self, now: Nanos, from: Node, ask: &Ask) {
+    fn handle_vote_request(&mut self, now: Nanos, from: MemberId, ask: &RequestVote) {
         // While a leader may still hold its lease by this one's word, that word is not given to another.
         let bound = match &self.role {
-            Role::Leader(_) => ask.pre || self.holds(now),
-            _ => now < self.heard + self.pace.election(),
+            Role::Leader(_) => ask.pre_vote || self.holds_quorum(now),
+            _ => now < self.leader_heard_at + self.timing.election_timeout(),
         };
         if bound {
             return;
         }
-        let fits = (ask.last_term, ask.last_index) >= (self.log.last().1, self.log.last().0);
-        if ask.pre {
+        let fits = (ask.last_log_term, ask.last_log_index)
+            >= (self.log.last_index_and_term().1, self.log.last_index_and_term().0);
+        if ask.pre_vote {
             let granted = fits && ask.term > self.term;
             let term = if granted { ask.term } else { self.term };
-            return self.out.push((from, Body::Voted(Voted { term, pre: true, granted })));
+            return self
+                .outbox
+                .push((from, Body::VoteResponse(VoteResponse { term, pre_vote: true, granted })));
         }
         if ask.term > self.term {
-            self.follow(now, ask.term, None);
+            self.become_follower(now, ask.term, None);
         }
-        let granted =
-            ask.term == self.term && fits && self.voted.is_none_or(|voted| voted == from) && !self.leading();
-        if granted && self.voted.is_none() {
-            self.voted = Some(from);
-            self.keep_vote();
-            self.election_at = now + self.draw();
+        let granted = ask.term == self.term
+            && fits
+            && self.voted_for.is_none_or(|voted| voted == from)
+            && !self.is_leader_role();
+        if granted && self.voted_for.is_none() {
+            self.voted_for = Some(from);
+            self.store_vote();
+            self.election_due_at = now + self.randomized_timeout();
         }
-        self.promise(from, Body::Voted(Voted { term: self.term, pre: false, granted }));
+        self.promise(from, Body::VoteResponse(VoteResponse { term: self.term, pre_vote: false, granted }));
     }
 
-    fn leading(&self) -> bool {
+    fn is_leader_role(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    fn voted(&mut self, now: Nanos, from: Node, voted: &Voted) {
+    fn handle_vote_response(&mut self, now: Nanos, from: MemberId, voted: &VoteResponse) {
         if voted.term > self.term + 1 || (voted.term > self.term && !voted.granted) {
-            return self.follow(now, voted.term, None);
+            return self.become_follower(now, voted.term, None);
         }
-        let Role::Candidate { pre, granted } = &mut self.role else { return };
+        let Role::Candidate { pre_vote: pre, votes: granted } = &mut self.role else { return };
         let asked_for = if *pre { self.term + 1 } else { self.term };
-        if voted.granted && voted.pre == *pre && voted.term == asked_for {
+        if voted.granted && voted.pre_vote == *pre && voted.term == asked_for {
             granted.insert(from);
-            self.count(now);
+            self.count_votes(now);
         }
     }
 
-    fn refuse(&mut self, to: Node, index: Index, round: u64) {
-        self.out.push((to, Body::Appended(Appended { term: self.term, fits: false, index, round })));
+    fn reject_append(&mut self, to: MemberId, index: LogIndex, round: u64) {
+        self.outbox.push((
+            to,
+            Body::AppendResponse(AppendResponse {
+                term: self.term,
+                success: false,
+                index,
+                heartbeat_round: round,
+            }),
+        ));
     }
 
-    fn hear_leader(&mut self, now: Nanos, from: Node, term: u64) -> bool {
+    fn accept_leader(&mut self, now: Nanos, from: MemberId, term: u64) -> bool {
         if term < self.term {
             return false;
         }
-        self.follow(now, term, Some(from));
-        self.heard = now;
+        self.become_follower(now, term, Some(from));
+        self.leader_heard_at = now;
         true
     }
 
-    fn append_from(&mut self, now: Nanos, from: Node, append: Append) {
-        if !self.hear_leader(now, from, append.term) {
-            return self.refuse(from, 0, append.round);
+    fn handle_append(&mut self, now: Nanos, from: MemberId, append: AppendEntries) {
+        if !self.accept_leader(now, from, append.term) {
+            return self.reject_append(from, 0, append.heartbeat_round);
         }
-        let base = self.log.base().index;
-        if append.prev_index > self.log.last().0 {
-            return self.refuse(from, self.log.last().0, append.round);
+        let base = self.log.snapshot().last_included_index;
+        if append.prev_log_index > self.log.last_index_and_term().0 {
+            return self.reject_append(from, self.log.last_index_and_term().0, append.heartbeat_round);
         }
-        if append.prev_index >= base && self.log.term(append.prev_index) != Some(append.prev_term) {
-            let begin = self.log.term_begin(append.prev_index);
-            return self.refuse(from, (begin - 1).max(base), append.round);
+        if append.prev_log_index >= base
+            && self.log.term_at(append.prev_log_index) != Some(append.prev_log_term)
+        {
+            let begin = self.log.first_index_of_term(append.prev_log_index);
+            return self.reject_append(from, (begin - 1).max(base), append.heartbeat_round);
         }
-        let reach = append.prev_index + append.entries.len() as u64;
+        let reach = append.prev_log_index + append.entries.len() as u64;
         for entry in append.entries {
-            let known = entry.index <= base || self.log.term(entry.index) == Some(entry.term);
+            let known = entry.index <= base || self.log.term_at(entry.index) == Some(entry.term);
             if known {
                 continue;
             }
-            if entry.index <= self.commit {
+            if entry.index <= self.commit_index {
                 // It would undo what is committed: the sender is no leader of this log.
-                return self.failed();
+                return self.fail_storage();
             }
-            self.log.put(entry.clone());
-            self.keep(Kept::Entry(entry));
+            self.log.append(entry.clone());
+            self.store(RecordKind::Entry(entry));
         }
-        self.agreed = self.agreed.max(reach);
-        self.commit = self.commit.max(append.commit.min(self.agreed));
-        let index = self.agreed.min(self.log.stored());
-        let answer = Appended { term: self.term, fits: true, index, round: append.round };
-        self.out.push((from, Body::Appended(answer)));
+        self.match_index = self.match_index.max(reach);
+        self.commit_index = self.commit_index.max(append.leader_commit.min(self.match_index));
+        let index = self.match_index.min(self.log.stored_index());
+        let answer =
+            AppendResponse { term: self.term, success: true, index, heartbeat_round: append.heartbeat_round };
+        self.outbox.push((from, Body::AppendResponse(answer)));
     }
 
-    fn snapshot_from(&mut self, now: Nanos, from: Node, snapshot: Snapshot) {
-        if !self.hear_leader(now, from, snapshot.term) {
-            return self.refuse(from, 0, snapshot.round);
+    fn handle_snapshot(&mut self, now: Nanos, from: MemberId, snapshot: Snapshot) {
+        if !self.accept_leader(now, from, snapshot.term) {
+            return self.reject_append(from, 0, snapshot.heartbeat_round);
         }
-        let round = snapshot.round;
-        self.agreed = self.agreed.max(snapshot.index);
-        if snapshot.index > self.commit {
+        let round = snapshot.heartbeat_round;
+        self.match_index = self.match_index.max(snapshot.last_included_index);
+        if snapshot.last_included_index > self.commit_index {
             self.log.restore(snapshot.clone());
-            self.commit = snapshot.index;
-            self.applied = snapshot.index;
-            self.keep_all();
-            self.restored = Some(snapshot);
-        }
-        let index = self.agreed.min(self.log.stored());
-        self.out.push((from, Body::Appended(Appended { term: self.term, fits: true, index, round })));
+            self.commit_index = snapshot.last_included_index;
+            self.last_applied = snapshot.last_included_index;
+            self.rewrite_file();
+            self.restored_snapshot = Some(snapshot);
+        }
+        let index = self.match_index.min(self.log.stored_index());
+        self.outbox.push((
+            from,
+            Body::AppendResponse(AppendResponse {
+                term: self.term,
+                success: true,
+                index,
+                heartbeat_round: round,
+            }),
+        ));
     }
 
     /// The file anew.
-    fn keep_all(&mut self) {
-        self.whole = true;
-        self.unkept = vec![
-            record(Kept::Boot(self.boot)),
-            record(Kept::Vote(Vote { term: self.term, voted: self.voted })),
-            record(Kept::Base(self.log.base().clone())),
+    fn rewrite_file(&mut self) {
+        self.rewrite_pending = true;
+        self.unwritten_records = vec![
+            record(RecordKind::StartCount(self.boot)),
+            record(RecordKind::Vote(Vote { term: self.term, voted_for: self.voted_for })),
+            record(RecordKind::Snapshot(self.log.snapshot().clone())),
         ];
-        self.unkept.extend(self.log.entries().iter().map(|entry| record(Kept::Entry(entry.clone()))));
+        self.unwritten_records
+            .extend(self.log.entries().iter().map(|entry| record(RecordKind::Entry(entry.clone()))));
     }
 
     /// All that was carried out up to `index` is in `state`.
-    pub(crate) fn compact(&mut self, index: Index, state: Vec<u8>) {
-        if index <= self.applied && index > self.base() && index <= self.log.stored() {
+    pub(crate) fn compact(&mut self, index: LogIndex, state: Vec<u8>) {
+        if index <= self.last_applied && index > self.snapshot_index() && index <= self.log.stored_index() {
             self.log.compact(index, state);
-            self.keep_all();
+            self.rewrite_file();
         }
     }
 
-    fn appended(&mut self, now: Nanos, from: Node, appended: &Appended) {
+    fn appended(&mut self, now: Nanos, from: MemberId, appended: &AppendResponse) {
         if appended.term > self.term {
-            return self.follow(now, appended.term, None);
+            return self.become_follower(now, appended.term, None);
         }
-        let last = self.log.last().0;
+        let last = self.log.last_index_and_term().0;
         let Role::Leader(lead) = &mut self.role else { return };
         let Some(follower) = lead.followers.get_mut(&from).filter(|_| appended.term == self.term) else {
             return;
         };
-        follower.round = follower.round.max(appended.round);
-        if appended.fits {
+        follower.acknowledged_round = follower.acknowledged_round.max(appended.heartbeat_round);
+        if appended.success {
             let index = appended.index.min(last);
-            if index > follower.matched {
-                follower.matched = index;
-                follower.sent = None;
+            if index > follower.match_index {
+                follower.match_index = index;
+                follower.in_flight_since = None;
             }
-            follower.next = follower.next.max(follower.matched + 1);
-            self.advance(now);
+            follower.next_index = follower.next_index.max(follower.match_index + 1);
+            self.advance_commit(now);
         } else {
             // A refusal told twice, or of an older message, starts nothing a second time.
-            let next = (appended.index + 1).clamp(follower.matched + 1, last + 1);
-            if next >= follower.next {
+            let next = (appended.index + 1).clamp(follower.match_index + 1, last + 1);
+            if next >= follower.next_index {
                 return;
             }
-            (follower.next, follower.sent) = (next, None);
+            (follower.next_index, follower.in_flight_since) = (next, None);
         }
-        self.send_to(now, from, false);
+        self.send_entries(now, from, false);
     }
 }
--- a/crates/group/src/sim.rs
+++ b/crates/group/src/sim.rs
@@ -8,15 +8,17 @@
 use oorandom::Rand64;
 use shalereel::interface::Nanos;
 
-use crate::choices::Fit;
-use crate::duties::Changed;
-use crate::group::{Charter, Effect, Group, State};
-use crate::leases::RangeLine;
-use crate::pace::Told;
-use crate::records::{encode, Recovered, HEAD};
-use crate::tenant::Tenant;
-use crate::wire::{Act, Duty, Envelope, Epoch, Move, Node, Order, Release, Seat};
-use crate::Planted;
+use crate::fault::InjectedFault;
+use crate::group::{Action, Group, GroupConfig, MemberRole};
+use crate::lease_client::LeaseClient;
+use crate::leases::RangeRoute;
+use crate::placement::ServerAvailability;
+use crate::state_machine::AppliedChange;
+use crate::storage::{encode, StoredLog, LOG_FILE_HEAD};
+use crate::timing::TimingSettings;
+use crate::wire::{
+    CommandPayload, Duty, Envelope, Epoch, MemberAddress, MemberId, MoveRange, OperatorOrder, ReleaseOrder,
+};
 
 const MILLI: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLI;
@@ -24,8 +26,8 @@
 
 /// What is played.
 #[derive(Clone, Copy, Debug)]
-pub struct Script {
-    pub nodes: Node,
+pub struct ScheduleSettings {
+    pub nodes: MemberId,
     pub forwarders: u64,
     pub ranges: u32,
     /// Time with troubles; as long again as it takes to settle follows.
@@ -34,19 +36,19 @@
     pub batch: usize,
     /// From one trouble to the next, the most.
     pub calm: Nanos,
-    pub planted: Option<Planted>,
+    pub injected_fault: Option<InjectedFault>,
 }
 
-impl Default for Script {
+impl Default for ScheduleSettings {
     fn default() -> Self {
-        Script {
+        ScheduleSettings {
             nodes: 3,
             forwarders: 3,
             ranges: 2,
             length: 30 * SECOND,
             batch: 64,
             calm: 3 * SECOND,
-            planted: None,
+            injected_fault: None,
         }
     }
 }
@@ -67,7 +69,7 @@
 
 /// What a schedule held, to see that checks had something to check.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct ScheduleStats {
     pub steps: u64,
     pub elections: u64,
     pub committed: u64,
@@ -79,9 +81,9 @@
     pub headless: Nanos,
 }
 
-impl Tally {
+impl ScheduleStats {
     /// Another schedule's.
-    pub fn add(&mut self, other: &Tally) {
+    pub fn add(&mut self, other: &ScheduleStats) {
         self.steps += other.steps;
         self.elections += other.elections;
         self.committed += other.committed;
@@ -94,23 +96,23 @@
 }
 
 enum Event {
-    Wake(Node),
+    Wake(MemberId),
     Deliver(Envelope),
     Stored {
-        node: Node,
+        node: MemberId,
         life: u64,
     },
     Trouble,
-    Restart(Node),
-    Resume(Node),
-    DiskWell(Node),
+    Restart(MemberId),
+    Resume(MemberId),
+    DiskWell(MemberId),
     Heal,
     Asks(u64),
     /// A question on its way to a member, and an answer back.
     Question {
         forwarder: u64,
         stream: u64,
-        to: Node,
+        to: MemberId,
         seen: u64,
         holds: Vec<(u32, Epoch)>,
         asked: Nanos,
@@ -120,12 +122,12 @@
         stream: u64,
         number: u64,
         asked: Option<Nanos>,
-        lines: Option<Vec<RangeLine>>,
+        lines: Option<Vec<RangeRoute>>,
     },
     Write(u64),
     TakesEffect {
         range: u32,
-        line: RangeLine,
+        line: RangeRoute,
     },
     Operate,
 }
@@ -138,7 +140,7 @@
     fails: bool,
 }
 
-struct Machine {
+struct SimulatedMember {
     group: Option<Group>,
     life: u64,
     disk: Disk,
@@ -151,7 +153,7 @@
     applied: u64,
 }
 
-impl Machine {
+impl SimulatedMember {
     fn clock(&self, now: Nanos) -> Nanos {
         self.ahead + (now as f64 * self.rate) as Nanos
     }
@@ -162,9 +164,9 @@
 }
 
 struct Forwarder {
-    tenant: Tenant,
+    tenant: LeaseClient,
     stream: u64,
-    at: Node,
+    at: MemberId,
     rate: f64,
     paused_until: Nanos,
 }
@@ -175,22 +177,22 @@
     }
 }
 
-struct World {
-    script: Script,
+struct Simulation {
+    script: ScheduleSettings,
     seed: u64,
     now: Nanos,
-    chance: Rand64,
-    told: Told,
-    machines: BTreeMap<Node, Machine>,
+    rng: Rand64,
+    told: TimingSettings,
+    machines: BTreeMap<MemberId, SimulatedMember>,
     forwarders: BTreeMap<u64, Forwarder>,
     events: BTreeMap<(Nanos, u64), Event>,
     events_put: u64,
     /// From whom to whom nothing passes.
-    cut: BTreeSet<(Node, Node)>,
+    cut: BTreeSet<(MemberId, MemberId)>,
     lossy: f64,
-    fits: BTreeMap<u32, Fit>,
-    tally: Tally,
-    leaders: BTreeMap<u64, Node>,
+    fits: BTreeMap<u32, ServerAvailability>,
+    tally: ScheduleStats,
+    leaders: BTreeMap<u64, MemberId>,
     history: BTreeMap<u64, u32>,
     /// By range: the highest epoch that took effect, and at which server.
     effects: BTreeMap<u32, (Epoch, u32)>,
@@ -200,27 +202,32 @@
 }
 
 /// Plays one schedule.
-pub fn play(seed: u64, script: Script) -> Result<Tally, Violation> {
-    let mut world = World::new(seed, script);
+pub fn play(seed: u64, script: ScheduleSettings) -> Result<ScheduleStats, Violation> {
+    let mut world = Simulation::new(seed, script);
     world.run()?;
     Ok(world.tally)
 }
 
-impl World {
-    fn new(seed: u64, script: Script) -> Self {
-        let mut chance = Rand64::new(u128::from(seed) * 2 + 1);
+impl Simulation {
+    fn new(seed: u64, script: ScheduleSettings) -> Self {
+        let mut rng = Rand64::new(u128::from(seed) * 2 + 1);
         let drift = 0.05;
-        let told =
-            Told { election: SECOND, drift, tenure: SECOND, in_flight: SECOND / 2, batch: script.batch };
-        let rate = |chance: &mut Rand64| 1.0 + drift * (2.0 * chance.rand_float() - 1.0);
+        let told = TimingSettings {
+            election_timeout: SECOND,
+            max_clock_drift: drift,
+            tenure: SECOND,
+            max_in_flight: SECOND / 2,
+            max_batch_entries: script.batch,
+        };
+        let rate = |rng: &mut Rand64| 1.0 + drift * (2.0 * rng.rand_float() - 1.0);
         let machines = (0..script.nodes)
             .map(|node| {
-                let machine = Machine {
+                let machine = SimulatedMember {
                     group: None,
                     life: 0,
                     disk: Disk { file: None, queue: VecDeque::new(), slow: false, fails: false },
-                    ahead: SECOND + chance.rand_range(0..1000 * SECOND),
-                    rate: rate(&mut chance),
+                    ahead: SECOND + rng.rand_range(0..1000 * SECOND),
+                    rate: rate(&mut rng),
                     paused: false,
                     waiting: Vec::new(),
                     woken: 0,
@@ -231,19 +238,24 @@
             .collect();
         let forwarders = (0..script.forwarders)
             .map(|at| {
-                let tenant = Tenant::new(script.planted == Some(Planted::NoFence));
-                let rate = rate(&mut chance);
+                let tenant = LeaseClient::new(script.injected_fault == Some(InjectedFault::NoFence));
+                let rate = rate(&mut rng);
                 (at, Forwarder { tenant, stream: 0, at: 0, rate, paused_until: 0 })
             })
             .collect();
         let fits = (0..SERVERS)
-            .map(|server| (server, Fit { server, locality: server % 2, open: true, listed: true }))
+            .map(|server| {
+                (
+                    server,
+                    ServerAvailability { server, locality: server % 2, accepts_ranges: true, listed: true },
+                )
+            })
             .collect();
-        World {
+        Simulation {
             script,
             seed,
             now: 0,
-            chance,
+            rng,
             told,
             machines,
             forwarders,
@@ -252,7 +264,7 @@
             cut: BTreeSet::new(),
             lossy: 0.0,
             fits,
-            tally: Tally::default(),
+            tally: ScheduleStats::default(),
             leaders: BTreeMap::new(),
             history: BTreeMap::new(),
             effects: BTreeMap::new(),
@@ -268,40 +280,40 @@
     }
 
     fn draw(&mut self, most: u64) -> u64 {
-        self.chance.rand_range(0..most.max(1))
+        self.rng.rand_range(0..most.max(1))
     }
 
     fn wrong(&self, what: String) -> Violation {
         Violation { seed: self.seed, at: self.now, what }
     }
 
-    fn start(&mut self, node: Node) -> Result<(), Violation> {
+    fn start(&mut self, node: MemberId) -> Result<(), Violation> {
         let seats = (0..self.script.nodes.min(5))
-            .map(|number| Seat { number, address: format!("member-{number}") })
+            .map(|number| MemberAddress { id: number, address: format!("member-{number}") })
             .collect();
         let duties = (0..self.script.ranges)
-            .map(Duty::Range)
-            .chain([Duty::Reports, Duty::Drains(0), Duty::Drains(1), Duty::Table(0)])
+            .map(Duty::PlaceRange)
+            .chain([Duty::MergeReports, Duty::RunDrains(0), Duty::RunDrains(1), Duty::FenceTable(0)])
             .collect();
-        let (told, planted, seed) = (self.told, self.script.planted, self.seed);
+        let (told, injected_fault, seed) = (self.told, self.script.injected_fault, self.seed);
         let (now, fits) = (self.now, self.fits.clone());
         let Some(machine) = self.machines.get_mut(&node) else { return Ok(()) };
-        let charter = Charter {
-            me: node,
+        let config = GroupConfig {
+            id: node,
             address: format!("member-{node}"),
             name: "simulated".into(),
-            seats,
+            initial_voters: seats,
             joining: false,
-            told,
+            timing: told,
             seed,
             duties,
-            planted,
+            injected_fault,
         };
         let kept = match &mut machine.disk.file {
             None => None,
-            Some(file) => match Recovered::read(file) {
+            Some(file) => match StoredLog::read(file) {
                 Ok(kept) => {
-                    file.truncate(kept.whole);
+                    file.truncate(kept.complete_bytes);
                     Some(kept)
                 }
                 Err(error) => {
@@ -313,8 +325,8 @@
         // Nothing of its own is left of the life before but the file; what it knew as carried out may be less.
         machine.applied = 0;
         machine.disk.queue.clear();
-        let mut group = Group::new(charter, machine.clock(now), kept);
-        group.servers(fits);
+        let mut group = Group::new(config, machine.clock(now), kept);
+        group.update_servers(fits);
         machine.group = Some(group);
         machine.woken = 0;
         self.put(now, Event::Wake(node));
@@ -359,7 +371,8 @@
             let Some(machine) = self.machines.get_mut(&node) else { continue };
             let failed = machine.disk.fails;
             (machine.disk.slow, machine.disk.fails) = (false, false);
-            let broken = machine.group.as_ref().is_some_and(|group| group.state() == State::Broken);
+            let broken =
+                machine.group.as_ref().is_some_and(|group| group.role() == MemberRole::StorageFailed);
             if machine.paused {
                 self.resume(node)?;
             }
@@ -376,25 +389,25 @@
     fn settled(&self) -> Result<(), String> {
         let groups: Vec<&Group> =
             self.machines.values().filter_map(|machine| machine.group.as_ref()).collect();
-        let leaders: Vec<Node> =
-            groups.iter().filter(|group| group.leads()).map(|group| group.me()).collect();
+        let leaders: Vec<MemberId> =
+            groups.iter().filter(|group| group.is_leader()).map(|group| group.id()).collect();
         let [leader] = leaders[..] else { return Err(format!("leaders: {leaders:?}")) };
-        let most = groups.iter().map(|group| group.log().3).max().unwrap_or(0);
+        let most = groups.iter().map(|group| group.log_status().3).max().unwrap_or(0);
         for group in &groups {
-            let seats = group.seats();
-            if !seats.voters.iter().any(|seat| seat.number == group.me()) {
+            let seats = group.configuration();
+            if !seats.voters.iter().any(|seat| seat.id == group.id()) {
                 continue;
             }
-            if group.state() != State::Follows(leader) && group.me() != leader {
-                return Err(format!("{} stands as {:?}, not behind {leader}", group.me(), group.state()));
+            if group.role() != MemberRole::Follower(leader) && group.id() != leader {
+                return Err(format!("{} stands as {:?}, not behind {leader}", group.id(), group.role()));
             }
-            if group.log().3 < most {
-                return Err(format!("{} has carried out {} of {most}", group.me(), group.log().3));
+            if group.log_status().3 < most {
+                return Err(format!("{} has carried out {} of {most}", group.id(), group.log_status().3));
             }
             for range in 0..self.script.ranges {
-                let owned = group.duties().ranges().get(&range);
+                let owned = group.state_machine().ranges().get(&range);
                 if owned.is_none_or(|owned| owned.owner.is_none()) {
-                    return Err(format!("range {range} has no owner at {}: {owned:?}", group.me()));
+                    return Err(format!("range {range} has no owner at {}: {owned:?}", group.id()));
                 }
             }
         }
@@ -422,7 +435,7 @@
                 let Some(machine) = self.machines.get_mut(&node) else { return Ok(()) };
                 let clock = machine.clock(now);
                 let Some(group) = &mut machine.group else { return Ok(()) };
-                group.heard(clock, envelope);
+                group.handle_message(clock, envelope);
                 self.turn(node)
             }
             Event::Stored { node, life } => self.synced(node, life),
@@ -459,7 +472,7 @@
                 let Some(machine) = self.machines.get_mut(&to) else { return Ok(()) };
                 let clock = machine.clock(now);
                 let Some(group) = &mut machine.group else { return Ok(()) };
-                let (number, lines) = group.ranges_asked(clock, stream, seen, &holds);
+                let (number, lines) = group.handle_range_request(clock, stream, seen, &holds);
                 let answer = Event::Answer { forwarder, stream, number, asked: Some(asked), lines };
                 let at = self.arrival();
                 self.put(at, answer);
@@ -486,17 +499,17 @@
         self.now + MILLI / 2 + self.draw(most)
     }
 
-    fn turn(&mut self, node: Node) -> Result<(), Violation> {
+    fn turn(&mut self, node: MemberId) -> Result<(), Violation> {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(&node) else { return Ok(()) };
         let clock = machine.clock(now);
         let Some(group) = &mut machine.group else { return Ok(()) };
-        let effects = group.turn(clock);
-        let next = group.next();
+        let effects = group.poll(clock);
+        let next = group.next_deadline();
         for effect in effects {
             match effect {
-                Effect::Send { to, envelope, .. } => {
-                    let lost = self.cut.contains(&(node, to)) || self.chance.rand_float() < self.lossy;
+                Action::Send { to, envelope, .. } => {
+                    let lost = self.cut.contains(&(node, to)) || self.rng.rand_float() < self.lossy;
                     if lost {
                         continue;
                     }
@@ -507,21 +520,21 @@
                     let at = self.arrival();
                     self.put(at, Event::Deliver(envelope));
                 }
-                Effect::Write(writing) => {
+                Action::Store(writing) => {
                     let bytes = shalereel_journal::frame(&encode(&writing.records));
                     let Some(machine) = self.machines.get_mut(&node) else { continue };
-                    machine.disk.queue.push_back((writing.number, writing.whole, bytes));
+                    machine.disk.queue.push_back((writing.sequence, writing.replaces_file, bytes));
                     if machine.disk.queue.len() == 1 {
                         self.sync(node);
                     }
                 }
-                Effect::Changed(Changed::Leaving { .. }) => self.withdraw(node),
-                Effect::Changed(Changed::Given { .. }) => self.tally.moves += 1,
-                Effect::Answer { .. }
-                | Effect::Changed(_)
-                | Effect::Restored
-                | Effect::Others(_)
-                | Effect::Remark(_) => {}
+                Action::Applied(AppliedChange::RangeWithdrawn { .. }) => self.withdraw(node),
+                Action::Applied(AppliedChange::RangeAssigned { .. }) => self.tally.moves += 1,
+                Action::Answer { .. }
+                | Action::Applied(_)
+                | Action::SnapshotRestored
+                | Action::PeerReports(_)
+                | Action::Log(_) => {}
             }
         }
         if let Some(machine) = self.machines.get_mut(&node) {
@@ -536,7 +549,7 @@
 
     // The disk.
 
-    fn sync(&mut self, node: Node) {
+    fn sync(&mut self, node: MemberId) {
         let Some(machine) = self.machines.get(&node) else { return };
         let (life, slow) = (machine.life, machine.disk.slow);
         let span = if slow { 1500 * MILLI } else { 8 * MILLI };
@@ -544,23 +557,23 @@
         self.put(at, Event::Stored { node, life });
     }
 
-    fn synced(&mut self, node: Node, life: u64) -> Result<(), Violation> {
+    fn synced(&mut self, node: MemberId, life: u64) -> Result<(), Violation> {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(&node) else { return Ok(()) };
         let clock = machine.clock(now);
         let (Some(group), true) = (&mut machine.group, machine.life == life) else { return Ok(()) };
         if machine.disk.fails {
             machine.disk.queue.clear();
-            group.store_failed("no space left");
+            group.handle_write_failed("no space left");
             return self.turn(node);
         }
         if let Some((number, whole, bytes)) = machine.disk.queue.pop_front() {
-            let file = machine.disk.file.get_or_insert_with(|| HEAD.to_vec());
+            let file = machine.disk.file.get_or_insert_with(|| LOG_FILE_HEAD.to_vec());
             if whole {
-                *file = HEAD.to_vec();
+                *file = LOG_FILE_HEAD.to_vec();
             }
             file.extend_from_slice(&bytes);
-            group.stored(clock, number);
+            group.handle_write_done(clock, number);
         }
         if !machine.disk.queue.is_empty() {
             self.sync(node);
@@ -568,13 +581,13 @@
         self.turn(node)
     }
 
-    fn crash(&mut self, node: Node) {
-        let torn = self.chance.rand_float();
+    fn crash(&mut self, node: MemberId) {
+        let torn = self.rng.rand_float();
         let now = self.now;
         let Some(machine) = self.machines.get_mut(&node) else { return };
         let Some(group) = machine.group.take() else { return };
         self.tally.crashes += 1;
-        if group.state() == State::Leads {
+        if group.role() == MemberRole::Leader {
             self.headless_since = Some(now);
         }
         machine.life += 1;
@@ -583,13 +596,13 @@
         // What was being written is there in part.
         if let Some((_, false, bytes)) = machine.disk.queue.pop_front() {
             let part = (bytes.len() as f64 * torn) as usize;
-            let file = machine.disk.file.get_or_insert_with(|| HEAD.to_vec());
+            let file = machine.disk.file.get_or_insert_with(|| LOG_FILE_HEAD.to_vec());
             file.extend_from_slice(&bytes[..part]);
         }
         machine.disk.queue.clear();
     }
 
-    fn resume(&mut self, node: Node) -> Result<(), Violation> {
+    fn resume(&mut self, node: MemberId) -> Result<(), Violation> {
         let Some(machine) = self.machines.get_mut(&node) else { return Ok(()) };
         if !std::mem::replace(&mut machine.paused, false) {
             return Ok(());
@@ -611,7 +624,7 @@
         }
         let next = self.now + 200 * MILLI + self.draw(self.script.calm);
         self.put(next, Event::Trouble);
-        let node = self.draw(self.script.nodes.into()) as Node;
+        let node = self.draw(self.script.nodes.into()) as MemberId;
         let span = self.now + 300 * MILLI + self.draw(5 * SECOND);
         match self.draw(11) {
             0 | 1 => {
@@ -634,13 +647,13 @@
             }
             4 => {
                 // A hears B, B does not hear A.
-                let other = self.draw(self.script.nodes.into()) as Node;
+                let other = self.draw(self.script.nodes.into()) as MemberId;
                 self.cut.insert((node, other));
                 self.put(span, Event::Heal);
             }
             5 => {
-                let side: BTreeSet<Node> =
-                    (0..self.script.nodes).filter(|_| self.chance.rand_u64() & 1 == 0).collect();
+                let side: BTreeSet<MemberId> =
+                    (0..self.script.nodes).filter(|_| self.rng.rand_u64() & 1 == 0).collect();
                 for one in 0..self.script.nodes {
                     for other in 0..self.script.nodes {
                         if side.contains(&one) != side.contains(&other) {
@@ -651,7 +664,7 @@
                 self.put(span, Event::Heal);
             }
             6 => {
-                self.lossy = 0.1 + 0.4 * self.chance.rand_float();
+                self.lossy = 0.1 + 0.4 * self.rng.rand_float();
                 self.put(span, Event::Heal);
             }
             7 => {
@@ -671,14 +684,14 @@
             9 => {
                 // A server drains, or is back: whoever owns its ranges must give them away.
                 let server = self.draw(SERVERS.into()) as u32;
-                let gone = self.fits.values().filter(|fit| !fit.open).count();
+                let gone = self.fits.values().filter(|fit| !fit.accepts_ranges).count();
                 if let Some(fit) = self.fits.get_mut(&server) {
-                    let open = !fit.open || gone > SERVERS as usize / 2;
-                    (fit.open, fit.listed) = (open, open);
+                    let open = !fit.accepts_ranges || gone > SERVERS as usize / 2;
+                    (fit.accepts_ranges, fit.listed) = (open, open);
                 }
                 let fits = self.fits.clone();
                 for machine in self.machines.values_mut().filter_map(|machine| machine.group.as_mut()) {
-                    machine.servers(fits.clone());
+                    machine.update_servers(fits.clone());
                 }
             }
             _ => {
@@ -700,30 +713,42 @@
         let next = self.now + 300 * MILLI + self.draw(2 * SECOND);
         self.put(next, Event::Operate);
         let server = self.draw(SERVERS.into()) as u32;
-        let act = match self.draw(4) {
-            0 => Act::Order(Order { server, locality: server % 2, hold: None }),
-            1 => Act::Order(Order { server, locality: server % 2, hold: Some(500_000) }),
+        let payload = match self.draw(4) {
+            0 => CommandPayload::OperatorOrder(OperatorOrder {
+                server,
+                locality: server % 2,
+                weight_cap_millionths: None,
+            }),
+            1 => CommandPayload::OperatorOrder(OperatorOrder {
+                server,
+                locality: server % 2,
+                weight_cap_millionths: Some(500_000),
+            }),
             2 => {
                 let standing = self.machines.values().filter_map(|machine| machine.group.as_ref());
                 let order =
-                    standing.filter_map(|group| group.duties().orders().keys().next().copied()).next();
+                    standing.filter_map(|group| group.state_machine().orders().keys().next().copied()).next();
                 match order {
-                    Some(order) => Act::Release(Release { order }),
+                    Some(order) => CommandPayload::ReleaseOrder(ReleaseOrder { order_index: order }),
                     None => return,
                 }
             }
-            _ => Act::Move(Move { range: self.draw(self.script.ranges.into()) as u32, to: server, epoch: 0 }),
+            _ => CommandPayload::MoveRange(MoveRange {
+                range: self.draw(self.script.ranges.into()) as u32,
+                to_server: server,
+                epoch: 0,
+            }),
         };
         let times = 1 + self.draw(2);
         for _ in 0..times {
-            let node = self.draw(self.script.nodes.into()) as Node;
+            let node = self.draw(self.script.nodes.into()) as MemberId;
             let now = self.now;
             let Some(machine) = self.machines.get_mut(&node).filter(|machine| !machine.paused) else {
                 continue;
             };
             let clock = machine.clock(now);
             if let Some(group) = &mut machine.group {
-                group.order(clock, now, act.clone());
+                group.submit_order(clock, now, payload.clone());
                 self.tally.orders += 1;
                 self.put(now, Event::Wake(node));
             }
@@ -741,7 +766,7 @@
     fn ask(&mut self, id: u64) {
         let (now, nodes) = (self.now, u64::from(self.script.nodes));
         let moves = self.draw(12) == 0;
-        let elsewhere = self.draw(nodes) as Node;
+        let elsewhere = self.draw(nodes) as MemberId;
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
         if now < forwarder.paused_until {
             return;
@@ -751,10 +776,10 @@
             self.streams += 1;
             forwarder.stream = self.streams;
             forwarder.at = elsewhere;
-            forwarder.tenant.reopened();
+            forwarder.tenant.stream_reopened();
         }
         let asked = forwarder.clock(now);
-        let (seen, holds) = forwarder.tenant.asks(asked);
+        let (seen, holds) = forwarder.tenant.request(asked);
         let (stream, to) = (forwarder.stream, forwarder.at);
         let at = self.arrival();
         // One stream's messages keep their order.
@@ -766,11 +791,11 @@
         self.put(at, Event::Question { forwarder: id, stream, to, seen, holds, asked });
     }
 
-    fn withdraw(&mut self, node: Node) {
+    fn withdraw(&mut self, node: MemberId) {
         let Some(group) = self.machines.get_mut(&node).and_then(|machine| machine.group.as_mut()) else {
             return;
         };
-        let (number, lines) = group.ranges_standing();
+        let (number, lines) = group.current_routes();
         let joined: Vec<(u64, u64)> = self
             .forwarders
             .iter()
@@ -790,7 +815,7 @@
         stream: u64,
         number: u64,
         asked: Option<Nanos>,
-        lines: Option<Vec<RangeLine>>,
+        lines: Option<Vec<RangeRoute>>,
     ) -> Result<(), Violation> {
         let tenure = self.told.tenure;
         let now = self.now;
@@ -808,10 +833,11 @@
             return Ok(());
         }
         let before = forwarder.tenant.clone();
-        let taken = forwarder.tenant.answered(number, asked.map(|asked| (asked, tenure)), lines.as_deref());
+        let taken =
+            forwarder.tenant.handle_response(number, asked.map(|asked| (asked, tenure)), lines.as_deref());
         let clock = forwarder.clock(now);
         for range in 0..self.script.ranges {
-            if let (Some(old), Some(new)) = (before.line(0, range), forwarder.tenant.line(clock, range)) {
+            if let (Some(old), Some(new)) = (before.route(0, range), forwarder.tenant.route(clock, range)) {
                 if new.epoch < old.epoch {
                     let what = format!("forwarder {id} went back from epoch {} to {}", old.epoch, new.epoch);
                     return Err(self.wrong(what));
@@ -828,19 +854,19 @@
         let again = self.now + MILLI + self.draw(150 * MILLI);
         self.put(again, Event::Write(id));
         let now = self.now;
-        let in_flight = self.told.in_flight;
+        let in_flight = self.told.max_in_flight;
         let range = self.draw(self.script.ranges.into()) as u32;
         let travel = if self.draw(4) == 0 { self.draw(in_flight) } else { self.draw(20 * MILLI) };
         let Some(forwarder) = self.forwarders.get(&id).filter(|forwarder| now >= forwarder.paused_until)
         else {
             return;
         };
-        if let Some(line) = forwarder.tenant.line(forwarder.clock(now), range) {
+        if let Some(line) = forwarder.tenant.route(forwarder.clock(now), range) {
             self.put(now + travel, Event::TakesEffect { range, line });
         }
     }
 
-    fn takes_effect(&mut self, range: u32, line: RangeLine) -> Result<(), Violation> {
+    fn takes_effect(&mut self, range: u32, line: RangeRoute) -> Result<(), Violation> {
         self.tally.writes += 1;
         if let Some((epoch, owner)) = self.effects.get(&range) {
             let back = line.epoch < *epoch || (line.epoch == *epoch && line.owner != *owner);
@@ -858,13 +884,13 @@
 
     // What must always hold.
 
-    fn check(&mut self, node: Node) -> Result<(), Violation> {
+    fn check(&mut self, node: MemberId) -> Result<(), Violation> {
         let (seed, at) = (self.seed, self.now);
         let wrong = |what: String| Err(Violation { seed, at, what });
         let Some(machine) = self.machines.get_mut(&node) else { return Ok(()) };
         let Some(group) = &machine.group else { return Ok(()) };
-        let (term, last, commit, applied, _) = group.log();
-        if group.state() == State::Leads {
+        let (term, last, commit, applied, _) = group.log_status();
+        if group.role() == MemberRole::Leader {
             let leader = *self.leaders.entry(term).or_insert_with(|| {
                 self.tally.elections += 1;
                 node
@@ -873,7 +899,7 @@
                 return wrong(format!("two leaders in term {term}: {leader} and {node}"));
             }
         }
-        if group.leads() {
+        if group.is_leader() {
             if let Some(since) = self.headless_since.take() {
                 self.tally.headless = self.tally.headless.max(at - since);
             }
@@ -886,7 +912,7 @@
         }
         machine.applied = applied;
         if applied > 0 {
-            let (history, tally) = (group.duties().history(), &mut self.tally);
+            let (history, tally) = (group.state_machine().history_checksum(), &mut self.tally);
             let agreed = *self.history.entry(applied).or_insert_with(|| {
                 tally.committed = tally.committed.max(applied);
                 history
@@ -896,8 +922,9 @@
             }
         }
         let mut orders: BTreeMap<(u32, Option<u32>), u32> = BTreeMap::new();
-        for standing in group.duties().orders().values() {
-            let count = orders.entry((standing.order.server, standing.order.hold)).or_default();
+        for standing in group.state_machine().orders().values() {
+            let count =
+                orders.entry((standing.order.server, standing.order.weight_cap_millionths)).or_default();
             *count += 1;
             if *count > 1 {
                 return wrong(format!("an order about server {} stands twice", standing.order.server));
--- a/crates/group/src/walk.rs
+++ b/crates/group/src/walk.rs
@@ -5,40 +5,44 @@
 
 use oorandom::Rand64;
 
-use crate::pace::{Pace, Told};
+use crate::fault::InjectedFault;
 use crate::raft::Raft;
-use crate::records::Recovered;
-use crate::wire::{Act, Body, Command, Kept, Node, Record, Release, Seat, Seats};
-use crate::Planted;
+use crate::storage::StoredLog;
+use crate::timing::{Timing, TimingSettings};
+use crate::wire::{
+    Body, Command, CommandPayload, Configuration, MemberAddress, MemberId, RecordKind, ReleaseOrder,
+    StoredRecord,
+};
 
 const ELECTION: u64 = 1_000_000_000;
 
 struct Walker {
     raft: Option<Raft>,
-    kept: Vec<Record>,
+    kept: Vec<StoredRecord>,
 }
 
 struct Walk {
     now: u64,
     seed: u64,
-    chance: Rand64,
+    rng: Rand64,
     walkers: Vec<Walker>,
-    under_way: Vec<(Node, Node, Body)>,
+    under_way: Vec<(MemberId, MemberId, Body)>,
     committed: BTreeMap<u64, (u64, u64)>,
-    leaders: BTreeMap<u64, Node>,
-    planted: Option<Planted>,
+    leaders: BTreeMap<u64, MemberId>,
+    injected_fault: Option<InjectedFault>,
     requests: u64,
 }
 
-fn recover(kept: &[Record], nodes: Node) -> Recovered {
-    let mut found = Recovered::default();
-    let seat = |number| Seat { number, address: String::new() };
-    found.base.seats = Some(Seats { voters: (0..nodes).map(seat).collect(), learners: Vec::new() });
+fn recover(kept: &[StoredRecord], nodes: MemberId) -> StoredLog {
+    let mut found = StoredLog::default();
+    let seat = |number| MemberAddress { id: number, address: String::new() };
+    found.snapshot.configuration =
+        Some(Configuration { voters: (0..nodes).map(seat).collect(), learners: Vec::new() });
     for record in kept {
-        match record.kept.clone() {
-            Some(Kept::Boot(boot)) => found.boot = boot,
-            Some(Kept::Vote(vote)) => found.vote = vote,
-            Some(Kept::Entry(entry)) => {
+        match record.kind.clone() {
+            Some(RecordKind::StartCount(boot)) => found.start_count = boot,
+            Some(RecordKind::Vote(vote)) => found.vote = vote,
+            Some(RecordKind::Entry(entry)) => {
                 found.entries.retain(|old| old.index < entry.index);
                 found.entries.push(entry);
             }
@@ -50,9 +54,16 @@
 
 impl Walk {
     fn start(&mut self, at: usize) {
-        let told = Told { election: ELECTION, drift: 0.0, tenure: 0, in_flight: 0, batch: 1 };
-        let kept = recover(&self.walkers[at].kept, self.walkers.len() as Node);
-        let raft = Raft::new(at as Node, self.now, kept, Pace::new(told), self.seed, self.planted);
+        let told = TimingSettings {
+            election_timeout: ELECTION,
+            max_clock_drift: 0.0,
+            tenure: 0,
+            max_in_flight: 0,
+            max_batch_entries: 1,
+        };
+        let kept = recover(&self.walkers[at].kept, self.walkers.len() as MemberId);
+        let raft =
+            Raft::new(at as MemberId, self.now, kept, Timing::new(told), self.seed, self.injected_fault);
         self.walkers[at].raft = Some(raft);
     }
 
@@ -60,17 +71,17 @@
     fn settle(&mut self, at: usize) -> Result<(), String> {
         loop {
             let Some(raft) = &mut self.walkers[at].raft else { return Ok(()) };
-            let turn = raft.turn();
-            if turn.sends.is_empty() && turn.writing.is_none() && turn.committed.is_empty() {
+            let turn = raft.take_output();
+            if turn.messages.is_empty() && turn.write.is_none() && turn.committed.is_empty() {
                 break;
             }
-            if let Some(writing) = turn.writing {
-                raft.stored(self.now, writing.number);
+            if let Some(writing) = turn.write {
+                raft.handle_write_done(self.now, writing.sequence);
                 self.walkers[at].kept.extend(writing.records);
             }
-            self.under_way.extend(turn.sends.into_iter().map(|(to, body)| (at as Node, to, body)));
+            self.under_way.extend(turn.messages.into_iter().map(|(to, body)| (at as MemberId, to, body)));
             for entry in turn.committed {
-                let request = entry.command.as_ref().map_or(0, |command| command.request);
+                let request = entry.command.as_ref().map_or(0, |command| command.request_id);
                 let agreed = *self.committed.entry(entry.index).or_insert((entry.term, request));
                 if agreed != (entry.term, request) {
                     return Err(format!(
@@ -82,9 +93,9 @@
             }
         }
         if let Some(raft) = &self.walkers[at].raft {
-            if raft.leader() == Some(at as Node) {
-                let leader = *self.leaders.entry(raft.term()).or_insert(at as Node);
-                if leader != at as Node {
+            if raft.leader() == Some(at as MemberId) {
+                let leader = *self.leaders.entry(raft.term()).or_insert(at as MemberId);
+                if leader != at as MemberId {
                     return Err(format!("two leaders in term {}", raft.term()));
                 }
             }
@@ -93,22 +104,22 @@
     }
 
     fn step(&mut self) -> Result<(), String> {
-        let at = self.chance.rand_range(0..self.walkers.len() as u64) as usize;
-        match self.chance.rand_range(0..100) {
+        let at = self.rng.rand_range(0..self.walkers.len() as u64) as usize;
+        match self.rng.rand_range(0..100) {
             0..=79 if !self.under_way.is_empty() => {
-                let which = self.chance.rand_range(0..self.under_way.len() as u64) as usize;
+                let which = self.rng.rand_range(0..self.under_way.len() as u64) as usize;
                 let (from, to, body) = self.under_way.swap_remove(which);
                 if let Some(raft) = &mut self.walkers[to as usize].raft {
-                    raft.heard(self.now, from, body);
+                    raft.handle_message(self.now, from, body);
                     return self.settle(to as usize);
                 }
             }
             80 if !self.under_way.is_empty() => {
-                let keep = self.chance.rand_range(0..self.under_way.len() as u64 + 1) as usize;
+                let keep = self.rng.rand_range(0..self.under_way.len() as u64 + 1) as usize;
                 self.under_way.truncate(keep);
             }
             81..=87 => {
-                return self.propose(at as Node);
+                return self.propose(at as MemberId);
             }
             88..=90 => {
                 // So much silence that this one stands for election, and those it asks are bound to nobody.
@@ -135,27 +146,27 @@
         Ok(())
     }
 
-    fn propose(&mut self, at: Node) -> Result<(), String> {
+    fn propose(&mut self, at: MemberId) -> Result<(), String> {
         self.requests += 1;
-        let act = Some(Act::Release(Release { order: 0 }));
-        let command = Command { request: self.requests, act };
+        let payload = Some(CommandPayload::ReleaseOrder(ReleaseOrder { order_index: 0 }));
+        let command = Command { request_id: self.requests, payload };
         if let Some(raft) = &mut self.walkers[at as usize].raft {
             raft.propose(self.now, command);
         }
         self.settle(at as usize)
     }
 
-    fn new(seed: u64, nodes: usize, planted: Option<Planted>) -> Self {
+    fn new(seed: u64, nodes: usize, injected_fault: Option<InjectedFault>) -> Self {
         let walkers = (0..nodes).map(|_| Walker { raft: None, kept: Vec::new() }).collect();
         let mut walk = Walk {
             now: 10 * ELECTION,
             seed,
-            chance: Rand64::new(seed.into()),
+            rng: Rand64::new(seed.into()),
             walkers,
             under_way: Vec::new(),
             committed: BTreeMap::new(),
             leaders: BTreeMap::new(),
-            planted,
+            injected_fault,
             requests: 0,
         };
         (0..nodes).for_each(|at| walk.start(at));
@@ -181,12 +192,12 @@
 }
 
 /// Delivers what passes between these, of the kinds let through, until nothing is left; the rest is lost.
-fn pass(walk: &mut Walk, between: &[Node], through: fn(&Body) -> bool) -> Result<(), String> {
+fn pass(walk: &mut Walk, between: &[MemberId], through: fn(&Body) -> bool) -> Result<(), String> {
     while !walk.under_way.is_empty() {
         let (from, to, body) = walk.under_way.remove(0);
         if between.contains(&from) && between.contains(&to) && through(&body) {
             if let Some(raft) = &mut walk.walkers[to as usize].raft {
-                raft.heard(walk.now, from, body);
+                raft.handle_message(walk.now, from, body);
                 walk.settle(to as usize)?;
             }
         }
@@ -195,10 +206,10 @@
 }
 
 fn votes(body: &Body) -> bool {
-    matches!(body, Body::Ask(_) | Body::Voted(_))
+    matches!(body, Body::RequestVote(_) | Body::VoteResponse(_))
 }
 
-fn elect(walk: &mut Walk, at: Node, voters: &[Node]) -> Result<(), String> {
+fn elect(walk: &mut Walk, at: MemberId, voters: &[MemberId]) -> Result<(), String> {
     for _ in 0..4 {
         walk.now += 4 * ELECTION;
         let Some(raft) = &mut walk.walkers[at as usize].raft else { break };
@@ -212,7 +223,7 @@
     Err(format!("{at} was not elected by {voters:?}"))
 }
 
-fn beat(walk: &mut Walk, at: Node, to: &[Node], through: fn(&Body) -> bool) -> Result<(), String> {
+fn beat(walk: &mut Walk, at: MemberId, to: &[MemberId], through: fn(&Body) -> bool) -> Result<(), String> {
     // Several times: a follower that refuses is tried from further back.
     for _ in 0..4 {
         walk.now += ELECTION / 4;
@@ -226,8 +237,8 @@
 }
 
 /// Figure 8 of the paper: an entry of an earlier term with a quorum, which a later leader does not have.
-fn an_entry_left_behind(planted: Option<Planted>) -> Result<(u64, u64), String> {
-    let mut walk = Walk::new(8, 5, planted);
+fn an_entry_left_behind(injected_fault: Option<InjectedFault>) -> Result<(u64, u64), String> {
+    let mut walk = Walk::new(8, 5, injected_fault);
     elect(&mut walk, 0, &[0, 1, 2])?;
     beat(&mut walk, 0, &[0, 1, 2, 3, 4], |_| true)?;
     // The second entry of the first term reaches one other; then this leader is gone.
@@ -237,7 +248,9 @@
     // Elected again, it spreads its old entry to a quorum, but nothing of its new term.
     elect(&mut walk, 0, &[0, 1, 2])?;
     let old = |body: &Body| match body {
-        Body::Append(append) => append.commit < 2 && append.entries.iter().all(|entry| entry.index < 3),
+        Body::AppendEntries(append) => {
+            append.leader_commit < 2 && append.entries.iter().all(|entry| entry.index < 3)
+        }
         _ => true,
     };
     beat(&mut walk, 0, &[0, 1, 2], old)?;
@@ -249,6 +262,6 @@
 #[test]
 fn an_entry_of_an_earlier_term_is_not_committed_by_counting() {
     assert_eq!(an_entry_left_behind(None), Ok((2, 0)));
-    let found = an_entry_left_behind(Some(Planted::CommitOldTerm));
+    let found = an_entry_left_behind(Some(InjectedFault::CommitOldTerm));
     assert_eq!(found, Err("entry 2 was committed as (1, 1), now as (2, 0)".to_owned()));
 }
--- a/crates/group/src/wire.rs
+++ b/crates/group/src/wire.rs
@@ -3,21 +3,21 @@
 use prost::{Message, Oneof};
 
 /// Path of the stream on which members speak.
-pub const SPEAK: &str = "/shalereel.group.v1.Group/Speak";
+pub const MEMBER_STREAM_PATH: &str = "/shalereel.group.v1.Group/Speak";
 /// Path of the stream on which forwarders hold key ranges.
-pub const HOLD: &str = "/shalereel.v1.Ranges/Hold";
+pub const RANGES_STREAM_PATH: &str = "/shalereel.v1.Ranges/Hold";
 /// Path of operators' questions and orders.
-pub const CONTROL: &str = "/shalereel.v1.Control/Ask";
+pub const CONTROL_PATH: &str = "/shalereel.v1.Control/Ask";
 
 /// The epoch in a table's version, "epoch/number"; 0 where it has none.
-pub fn epoch_of(version: &str) -> Epoch {
+pub fn epoch_of_version(version: &str) -> Epoch {
     version.split_once('/').and_then(|(epoch, _)| epoch.parse().ok()).unwrap_or(0)
 }
 
 /// Number of a supervisor, as its file has it.
-pub type Node = u32;
+pub type MemberId = u32;
 /// Position in the log, from 1.
-pub type Index = u64;
+pub type LogIndex = u64;
 /// Index of the entry that gave a duty or a range to its holder: a later gift has a higher one.
 pub type Epoch = u64;
 
@@ -25,12 +25,12 @@
 #[derive(Clone, PartialEq, Message)]
 pub struct Envelope {
     #[prost(uint32, tag = "1")]
-    pub from: Node,
+    pub from: MemberId,
     #[prost(uint32, tag = "2")]
-    pub to: Node,
+    pub to: MemberId,
     /// Of the group's name: members of another group are not heard.
     #[prost(uint64, tag = "3")]
-    pub group: u64,
+    pub group_hash: u64,
     #[prost(oneof = "Body", tags = "4, 5, 6, 7, 8, 9, 10, 12, 13, 14, 15")]
     pub body: Option<Body>,
 }
@@ -40,32 +40,32 @@
     #[prost(message, tag = "4")]
     Gossip(Gossip),
     #[prost(message, tag = "5")]
-    Ask(Ask),
+    RequestVote(RequestVote),
     #[prost(message, tag = "6")]
-    Voted(Voted),
+    VoteResponse(VoteResponse),
     #[prost(message, tag = "7")]
-    Append(Append),
+    AppendEntries(AppendEntries),
     #[prost(message, tag = "8")]
-    Appended(Appended),
+    AppendResponse(AppendResponse),
     #[prost(message, tag = "9")]
-    Snapshot(Snapshot),
+    InstallSnapshot(Snapshot),
     #[prost(message, tag = "10")]
-    Propose(Propose),
+    Proposal(Proposal),
     #[prost(message, tag = "12")]
-    Renew(Renew),
+    LeaseRequest(LeaseRequest),
     #[prost(message, tag = "13")]
-    Renewed(Renewed),
+    LeaseGrant(LeaseGrant),
     #[prost(message, tag = "14")]
-    Sums(Sums),
+    ReportTotals(ReportTotals),
     #[prost(message, tag = "15")]
-    Others(Others),
+    PeerReports(PeerReports),
 }
 
 // Membership.
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum Standing {
+pub enum MemberStatus {
     Alive = 0,
     Suspect = 1,
     Dead = 2,
@@ -74,124 +74,124 @@
 
 /// What somebody knows of a member.
 #[derive(Clone, PartialEq, Message)]
-pub struct Rumour {
+pub struct GossipUpdate {
     #[prost(uint32, tag = "1")]
-    pub number: Node,
+    pub member: MemberId,
     #[prost(string, tag = "2")]
     pub address: String,
     #[prost(uint64, tag = "3")]
     pub incarnation: u64,
-    #[prost(enumeration = "Standing", tag = "4")]
-    pub standing: i32,
+    #[prost(enumeration = "MemberStatus", tag = "4")]
+    pub status: i32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum Probe {
+pub enum ProbeKind {
     Ping = 0,
     Ack = 1,
     /// Ping `about` for me.
-    Indirect = 2,
+    PingRequest = 2,
 }
 
 #[derive(Clone, PartialEq, Message)]
 pub struct Gossip {
-    #[prost(enumeration = "Probe", tag = "1")]
-    pub probe: i32,
+    #[prost(enumeration = "ProbeKind", tag = "1")]
+    pub kind: i32,
     #[prost(uint64, tag = "2")]
-    pub seq: u64,
+    pub sequence: u64,
     #[prost(uint32, tag = "3")]
-    pub about: Node,
+    pub target: MemberId,
     #[prost(message, repeated, tag = "4")]
-    pub rumours: Vec<Rumour>,
+    pub updates: Vec<GossipUpdate>,
     /// Where the sender is reached, for those who do not know it yet.
     #[prost(string, tag = "5")]
-    pub address: String,
+    pub sender_address: String,
 }
 
 // The log.
 
 /// Where a member of the log is reached.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Seat {
+pub struct MemberAddress {
     #[prost(uint32, tag = "1")]
-    pub number: Node,
+    pub id: MemberId,
     #[prost(string, tag = "2")]
     pub address: String,
 }
 
 /// Who votes, and who only learns.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Seats {
+pub struct Configuration {
     #[prost(message, repeated, tag = "1")]
-    pub voters: Vec<Seat>,
+    pub voters: Vec<MemberAddress>,
     #[prost(message, repeated, tag = "2")]
-    pub learners: Vec<Seat>,
+    pub learners: Vec<MemberAddress>,
 }
 
 #[derive(Clone, PartialEq, Message)]
 pub struct Entry {
     #[prost(uint64, tag = "1")]
-    pub index: Index,
+    pub index: LogIndex,
     #[prost(uint64, tag = "2")]
     pub term: u64,
     /// Neither of the two: the first entry of a term.
     #[prost(message, optional, tag = "3")]
     pub command: Option<Command>,
     #[prost(message, optional, tag = "4")]
-    pub seats: Option<Seats>,
+    pub configuration: Option<Configuration>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Ask {
+pub struct RequestVote {
     #[prost(uint64, tag = "1")]
     pub term: u64,
     #[prost(uint64, tag = "2")]
-    pub last_index: Index,
+    pub last_log_index: LogIndex,
     #[prost(uint64, tag = "3")]
-    pub last_term: u64,
+    pub last_log_term: u64,
     /// Would you? Nothing is promised yet.
     #[prost(bool, tag = "4")]
-    pub pre: bool,
+    pub pre_vote: bool,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Voted {
+pub struct VoteResponse {
     #[prost(uint64, tag = "1")]
     pub term: u64,
     #[prost(bool, tag = "2")]
-    pub pre: bool,
+    pub pre_vote: bool,
     #[prost(bool, tag = "3")]
     pub granted: bool,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Append {
+pub struct AppendEntries {
     #[prost(uint64, tag = "1")]
     pub term: u64,
     #[prost(uint64, tag = "2")]
-    pub prev_index: Index,
+    pub prev_log_index: LogIndex,
     #[prost(uint64, tag = "3")]
-    pub prev_term: u64,
+    pub prev_log_term: u64,
     #[prost(message, repeated, tag = "4")]
     pub entries: Vec<Entry>,
     #[prost(uint64, tag = "5")]
-    pub commit: Index,
+    pub leader_commit: LogIndex,
     #[prost(uint64, tag = "6")]
-    pub round: u64,
+    pub heartbeat_round: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Appended {
+pub struct AppendResponse {
     #[prost(uint64, tag = "1")]
     pub term: u64,
     #[prost(bool, tag = "2")]
-    pub fits: bool,
+    pub success: bool,
     /// Fits: kept safely up to here. Else: try from after here.
     #[prost(uint64, tag = "3")]
-    pub index: Index,
+    pub index: LogIndex,
     #[prost(uint64, tag = "4")]
-    pub round: u64,
+    pub heartbeat_round: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -199,20 +199,20 @@
     #[prost(uint64, tag = "1")]
     pub term: u64,
     #[prost(uint64, tag = "2")]
-    pub index: Index,
+    pub last_included_index: LogIndex,
     #[prost(uint64, tag = "3")]
-    pub index_term: u64,
+    pub last_included_term: u64,
     #[prost(message, optional, tag = "4")]
-    pub seats: Option<Seats>,
+    pub configuration: Option<Configuration>,
     #[prost(bytes = "vec", tag = "5")]
     pub state: Vec<u8>,
     #[prost(uint64, tag = "6")]
-    pub round: u64,
+    pub heartbeat_round: u64,
 }
 
 /// For the leader's log. A request that comes again, by whatever way, has no second effect.
 #[derive(Clone, PartialEq, Message)]
-pub struct Propose {
+pub struct Proposal {
     #[prost(message, optional, tag = "1")]
     pub command: Option<Command>,
 }
@@ -220,54 +220,54 @@
 // Leases.
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Renew {
+pub struct LeaseRequest {
     /// By the sender's clock, given back as it is.
     #[prost(uint64, tag = "1")]
-    pub sent: u64,
+    pub sent_at: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Renewed {
+pub struct LeaseGrant {
     #[prost(uint64, tag = "1")]
-    pub sent: u64,
+    pub request_sent_at: u64,
     /// The lease holds for whoever has carried out the log up to here.
     #[prost(uint64, tag = "2")]
-    pub commit: Index,
+    pub commit_index: LogIndex,
 }
 
 // Merged reports.
 
 /// Reports of one cycle, one row a server and locality; columns are of one length.
 #[derive(Clone, PartialEq, Message)]
-pub struct Sums {
+pub struct ReportTotals {
     #[prost(uint32, repeated, tag = "1")]
-    pub server: Vec<u32>,
+    pub servers: Vec<u32>,
     #[prost(uint32, repeated, tag = "2")]
-    pub locality: Vec<u32>,
+    pub localities: Vec<u32>,
     #[prost(uint32, repeated, tag = "3")]
-    pub tries: Vec<u32>,
+    pub attempts: Vec<u32>,
     #[prost(uint32, repeated, tag = "4")]
-    pub lost: Vec<u32>,
+    pub failures: Vec<u32>,
     /// Microseconds, the mean of those that succeeded.
     #[prost(uint32, repeated, tag = "5")]
-    pub time_us: Vec<u32>,
+    pub mean_response_time_us: Vec<u32>,
     /// Milliseconds that the row was counted over.
     #[prost(uint32, repeated, tag = "6")]
     pub window_ms: Vec<u32>,
     /// Rows left out, since they did not fit.
     #[prost(uint32, tag = "7")]
-    pub left_out: u32,
+    pub omitted_rows: u32,
 }
 
 /// What all others met, from the holder of the duty to merge.
 #[derive(Clone, PartialEq, Message)]
-pub struct Others {
+pub struct PeerReports {
     #[prost(uint64, tag = "1")]
     pub epoch: Epoch,
     #[prost(message, optional, tag = "2")]
-    pub sums: Option<Sums>,
+    pub totals: Option<ReportTotals>,
     #[prost(uint32, tag = "3")]
-    pub supervisors: u32,
+    pub reporters: u32,
 }
 
 // Commands of the log.
@@ -276,88 +276,88 @@
 pub struct Command {
     /// Given by whoever first asked; 0 where the leader itself acts.
     #[prost(uint64, tag = "1")]
-    pub request: u64,
-    #[prost(oneof = "Act", tags = "2, 3, 4, 5, 6, 7, 8, 9")]
-    pub act: Option<Act>,
+    pub request_id: u64,
+    #[prost(oneof = "CommandPayload", tags = "2, 3, 4, 5, 6, 7, 8, 9")]
+    pub payload: Option<CommandPayload>,
 }
 
 #[derive(Clone, PartialEq, Oneof)]
-pub enum Act {
+pub enum CommandPayload {
     #[prost(message, tag = "2")]
-    Assign(Assign),
+    AssignDuty(AssignDuty),
     #[prost(message, tag = "3")]
-    Order(Order),
+    OperatorOrder(OperatorOrder),
     #[prost(message, tag = "4")]
-    Release(Release),
+    ReleaseOrder(ReleaseOrder),
     #[prost(message, tag = "5")]
-    Begin(Begin),
+    BeginDrain(BeginDrain),
     #[prost(message, tag = "6")]
-    Move(Move),
+    MoveRange(MoveRange),
     #[prost(message, tag = "7")]
-    Cleared(Cleared),
+    RangeCleared(RangeCleared),
     #[prost(message, tag = "8")]
-    Give(Give),
+    AssignRange(AssignRange),
     #[prost(message, tag = "9")]
-    Seat(SeatChange),
+    ChangeMembership(MembershipChange),
 }
 
 /// Something that one member at a time does for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Duty {
     /// Merges everybody's reports.
-    Reports,
+    MergeReports,
     /// Fences the table of the operation at this position.
-    Table(u32),
+    FenceTable(u32),
     /// Carries out operators' drains in the locality at this position.
-    Drains(u32),
+    RunDrains(u32),
     /// Finds an owner for this key range.
-    Range(u32),
+    PlaceRange(u32),
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct DutyName {
+pub struct DutyKey {
     #[prost(uint32, tag = "1")]
     pub kind: u32,
     #[prost(uint32, tag = "2")]
-    pub at: u32,
+    pub position: u32,
 }
 
-impl From<Duty> for DutyName {
+impl From<Duty> for DutyKey {
     fn from(duty: Duty) -> Self {
         let (kind, at) = match duty {
-            Duty::Reports => (0, 0),
-            Duty::Table(at) => (1, at),
-            Duty::Drains(at) => (2, at),
-            Duty::Range(at) => (3, at),
+            Duty::MergeReports => (0, 0),
+            Duty::FenceTable(at) => (1, at),
+            Duty::RunDrains(at) => (2, at),
+            Duty::PlaceRange(at) => (3, at),
         };
-        DutyName { kind, at }
+        DutyKey { kind, position: at }
     }
 }
 
-impl DutyName {
+impl DutyKey {
     /// Nothing where a later version knows more kinds.
     pub fn duty(&self) -> Option<Duty> {
         match self.kind {
-            0 => Some(Duty::Reports),
-            1 => Some(Duty::Table(self.at)),
-            2 => Some(Duty::Drains(self.at)),
-            3 => Some(Duty::Range(self.at)),
+            0 => Some(Duty::MergeReports),
+            1 => Some(Duty::FenceTable(self.position)),
+            2 => Some(Duty::RunDrains(self.position)),
+            3 => Some(Duty::PlaceRange(self.position)),
             _ => None,
         }
     }
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Assign {
+pub struct AssignDuty {
     #[prost(message, optional, tag = "1")]
-    pub duty: Option<DutyName>,
+    pub duty: Option<DutyKey>,
     #[prost(uint32, tag = "2")]
-    pub holder: Node,
+    pub holder: MemberId,
 }
 
 /// An operator's order about a server.
 #[derive(Clone, PartialEq, Message)]
-pub struct Order {
+pub struct OperatorOrder {
     #[prost(uint32, tag = "1")]
     pub server: u32,
     /// Position of the server's locality.
@@ -365,55 +365,55 @@
     pub locality: u32,
     /// Nothing: drain it. Else its weight is held at most at this part of what is decided, in millionths.
     #[prost(uint32, optional, tag = "3")]
-    pub hold: Option<u32>,
+    pub weight_cap_millionths: Option<u32>,
 }
 
 /// The order that stands at `order` ends.
 #[derive(Clone, PartialEq, Message)]
-pub struct Release {
+pub struct ReleaseOrder {
     #[prost(uint64, tag = "1")]
-    pub order: Index,
+    pub order_index: LogIndex,
 }
 
 /// A drain that waited begins. By the holder of that duty.
 #[derive(Clone, PartialEq, Message)]
-pub struct Begin {
+pub struct BeginDrain {
     #[prost(uint64, tag = "1")]
-    pub order: Index,
+    pub order_index: LogIndex,
     #[prost(uint64, tag = "2")]
     pub epoch: Epoch,
 }
 
 /// A range leaves its owner, for another. By the holder of that duty, or an operator (`epoch` 0).
 #[derive(Clone, PartialEq, Message)]
-pub struct Move {
+pub struct MoveRange {
     #[prost(uint32, tag = "1")]
     pub range: u32,
     #[prost(uint32, tag = "2")]
-    pub to: u32,
+    pub to_server: u32,
     #[prost(uint64, tag = "3")]
     pub epoch: Epoch,
 }
 
 /// Nobody that `by` ever told of the owner before sends there any more.
 #[derive(Clone, PartialEq, Message)]
-pub struct Cleared {
+pub struct RangeCleared {
     #[prost(uint32, tag = "1")]
     pub range: u32,
     /// Index of the move.
     #[prost(uint64, tag = "2")]
-    pub moved: Index,
+    pub move_index: LogIndex,
     #[prost(uint32, tag = "3")]
-    pub by: Node,
+    pub by_member: MemberId,
 }
 
 /// The new owner of a range begins. By the leader, once nobody can still use the owner before.
 #[derive(Clone, PartialEq, Message)]
-pub struct Give {
+pub struct AssignRange {
     #[prost(uint32, tag = "1")]
     pub range: u32,
     #[prost(uint64, tag = "2")]
-    pub moved: Index,
+    pub move_index: LogIndex,
     /// Of the leader that decided it: one that was deposed meanwhile has decided nothing.
     #[prost(uint64, tag = "3")]
     pub term: u64,
@@ -421,41 +421,41 @@
 
 /// A controller is taken in or out; carried out by the leader as changes of seats.
 #[derive(Clone, PartialEq, Message)]
-pub struct SeatChange {
+pub struct MembershipChange {
     #[prost(message, optional, tag = "1")]
-    pub seat: Option<Seat>,
+    pub member: Option<MemberAddress>,
     #[prost(bool, tag = "2")]
-    pub out: bool,
+    pub removed: bool,
 }
 
 // What is kept.
 
 /// Records that are kept together or not at all.
 #[derive(Clone, PartialEq, Message)]
-pub struct Batch {
+pub struct RecordBatch {
     #[prost(message, repeated, tag = "1")]
-    pub records: Vec<Record>,
+    pub records: Vec<StoredRecord>,
 }
 
 /// One record of the file; a later one stands above an earlier one.
 #[derive(Clone, PartialEq, Message)]
-pub struct Record {
-    #[prost(oneof = "Kept", tags = "1, 2, 3, 4")]
-    pub kept: Option<Kept>,
+pub struct StoredRecord {
+    #[prost(oneof = "RecordKind", tags = "1, 2, 3, 4")]
+    pub kind: Option<RecordKind>,
 }
 
 #[derive(Clone, PartialEq, Oneof)]
-pub enum Kept {
+pub enum RecordKind {
     /// So many starts there were.
     #[prost(uint64, tag = "1")]
-    Boot(u64),
+    StartCount(u64),
     #[prost(message, tag = "2")]
     Vote(Vote),
     /// An entry; those at its index and after it are no more.
     #[prost(message, tag = "3")]
     Entry(Entry),
     #[prost(message, tag = "4")]
-    Base(Snapshot),
+    Snapshot(Snapshot),
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -463,7 +463,7 @@
     #[prost(uint64, tag = "1")]
     pub term: u64,
     #[prost(uint32, optional, tag = "2")]
-    pub voted: Option<Node>,
+    pub voted_for: Option<MemberId>,
 }
 
 // Key ranges, for forwarders: `/shalereel.v1.Ranges/Hold`, a stream both ways.
@@ -479,19 +479,19 @@
 
 /// A forwarder's question.
 #[derive(Clone, PartialEq, Message)]
-pub struct RangesAsk {
+pub struct RangesRequest {
     /// By its own clock, given back as it is; 0 is not used.
     #[prost(uint64, tag = "1")]
-    pub asked: u64,
+    pub sent_at: u64,
     /// Number of the last answer read on this stream.
     #[prost(uint64, tag = "2")]
-    pub seen: u64,
+    pub last_response_read: u64,
     #[prost(message, repeated, tag = "3")]
-    pub holds: Vec<HeldRange>,
+    pub held: Vec<HeldRange>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct RangeTold {
+pub struct AddressedRoute {
     #[prost(uint32, tag = "1")]
     pub range: u32,
     #[prost(uint32, tag = "2")]
@@ -505,36 +505,36 @@
 
 /// An answer, or, with `asked` 0, word of what still stands.
 #[derive(Clone, PartialEq, Message)]
-pub struct RangesAnswer {
+pub struct RangesResponse {
     #[prost(uint64, tag = "1")]
-    pub asked: u64,
+    pub request_sent_at: u64,
     #[prost(uint64, tag = "2")]
-    pub number: u64,
+    pub sequence: u64,
     /// Nanoseconds from the question on that the lines may be used for.
     #[prost(uint64, tag = "3")]
     pub tenure: u64,
-    /// Nothing is said of lines: those that are held go on until they end.
+    /// Nothing is said of routes: those that are held go on until they end.
     #[prost(bool, tag = "4")]
-    pub silent: bool,
+    pub routes_omitted: bool,
     #[prost(message, repeated, tag = "5")]
-    pub lines: Vec<RangeTold>,
+    pub lines: Vec<AddressedRoute>,
     /// Of how many: a key's hash, first 64 bits as a fraction of all, falls into one.
     #[prost(uint32, tag = "6")]
-    pub ranges: u32,
+    pub range_count: u32,
 }
 
-// Operators: `/shalereel.v1.Control/Ask`, one question and one answer.
+// Operators: `/shalereel.v1.Control/RequestVote`, one question and one answer.
 
 #[derive(Clone, PartialEq, Message)]
-pub struct ControlAsk {
+pub struct ControlRequest {
     /// Nothing: how things stand. Else an order.
     #[prost(message, optional, tag = "1")]
-    pub order: Option<Command>,
+    pub command: Option<Command>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct ControlAnswer {
+pub struct ControlResponse {
     /// JSON, as `docs/shared-control.md` describes it.
     #[prost(string, tag = "1")]
-    pub told: String,
+    pub json: String,
 }
--- a/crates/group/tests/handover.rs
+++ b/crates/group/tests/handover.rs
@@ -5,12 +5,20 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use rstest::rstest;
-use shalereel_group::wire::{Act, Cleared, Command, Give, Move};
-use shalereel_group::{Book, Duties, Landlord, Lease, Pace, RangeLine, Tenant, Told};
+use shalereel_group::wire::{AssignRange, Command, CommandPayload, MoveRange, RangeCleared};
+use shalereel_group::{
+    Lease, LeaseClient, LeaseTable, RangeGrantor, RangeRoute, StateMachine, Timing, TimingSettings,
+};
 
 /// A lease of two, writes in flight for one; no drift, which only lengthens waits.
-fn told(reach: Reach) -> Told {
-    Told { election: 2, drift: 0.0, tenure: reach.tenure, in_flight: 1, batch: 1 }
+fn told(reach: Reach) -> TimingSettings {
+    TimingSettings {
+        election_timeout: 2,
+        max_clock_drift: 0.0,
+        tenure: reach.tenure,
+        max_in_flight: 1,
+        max_batch_entries: 1,
+    }
 }
 
 /// The waits for earlier leaders and starts are over.
@@ -32,18 +40,18 @@
 
 /// When it was asked, the last answer read, and what is held.
 type Question = (u64, u64, Vec<(u32, u64)>);
-type Answer = (u64, u64, Option<Vec<RangeLine>>);
+type Answer = (u64, u64, Option<Vec<RangeRoute>>);
 
 #[derive(Clone, Debug)]
-struct World {
+struct Simulation {
     now: u64,
     /// What the leader, and what the member, has carried out.
-    leader: (u64, Duties),
-    member: (u64, Duties),
-    book: Book,
+    leader: (u64, StateMachine),
+    member: (u64, StateMachine),
+    lease_table: LeaseTable,
     lease: Lease,
-    landlord: Landlord,
-    tenant: Tenant,
+    range_grantor: RangeGrantor,
+    tenant: LeaseClient,
     renew: Option<u64>,
     renewed: Option<(u64, u64)>,
     asks: VecDeque<Question>,
@@ -62,28 +70,28 @@
 enum Without {
     Nothing,
     Lease,
-    Book,
+    LeaseTable,
     Serial,
 }
 
-fn carry_out(side: &mut (u64, Duties), index: u64, act: Act) {
-    side.1.apply(index, 1, &Command { request: 0, act: Some(act) }, None);
+fn carry_out(side: &mut (u64, StateMachine), index: u64, payload: CommandPayload) {
+    side.1.apply(index, 1, &Command { request_id: 0, payload: Some(payload) }, None);
     side.0 = index;
 }
 
-fn start(reach: Reach) -> World {
-    let pace = Pace::new(told(reach));
-    let mut duties = (0, Duties::default());
-    carry_out(&mut duties, 1, Act::Move(Move { range: 0, to: 1, epoch: 0 }));
-    carry_out(&mut duties, 2, Act::Give(Give { range: 0, moved: 1, term: 1 }));
-    World {
+fn start(reach: Reach) -> Simulation {
+    let timing = Timing::new(told(reach));
+    let mut duties = (0, StateMachine::default());
+    carry_out(&mut duties, 1, CommandPayload::MoveRange(MoveRange { range: 0, to_server: 1, epoch: 0 }));
+    carry_out(&mut duties, 2, CommandPayload::AssignRange(AssignRange { range: 0, move_index: 1, term: 1 }));
+    Simulation {
         now: FIRST,
         leader: duties.clone(),
         member: duties,
-        book: Book::new(&pace, 0),
+        lease_table: LeaseTable::new(&timing, 0),
         lease: Lease::default(),
-        landlord: Landlord::new(&pace, 0),
-        tenant: Tenant::new(false),
+        range_grantor: RangeGrantor::new(&timing, 0),
+        tenant: LeaseClient::new(false),
         renew: None,
         renewed: None,
         asks: VecDeque::new(),
@@ -97,15 +105,15 @@
 }
 
 /// All that can happen next.
-fn nexts(world: &World, reach: Reach, without: Without) -> Vec<World> {
-    let (pace, told) = (Pace::new(told(reach)), told(reach));
+fn nexts(world: &Simulation, reach: Reach, without: Without) -> Vec<Simulation> {
+    let (timing, told) = (Timing::new(told(reach)), told(reach));
     let mut found = Vec::new();
-    let mut on = |change: &dyn Fn(&mut World)| {
+    let mut on = |change: &dyn Fn(&mut Simulation)| {
         let mut next = world.clone();
         change(&mut next);
         // A forwarder that may send does so at every moment.
-        if next.tenant.line(next.now, 0).is_some_and(|line| line.owner == 1) {
-            next.flying = next.now + told.in_flight;
+        if next.tenant.route(next.now, 0).is_some_and(|line| line.owner == 1) {
+            next.flying = next.now + told.max_in_flight;
         }
         found.push(next);
     };
@@ -119,60 +127,74 @@
         }),
         (None, None) => {}
         (Some(sent), None) => on(&|w| {
-            w.book.grant(w.now, &pace, 7);
+            w.lease_table.grant(w.now, &timing, 7);
             (w.renew, w.renewed) = (None, Some((sent, w.leader.0)));
         }),
         (_, Some((sent, commit))) => on(&|w| {
-            w.lease.renewed(&pace, sent, commit);
+            w.lease.renew(&timing, sent, commit);
             w.renewed = None;
         }),
     }
     if world.last_ask < world.now && world.asks.len() + world.answers.len() < reach.questions {
         on(&|w| {
-            let (seen, holds) = w.tenant.asks(w.now);
+            let (seen, holds) = w.tenant.request(w.now);
             w.asks.push_back((w.now, seen, holds));
             w.last_ask = w.now;
         });
     }
     if let Some((asked, seen, holds)) = world.asks.front() {
         on(&|w| {
-            let may = w.lease.holds(w.now, w.member.0) || without == Without::Lease;
+            let may = w.lease.is_valid(w.now, w.member.0) || without == Without::Lease;
             let seen = if without == Without::Serial { u64::MAX } else { *seen };
-            let (number, lines) = w.landlord.asked(w.now, 1, (seen, holds), &w.member.1, may);
+            let (number, lines) = w.range_grantor.handle_request(w.now, 1, (seen, holds), &w.member.1, may);
             w.asks.pop_front();
             w.answers.push_back((*asked, number, lines));
         });
     }
     if let Some((asked, number, lines)) = world.answers.front() {
         on(&|w| {
-            w.tenant.answered(*number, Some((*asked, told.tenure)), lines.as_deref());
+            w.tenant.handle_response(*number, Some((*asked, told.tenure)), lines.as_deref());
             w.answers.pop_front();
         });
     }
     if world.leader.0 < moving {
         on(&|w| {
-            carry_out(&mut w.leader, moving, Act::Move(Move { range: 0, to: 2, epoch: 0 }));
-            w.book.safe(w.now, &pace, &w.leader.1, &[7]);
+            carry_out(
+                &mut w.leader,
+                moving,
+                CommandPayload::MoveRange(MoveRange { range: 0, to_server: 2, epoch: 0 }),
+            );
+            w.lease_table.assignable_ranges(w.now, &timing, &w.leader.1, &[7]);
         });
     } else {
         if world.member.0 < moving {
-            on(&|w| carry_out(&mut w.member, moving, Act::Move(Move { range: 0, to: 2, epoch: 0 })));
+            on(&|w| {
+                carry_out(
+                    &mut w.member,
+                    moving,
+                    CommandPayload::MoveRange(MoveRange { range: 0, to_server: 2, epoch: 0 }),
+                )
+            });
         } else if !world.cleared {
-            let mut landlord = world.landlord.clone();
-            if !landlord.cleared(world.now, &pace, 7, &world.member.1).is_empty() {
+            let mut range_grantor = world.range_grantor.clone();
+            if !range_grantor.cleared_moves(world.now, &timing, 7, &world.member.1).is_empty() {
                 on(&|w| {
                     w.cleared = true;
                     carry_out(
                         &mut w.leader,
                         moving + 1,
-                        Act::Cleared(Cleared { range: 0, moved: moving, by: 7 }),
+                        CommandPayload::RangeCleared(RangeCleared {
+                            range: 0,
+                            move_index: moving,
+                            by_member: 7,
+                        }),
                     );
                 });
             }
         }
-        let mut book = world.book.clone();
-        let safe = !book.safe(world.now, &pace, &world.leader.1, &[7]).is_empty();
-        if world.given.is_none() && (safe || without == Without::Book) {
+        let mut lease_table = world.lease_table.clone();
+        let safe = !lease_table.assignable_ranges(world.now, &timing, &world.leader.1, &[7]).is_empty();
+        if world.given.is_none() && (safe || without == Without::LeaseTable) {
             on(&|w| w.given = Some(w.now));
         }
     }
@@ -180,7 +202,7 @@
 }
 
 /// A state in which a write may take effect at the former owner after the new one began.
-fn search(reach: Reach, without: Without) -> (usize, usize, Option<World>) {
+fn search(reach: Reach, without: Without) -> (usize, usize, Option<Simulation>) {
     let (mut seen, mut open, mut given) = (BTreeSet::new(), vec![start(reach)], 0);
     while let Some(world) = open.pop() {
         if let Some(at) = world.given {
@@ -189,9 +211,9 @@
                 return (seen.len(), given, Some(world));
             }
             // Nothing that could still go wrong is left.
-            let may = world.lease.holds(world.now, world.member.0) || without == Without::Lease;
+            let may = world.lease.is_valid(world.now, world.member.0) || without == Without::Lease;
             let old = world.member.0 < 3 && may;
-            if world.tenant.line(world.now, 0).is_none() && world.answers.is_empty() && !old {
+            if world.tenant.route(world.now, 0).is_none() && world.answers.is_empty() && !old {
                 continue;
             }
         }
@@ -208,7 +230,7 @@
 
 #[rstest]
 #[case(LONG, Without::Lease)]
-#[case(LONG, Without::Book)]
+#[case(LONG, Without::LeaseTable)]
 #[case(WIDE, Without::Serial)]
 fn each_guard_is_needed(#[case] reach: Reach, #[case] without: Without) {
     let (_, _, found) = search(reach, without);
--- a/crates/group/tests/stored.rs
+++ b/crates/group/tests/stored.rs
@@ -1,7 +1,7 @@
 //! A file written by an earlier version is read with the same content.
 
-use shalereel_group::wire::{Act, DutyName, Entry};
-use shalereel_group::{Duties, Recovered};
+use shalereel_group::wire::{CommandPayload, DutyKey, Entry};
+use shalereel_group::{StateMachine, StoredLog};
 
 /// The literals of a value in the order of its fields, without the names of types and fields, which may change.
 fn literals(value: &impl std::fmt::Debug) -> String {
@@ -19,16 +19,16 @@
 
 /// The number of the command's field on the wire; 0 for the first entry of a term.
 fn command(entry: &Entry) -> u32 {
-    match entry.command.as_ref().and_then(|command| command.act.as_ref()) {
+    match entry.command.as_ref().and_then(|command| command.payload.as_ref()) {
         None => 0,
-        Some(Act::Assign(_)) => 2,
-        Some(Act::Order(_)) => 3,
-        Some(Act::Release(_)) => 4,
-        Some(Act::Begin(_)) => 5,
-        Some(Act::Move(_)) => 6,
-        Some(Act::Cleared(_)) => 7,
-        Some(Act::Give(_)) => 8,
-        Some(Act::Seat(_)) => 9,
+        Some(CommandPayload::AssignDuty(_)) => 2,
+        Some(CommandPayload::OperatorOrder(_)) => 3,
+        Some(CommandPayload::ReleaseOrder(_)) => 4,
+        Some(CommandPayload::BeginDrain(_)) => 5,
+        Some(CommandPayload::MoveRange(_)) => 6,
+        Some(CommandPayload::RangeCleared(_)) => 7,
+        Some(CommandPayload::AssignRange(_)) => 8,
+        Some(CommandPayload::ChangeMembership(_)) => 9,
     }
 }
 
@@ -36,9 +36,9 @@
 #[test]
 fn log_and_votes_of_an_earlier_version_are_read() {
     let file = include_bytes!("stored/group.log");
-    let found = Recovered::read(file).unwrap();
-    assert_eq!(found.whole, file.len());
-    let mut read = literals(&(found.boot, &found.vote, &found.base));
+    let found = StoredLog::read(file).unwrap();
+    assert_eq!(found.complete_bytes, file.len());
+    let mut read = literals(&(found.start_count, &found.vote, &found.snapshot));
     for entry in &found.entries {
         read += &format!("{} {}", command(entry), literals(entry));
     }
@@ -49,22 +49,22 @@
 #[test]
 fn snapshot_of_an_earlier_version_is_read() {
     let file = include_bytes!("stored/snapshot.log");
-    let found = Recovered::read(file).unwrap();
-    assert_eq!(found.whole, file.len());
-    let state = Duties::decode(&found.base.state).unwrap();
-    assert_eq!(state.encode(), found.base.state);
-    let mut read = literals(&(found.boot, &found.vote, &found.base));
+    let found = StoredLog::read(file).unwrap();
+    assert_eq!(found.complete_bytes, file.len());
+    let state = StateMachine::decode(&found.snapshot.state).unwrap();
+    assert_eq!(state.encode(), found.snapshot.state);
+    let mut read = literals(&(found.start_count, &found.vote, &found.snapshot));
     for entry in &found.entries {
         read += &format!("{} {}", command(entry), literals(entry));
     }
     for (&duty, held) in state.duties() {
-        let name = DutyName::from(duty);
-        read += &format!("duty {} {} {}", name.kind, name.at, literals(held));
+        let name = DutyKey::from(duty);
+        read += &format!("duty {} {} {}", name.kind, name.position, literals(held));
     }
     state.orders().iter().for_each(|order| read += &format!("order {}", literals(&order)));
     state.ranges().iter().for_each(|range| read += &format!("range {}", literals(&range)));
-    state.seats().iter().for_each(|seat| read += &format!("member {}", literals(&seat)));
-    let known: Vec<u64> = (0..2_000).filter(|&request| state.knows(request)).collect();
-    read += &format!("requests {}history {}\n", literals(&known), state.history());
+    state.membership_changes().iter().for_each(|seat| read += &format!("member {}", literals(&seat)));
+    let known: Vec<u64> = (0..2_000).filter(|&request| state.has_applied(request)).collect();
+    read += &format!("requests {}history {}\n", literals(&known), state.history_checksum());
     assert_eq!(read, include_str!("stored/snapshot.txt"));
 }
