--- a/crates/standins/src/forwarders.rs
+++ b/crates/standins/src/forwarders.rs
@@ -8,8 +8,8 @@
 use oorandom::Rand64;
 use prost::Message as _;
 use shalereel::interface::{Nanos, RetryPolicy};
-use shalereel_group::wire::{epoch_of, HeldRange, RangesAnswer, RangesAsk, HOLD};
-use shalereel_group::{RangeLine, Tenant};
+use shalereel_group::wire::{epoch_of_version, HeldRange, RangesRequest, RangesResponse, RANGES_STREAM_PATH};
+use shalereel_group::{LeaseClient, RangeRoute};
 use shalereel_reactor::{now, TimerId, Token, SECOND};
 use shalereel_rpc::{Code, ConnId, Hub, Input, Status, StreamId};
 use shalereel_sasp::{Body, Frames, Group, LbFlags, Member, MemberState, Message, ReturnCode, WeightEntry};
@@ -126,7 +126,7 @@
     epoch: u64,
     /// Key ranges: the stream, what is held, where the owners are, of how many, and the timer's generation.
     hold: Option<StreamId>,
-    tenant: Tenant,
+    tenant: LeaseClient,
     owners: BTreeMap<u32, SocketAddr>,
     ranges: u32,
     tenure: Nanos,
@@ -272,7 +272,7 @@
             collections: vec![None; count],
             epoch: 0,
             hold: None,
-            tenant: Tenant::new(self.plan.unfenced),
+            tenant: LeaseClient::new(self.plan.unfenced),
             owners: BTreeMap::new(),
             ranges: 0,
             tenure: 0,
@@ -467,8 +467,8 @@
             return;
         };
         forwarder.link = Some((conn, stream, load));
-        forwarder.hold = self.plan.keyed.and_then(|_| self.hub.call(conn, HOLD, None));
-        forwarder.tenant.reopened();
+        forwarder.hold = self.plan.keyed.and_then(|_| self.hub.call(conn, RANGES_STREAM_PATH, None));
+        forwarder.tenant.stream_reopened();
         forwarder.up = false;
         self.links.insert(conn, id);
         let held = |(&table, follower): (&u16, &Follower)| {
@@ -493,9 +493,13 @@
         };
         let Some(((conn, ..), stream)) = forwarder.link.zip(forwarder.hold) else { return };
         let time = now();
-        let (seen, holds) = forwarder.tenant.asks(time);
+        let (seen, holds) = forwarder.tenant.request(time);
         let holds = holds.into_iter().map(|(range, epoch)| HeldRange { range, epoch }).collect();
-        self.hub.send(conn, stream, &RangesAsk { asked: time, seen, holds }.encode_to_vec());
+        self.hub.send(
+            conn,
+            stream,
+            &RangesRequest { sent_at: time, last_response_read: seen, held: holds }.encode_to_vec(),
+        );
         forwarder.held += 1;
         let wait = if forwarder.tenure > 0 { forwarder.tenure / 4 } else { self.plan.redial.0 };
         self.hub.set(time + wait, Key::Ranges(id, forwarder.held));
@@ -503,18 +507,18 @@
 
     fn ranges(&mut self, id: u32, message: &[u8]) {
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
-        let Ok(answer) = RangesAnswer::decode(message) else { return };
-        (forwarder.ranges, forwarder.tenure) = (answer.ranges, answer.tenure);
+        let Ok(answer) = RangesResponse::decode(message) else { return };
+        (forwarder.ranges, forwarder.tenure) = (answer.range_count, answer.tenure);
         let mut lines = Vec::new();
         for line in &answer.lines {
             if let Ok(address) = line.address.parse() {
                 forwarder.owners.insert(line.owner, address);
-                lines.push(RangeLine { range: line.range, owner: line.owner, epoch: line.epoch });
+                lines.push(RangeRoute { range: line.range, owner: line.owner, epoch: line.epoch });
             }
         }
-        let asked = (answer.asked > 0).then_some((answer.asked, answer.tenure));
-        let lines = (!answer.silent).then_some(&lines[..]);
-        if forwarder.tenant.answered(answer.number, asked, lines) {
+        let asked = (answer.request_sent_at > 0).then_some((answer.request_sent_at, answer.tenure));
+        let lines = (!answer.routes_omitted).then_some(&lines[..]);
+        if forwarder.tenant.handle_response(answer.sequence, asked, lines) {
             self.ask_ranges(id);
         }
     }
@@ -601,7 +605,7 @@
             let answer = forwarder.list.turn_down(update, "told to turn it down".into());
             return self.hub.send(conn, stream, &answer);
         }
-        let (epoch, fenced) = (epoch_of(&update.version), update.version.contains('/'));
+        let (epoch, fenced) = (epoch_of_version(&update.version), update.version.contains('/'));
         let known = forwarder.collections.iter().flatten().next().copied();
         let read = read_lines(update, known);
         let delta = match read {
@@ -731,7 +735,7 @@
             let answer = forwarder.list.turn_down(update, "told to turn it down".into());
             return self.hub.send(conn, stream, &answer);
         }
-        let epoch = epoch_of(&update.version);
+        let epoch = epoch_of_version(&update.version);
         if epoch < forwarder.epoch && update.version.contains('/') && !self.plan.unfenced {
             let why = format!("epoch {epoch} is older than {} that is held", forwarder.epoch);
             let answer = forwarder.list.turn_down(update, why);
@@ -930,7 +934,7 @@
         // By key: to the range's one owner, by a line that is still good, or nowhere.
         let by_key = self.plan.keyed == Some(at);
         let range = (inv.inv.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32) as u32 % forwarder.ranges.max(1);
-        let line = forwarder.tenant.line(now(), range).filter(|_| by_key);
+        let line = forwarder.tenant.route(now(), range).filter(|_| by_key);
         let owner = line.and_then(|line| forwarder.owners.get(&line.owner).copied());
         let picked = if by_key { owner } else { self.pick(id, at, None) };
         let Some(address) = picked else {
--- a/crates/xds-supervisor/src/core.rs
+++ b/crates/xds-supervisor/src/core.rs
@@ -8,7 +8,7 @@
 use shalereel::interface::{
     Action, Event, HealthCheckOutcome, Nanos, ProxyId, RetryPolicy, ServerId, TableId, WatchEvent,
 };
-use shalereel_group::Fit;
+use shalereel_group::ServerAvailability;
 use shalereel_rpc::{frame, Code, Status};
 use shalereel_snapshot::{Ageing, Memory};
 use shalereel_store::{Check, Keeping, Number, StoreError, Telling, Why, Writing};
@@ -416,13 +416,16 @@
     }
 
     /// Which servers could own a key range: warm, ready and not withdrawn by the module.
-    fn fits(&self, now: Nanos) -> BTreeMap<u32, Fit> {
+    fn fits(&self, now: Nanos) -> BTreeMap<u32, ServerAvailability> {
         let cold_for = self.deployment.facts.slow_start_duration;
         let fit = |(server, locality, ready): (ServerId, u16, bool)| {
             let warm = !self.roster.started_within(server, now, cold_for);
             let ready = ready && !self.tables.suspended(server);
             let open = ready && warm;
-            (server, Fit { server, locality: locality.into(), open, listed: ready })
+            (
+                server,
+                ServerAvailability { server, locality: locality.into(), accepts_ranges: open, listed: ready },
+            )
         };
         self.roster.servers().into_iter().map(fit).collect()
     }
--- a/crates/xds-supervisor/src/daemon.rs
+++ b/crates/xds-supervisor/src/daemon.rs
@@ -10,8 +10,8 @@
 use anyhow::{Context, Result};
 use prost::Message;
 use shalereel::interface::{HealthCheckOutcome, Nanos, ServerId};
-use shalereel_group::wire::{CONTROL, HOLD, SPEAK};
-use shalereel_group::{encode, Recovered, HEAD};
+use shalereel_group::wire::{CONTROL_PATH, MEMBER_STREAM_PATH, RANGES_STREAM_PATH};
+use shalereel_group::{encode, StoredLog, LOG_FILE_HEAD};
 use shalereel_reactor::{now, MILLI};
 use shalereel_rpc::{Code, ConnId, Hub, Input, Status, StreamId};
 use shalereel_snapshot::{Memory, MemoryError};
@@ -200,12 +200,12 @@
         let log = kept(folder, LOG)?;
         let path = folder.join(LOG);
         let found =
-            log.as_deref().map(Recovered::read).transpose().with_context(|| path.display().to_string())?;
-        let whole = found.as_ref().map(|found| found.whole);
+            log.as_deref().map(StoredLog::read).transpose().with_context(|| path.display().to_string())?;
+        let whole = found.as_ref().map(|found| found.complete_bytes);
         if let Some(torn) = log.zip(whole).map(|(log, whole)| log.len() - whole).filter(|torn| *torn > 0) {
             tracing::warn!(file = %path.display(), torn, "a torn tail is cut away");
         }
-        self.keeper = Some(Keeper::open(folder, LOG, HEAD, whole, nudge)?);
+        self.keeper = Some(Keeper::open(folder, LOG, LOG_FILE_HEAD, whole, nudge)?);
         let names = (&self.deployment.operations[..], &self.deployment.localities[..]);
         let shared = Shared::new(charter, now(), found, names, ranges);
         self.core.share(shared);
@@ -405,18 +405,18 @@
             ADS | EDS => self.core.opened(peer, Variant::StateOfTheWorld),
             DELTA_ADS | DELTA_EDS | DELTA_LEDS => self.core.opened(peer, Variant::Incremental),
             LRS => self.core.reporting(peer),
-            SPEAK | HOLD | CONTROL if self.core.shared().is_none() => {
+            MEMBER_STREAM_PATH | RANGES_STREAM_PATH | CONTROL_PATH if self.core.shared().is_none() => {
                 let text = "this supervisor shares nothing: its file has no [shared]";
                 return self.hub.finish(conn, stream, Status::new(Code::Unimplemented, text));
             }
-            SPEAK => drop(self.calls.insert((conn, stream), Call::Member)),
-            HOLD => {
+            MEMBER_STREAM_PATH => drop(self.calls.insert((conn, stream), Call::Member)),
+            RANGES_STREAM_PATH => {
                 if let Some((shared, _)) = self.core.shared() {
                     shared.holds(peer);
                 }
                 self.calls.insert((conn, stream), Call::Tenant(peer));
             }
-            CONTROL => drop(self.calls.insert((conn, stream), Call::Operator(peer))),
+            CONTROL_PATH => drop(self.calls.insert((conn, stream), Call::Operator(peer))),
             HEALTH => {
                 self.hub.send(conn, stream, &HealthAnswer { status: 1 }.encode_to_vec());
                 return self.hub.finish(conn, stream, Status::OK);
@@ -491,7 +491,7 @@
             self.again.insert(to, self.patience.member_again(now()));
             let conn = address.parse().ok().and_then(|address| self.hub.dial(address).ok());
             if let Some((conn, stream)) =
-                conn.and_then(|conn| Some((conn, self.hub.call(conn, SPEAK, None)?)))
+                conn.and_then(|conn| Some((conn, self.hub.call(conn, MEMBER_STREAM_PATH, None)?)))
             {
                 self.calls.insert((conn, stream), Call::ToMember(to));
                 self.members.insert(to, (conn, stream));
@@ -518,7 +518,7 @@
             Wanted::Keep(writing) => {
                 if let Some(keeper) = &self.keeper {
                     let parts = vec![encode(&writing.records).into()];
-                    keeper.keep(Block { number: writing.number, whole: writing.whole, parts });
+                    keeper.keep(Block { number: writing.sequence, whole: writing.replaces_file, parts });
                 }
             }
             Wanted::Answer { peer, result } => {
--- a/crates/xds-supervisor/src/deployment.rs
+++ b/crates/xds-supervisor/src/deployment.rs
@@ -12,8 +12,8 @@
     AdmissionMode, ControllerConfig, DeduplicationScope, Idempotency, ListedCapacity, LoadColumn, LoadSource,
     Nanos, Operation,
 };
-use shalereel_group::wire::{Duty, Seat};
-use shalereel_group::{Charter, Told};
+use shalereel_group::wire::{Duty, MemberAddress};
+use shalereel_group::{GroupConfig, TimingSettings};
 use shalereel_store::Bounds;
 use thiserror::Error;
 
@@ -264,7 +264,7 @@
     /// Where operators ask about tables; nowhere unless given.
     pub admin: Option<SocketAddr>,
     /// The group that it belongs to, and how many key ranges that has.
-    pub shared: Option<(Charter, u32)>,
+    pub shared: Option<(GroupConfig, u32)>,
     /// Where the last list is kept.
     pub folder: PathBuf,
     /// Batches are at least so far apart.
@@ -335,7 +335,7 @@
         shared: &SharedFile,
         told: &File,
         facts: &ControllerConfig,
-    ) -> Result<(Charter, u32), FileError> {
+    ) -> Result<(GroupConfig, u32), FileError> {
         let at = |key| ("shared", 0, key);
         if let Some(address) = shared.members.iter().find(|address| !address.ip().is_loopback()) {
             let problem = format!("{address} is not a loopback address");
@@ -349,32 +349,33 @@
         }
         self.within(at("drift"), shared.drift, (0.0, 0.2))?;
         self.within(at("ranges"), shared.ranges.into(), (0.0, 4096.0))?;
-        let seat = |(number, address): (usize, &SocketAddr)| Seat {
-            number: number as u32,
+        let seat = |(number, address): (usize, &SocketAddr)| MemberAddress {
+            id: number as u32,
             address: address.to_string(),
         };
-        let tables = (0..told.operations.len() as u32).map(Duty::Table);
-        let drains = (0..told.localities.len() as u32).map(Duty::Drains);
-        let charter = Charter {
-            me: own as u32,
+        let tables = (0..told.operations.len() as u32).map(Duty::FenceTable);
+        let drains = (0..told.localities.len() as u32).map(Duty::RunDrains);
+        let charter = GroupConfig {
+            id: own as u32,
             address: shared.members.get(own).unwrap_or(&told.listen).to_string(),
             name: shared.name.clone(),
-            seats: shared.members.iter().enumerate().map(seat).collect(),
+            initial_voters: shared.members.iter().enumerate().map(seat).collect(),
             joining: shared.joining,
-            told: Told {
-                election: self.span(at("election_ms"), shared.election_ms, 50.0)?,
-                drift: shared.drift,
+            timing: TimingSettings {
+                election_timeout: self.span(at("election_ms"), shared.election_ms, 50.0)?,
+                max_clock_drift: shared.drift,
                 tenure: self.span(at("tenure_ms"), shared.tenure_ms, 50.0)?,
-                in_flight: self.span(at("in_flight_ms"), shared.in_flight_ms, 0.0)?,
-                batch: Patience::new(facts).entries(),
+                max_in_flight: self.span(at("in_flight_ms"), shared.in_flight_ms, 0.0)?,
+                max_batch_entries: Patience::new(facts).entries(),
             },
             seed: told.seed,
             duties: tables
                 .chain(drains)
-                .chain((0..shared.ranges).map(Duty::Range))
-                .chain([Duty::Reports])
+                .chain((0..shared.ranges).map(Duty::PlaceRange))
+                .chain([Duty::MergeReports])
                 .collect(),
-            planted: (told.planted == Some(Planted::NoFence)).then_some(shalereel_group::Planted::NoFence),
+            injected_fault: (told.planted == Some(Planted::NoFence))
+                .then_some(shalereel_group::InjectedFault::NoFence),
         };
         Ok((charter, shared.ranges))
     }
--- a/crates/xds-supervisor/src/shared.rs
+++ b/crates/xds-supervisor/src/shared.rs
@@ -7,10 +7,13 @@
 use serde_json::json;
 use shalereel::interface::{EndpointReport, Event, Nanos};
 use shalereel_group::wire::{
-    epoch_of, Command, ControlAnswer, ControlAsk, Duty, Envelope, RangeTold, RangesAnswer, RangesAsk,
-    Standing,
+    epoch_of_version, AddressedRoute, Command, ControlRequest, ControlResponse, Duty, Envelope, MemberStatus,
+    RangesRequest, RangesResponse,
+};
+use shalereel_group::{
+    Action as GroupAction, AppliedChange, Group, GroupConfig, LogWrite, MemberRole, RangeRoute,
+    ServerAvailability, StoredLog,
 };
-use shalereel_group::{Changed, Charter, Effect as Told, Fit, Group, RangeLine, Recovered, State, Writing};
 use shalereel_rpc::{Code, Status};
 
 use crate::core::Peer;
@@ -27,7 +30,7 @@
         message: Vec<u8>,
     },
     /// To be kept and synced.
-    Keep(Writing),
+    Keep(LogWrite),
     /// The one message of an operator's stream, or why there is none.
     Answer {
         peer: Peer,
@@ -73,9 +76,9 @@
 
 impl Shared {
     pub fn new(
-        charter: Charter,
+        charter: GroupConfig,
         now: Nanos,
-        kept: Option<Recovered>,
+        kept: Option<StoredLog>,
         names: (&[String], &[String]),
         ranges: u32,
     ) -> Self {
@@ -94,31 +97,31 @@
     }
 
     pub fn next(&self) -> Nanos {
-        self.group.next()
+        self.group.next_deadline()
     }
 
     /// The epoch that tables carry: never lower than what any of its proxies holds.
     pub fn epoch(&self) -> u64 {
-        self.group.fence().max(self.adopted)
+        self.group.min_table_epoch().max(self.adopted)
     }
 
     /// A proxy holds a table with this version. By its own rules a supervisor may tell any proxy its weights, with
     /// or without the group; the fence is against what is late, so it goes on from where the proxy stands.
     pub fn brought(&mut self, version: &str) {
-        self.adopted = self.adopted.max(epoch_of(version));
+        self.adopted = self.adopted.max(epoch_of_version(version));
     }
 
     /// A message of another member. Errors: it cannot be read.
     pub fn heard(&mut self, now: Nanos, message: &[u8]) -> Result<(), Status> {
         let envelope = Envelope::decode(message).map_err(|error| unreadable("Envelope", &error))?;
-        self.group.heard(now, envelope);
+        self.group.handle_message(now, envelope);
         Ok(())
     }
 
     pub fn stored(&mut self, now: Nanos, number: Result<u64, String>) {
         match number {
-            Ok(number) => self.group.stored(now, number),
-            Err(why) => self.group.store_failed(&why),
+            Ok(number) => self.group.handle_write_done(now, number),
+            Err(why) => self.group.handle_write_failed(&why),
         }
     }
 
@@ -127,7 +130,7 @@
             Event::EndpointReport(digest) => Some(digest),
             _ => None,
         });
-        self.group.report(digests);
+        self.group.handle_reports(digests);
     }
 
     // Forwarders.
@@ -148,23 +151,31 @@
         message: &[u8],
         roster: &Roster,
     ) -> Result<(), Status> {
-        let ask = RangesAsk::decode(message).map_err(|error| unreadable("RangesAsk", &error))?;
-        let holds: Vec<(u32, u64)> = ask.holds.iter().map(|held| (held.range, held.epoch)).collect();
-        let (number, lines) = self.group.ranges_asked(now, peer, ask.seen, &holds);
+        let ask = RangesRequest::decode(message).map_err(|error| unreadable("RangesAsk", &error))?;
+        let holds: Vec<(u32, u64)> = ask.held.iter().map(|held| (held.range, held.epoch)).collect();
+        let (number, lines) = self.group.handle_range_request(now, peer, ask.last_response_read, &holds);
         let silent = lines.is_none();
         let lines = told(&lines.unwrap_or_default(), roster);
-        let (asked, tenure, ranges) = (ask.asked, self.group.tenure(), self.ranges);
-        let message = RangesAnswer { asked, number, tenure, silent, lines, ranges }.encode_to_vec();
+        let (asked, tenure, ranges) = (ask.sent_at, self.group.tenure(), self.ranges);
+        let message = RangesResponse {
+            request_sent_at: asked,
+            sequence: number,
+            tenure,
+            routes_omitted: silent,
+            lines,
+            range_count: ranges,
+        }
+        .encode_to_vec();
         self.wanted.push(Wanted::Ranges { peer, message });
         Ok(())
     }
 
     /// The list has changed: forwarders are told at once of owners that drain or are gone.
-    pub fn relisted(&mut self, fits: BTreeMap<u32, Fit>, roster: &Roster) {
-        let owners = self.group.duties().ranges().values().filter_map(|owned| owned.owner);
+    pub fn relisted(&mut self, fits: BTreeMap<u32, ServerAvailability>, roster: &Roster) {
+        let owners = self.group.state_machine().ranges().values().filter_map(|owned| owned.owner);
         let lost =
             owners.filter(|owner| !fits.get(owner).is_some_and(|fit| fit.listed)).collect::<BTreeSet<_>>();
-        self.group.servers(fits);
+        self.group.update_servers(fits);
         if !lost.is_subset(&self.lost) {
             self.say_standing(roster);
         }
@@ -173,11 +184,18 @@
 
     fn say_standing(&mut self, roster: &Roster) {
         for peer in self.tenants.clone() {
-            let (number, lines) = self.group.ranges_standing();
+            let (number, lines) = self.group.current_routes();
             let lines = told(&lines, roster);
             let (tenure, ranges) = (self.group.tenure(), self.ranges);
-            let message =
-                RangesAnswer { asked: 0, number, tenure, silent: false, lines, ranges }.encode_to_vec();
+            let message = RangesResponse {
+                request_sent_at: 0,
+                sequence: number,
+                tenure,
+                routes_omitted: false,
+                lines,
+                range_count: ranges,
+            }
+            .encode_to_vec();
             self.wanted.push(Wanted::Ranges { peer, message });
         }
     }
@@ -185,15 +203,15 @@
     // Operators.
 
     pub fn control(&mut self, now: Nanos, peer: Peer, message: &[u8]) -> Result<(), Status> {
-        let ask = ControlAsk::decode(message).map_err(|error| unreadable("ControlAsk", &error))?;
-        match ask.order {
+        let ask = ControlRequest::decode(message).map_err(|error| unreadable("ControlAsk", &error))?;
+        match ask.command {
             None => {
                 let told = self.standing(now).to_string();
                 self.answer(peer, Ok(told));
             }
-            Some(Command { act: Some(act), .. }) => {
+            Some(Command { payload: Some(act), .. }) => {
                 self.asked.insert(peer);
-                self.group.order(now, peer, act);
+                self.group.submit_order(now, peer, act);
             }
             Some(_) => return Err(Status::new(Code::InvalidArgument, "an order of a later version")),
         }
@@ -201,7 +219,7 @@
     }
 
     fn answer(&mut self, peer: Peer, result: Result<String, Status>) {
-        let result = result.map(|told| ControlAnswer { told }.encode_to_vec());
+        let result = result.map(|told| ControlResponse { json: told }.encode_to_vec());
         self.wanted.push(Wanted::Answer { peer, result });
     }
 
@@ -209,31 +227,31 @@
         let named =
             |names: &[String], at: u32| names.get(at as usize).cloned().unwrap_or_else(|| at.to_string());
         match duty {
-            Duty::Reports => "reports".into(),
-            Duty::Table(at) => format!("table {}", named(&self.operations, at)),
-            Duty::Drains(at) => format!("drains {}", named(&self.localities, at)),
-            Duty::Range(at) => format!("range {at}"),
+            Duty::MergeReports => "reports".into(),
+            Duty::FenceTable(at) => format!("table {}", named(&self.operations, at)),
+            Duty::RunDrains(at) => format!("drains {}", named(&self.localities, at)),
+            Duty::PlaceRange(at) => format!("range {at}"),
         }
     }
 
     /// How things stand, for operators.
     pub fn standing(&self, now: Nanos) -> serde_json::Value {
-        let (term, last, commit, applied, base) = self.group.log();
-        let seats = self.group.seats();
-        let (state, leader) = match self.group.state() {
-            State::Leads => ("leads", Some(self.group.me())),
-            State::Follows(leader) => ("follows", Some(leader)),
-            State::Alone => ("alone", None),
-            State::Broken => ("broken", None),
+        let (term, last, commit, applied, base) = self.group.log_status();
+        let seats = self.group.configuration();
+        let (state, leader) = match self.group.role() {
+            MemberRole::Leader => ("leads", Some(self.group.id())),
+            MemberRole::Follower(leader) => ("follows", Some(leader)),
+            MemberRole::NoLeader => ("alone", None),
+            MemberRole::StorageFailed => ("broken", None),
         };
-        let votes = |number| seats.voters.iter().any(|seat| seat.number == number);
-        let learns = |number| seats.learners.iter().any(|seat| seat.number == number);
-        let members = self.group.members().known().iter().map(|(&number, member)| {
-            let standing = match member.standing {
-                Standing::Alive => "alive",
-                Standing::Suspect => "suspect",
-                Standing::Dead => "dead",
-                Standing::Left => "left",
+        let votes = |number| seats.voters.iter().any(|seat| seat.id == number);
+        let learns = |number| seats.learners.iter().any(|seat| seat.id == number);
+        let members = self.group.membership().members().iter().map(|(&number, member)| {
+            let standing = match member.status {
+                MemberStatus::Alive => "alive",
+                MemberStatus::Suspect => "suspect",
+                MemberStatus::Dead => "dead",
+                MemberStatus::Left => "left",
             };
             let seat = if votes(number) { "votes" } else if learns(number) { "learns" } else { "none" };
             json!({
@@ -242,29 +260,29 @@
                 "leads": Some(number) == leader,
             })
         });
-        let duties = self.group.duties();
+        let duties = self.group.state_machine();
         let held = duties.duties().iter().map(
             |(&duty, held)| json!({ "duty": self.duty(duty), "holder": held.holder, "epoch": held.epoch }),
         );
         let ranges = duties.ranges().iter().map(|(&range, owned)| {
             json!({
                 "range": range, "owner": owned.owner, "epoch": owned.epoch,
-                "moves_to": owned.moving.as_ref().map(|moving| moving.to),
-                "cleared_by": owned.moving.as_ref().map(|moving| moving.cleared.clone()),
+                "moves_to": owned.pending_move.as_ref().map(|moving| moving.to_server),
+                "cleared_by": owned.pending_move.as_ref().map(|moving| moving.cleared_by.clone()),
             })
         });
         let orders = duties.orders().iter().map(|(&order, standing)| {
             json!({
-                "order": order, "server": standing.order.server, "begun": standing.begun,
-                "does": if standing.order.hold.is_some() { "hold" } else { "drain" },
-                "at_most": standing.order.hold.map(|part| f64::from(part) / 1e6),
+                "order": order, "server": standing.order.server, "begun": standing.active,
+                "does": if standing.order.weight_cap_millionths.is_some() { "hold" } else { "drain" },
+                "at_most": standing.order.weight_cap_millionths.map(|part| f64::from(part) / 1e6),
             })
         });
         json!({
-            "me": self.group.me(), "state": state, "leader": leader, "term": term,
+            "me": self.group.id(), "state": state, "leader": leader, "term": term,
             "log": { "last": last, "committed": commit, "carried_out": applied, "begins": base,
-                     "checksum": duties.history() },
-            "localities": self.localities, "may_lease": self.group.may_lease(now), "epoch": self.epoch(),
+                     "checksum": duties.history_checksum() },
+            "localities": self.localities, "may_lease": self.group.may_grant_ranges(now), "epoch": self.epoch(),
             "told": { "messages": self.told.0, "bytes": self.told.1 },
             "members": members.collect::<Vec<_>>(), "duties": held.collect::<Vec<_>>(),
             "ranges": ranges.collect::<Vec<_>>(), "orders": orders.collect::<Vec<_>>(),
@@ -275,17 +293,17 @@
     pub fn turn(&mut self, now: Nanos, roster: &Roster) -> Followed {
         let mut followed = Followed::default();
         let mut leaving = false;
-        for effect in self.group.turn(now) {
+        for effect in self.group.poll(now) {
             match effect {
-                Told::Send { to, address, envelope } => {
+                GroupAction::Send { to, address, envelope } => {
                     let message = envelope.encode_to_vec();
                     self.told = (self.told.0 + 1, self.told.1 + message.len() as u64);
                     self.wanted.push(Wanted::Tell { to, address, message });
                 }
-                Told::Write(writing) => self.wanted.push(Wanted::Keep(writing)),
-                Told::Answer { ticket, result } => {
+                GroupAction::Store(writing) => self.wanted.push(Wanted::Keep(writing)),
+                GroupAction::Answer { ticket, result } => {
                     if self.asked.remove(&ticket) {
-                        let refused = |refusal: shalereel_group::Refusal| {
+                        let refused = |refusal: shalereel_group::OrderError| {
                             Status::new(Code::FailedPrecondition, refusal.to_string())
                         };
                         let result =
@@ -293,25 +311,33 @@
                         self.answer(ticket, result);
                     }
                 }
-                Told::Changed(changed) => {
-                    leaving |= matches!(changed, Changed::Leaving { .. });
-                    let ordered = matches!(changed, Changed::Begun { .. } | Changed::Released { .. });
+                GroupAction::Applied(changed) => {
+                    leaving |= matches!(changed, AppliedChange::RangeWithdrawn { .. });
+                    let ordered = matches!(
+                        changed,
+                        AppliedChange::OrderActivated { .. } | AppliedChange::OrderReleased { .. }
+                    );
                     if ordered {
                         followed.orders = Some(self.orders());
                     }
-                    if !matches!(changed, Changed::Stale(_) | Changed::Again | Changed::Cleared { .. }) {
+                    if !matches!(
+                        changed,
+                        AppliedChange::Rejected(_)
+                            | AppliedChange::Duplicate
+                            | AppliedChange::RangeCleared { .. }
+                    ) {
                         tracing::debug!(?changed, "agreed");
                     }
                 }
-                Told::Others(rows) => {
+                GroupAction::PeerReports(rows) => {
                     let known = |row: &EndpointReport| roster.place(row.server).is_some();
                     followed.events.extend(of_others(rows).filter(known).map(Event::EndpointReport));
                 }
-                Told::Restored => {
+                GroupAction::SnapshotRestored => {
                     followed.orders = Some(self.orders());
                     leaving = true;
                 }
-                Told::Remark(text) => self.wanted.push(Wanted::Remark(text)),
+                GroupAction::Log(text) => self.wanted.push(Wanted::Remark(text)),
             }
         }
         if leaving {
@@ -323,12 +349,12 @@
 
     /// Operators' orders in force: servers drained, and bounds of weights.
     pub fn orders(&self) -> (BTreeSet<u32>, BTreeMap<u32, f64>) {
-        (self.group.duties().drained(), self.group.duties().holds())
+        (self.group.state_machine().drained_servers(), self.group.state_machine().weight_caps())
     }
 
     pub fn leave(&mut self, now: Nanos) -> Vec<Wanted> {
         let told = self.group.leave(now).into_iter().filter_map(|effect| match effect {
-            Told::Send { to, address, envelope } => {
+            GroupAction::Send { to, address, envelope } => {
                 Some(Wanted::Tell { to, address, message: envelope.encode_to_vec() })
             }
             _ => None,
@@ -343,15 +369,15 @@
 
 /// Lines with addresses. Nothing goes to a server that drains or is gone, whatever is agreed: its line is left out,
 /// which takes it from whoever holds it.
-fn told(lines: &[RangeLine], roster: &Roster) -> Vec<RangeTold> {
+fn told(lines: &[RangeRoute], roster: &Roster) -> Vec<AddressedRoute> {
     let ready: BTreeSet<u32> =
         roster.servers().into_iter().filter(|server| server.2).map(|server| server.0).collect();
-    let line = |line: &RangeLine| {
+    let line = |line: &RangeRoute| {
         if !ready.contains(&line.owner) {
             return None;
         }
         let address = roster.place(line.owner)?.address.to_string();
-        Some(RangeTold { range: line.range, owner: line.owner, epoch: line.epoch, address })
+        Some(AddressedRoute { range: line.range, owner: line.owner, epoch: line.epoch, address })
     };
     lines.iter().filter_map(line).collect()
 }
