--- a/crates/group/tests/wire_compatibility.rs
+++ b/crates/group/tests/wire_compatibility.rs
@@ -195,7 +195,7 @@
         sequence: 104,
         tenure: 1_000_000_000,
         routes_omitted: silent,
-        lines,
+        routes: lines,
         range_count: 105,
     };
     found.push(encoded(
--- a/crates/standins/src/forwarders.rs
+++ b/crates/standins/src/forwarders.rs
@@ -510,7 +510,7 @@
         let Ok(answer) = RangesResponse::decode(message) else { return };
         (forwarder.ranges, forwarder.tenure) = (answer.range_count, answer.tenure);
         let mut lines = Vec::new();
-        for line in &answer.lines {
+        for line in &answer.routes {
             if let Ok(address) = line.address.parse() {
                 forwarder.owners.insert(line.owner, address);
                 lines.push(RangeRoute { range: line.range, owner: line.owner, epoch: line.epoch });
--- a/crates/xds-supervisor/src/shared.rs
+++ b/crates/xds-supervisor/src/shared.rs
@@ -162,7 +162,7 @@
             sequence: number,
             tenure,
             routes_omitted: silent,
-            lines,
+            routes: lines,
             range_count: ranges,
         }
         .encode_to_vec();
@@ -192,7 +192,7 @@
                 sequence: number,
                 tenure,
                 routes_omitted: false,
-                lines,
+                routes: lines,
                 range_count: ranges,
             }
             .encode_to_vec();
