--- a/crates/cli/src/tables_measure.rs
+++ b/crates/cli/src/tables_measure.rs
@@ -10,7 +10,9 @@
 use shalereel_guard::{Guard, Limits, Line as GuardLine, Pool, Server, Standing};
 use shalereel_reactor::{now, MILLI};
 use shalereel_snapshot::StoredSnapshot;
-use shalereel_store::{Bounds, Digest, Follower, Heard, Line, Lines, Resync, Store, Why};
+use shalereel_store::{
+    DeltaOutcome, Digest, Line, Lines, Provenance, Replica, ResyncBackoff, RetentionLimits, Store,
+};
 use shalereel_xds_supervisor::Deployment;
 
 use crate::measure_command::{address, deployment, ms, Group, Registry, Size, Supervisor, Wait};
@@ -124,7 +126,8 @@
 
 /// The digest, a version, and what a forwarder does with a delta, alone on one core.
 fn versions(count: u32) -> Result<()> {
-    let line = |server: u32, weight: u32| Line { address: address(server), weight, draining: false, life: 1 };
+    let line =
+        |server: u32, weight: u32| Line { address: address(server), weight, draining: false, incarnation: 1 };
     let lines: Lines = (0..count).map(|server| (server, line(server, 10_000))).collect();
     let rounds = 2_000_000 / count;
     let begun = now();
@@ -135,31 +138,31 @@
     let digest = (now() - begun) as f64 / f64::from(rounds * count);
     let guarded = guard_cost(count)?;
     let (kept, said) = memory_cost(count);
-    let bounds = Bounds { versions: 100_000, bytes: 1 << 30, age: u64::MAX };
+    let bounds = RetentionLimits { versions: 100_000, bytes: 1 << 30, age: u64::MAX };
     let mut store = Store::new(bounds, 1);
-    let why = Why::new("module", "");
+    let why = Provenance::new("module", "");
     store.publish(0, lines.iter().map(|(&server, &line)| (server, Some(line))), 1, &why);
-    let mut follower = Follower::new(Resync::new(MILLI, 1));
-    let whole = store.delta(0, 0);
+    let mut follower = Replica::new(ResyncBackoff::new(MILLI, 1));
+    let whole = store.delta_from(0, 0);
     let begun = now();
-    let held = whole.iter().all(|whole| follower.hear(0, whole) == Heard::Held);
+    let held = whole.iter().all(|whole| follower.receive(0, whole) == DeltaOutcome::Applied);
     let taken_whole = now() - begun;
-    let (mut made, mut taken, mut missed, before) = (0, 0, usize::from(!held), store.size().0);
+    let (mut made, mut taken, mut missed, before) = (0, 0, usize::from(!held), store.size().bytes);
     let each = 4.min(count);
     for at in 1..=1000 {
-        let from = store.number(0);
+        let from = store.newest_version(0);
         let begun = now();
         let touched = (0..each).map(|server| (server, Some(line(server, 10_000 + at))));
         store.publish(0, touched, at.into(), &why);
-        let delta = store.delta(0, from);
+        let delta = store.delta_from(0, from);
         made += now() - begun;
-        store.writings();
+        store.take_writes();
         let begun = now();
-        missed += delta.iter().filter(|delta| follower.hear(0, delta) != Heard::Held).count();
+        missed += delta.iter().filter(|delta| follower.receive(0, delta) != DeltaOutcome::Applied).count();
         taken += now() - begun;
     }
     assert_eq!(missed, 0, "deltas that did not add up");
-    let a_version = (store.size().0 - before) as f64 / 1000.0;
+    let a_version = (store.size().bytes - before) as f64 / 1000.0;
     println!(
         "{count} lines: digest {digest:.1} ns a line ({:x}); a version of {each} lines made in {:.1} us, taken by a forwarder in \
          {:.1} us, {a_version:.0} bytes kept: {:.1} MB a day at one a second; a whole table taken in {:.1} us; \
--- a/crates/cli/tests/memory.rs
+++ b/crates/cli/tests/memory.rs
@@ -104,9 +104,9 @@
             }
             Err(error) => assert!(error == SnapshotError::Empty && written == 0, "{error}"),
         }
-        let bounds = shalereel_store::Bounds { versions: 10_000, bytes: 1 << 24, age: u64::MAX };
+        let bounds = shalereel_store::RetentionLimits { versions: 10_000, bytes: 1 << 24, age: u64::MAX };
         let tables = std::fs::read(folder.join(TABLES)).unwrap();
-        shalereel_store::Store::new(bounds, 0).recall(&tables).unwrap();
+        shalereel_store::Store::new(bounds, 0).load(&tables).unwrap();
     }
     assert!(written > 8, "{written}");
     let _ = std::fs::remove_dir_all(folder);
--- a/crates/cli/tests/tables.rs
+++ b/crates/cli/tests/tables.rs
@@ -35,10 +35,10 @@
     assert!(verdict.traffic.disturbed > 20, "{:?}", verdict.traffic);
     // What was told is on the disk, whole, with the reasons.
     let file = std::fs::read(folder.join("supervisor-0").join(shalereel_xds_supervisor::TABLES)).unwrap();
-    let bounds = shalereel_store::Bounds { versions: 10_000, bytes: 1 << 24, age: u64::MAX };
+    let bounds = shalereel_store::RetentionLimits { versions: 10_000, bytes: 1 << 24, age: u64::MAX };
     let mut store = shalereel_store::Store::new(bounds, 0);
-    assert_eq!(store.recall(&file).unwrap(), file.len());
-    let whys: Vec<&str> = store.versions().iter().map(|version| version.why.who.as_str()).collect();
+    assert_eq!(store.load(&file).unwrap(), file.len());
+    let whys: Vec<&str> = store.versions().iter().map(|version| version.provenance.actor.as_str()).collect();
     let log = std::fs::read_to_string(folder.join("supervisor-1.log")).unwrap();
     assert!(log.contains("history could not be written"), "{log}");
     // Whether the way back had a weight to move hangs on when the module moved one.
--- a/crates/routing-checks/src/fleet.rs
+++ b/crates/routing-checks/src/fleet.rs
@@ -6,7 +6,7 @@
 use shalereel::brain::Controller;
 use shalereel::interface::{Action, EndpointReport, Event, Nanos, ProxyId, ServerId, TableId};
 use shalereel_guard::{Limits, Server, Standing};
-use shalereel_store::{Keeping, Why};
+use shalereel_store::{Provenance, RetentionLimits};
 use shalereel_xds::{Assignment, Health, Row, ServerFacts};
 use shalereel_xds_supervisor::{Deployment, Facts, Planted, Roster, Tables};
 
@@ -106,9 +106,8 @@
 /// Plays a fleet through the decisions; gives each table that forwarders would hold from the change on.
 pub(crate) fn play(deployment: &Deployment, sizes: &[f64], fleet: Fleet) -> Vec<View> {
     let facts = &deployment.facts;
-    let keeping = Keeping::new(facts);
     let outranks = deployment.planted == Some(Planted::WayOutranks);
-    let mut tables = Tables::new(facts, keeping.bounds(), outranks, !deployment.unguarded);
+    let mut tables = Tables::new(facts, RetentionLimits::new(facts), outranks, !deployment.unguarded);
     let mut roster = Roster::new(&deployment.localities);
     let mut brain = Controller::new(facts);
     let mut bound: BTreeMap<ProxyId, TableId> = BTreeMap::new();
@@ -153,7 +152,7 @@
         }
         let facts_now =
             Facts { roster: &roster, now, wall: 0, cold_for: facts.slow_start_duration, parts: &parts };
-        tables.publish(&facts_now, &Why::default());
+        tables.publish(&facts_now, &Provenance::default());
         if batch >= CHANGES {
             let users = |table: TableId| -> BTreeSet<u16> {
                 bound.iter().filter(|(_, of)| **of == table).map(|(&proxy, _)| proxy).collect()
--- a/crates/standins/src/forwarders.rs
+++ b/crates/standins/src/forwarders.rs
@@ -13,7 +13,7 @@
 use shalereel_reactor::{now, TimerId, Token, SECOND};
 use shalereel_rpc::{Code, ConnId, Hub, Input, Status, StreamId};
 use shalereel_sasp::{Body, Frames, Group, LbFlags, Member, MemberState, Message, ReturnCode, WeightEntry};
-use shalereel_store::{Check, Delta, Follower, Heard, Resync, UNIT};
+use shalereel_store::{Check, Delta, DeltaOutcome, Replica, ResyncBackoff, UNIT_WEIGHT};
 use shalereel_xds::{
     leds, read_retries, types, Assignment, ClusterLoad, EndpointLoad, Health, LoadAnswer, LoadReport,
     NodeFacts, Subscribing, Update, Variant, ADS, DELTA_ADS, LRS, SHUNNED,
@@ -120,7 +120,7 @@
     interval: Nanos,
     turns_down: u32,
     /// By table, where lines come one by one; and which table an operation goes by.
-    followers: BTreeMap<u16, Follower>,
+    followers: BTreeMap<u16, Replica>,
     collections: Vec<Option<u16>>,
     /// The epoch of its tables: none lower is taken.
     epoch: u64,
@@ -471,12 +471,12 @@
         forwarder.tenant.reopened();
         forwarder.up = false;
         self.links.insert(conn, id);
-        let held = |(&table, follower): (&u16, &Follower)| {
-            Some((leds::collection(table), follower.held()?.to_string()))
+        let held = |(&table, follower): (&u16, &Replica)| {
+            Some((leds::collection(table), follower.verified()?.to_string()))
         };
         let held = forwarder.followers.iter().filter_map(held).collect();
         forwarder.list.hold(types::LINE, held);
-        forwarder.followers.values_mut().for_each(Follower::reopened);
+        forwarder.followers.values_mut().for_each(Replica::stream_reopened);
         for message in forwarder.list.reopen() {
             self.hub.send(conn, stream, &message);
         }
@@ -620,16 +620,16 @@
         };
         forwarder.epoch = if fenced { epoch } else { forwarder.epoch };
         let Some(follower) = forwarder.followers.get_mut(&table) else { return };
-        let heard = follower.hear(now(), &delta);
-        let due = follower.due();
-        if matches!(heard, Heard::Held | Heard::Old) {
+        let heard = follower.receive(now(), &delta);
+        let due = follower.resync_due();
+        if matches!(heard, DeltaOutcome::Applied | DeltaOutcome::Stale) {
             let answer = forwarder.list.accept(update);
             self.hub.send(conn, stream, &answer);
         }
         self.remind(id, due);
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
         let (_, ordered) = update.stamp().unwrap_or_default();
-        let (supervisor, lines) = (forwarder.supervisor as u32, delta.lines() as u32);
+        let (supervisor, lines) = (forwarder.supervisor as u32, delta.line_count() as u32);
         let (epoch, bytes) = (forwarder.epoch, bytes as u32);
         self.trace.put(&Seen::Told { at: now(), forwarder: id, supervisor, lines, ordered, epoch, bytes });
         self.follow(id, table);
@@ -647,15 +647,15 @@
         let Some((conn, stream, _)) = forwarder.link else { return };
         let mut asked = BTreeMap::new();
         for (&table, follower) in &mut forwarder.followers {
-            if follower.due().is_some_and(|due| due <= time) {
-                let brings = follower.ask(time).map(|check| check.to_string());
+            if follower.resync_due().is_some_and(|due| due <= time) {
+                let brings = follower.resync(time).map(|check| check.to_string());
                 asked.insert(leds::collection(table), brings);
             }
         }
         if asked.is_empty() {
             return;
         }
-        let due = forwarder.followers.values().filter_map(Follower::due).min();
+        let due = forwarder.followers.values().filter_map(Replica::resync_due).min();
         let message = forwarder.list.again(types::LINE, asked);
         self.hub.send(conn, stream, &message);
         self.trace.put(&Seen::AskedAnew { at: time, forwarder: id });
@@ -676,9 +676,9 @@
             let credits: BTreeMap<SocketAddr, f64> =
                 held.lines.iter().map(|line| (line.address, line.credit)).collect();
             let old = std::mem::take(&mut held.lines);
-            held.lines.extend(follower.usable().map(|(_, line)| Line {
+            held.lines.extend(follower.usable_lines().map(|(_, line)| Line {
                 address: line.address,
-                weight: f64::from(line.weight) / UNIT,
+                weight: f64::from(line.weight) / UNIT_WEIGHT,
                 credit: credits.get(&line.address).copied().unwrap_or(0.0),
             }));
             if self.plan.ignore_drains {
@@ -716,7 +716,7 @@
         }
         if let Entry::Vacant(vacant) = forwarder.followers.entry(table) {
             let seed = self.plan.seed ^ u64::from(id) << 16 ^ u64::from(table);
-            vacant.insert(Follower::new(Resync::new(self.plan.redial.0, seed)));
+            vacant.insert(Replica::new(ResyncBackoff::new(self.plan.redial.0, seed)));
             let message = forwarder.list.again(types::LINE, BTreeMap::from([(collection.to_owned(), None)]));
             self.hub.send(conn, stream, &message);
         }
@@ -1378,7 +1378,7 @@
         let (of, server) = leds::line_of(name).ok_or_else(|| wrong("a name that is no line's"))?;
         let line = leds::decode_line(any)?;
         let leds::Line { address, weight, draining } = line;
-        changed.push((server, shalereel_store::Line { address, weight, draining, life: 0 }));
+        changed.push((server, shalereel_store::Line { address, weight, draining, incarnation: 0 }));
         table = Some(of);
     }
     let mut removed = Vec::new();
@@ -1388,5 +1388,5 @@
         table = Some(of);
     }
     let table = table.ok_or_else(|| wrong("lines of no table"))?;
-    Ok((table, Delta { check, from, changed, removed }))
+    Ok((table, Delta { check, base: from, changed, removed }))
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,21 +1,39 @@
-//! Tables in versions, free of I/O: what changed from one to the next and why, a check that is kept up line by
-//! line, deltas between any two of them, and the way back to an earlier one. `docs/tables.md` has the design.
+//! Weight tables in versions, free of I/O and clock: what changed from one to the next and why, a checksum that is updated
+//! line by line, deltas between any two versions, and the rollback to an earlier one. `docs/tables.md` has the design.
 //!
-//! [`Store`] keeps them; [`Telling`] is what one proxy was told of one, [`Follower`] that proxy's own side;
-//! [`Bending`] holds operators' constraints, through which the module's weights pass.
+//! Called by the supervisor: [`Store`] has the tables, [`Subscription`] what one proxy was sent of one table,
+//! [`WeightConstraints`] the operators' caps and rollbacks, through which the controller's weights pass. [`Replica`] is the
+//! proxy's side of a table.
 
-mod bending;
+#![deny(missing_docs)]
+
+mod codec;
+mod constraints;
+mod delivery;
+mod delta;
 mod digest;
-mod follower;
-mod keeping;
-mod records;
+mod history;
+mod line;
+mod load;
+mod replica;
+mod resync;
+mod retention;
+mod rollback;
 mod store;
-mod telling;
+mod subscription;
+mod version;
 
-pub use bending::{least, plan, Bending, Facing, Hold, Plan, Refusal, Stays, Way};
-pub use digest::{Check, Digest, Line, Salt, UNIT};
-pub use follower::{Follower, Heard};
-pub use keeping::{Bounds, Keeping, Resync};
-pub use records::{StoreError, HEAD};
-pub use store::{Change, Lines, Number, Store, Version, Why, Writing};
-pub use telling::{Delta, Telling};
+pub use codec::{StoreError, MAGIC};
+pub use constraints::{lowest_factors, ConstraintError, WeightCap, WeightConstraints};
+pub use delivery::DeliveryPolicy;
+pub use delta::Delta;
+pub use digest::{Check, Digest, Salt};
+pub use history::ChangesSince;
+pub use line::{Line, Lines, UNIT_WEIGHT};
+pub use replica::{DeltaOutcome, Replica};
+pub use resync::ResyncBackoff;
+pub use retention::RetentionLimits;
+pub use rollback::{plan_rollback, CurrentEndpoint, Rollback, RollbackPlan, SkipReason};
+pub use store::{FileWrite, HistorySize, Store};
+pub use subscription::{Subscription, Unacknowledged};
+pub use version::{LineChange, Provenance, Version, VersionNumber};
--- /dev/null
+++ b/crates/store/tests/history.rs
@@ -0,0 +1,137 @@
+//! The history and its file: limits, files that were cut or damaged, and failed writes.
+
+use std::collections::BTreeSet;
+
+use oorandom::Rand64;
+use shalereel_store::{Line, Lines, Provenance, RetentionLimits, Store, StoreError, MAGIC};
+
+const TABLE: u16 = 0;
+
+fn limits() -> RetentionLimits {
+    RetentionLimits { versions: 40, bytes: 1 << 20, age: u64::MAX }
+}
+
+fn store_and_file() -> (Store, Vec<u8>) {
+    let mut store = Store::new(limits(), 9);
+    let mut file = MAGIC.to_vec();
+    let mut chance = Rand64::new(4);
+    for at in 0..60_u64 {
+        let server = chance.rand_range(0..6) as u32;
+        let line = Line {
+            address: ([127, 1, 0, server as u8], 80).into(),
+            weight: 1 + chance.rand_range(0..50) as u32,
+            draining: chance.rand_range(0..5) == 0,
+            incarnation: at / 20,
+        };
+        let after = (chance.rand_range(0..4) > 0).then_some(line);
+        let table = chance.rand_range(0..2) as u16;
+        store.publish(table, [(server, after)], 1000 + at, &Provenance::new("module", "change"));
+        for write in store.take_writes() {
+            if write.replaces_file {
+                file.truncate(MAGIC.len());
+            }
+            write.records.iter().for_each(|record| file.extend(shalereel_journal::frame(record)));
+        }
+    }
+    (store, file)
+}
+
+/// Guards against a kill at any byte of a write: what is loaded is an earlier state, and versions go on from there.
+#[test]
+fn file_cut_at_any_byte_loads_an_earlier_state() {
+    let (store, file) = store_and_file();
+    let all = store.versions();
+    let mut reached = BTreeSet::new();
+    for cut in 0..=file.len() {
+        let mut loaded = Store::new(limits(), 9);
+        let intact_bytes = loaded.load(&file[..cut]).unwrap();
+        assert!(intact_bytes <= cut);
+        let number = loaded.versions().last().map_or(0, |version| version.number);
+        reached.insert(number);
+        for version in loaded.versions() {
+            let was = store.version(version.number);
+            assert!(was.is_none_or(|was| was == version), "cut at {cut}");
+        }
+        for table in loaded.tables() {
+            let lines: Lines = loaded.lines(table).map(|(id, line)| (id, *line)).collect();
+            let at = loaded.newest_version(table);
+            if all.iter().any(|version| version.number == at) {
+                assert_eq!(store.lines_at(at), Some((table, lines)), "cut at {cut}");
+            }
+        }
+    }
+    assert!(reached.len() > 40, "{reached:?}");
+    let mut loaded = Store::new(limits(), 9);
+    loaded.load(&file).unwrap();
+    let next = Line { address: ([127, 1, 0, 1], 80).into(), weight: 777, draining: false, incarnation: 9 };
+    let number = loaded.publish(TABLE, [(1, Some(next))], 5000, &Provenance::default()).unwrap();
+    assert_eq!(number, all.last().unwrap().number + 1);
+    assert!(loaded.take_writes()[0].replaces_file);
+}
+
+#[test]
+fn inconsistent_file_is_rejected() {
+    let (_, file) = store_and_file();
+    let records: Vec<Vec<u8>> = shalereel_journal::records(&file, MAGIC)
+        .unwrap()
+        .iter()
+        .map(|record| record.payload.to_vec())
+        .collect();
+    let build = |records: &[Vec<u8>]| {
+        let mut file = MAGIC.to_vec();
+        records.iter().for_each(|record| file.extend(shalereel_journal::frame(record)));
+        file
+    };
+    let rejection = |file: &[u8]| Store::new(limits(), 9).load(file).unwrap_err();
+    // A record lost, two swapped, one of another file: each frame is intact, the history is not.
+    let last = records.len() - 1;
+    let mut lost = records.clone();
+    lost.remove(last - 12);
+    assert!(matches!(rejection(&build(&lost)), StoreError::Inconsistent { .. }));
+    let mut swapped = records.clone();
+    swapped.swap(last, last - 1);
+    assert!(matches!(rejection(&build(&swapped)), StoreError::Inconsistent { .. }));
+    let mut strange = records.clone();
+    strange[last] = b"something else".to_vec();
+    assert!(matches!(rejection(&build(&strange)), StoreError::Malformed { .. }));
+    let mut damaged = file.clone();
+    damaged[40] ^= 1;
+    assert!(matches!(rejection(&damaged), StoreError::Journal(_)));
+}
+
+#[test]
+fn history_stays_within_limits_and_a_failed_write_is_repeated() {
+    let line =
+        |weight| Line { address: ([127, 1, 0, 1], 80).into(), weight, draining: false, incarnation: 1 };
+    let provenance = Provenance::default();
+    let mut store = Store::new(RetentionLimits { versions: 10, bytes: 1 << 20, age: 100 }, 1);
+    for at in 1..=30 {
+        store.publish(TABLE, [(1, Some(line(at)))], at.into(), &provenance);
+    }
+    assert_eq!(
+        (store.size().versions, store.versions()[0].number, store.lines_at(20).is_some()),
+        (10, 21, true)
+    );
+    assert!(store.lines_at(19).is_none() && store.changes_since(TABLE, 19).is_none());
+    // A base that is not retained gets the complete table.
+    assert_eq!(
+        (store.delta_from(TABLE, 19).unwrap().base, store.delta_from(TABLE, 20).unwrap().base),
+        (0, 0)
+    );
+    store.publish(TABLE, [(2, Some(line(1)))], 200, &provenance);
+    assert_eq!((store.size().versions, store.newest_version(TABLE)), (1, 31));
+    assert_eq!(store.delta_from(TABLE, 30).unwrap().base, 30);
+    // Guards against a gap after a full disk: the next write has everything.
+    store.take_writes();
+    store.publish(TABLE, [(2, Some(line(2)))], 201, &provenance);
+    store.take_writes();
+    store.write_failed();
+    store.publish(TABLE, [(2, Some(line(3)))], 202, &provenance);
+    let writes = store.take_writes();
+    assert!(writes.len() == 1 && writes[0].replaces_file);
+    // What is written together is one frame.
+    let file = [&MAGIC[..], &shalereel_journal::frame(&writes[0].records.concat())].concat();
+    let mut loaded = Store::new(RetentionLimits { versions: 10, bytes: 1 << 20, age: 100 }, 1);
+    loaded.load(&file).unwrap();
+    assert_eq!((loaded.versions(), loaded.check(TABLE)), (store.versions(), store.check(TABLE)));
+}
--- a/crates/store/tests/stored.rs
+++ b/crates/store/tests/stored.rs
@@ -1,6 +1,6 @@
 //! A file written by an earlier version is read with the same content.
 
-use shalereel_store::{Bounds, Line, Store, Why, HEAD};
+use shalereel_store::{Line, Provenance, RetentionLimits, Store, MAGIC};
 
 /// The literals of a value in the order of its fields, without the names of types and fields, which may change.
 fn literals(value: &impl std::fmt::Debug) -> String {
@@ -20,8 +20,8 @@
 #[test]
 fn table_history_of_an_earlier_version_is_read() {
     let file = include_bytes!("stored/tables.log");
-    let mut store = Store::new(Bounds { versions: 1000, bytes: 1 << 20, age: u64::MAX }, 1);
-    assert_eq!(store.recall(file), Ok(file.len()));
+    let mut store = Store::new(RetentionLimits { versions: 1000, bytes: 1 << 20, age: u64::MAX }, 1);
+    assert_eq!(store.load(file), Ok(file.len()));
     let mut read: String = store.versions().into_iter().map(literals).collect();
     for table in store.tables() {
         read += &literals(&(table, store.check(table), store.lines(table).collect::<Vec<_>>()));
@@ -32,20 +32,21 @@
 /// Guards against a change of the written form: other versions of the program would not read it.
 #[test]
 fn table_file_is_written_byte_by_byte_as_before() {
-    let mut store = Store::new(Bounds { versions: 2, bytes: 1 << 20, age: u64::MAX }, 1);
-    let first = Line { address: ([127, 1, 0, 1], 80).into(), weight: 10_000, draining: false, life: 7 };
+    let mut store = Store::new(RetentionLimits { versions: 2, bytes: 1 << 20, age: u64::MAX }, 1);
+    let first =
+        Line { address: ([127, 1, 0, 1], 80).into(), weight: 10_000, draining: false, incarnation: 7 };
     let second =
-        Line { address: "[2001:db8::1]:8080".parse().unwrap(), weight: 5, draining: true, life: 300 };
-    let why = Why::new("module", "start");
-    store.publish(3, [(1, Some(first)), (2, Some(second))], 1_000, &why);
-    store.publish(3, [(1, Some(Line { weight: 9_000, ..first }))], 2_000, &why);
-    store.publish(3, [(2, None)], 3_000, &Why::new("anna", "slow disk"));
-    store.unwritten();
-    store.publish(3, [(1, None)], 4_000, &why);
-    let mut file = HEAD.to_vec();
-    let writings = store.writings();
-    assert!(writings.last().unwrap().whole);
-    writings.last().unwrap().parts.iter().for_each(|part| file.extend(shalereel_journal::frame(part)));
+        Line { address: "[2001:db8::1]:8080".parse().unwrap(), weight: 5, draining: true, incarnation: 300 };
+    let provenance = Provenance::new("module", "start");
+    store.publish(3, [(1, Some(first)), (2, Some(second))], 1_000, &provenance);
+    store.publish(3, [(1, Some(Line { weight: 9_000, ..first }))], 2_000, &provenance);
+    store.publish(3, [(2, None)], 3_000, &Provenance::new("anna", "slow disk"));
+    store.write_failed();
+    store.publish(3, [(1, None)], 4_000, &provenance);
+    let mut file = MAGIC.to_vec();
+    let writes = store.take_writes();
+    assert!(writes.last().unwrap().replaces_file);
+    writes.last().unwrap().records.iter().for_each(|record| file.extend(shalereel_journal::frame(record)));
     let hex: String = file.iter().map(|byte| format!("{byte:02x}")).collect();
     let expected = "73686c7274626c313d000000e75f5c840a3b0a390803100218d00f220f080112067f010001005018a8462807221d08021212\
         20010db80000000000000000000000011f901805200128ac0228043f000000d08d71fd0a3d123b08031003180220b8172a04\
--- a/crates/xds-supervisor/src/admin.rs
+++ b/crates/xds-supervisor/src/admin.rs
@@ -6,7 +6,9 @@
 use shalereel::interface::Nanos;
 use shalereel_guard::Standing;
 use shalereel_rpc::{Code, Status};
-use shalereel_store::{Line, Lines, Number, Refusal, Stays, Version, Why, UNIT};
+use shalereel_store::{
+    ConstraintError, Line, Lines, Provenance, SkipReason, Version, VersionNumber, UNIT_WEIGHT,
+};
 
 use crate::tables::{Facts, Tables};
 
@@ -99,22 +101,22 @@
     pub told: String,
 }
 
-fn stays(reason: Stays) -> &'static str {
+fn stays(reason: SkipReason) -> &'static str {
     match reason {
-        Stays::Out => "it is out of the table",
-        Stays::Draining => "it drains",
-        Stays::LeftSince => "it was out of the table or draining since",
-        Stays::Cold => "it is cold",
-        Stays::Restarted => "it has restarted since",
-        Stays::New => "that version did not have it",
-        Stays::Moved => "its weight was moved too far since",
+        SkipReason::NotInTable => "it is out of the table",
+        SkipReason::Draining => "it drains",
+        SkipReason::UnavailableSince => "it was out of the table or draining since",
+        SkipReason::WarmingUp => "it is cold",
+        SkipReason::Restarted => "it has restarted since",
+        SkipReason::NotInEarlierVersion => "that version did not have it",
+        SkipReason::WeightMovedTooFar => "its weight was moved too far since",
     }
 }
 
 fn line(line: &Line) -> Value {
     json!({
         "address": line.address.to_string(),
-        "weight": f64::from(line.weight) / UNIT,
+        "weight": f64::from(line.weight) / UNIT_WEIGHT,
         "draining": line.draining,
     })
 }
@@ -122,17 +124,17 @@
 fn head(version: &Version) -> Value {
     json!({
         "version": version.number, "table": version.table, "parent": version.parent,
-        "at_ms": version.at / 1_000_000, "who": version.why.who, "why": version.why.reason,
+        "at_ms": version.published_at / 1_000_000, "who": version.provenance.actor, "why": version.provenance.reason,
         "lines": version.digest.count, "changed": version.changes.len(), "check": version.check().to_string(),
     })
 }
 
-fn refused(refusal: Refusal) -> Status {
+fn refused(refusal: ConstraintError) -> Status {
     Status::new(Code::FailedPrecondition, refusal.to_string())
 }
 
-fn at(tables: &Tables, version: Number) -> Result<(u16, Lines), Status> {
-    tables.store.at(version).ok_or_else(|| refused(Refusal::Unknown(version)))
+fn at(tables: &Tables, version: VersionNumber) -> Result<(u16, Lines), Status> {
+    tables.store.lines_at(version).ok_or_else(|| refused(ConstraintError::UnknownVersion(version)))
 }
 
 /// Answers one message. Errors: it is none of ours, or what it asks for cannot be had, and why.
@@ -166,20 +168,21 @@
             let who = if back.who.is_empty() { "operator" } else { &back.who };
             let reason = format!("back to {}: {}", back.version, back.why);
             let span: Nanos = back.for_ms.saturating_mul(1_000_000);
-            let why = Why::new(who, reason);
+            let why = Provenance::new(who, reason);
             let (table, plan) = tables.back(back.version, span, why, back.dry_run, facts).map_err(refused)?;
             json!({
-                "table": table, "to": back.version, "dry_run": back.dry_run, "takes": plan.takes,
-                "moves": plan.parts.iter().map(|(server, part)| json!({
+                "table": table, "to": back.version, "dry_run": back.dry_run, "takes": plan.restored,
+                "moves": plan.factors.iter().map(|(server, part)| json!({
                     "server": server, "now": tables.weight(table, *server), "times": part,
                 })).collect::<Vec<_>>(),
-                "stays": plan.stays.iter().map(|(server, reason)| json!({
+                "stays": plan.skipped.iter().map(|(server, reason)| json!({
                     "server": server, "why": stays(*reason),
                 })).collect::<Vec<_>>(),
             })
         }
         Question::Hold(HoldOne { server, part, for_ms, who, why }) => {
-            let hold = (for_ms > 0).then(|| (part, for_ms.saturating_mul(1_000_000), Why::new(&who, why)));
+            let hold =
+                (for_ms > 0).then(|| (part, for_ms.saturating_mul(1_000_000), Provenance::new(&who, why)));
             let held = hold.is_some();
             tables.hold_one(server, hold, facts.now).map_err(refused)?;
             json!({ "server": server, "held": held })
@@ -191,7 +194,7 @@
 
 fn list(tables: &Tables, facts: &Facts, last: usize) -> Value {
     let all = tables.store.versions();
-    let (bytes, count) = tables.store.size();
+    let size = tables.store.size();
     let newest: Vec<Value> = tables
         .store
         .tables()
@@ -202,24 +205,24 @@
         .ways()
         .map(|(table, way, why)| {
             json!({
-                "table": table, "to": way.to, "who": why.who, "why": why.reason, "lines_to_move": way.left(),
-                "ends_in_s": way.until.saturating_sub(facts.now) / 1_000_000_000, "ending": way.ending(),
+                "table": table, "to": way.target, "who": why.actor, "why": why.reason, "lines_to_move": way.pending_lines(),
+                "ends_in_s": way.until.saturating_sub(facts.now) / 1_000_000_000, "ending": way.is_ending(),
             })
         })
         .collect();
-    let hold = |(server, hold): (&u32, &shalereel_store::Hold)| {
+    let hold = |(server, hold): (&u32, &shalereel_store::WeightCap)| {
         let ends = hold.until.saturating_sub(facts.now) / 1_000_000_000;
-        let (who, why) = (&hold.why.who, &hold.why.reason);
-        json!({ "server": server, "at_most": hold.part, "ends_in_s": ends, "who": who, "why": why })
+        let (who, why) = (&hold.provenance.actor, &hold.provenance.reason);
+        json!({ "server": server, "at_most": hold.factor, "ends_in_s": ends, "who": who, "why": why })
     };
     let holds: Vec<Value> = tables.holds().iter().map(hold).collect();
     json!({
-        "kept": count, "bytes": bytes, "newest": newest, "ways": ways, "holds": holds,
+        "kept": size.versions, "bytes": size.bytes, "newest": newest, "ways": ways, "holds": holds,
         "versions": all.iter().rev().take(last).map(|version| head(version)).collect::<Vec<_>>(),
     })
 }
 
-fn diff(tables: &Tables, from: Number, to: Number) -> Result<Value, Status> {
+fn diff(tables: &Tables, from: VersionNumber, to: VersionNumber) -> Result<Value, Status> {
     let ((table, old), (other, new)) = (at(tables, from)?, at(tables, to)?);
     if table != other {
         let text = format!("version {from} is of table {table}, version {to} of table {other}");
--- a/crates/xds-supervisor/src/core.rs
+++ b/crates/xds-supervisor/src/core.rs
@@ -11,7 +11,9 @@
 use shalereel_group::Fit;
 use shalereel_rpc::{frame, Code, Status};
 use shalereel_snapshot::{FreshnessPolicy, RejectReason, StoredSnapshot};
-use shalereel_store::{Check, Keeping, Number, StoreError, Telling, Why, Writing};
+use shalereel_store::{
+    Check, DeliveryPolicy, FileWrite, Provenance, RetentionLimits, StoreError, Subscription, VersionNumber,
+};
 use shalereel_xds::{
     cluster, leds, listener, routes, types, Asked, Assignment, LoadAnswer, LoadReport, NodeFacts, Resource,
     Response, Serving, Variant, SHUNNED,
@@ -66,7 +68,7 @@
     /// Something that the group wants.
     Group(Wanted),
     /// Versions of tables to be kept.
-    History(Writing),
+    History(FileWrite),
     /// What was learned so far, to be kept instead of what was before.
     Memory(Vec<u8>),
     /// The list has changed: [`Core::remember`] is to be kept, soon.
@@ -136,14 +138,14 @@
 fn delta_message(
     tables: &Tables,
     table: TableId,
-    from: Number,
+    from: VersionNumber,
     (nonce, stamp): (u64, Nanos),
     epoch: Option<u64>,
     identity: &str,
-) -> Option<(Bytes, Number)> {
-    let delta = tables.store.delta(table, from)?;
+) -> Option<(Bytes, VersionNumber)> {
+    let delta = tables.store.delta_from(table, from)?;
     let number = delta.check.number;
-    let told = format!("{}>{}", delta.from, delta.check);
+    let told = format!("{}>{}", delta.base, delta.check);
     let version = epoch.map_or(told.clone(), |epoch| format!("{epoch}/{told}"));
     let resource = |(server, line): &(ServerId, shalereel_store::Line)| Resource {
         name: leds::line_name(table, *server),
@@ -220,11 +222,11 @@
     again_at: Option<Nanos>,
     /// It takes tables line by line.
     lines: bool,
-    telling: BTreeMap<TableId, Telling>,
+    telling: BTreeMap<TableId, Subscription>,
     /// Tables whose lines the channel has borne, and that it has not asked for yet.
     borne: BTreeSet<TableId>,
     /// Responses with lines that are not confirmed: nonce, table and version.
-    nonces: VecDeque<(u64, TableId, Number)>,
+    nonces: VecDeque<(u64, TableId, VersionNumber)>,
 }
 
 #[derive(Debug)]
@@ -240,7 +242,7 @@
     brain: Controller,
     tables: Tables,
     channel: Channel,
-    keeping: Keeping,
+    keeping: DeliveryPolicy,
     /// The wall clock less the monotonic one.
     wall: Nanos,
     /// Messages of which the module knows nothing, and that wait for room in the channel: to whom, how many lines.
@@ -273,7 +275,7 @@
     /// What was said this turn: its nonce and its bytes.
     shared: BTreeMap<Group, (u64, Bytes)>,
     /// The same of lines: by table, from which version, and when it was ordered.
-    shared_lines: BTreeMap<(TableId, Number, Nanos), (u64, Bytes, Number)>,
+    shared_lines: BTreeMap<(TableId, VersionNumber, Nanos), (u64, Bytes, VersionNumber)>,
     nonce: u64,
     identity: String,
     reported: Nanos,
@@ -284,9 +286,9 @@
     /// `kept`: the list that an earlier run left behind.
     pub fn new(deployment: Deployment, now: Nanos, kept: Option<&[u8]>) -> Self {
         let facts = &deployment.facts;
-        let keeping = Keeping::new(facts);
+        let keeping = DeliveryPolicy::new(facts);
         let outranks = deployment.planted == Some(Planted::WayOutranks);
-        let bounds = deployment.history.bounds(keeping.bounds());
+        let bounds = deployment.history.bounds(RetentionLimits::new(facts));
         let mut core = Core {
             brain: Controller::new(facts),
             tables: Tables::new(facts, bounds, outranks, !deployment.unguarded),
@@ -335,7 +337,7 @@
     /// Gives how many bytes of the file were whole. Errors: it cannot be believed, and is not used.
     pub fn recall(&mut self, wall: Nanos, file: Option<&[u8]>) -> Result<usize, StoreError> {
         self.wall = wall;
-        file.map_or(Ok(0), |file| self.tables.store.recall(file))
+        file.map_or(Ok(0), |file| self.tables.store.load(file))
     }
 
     /// What an earlier run had learned. Errors: why nothing of it is recalled.
@@ -375,7 +377,7 @@
 
     /// Versions were not kept, for whatever reason: they are written again with the next one.
     pub fn unkept(&mut self) {
-        self.tables.store.unwritten();
+        self.tables.store.write_failed();
     }
 
     /// An operator's question or order about tables.
@@ -741,8 +743,9 @@
         let again = self.proxies.values().filter_map(|proxy| proxy.again_at).min();
         let group = self.shared_with.as_ref().map(Shared::next);
         let tellings = self.proxies.values().flat_map(|proxy| proxy.telling.values());
-        let repeat =
-            tellings.filter_map(|told| told.open().map(|open| self.keeping.again(open.0, open.1))).min();
+        let repeat = tellings
+            .filter_map(|told| told.unacknowledged().map(|sent| self.keeping.retransmit_at(sent)))
+            .min();
         let way = self.tables.next();
         let parts = [pending, timer, Some(cycle), self.channel.next(), again, group, repeat, way];
         parts.into_iter().flatten().min().unwrap_or(cycle)
@@ -794,7 +797,7 @@
         }
         self.tables.publish(
             &facts(&self.roster, &self.deployment, &self.parts, now, self.wall),
-            &Why::new("list", "servers are met at other addresses"),
+            &Provenance::new("list", "servers are met at other addresses"),
         );
         self.owe_corrections();
         self.repeat(now);
@@ -815,7 +818,7 @@
         self.shared.clear();
         self.shared_lines.clear();
         self.effects.extend(self.tables.words().into_iter().map(Effect::Odd));
-        self.effects.extend(self.tables.store.writings().into_iter().map(Effect::History));
+        self.effects.extend(self.tables.store.take_writes().into_iter().map(Effect::History));
         std::mem::take(&mut self.effects)
     }
 
@@ -833,9 +836,9 @@
     fn repeat(&mut self, now: Nanos) {
         for (&id, proxy) in &mut self.proxies {
             for (&table, telling) in &mut proxy.telling {
-                if telling.open().is_some_and(|(said, times)| self.keeping.again(said, times) <= now) {
-                    telling.repeat();
-                    let from = telling.from(&self.tables.store, table).unwrap_or(0);
+                if telling.unacknowledged().is_some_and(|sent| self.keeping.retransmit_at(sent) <= now) {
+                    telling.retransmit();
+                    let from = telling.next_base(&self.tables.store, table).unwrap_or(0);
                     owe(&mut self.owed, id, self.tables.lines_since(table, from));
                 }
             }
@@ -847,9 +850,9 @@
         self.tables.tick(now);
         loop {
             while let Some(&(id, lines)) = self.owed.front() {
-                let cost = self.keeping.cost(lines);
+                let cost = self.keeping.message_cost(lines);
                 if self.proxies.contains_key(&id) {
-                    if cost > self.keeping.spare(self.channel.waiting(), self.channel.beside()) {
+                    if cost > self.keeping.spare_lines(self.channel.waiting(), self.channel.beside()) {
                         return;
                     }
                     self.channel.put_beside(now, id, cost);
@@ -864,7 +867,7 @@
                 .map(|(&id, _)| id)
                 .collect();
             let facts = facts(&self.roster, &self.deployment, &self.parts, now, self.wall);
-            let changed = self.tables.step(table, self.keeping.piece(users.len()), &facts);
+            let changed = self.tables.step(table, self.keeping.rollback_step_lines(users.len()), &facts);
             if changed > 0 {
                 self.owed.extend(users.into_iter().map(|id| (id, changed)));
             }
@@ -912,7 +915,7 @@
                     installed = true;
                     // One that has said what it holds is told what differs.
                     let telling = member.telling.get(&table);
-                    let from = telling.and_then(|telling| telling.from(&self.tables.store, table));
+                    let from = telling.and_then(|telling| telling.next_base(&self.tables.store, table));
                     if member.lines && telling.is_none() {
                         member.borne.insert(table);
                     }
@@ -958,7 +961,7 @@
             self.weigh_tables();
         }
         let facts = facts(&self.roster, &self.deployment, &self.parts, now, self.wall);
-        self.tables.publish(&facts, &Why::new("module", remarks.join("; ")));
+        self.tables.publish(&facts, &Provenance::new("module", remarks.join("; ")));
         self.channel.put(now, &lines, serial);
     }
 
@@ -1103,13 +1106,13 @@
                 proxy.telling.retain(|table, _| collections.contains(table));
             }
             for table in collections {
-                let published = self.tables.store.number(table) > 0;
+                let published = self.tables.store.newest_version(table) > 0;
                 if !stream.serving.wants(types::LINE, &leds::collection(table)) {
                     said.awaits |= published;
                     continue;
                 }
                 let telling = proxy.telling.entry(table).or_default();
-                let Some(from) = telling.from(&self.tables.store, table) else { continue };
+                let Some(from) = telling.next_base(&self.tables.store, table) else { continue };
                 let shared = match self.shared_lines.get(&(table, from, ordered)) {
                     Some(shared) => shared.clone(),
                     None => {
@@ -1124,7 +1127,7 @@
                     }
                 };
                 let (nonce, message, number) = shared;
-                telling.left(now, number);
+                telling.on_sent(now, number);
                 proxy.borne.remove(&table);
                 stream.serving.expect(types::LINE, nonce);
                 proxy.nonces.push_back((nonce, table, number));
@@ -1181,11 +1184,11 @@
                         let Some(table) = leds::table_of(name) else { continue };
                         let brought = stream.serving.holds(types::LINE, name).and_then(Check::parse);
                         let telling = proxy.telling.entry(table).or_default();
-                        telling.asked(&self.tables.store, table, brought);
+                        telling.on_request(&self.tables.store, table, brought);
                         if proxy.borne.remove(&table) {
                             proxy.due.get_or_insert((now, Vec::new()));
                         } else if proxy.tables.values().any(|&at| at == table) {
-                            let from = telling.from(&self.tables.store, table).unwrap_or(0);
+                            let from = telling.next_base(&self.tables.store, table).unwrap_or(0);
                             owe(&mut self.owed, id, self.tables.lines_since(table, from));
                         }
                     }
@@ -1250,7 +1253,7 @@
                 proxy.nonces.pop_front();
                 // Older responses of the same table lead to older versions; what is confirmed is this one.
                 if let Some(telling) = proxy.telling.get_mut(&table).filter(|_| said == nonce) {
-                    telling.holds(number);
+                    telling.on_acknowledged(number);
                 }
             }
         }
@@ -1276,7 +1279,7 @@
         let Some((id, proxy)) = self.member(peer) else { return };
         proxy.turned_down += 1;
         proxy.told.clear();
-        proxy.telling.values_mut().for_each(Telling::repeat);
+        proxy.telling.values_mut().for_each(Subscription::retransmit);
         let verdict = patience.turned_down(now, proxy.turned_down);
         let mut text = format!("proxy {id} turned down response {nonce} of {type_url}: {why}");
         match verdict {
--- a/crates/xds-supervisor/src/daemon.rs
+++ b/crates/xds-supervisor/src/daemon.rs
@@ -232,7 +232,7 @@
                 None
             }
         };
-        match Keeper::open(&folder, TABLES, shalereel_store::HEAD, whole, nudge) {
+        match Keeper::open(&folder, TABLES, shalereel_store::MAGIC, whole, nudge) {
             Ok(keeper) => self.tables = Some(keeper),
             Err(error) => {
                 let error = format!("{error:#}");
@@ -554,7 +554,11 @@
             Effect::History(writing) => {
                 self.kept += 1;
                 if let Some(keeper) = &self.tables {
-                    keeper.keep(Block { number: self.kept, whole: writing.whole, parts: writing.parts });
+                    keeper.keep(Block {
+                        number: self.kept,
+                        whole: writing.replaces_file,
+                        parts: writing.records,
+                    });
                 }
             }
             Effect::Say { peer, message } => {
--- a/crates/xds-supervisor/src/deployment.rs
+++ b/crates/xds-supervisor/src/deployment.rs
@@ -14,7 +14,7 @@
 };
 use shalereel_group::wire::{Duty, Seat};
 use shalereel_group::{Charter, Told};
-use shalereel_store::Bounds;
+use shalereel_store::RetentionLimits;
 use thiserror::Error;
 
 use crate::patience::Patience;
@@ -242,8 +242,8 @@
 
 impl History {
     /// The derived bounds, with those that the file names in their place.
-    pub fn bounds(&self, derived: Bounds) -> Bounds {
-        Bounds {
+    pub fn bounds(&self, derived: RetentionLimits) -> RetentionLimits {
+        RetentionLimits {
             versions: self.versions.unwrap_or(derived.versions),
             bytes: self.bytes.unwrap_or(derived.bytes),
             age: self.age.unwrap_or(derived.age),
--- a/crates/xds-supervisor/src/tables.rs
+++ b/crates/xds-supervisor/src/tables.rs
@@ -6,7 +6,8 @@
 use shalereel::interface::{Action, ControllerConfig, ListedCapacity, Nanos, RetryPolicy, ServerId, TableId};
 use shalereel_guard::{Decision, Guard, Limits, Line as GuardLine, Pool, Refused, Server};
 use shalereel_store::{
-    least, plan, Bending, Bounds, Facing, Hold, Line, Lines, Number, Plan, Refusal, Store, Way, Why, UNIT,
+    lowest_factors, plan_rollback, ConstraintError, CurrentEndpoint, Line, Lines, Provenance,
+    RetentionLimits, Rollback, RollbackPlan, Store, VersionNumber, WeightCap, WeightConstraints, UNIT_WEIGHT,
 };
 use shalereel_xds::{Any, Assignment, Body, Health, Row, SHUNNED};
 
@@ -21,7 +22,7 @@
     lines: BTreeMap<ServerId, f64>,
     levels: BTreeMap<OperationAt, (f64, RetryPolicy)>,
     version: u64,
-    bending: Bending,
+    bending: WeightConstraints,
     /// Lines that constraints have changed and that wait for room in the channel.
     bent: BTreeSet<ServerId>,
     /// Servers whose lines may have changed since the last version.
@@ -31,7 +32,7 @@
     /// Weights are scaled down by so many times sixteen, so that their sum keeps to 32 bits.
     scaled: i32,
     /// Why the way back was ordered, and planted: lines that it brings back whatever the module says.
-    way_why: Why,
+    way_why: Provenance,
     outranked: Lines,
     /// Looks at each version before it is one; nothing where it is planted away.
     guard: Option<Guard>,
@@ -61,7 +62,7 @@
     suspended: BTreeSet<ServerId>,
     /// Operators hold these servers at most at a part of their weight: as a group agreed, here alone, and both.
     agreed: BTreeMap<ServerId, f64>,
-    holds: BTreeMap<ServerId, Hold>,
+    holds: BTreeMap<ServerId, WeightCap>,
     held: BTreeMap<ServerId, f64>,
     shunned_version: u64,
     last: u64,
@@ -101,7 +102,7 @@
 }
 
 impl Tables {
-    pub fn new(facts: &ControllerConfig, bounds: Bounds, outranks: bool, guarded: bool) -> Self {
+    pub fn new(facts: &ControllerConfig, bounds: RetentionLimits, outranks: bool, guarded: bool) -> Self {
         Tables {
             tables: BTreeMap::new(),
             levels: BTreeMap::new(),
@@ -132,7 +133,7 @@
             let table = tables.entry(table).or_insert_with(|| {
                 let guard = limits.map(Guard::new);
                 let mut table = Table { shrink: 1.0, guard, ..Table::default() };
-                table.bending.hold(held.clone());
+                table.bending.set_caps(held.clone());
                 table
             });
             table.version = self.last;
@@ -146,7 +147,7 @@
                     table_of.lines.insert(server, weight);
                 } else {
                     table_of.lines.remove(&server);
-                    table_of.bending.left(server);
+                    table_of.bending.on_server_left(server);
                 }
                 Reach::Users(table)
             }
@@ -169,7 +170,7 @@
                     table.version = self.last;
                     table.touched.insert(server);
                     if on {
-                        table.bending.left(server);
+                        table.bending.on_server_left(server);
                     }
                 }
                 Reach::Holders(server)
@@ -205,37 +206,38 @@
     pub fn hold_one(
         &mut self,
         server: ServerId,
-        hold: Option<(f64, Nanos, Why)>,
+        hold: Option<(f64, Nanos, Provenance)>,
         now: Nanos,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), ConstraintError> {
         let Some((part, span, why)) = hold else {
-            self.holds.remove(&server).ok_or(Refusal::Nowhere(server))?;
+            self.holds.remove(&server).ok_or(ConstraintError::UnknownServer(server))?;
             self.hold();
             return Ok(());
         };
         if !(part > 0.0 && part <= 1.0) {
-            return Err(Refusal::NoPart(part));
+            return Err(ConstraintError::InvalidFactor(part));
         }
         if span == 0 {
-            return Err(Refusal::Endless);
+            return Err(ConstraintError::NoDuration);
         }
         if !self.tables.keys().any(|&table| self.lists(table, server)) {
-            return Err(Refusal::Nowhere(server));
+            return Err(ConstraintError::UnknownServer(server));
         }
-        self.holds.insert(server, Hold { part, until: now.saturating_add(span), why });
+        self.holds
+            .insert(server, WeightCap { factor: part, until: now.saturating_add(span), provenance: why });
         self.hold();
         Ok(())
     }
 
     /// Operators' holds at this supervisor alone.
-    pub fn holds(&self) -> &BTreeMap<ServerId, Hold> {
+    pub fn holds(&self) -> &BTreeMap<ServerId, WeightCap> {
         &self.holds
     }
 
     fn hold(&mut self) {
-        let held = least(&self.agreed, &self.holds);
+        let held = lowest_factors(&self.agreed, &self.holds);
         for table in self.tables.values_mut() {
-            let changed = table.bending.hold(held.clone());
+            let changed = table.bending.set_caps(held.clone());
             table.bent.extend(changed.into_iter().filter(|server| table.lines.contains_key(server)));
         }
         self.held = held;
@@ -244,35 +246,36 @@
     /// The way back from a table's weights as they are to those of an earlier version of it; carried out unless `dry`.
     pub fn back(
         &mut self,
-        to: Number,
+        to: VersionNumber,
         span: Nanos,
-        why: Why,
+        why: Provenance,
         dry: bool,
         facts: &Facts,
-    ) -> Result<(TableId, Plan), Refusal> {
+    ) -> Result<(TableId, RollbackPlan), ConstraintError> {
         if span == 0 {
-            return Err(Refusal::Endless);
+            return Err(ConstraintError::NoDuration);
         }
-        let (id, old) = self.store.at(to).ok_or(Refusal::Unknown(to))?;
-        if self.store.number(id) == to {
-            return Err(Refusal::Newest(to));
+        let (id, old) = self.store.lines_at(to).ok_or(ConstraintError::UnknownVersion(to))?;
+        if self.store.newest_version(id) == to {
+            return Err(ConstraintError::AlreadyCurrent(to));
         }
-        let (_, left) = self.store.since(id, to).ok_or(Refusal::Unknown(to))?;
-        let table = self.tables.get(&id).ok_or(Refusal::NobodyLeft(to))?;
-        let facing = |(&server, &weight): (&ServerId, &f64)| Facing {
+        let since = self.store.changes_since(id, to).ok_or(ConstraintError::UnknownVersion(to))?;
+        let table = self.tables.get(&id).ok_or(ConstraintError::NoServerLeft(to))?;
+        let facing = |(&server, &weight): (&ServerId, &f64)| CurrentEndpoint {
             server,
             weight: weight * self.held.get(&server).copied().unwrap_or(1.0),
             draining: self.suspended.contains(&server),
-            cold: facts.cold(server),
-            life: facts.roster.life(server),
+            warming_up: facts.cold(server),
+            incarnation: facts.roster.life(server),
         };
-        let now: Vec<Facing> = table.lines.iter().map(facing).collect();
-        let plan = plan(&now, &old, &left);
-        if plan.takes == 0 && !self.outranks {
-            return Err(Refusal::NobodyLeft(to));
+        let now: Vec<CurrentEndpoint> = table.lines.iter().map(facing).collect();
+        let plan = plan_rollback(&now, &old, &since.unavailable);
+        if plan.restored == 0 && !self.outranks {
+            return Err(ConstraintError::NoServerLeft(to));
         }
         if let Some(table) = self.tables.get_mut(&id).filter(|_| !dry) {
-            let moved = table.bending.go(Way::new(to, facts.now.saturating_add(span), &plan));
+            let moved =
+                table.bending.start_rollback(Rollback::new(to, facts.now.saturating_add(span), &plan));
             table.bent.extend(moved);
             table.way_why = why;
             if self.outranks {
@@ -285,14 +288,16 @@
 
     /// Ends the ways back that there are; gives how many.
     pub fn onward(&mut self) -> usize {
-        let ways = self.tables.values_mut().filter(|table| table.bending.way().is_some());
-        ways.map(|table| table.bending.end()).count()
+        let ways = self.tables.values_mut().filter(|table| table.bending.rollback().is_some());
+        ways.map(|table| table.bending.end_rollback()).count()
     }
 
     /// The ways back that there are, by table.
-    pub fn ways(&self) -> impl Iterator<Item = (TableId, &Way, &Why)> {
-        let ways =
-            self.tables.iter().filter_map(|(&id, table)| Some((id, table.bending.way()?, &table.way_why)));
+    pub fn ways(&self) -> impl Iterator<Item = (TableId, &Rollback, &Provenance)> {
+        let ways = self
+            .tables
+            .iter()
+            .filter_map(|(&id, table)| Some((id, table.bending.rollback()?, &table.way_why)));
         ways
     }
 
@@ -316,7 +321,7 @@
     /// When the next way back or hold ends, or the guard looks again.
     pub fn next(&self) -> Option<Nanos> {
         let again = self.tables.values().filter_map(|table| table.again_at);
-        let ways = self.ways().filter(|(_, way, _)| !way.ending()).map(|(_, way, _)| way.until);
+        let ways = self.ways().filter(|(_, way, _)| !way.is_ending()).map(|(_, way, _)| way.until);
         ways.chain(self.holds.values().map(|hold| hold.until)).chain(again).min()
     }
 
@@ -327,43 +332,46 @@
         if self.holds.len() < before {
             self.hold();
         }
-        self.tables.values_mut().for_each(|table| table.bending.tick(now));
+        self.tables.values_mut().for_each(|table| table.bending.on_time(now));
     }
 
     /// The first table with lines that constraints have changed and that wait.
     pub fn waiting(&self) -> Option<TableId> {
-        let waits =
-            |table: &Table| !table.bent.is_empty() || table.bending.way().is_some_and(|way| way.left() > 0);
+        let waits = |table: &Table| {
+            !table.bent.is_empty() || table.bending.rollback().is_some_and(|way| way.pending_lines() > 0)
+        };
         self.tables.iter().find(|(_, table)| waits(table)).map(|(&id, _)| id)
     }
 
     /// Moves so many of them on, as a version of their own; gives how many lines it changed.
     pub fn step(&mut self, id: TableId, most: usize, facts: &Facts) -> usize {
         let Some(table) = self.tables.get_mut(&id) else { return 0 };
-        let why = match (table.bending.way(), self.holds.values().next_back()) {
-            (Some(way), _) if way.ending() => {
-                Why::new(&table.way_why.who, format!("the way back ends: {}", table.way_why.reason))
+        let why = match (table.bending.rollback(), self.holds.values().next_back()) {
+            (Some(way), _) if way.is_ending() => {
+                Provenance::new(&table.way_why.actor, format!("the way back ends: {}", table.way_why.reason))
             }
             (Some(_), _) => table.way_why.clone(),
-            (None, Some(hold)) => Why::new(&hold.why.who, format!("weights held: {}", hold.why.reason)),
-            (None, None) => Why::new("operator", "weights held, or held no longer"),
+            (None, Some(hold)) => {
+                Provenance::new(&hold.provenance.actor, format!("weights held: {}", hold.provenance.reason))
+            }
+            (None, None) => Provenance::new("operator", "weights held, or held no longer"),
         };
         let first: Vec<ServerId> = table.bent.iter().copied().take(most).collect();
         table.bent.retain(|server| !first.contains(server));
-        table.touched.extend(table.bending.step(most - first.len()));
+        table.touched.extend(table.bending.advance_rollback(most - first.len()));
         table.touched.extend(first);
-        if table.bending.way().is_none() {
+        if table.bending.rollback().is_none() {
             table.touched.extend(std::mem::take(&mut table.outranked).into_keys());
         }
         self.last += 1;
         table.version = self.last;
-        let before = self.store.number(id);
+        let before = self.store.newest_version(id);
         self.publish(facts, &why);
-        self.store.since(id, before).map_or(0, |(changed, _)| changed.len())
+        self.store.changes_since(id, before).map_or(0, |since| since.changed.len())
     }
 
     /// Makes a version of each table whose lines have changed.
-    pub fn publish(&mut self, facts: &Facts, why: &Why) {
+    pub fn publish(&mut self, facts: &Facts, why: &Provenance) {
         let moved = std::mem::replace(&mut self.placed, facts.roster.version()) != facts.roster.version();
         let closed =
             std::mem::replace(&mut self.closings, facts.roster.closings()) != facts.roster.closings();
@@ -389,11 +397,11 @@
             }
             let sum: f64 = table.lines.values().sum();
             let most = f64::from(u32::MAX / 2);
-            let scaled = (0..8).find(|&at| sum * UNIT * 0.0625_f64.powi(at) < most).unwrap_or(8);
+            let scaled = (0..8).find(|&at| sum * UNIT_WEIGHT * 0.0625_f64.powi(at) < most).unwrap_or(8);
             let mut shrink = 1.0;
-            if table.bending.active() {
+            if table.bending.is_active() {
                 let warm = table.lines.iter().filter(|(server, _)| !facts.cold(**server));
-                shrink = table.bending.shrink(warm.map(|(&server, &weight)| (server, weight)));
+                shrink = table.bending.slow_start_factor(warm.map(|(&server, &weight)| (server, weight)));
             }
             if scaled != table.scaled {
                 table.touched.extend(table.lines.keys());
@@ -402,19 +410,19 @@
                 table.touched.extend(cold.collect::<Vec<_>>());
             }
             (table.scaled, table.shrink) = (scaled, shrink);
-            let unit = UNIT * 0.0625_f64.powi(scaled);
+            let unit = UNIT_WEIGHT * 0.0625_f64.powi(scaled);
             let line = |server: ServerId| {
                 if let Some(&line) = table.outranked.get(&server).filter(|_| self.outranks) {
                     return Some(Line { draining: false, ..line });
                 }
                 let place = facts.roster.place(server)?;
-                let bent = if facts.cold(server) { shrink } else { table.bending.part(server) };
+                let bent = if facts.cold(server) { shrink } else { table.bending.factor(server) };
                 let weight = table.lines.get(&server)? * bent * unit;
                 Some(Line {
                     address: place.address,
                     weight: (weight.round() as u32).max(1),
                     draining: self.suspended.contains(&server),
-                    life: facts.roster.life(server),
+                    incarnation: facts.roster.life(server),
                 })
             };
             let mut lines: BTreeMap<ServerId, Option<Line>> =
@@ -465,7 +473,7 @@
     /// What a server gets by a table; 0 where it is not in it or suspended.
     pub fn weight(&self, table: TableId, server: ServerId) -> f64 {
         let line = self.store.line(table, server).filter(|line| !line.draining);
-        line.map_or(0.0, |line| f64::from(line.weight) / UNIT)
+        line.map_or(0.0, |line| f64::from(line.weight) / UNIT_WEIGHT)
     }
 
     pub fn lists(&self, table: TableId, server: ServerId) -> bool {
@@ -480,9 +488,9 @@
     }
 
     /// Lines that whoever holds a version of a table is told; from 0, all.
-    pub fn lines_since(&self, table: TableId, from: Number) -> usize {
-        let since = self.store.since(table, from);
-        since.map_or_else(|| self.store.lines(table).count(), |(changed, _)| changed.len())
+    pub fn lines_since(&self, table: TableId, from: VersionNumber) -> usize {
+        let since = self.store.changes_since(table, from);
+        since.map_or_else(|| self.store.lines(table).count(), |since| since.changed.len())
     }
 
     /// Is it to be told? One without an open line is not, while a server is ready.
@@ -602,6 +610,6 @@
 fn row(server: ServerId, line: &Line, roster: &Roster) -> Option<Row> {
     let place = roster.place(server)?;
     let health = if line.draining { Health::Draining } else { Health::Ready };
-    let weight = f64::from(line.weight) / UNIT;
+    let weight = f64::from(line.weight) / UNIT_WEIGHT;
     Some(Row { address: line.address, zone: place.zone.clone(), health, weight, facts: None })
 }
--- a/crates/xds-supervisor/tests/core.rs
+++ b/crates/xds-supervisor/tests/core.rs
@@ -103,10 +103,10 @@
                     }
                     Effect::Write { peer, bytes } => self.written.push((peer, bytes)),
                     Effect::History(writing) => {
-                        if writing.whole {
+                        if writing.replaces_file {
                             self.kept.clear();
                         }
-                        self.kept.extend(writing.parts);
+                        self.kept.extend(writing.records);
                     }
                     Effect::End { peer, status } => self.ended.push((peer, status.code)),
                     _ => {}
@@ -545,11 +545,11 @@
 /// A client that takes tables line by line: what it holds, and the versions it knows.
 mod lines {
     use super::*;
-    use shalereel_store::{Check, Delta, Follower, Heard, Line, Resync};
+    use shalereel_store::{Check, Delta, DeltaOutcome, Line, Replica, ResyncBackoff};
 
     struct Client {
         list: Subscribing,
-        follower: Follower,
+        follower: Replica,
         peer: Peer,
         /// Deltas read so far: from which version, and how many lines.
         read: Vec<(u64, usize)>,
@@ -565,7 +565,7 @@
             world.core.said(world.now, peer, &message);
             Client {
                 list,
-                follower: Follower::new(Resync::new(10 * MILLI, peer)),
+                follower: Replica::new(ResyncBackoff::new(10 * MILLI, peer)),
                 peer,
                 read: vec![],
                 asked: false,
@@ -575,9 +575,9 @@
         fn reopen(&mut self, world: &mut World, peer: Peer) {
             self.peer = peer;
             world.core.opened(peer, Variant::Incremental);
-            let held = self.follower.held().map(|check| (leds::collection(0), check.to_string()));
+            let held = self.follower.verified().map(|check| (leds::collection(0), check.to_string()));
             self.list.hold(types::LINE, held.into_iter().collect());
-            self.follower.reopened();
+            self.follower.stream_reopened();
             for message in self.list.reopen() {
                 world.core.said(world.now, peer, &message);
             }
@@ -609,17 +609,17 @@
                     let line = |(name, any): (&String, &Any)| {
                         let line = leds::decode_line(any).unwrap();
                         let (address, weight, draining) = (line.address, line.weight, line.draining);
-                        (leds::line_of(name).unwrap().1, Line { address, weight, draining, life: 0 })
+                        (leds::line_of(name).unwrap().1, Line { address, weight, draining, incarnation: 0 })
                     };
                     let delta = Delta {
                         check: Check::parse(check).unwrap(),
-                        from: from.parse().unwrap(),
+                        base: from.parse().unwrap(),
                         changed: update.names.iter().zip(&update.resources).map(line).collect(),
                         removed: update.removed.iter().map(|name| leds::line_of(name).unwrap().1).collect(),
                     };
-                    self.read.push((delta.from, delta.lines()));
+                    self.read.push((delta.base, delta.line_count()));
                     if !deaf {
-                        assert_eq!(self.follower.hear(world.now, &delta), Heard::Held);
+                        assert_eq!(self.follower.receive(world.now, &delta), DeltaOutcome::Applied);
                         let answer = self.list.accept(&update);
                         world.core.said(world.now, self.peer, &answer);
                     }
@@ -628,7 +628,7 @@
         }
 
         fn servers(&self) -> Vec<u32> {
-            self.follower.usable().map(|(server, _)| server).collect()
+            self.follower.usable_lines().map(|(server, _)| server).collect()
         }
     }
 
@@ -639,7 +639,7 @@
         let mut client = Client::join(&mut world, 1, "f");
         client.run(&mut world, 200, false);
         assert_eq!((client.servers(), client.read.clone()), (vec![1, 2, 3, 4, 5], vec![(0, 5)]));
-        let first = client.follower.held().unwrap().number;
+        let first = client.follower.verified().unwrap().number;
         world.list(&[3]);
         client.run(&mut world, 100, false);
         assert_eq!((client.servers(), client.read[1]), (vec![1, 2, 4, 5], (first, 1)));
@@ -656,7 +656,7 @@
         assert_eq!((client.read[3].1, client.read.len()), (0, 4));
         // One that comes with what nobody knows gets the whole.
         world.core.ended(3);
-        client.follower = Follower::new(Resync::new(MILLI, 1));
+        client.follower = Replica::new(ResyncBackoff::new(MILLI, 1));
         client.reopen(&mut world, 4);
         client.run(&mut world, 100, false);
         assert_eq!(client.read[4], (0, 3));
@@ -669,7 +669,7 @@
         world.list(&[]);
         let mut client = Client::join(&mut world, 1, "f");
         client.run(&mut world, 200, false);
-        let held = client.follower.held().unwrap().number;
+        let held = client.follower.verified().unwrap().number;
         world.list(&[3]);
         client.run(&mut world, 100, true);
         world.list(&[3, 4]);
@@ -697,12 +697,12 @@
         world.list(&[]);
         let mut client = Client::join(&mut world, 1, "f");
         client.run(&mut world, 200, false);
-        let file: Vec<u8> = shalereel_store::HEAD
+        let file: Vec<u8> = shalereel_store::MAGIC
             .iter()
             .copied()
             .chain(world.kept.iter().flat_map(|body| shalereel_journal::frame(body)))
             .collect();
-        let (list, held) = (world.core.remember(), client.follower.held().unwrap().number);
+        let (list, held) = (world.core.remember(), client.follower.verified().unwrap().number);
         let mut world = World::new(Some(&list));
         world.core.recall(0, Some(&file)).unwrap();
         client.read.clear();
