--- a/crates/cli/src/tables_measure.rs
+++ b/crates/cli/src/tables_measure.rs
@@ -7,7 +7,7 @@
 use anyhow::{Context, Result};
 use hdrhistogram::Histogram;
 use shalereel::interface::{ServerSnapshot, Snapshot};
-use shalereel_guard::{Guard, Limits, Line as GuardLine, Pool, Server, Standing};
+use shalereel_guard::{Availability, Guard, Limits, Line as GuardLine, Pool, Server};
 use shalereel_reactor::{now, MILLI};
 use shalereel_snapshot::StoredSnapshot;
 use shalereel_store::{
@@ -202,9 +202,10 @@
 
 /// What the guard takes for one table that differs in one line, in microseconds.
 fn guard_cost(count: u32) -> Result<f64> {
-    let servers =
-        (0..count).map(|id| (id, Server { standing: Standing::Ready, listed: 1.0, age: None })).collect();
-    let pool = Pool { servers, part: 1.0 };
+    let servers = (0..count)
+        .map(|id| (id, Server { availability: Availability::Ready, capacity: 1.0, age: None }))
+        .collect();
+    let pool = Pool { servers, traffic_share: 1.0 };
     let before: BTreeMap<u32, GuardLine> =
         (0..count).map(|id| (id, GuardLine { weight: 1.0, draining: false })).collect();
     let mut after = before.clone();
@@ -214,7 +215,8 @@
     let facts = Deployment::parse(Path::new("measure"), &text)?.facts;
     let mut guard = Guard::new(Limits::new(&facts));
     let (rounds, begun) = (200_000 / count, now());
-    let held: usize = (0..rounds).map(|at| guard.judge(at.into(), &pool, &before, &after).held.len()).sum();
+    let held: usize =
+        (0..rounds).map(|at| guard.judge(at.into(), &pool, &before, &after).reverted.len()).sum();
     assert_eq!(held, 0, "a sound table is held back");
     Ok((now() - begun) as f64 / f64::from(rounds) / 1e3)
 }
--- a/crates/guard/src/guard.rs
+++ b/crates/guard/src/guard.rs
@@ -1,186 +1,216 @@
-//! What goes out of a table that is wrong, and for how long the rest is held back.
+//! What of a wrong table is published, and for how long the rest is refused.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 use shalereel::interface::{Nanos, ServerId};
 
-use crate::look::{look, Finding, Limits, Line, Pool, Rule, Server, Standing};
+use crate::inspect::{inspect, Finding, Rule};
+use crate::limits::Limits;
+use crate::pool::{put, Line, Lines, Pool};
 
-/// A figure that is so many times another one is worse; less is rounding.
-const WORSE: f64 = 1.05;
+/// A value that is so many times another one is worse; less is rounding.
+const WORSE_RATIO: f64 = 1.05;
+/// Attempts to mend a wrong table line by line.
+const MAX_REPAIRS: usize = 3;
+/// A refused table is inspected again so many times within the patience.
+const INSPECTIONS_PER_PATIENCE: Nanos = 32;
 
-/// Lines of servers as a table has them.
-type Lines = BTreeMap<ServerId, Line>;
-
-/// Why some lines are held back.
+/// Why some lines are refused.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Refused {
+pub struct Refusal {
+    /// What is wrong with them.
     pub finding: Finding,
-    /// Since when the guard has been refusing without a break.
+    /// Since when the guard has refused the table without a break, ns.
     pub since: Nanos,
 }
 
-/// What goes out.
+/// What is published of a table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Decision {
-    /// Servers whose lines stay as they were; all else goes.
-    pub held: BTreeSet<ServerId>,
-    /// Servers whose lines go out as draining, whatever was meant.
-    pub shut: BTreeSet<ServerId>,
-    /// To be said: at the first refusal, and again as it lasts.
-    pub refused: Vec<Refused>,
-    /// Ratios that were let go, since they were refused for too long and no rule hangs on them.
-    pub yielded: Vec<Finding>,
+    /// Servers whose lines stay as they were; all others are published.
+    pub reverted: BTreeSet<ServerId>,
+    /// Servers whose lines are published as draining, whatever was meant.
+    pub drained: BTreeSet<ServerId>,
+    /// To be logged: at the first refusal, and now and then while it lasts.
+    pub refusals: Vec<Refusal>,
+    /// Ratios that were published after all, since they were refused for too long and no mandatory rule is broken.
+    pub waived: Vec<Finding>,
 }
 
 /// The guard of one table.
 #[derive(Clone, Debug)]
 pub struct Guard {
     limits: Limits,
-    since: Option<Nanos>,
-    said: Nanos,
+    refusing_since: Option<Nanos>,
+    /// When a refusal was last reported; 0: never.
+    reported_at: Nanos,
 }
 
 impl Guard {
+    /// The guard of a table that was not published yet.
     pub fn new(limits: Limits) -> Self {
-        Guard { limits, since: None, said: 0 }
+        Guard { limits, refusing_since: None, reported_at: 0 }
     }
 
-    /// When a table that was refused is looked at again, if nothing changes before: the pool changes by time alone.
-    pub fn again(&self, now: Nanos) -> Option<Nanos> {
-        self.since.map(|_| now + self.limits.patience / 32)
+    /// When a refused table is inspected again, ns, if nothing changes before: the pool changes by time alone.
+    pub fn next_inspection(&self, now: Nanos) -> Option<Nanos> {
+        self.refusing_since.map(|_| now + self.limits.patience / INSPECTIONS_PER_PATIENCE)
     }
 
-    /// Is a table to be kept from proxies, which hold something better than nothing? One without an open line is, while a
+    /// Whether a table is to be withheld from proxies, which have something better: one without a usable line is, while a
     /// warm server is ready.
-    pub fn hollow(&self, pool: &Pool, open: bool) -> bool {
-        let warm = |known: &Server| known.standing == Standing::Ready && self.limits.able(known) >= 1.0;
-        !open && pool.servers.values().any(warm)
+    pub fn must_withhold(&self, pool: &Pool, has_usable_line: bool) -> bool {
+        !has_usable_line && pool.ready().any(|known| self.limits.is_warm(known))
     }
 
-    /// Judges a table that is about to take the place of another. What the one before has as much of, with the withdrawals
-    /// that keep a rule, is not held against it: the pool has changed, and the module is at it, piece by piece.
+    /// Judges a table that is about to replace another one.
     ///
-    /// What is found wrong is taken back line by line: the line that offends, or, where too little would be left, every
-    /// line that takes a ready server out. If what is left is still wrong, nothing but withdrawals that keep a rule
-    /// goes. A table that is wrong goes all the same where the one before is worse by now, since the pool has changed.
+    /// What the table before has as much of, with the withdrawals that keep a rule, is not held against the new one: the
+    /// pool has changed, and the controller follows it piece by piece. Other findings are taken back line by line: the line
+    /// concerned, or, where too few servers would be left, each line that takes a ready server out. If the rest is still
+    /// wrong, nothing but withdrawals that keep a rule is published. A wrong table is published all the same where the one
+    /// before is worse by now.
     pub fn judge(&mut self, now: Nanos, pool: &Pool, before: &Lines, after: &Lines) -> Decision {
-        let shut = self.shut(pool, after);
-        let mut next = after.clone();
-        for server in &shut {
-            next.entry(*server).and_modify(|line| line.draining = true);
-        }
-        let all = look(&self.limits, pool, &next);
-        let mut decision = Decision { shut, ..Decision::default() };
-        if all.is_empty() {
-            self.since = None;
+        let drained = usable_but_unavailable(pool, after);
+        let next = with_drained(after, &drained);
+        let mut decision = Decision { drained, ..Decision::default() };
+        let findings = inspect(&self.limits, pool, &next);
+        if findings.is_empty() {
+            self.refusing_since = None;
             return decision;
         }
-        let kept = self.kept(pool, before, &next);
-        let base = look(&self.limits, pool, &kept);
-        let found = caused(&base, all.clone());
-        if found.is_empty() || worse(&base, &all) {
-            // Nothing better is at hand than the new table.
-            self.since = None;
+        let fallback = fallback(pool, before, &next);
+        let fallback_findings = inspect(&self.limits, pool, &fallback);
+        let new_findings = new_findings(&fallback_findings, findings.clone());
+        if new_findings.is_empty() || is_worse(&fallback_findings, &findings) {
+            // No better table is at hand.
+            self.refusing_since = None;
             return decision;
         }
-        let since = *self.since.get_or_insert(now);
-        let waited = now.saturating_sub(since) >= self.limits.patience;
-        if waited && !found.iter().any(|finding| finding.rule.binds()) {
-            decision.yielded = found;
-            self.since = None;
+        let since = *self.refusing_since.get_or_insert(now);
+        if self.may_waive(now, since, &new_findings) {
+            self.refusing_since = None;
+            decision.waived = new_findings;
             return decision;
         }
-        let mut trial = next.clone();
-        let mut wrong = found.clone();
-        for _ in 0..3 {
-            for finding in &wrong {
-                let back: Vec<ServerId> = match finding.server {
-                    Some(server) => vec![server],
-                    None => ready_changes(pool, &kept, &trial),
-                };
-                back.into_iter().for_each(|server| put(&mut trial, server, kept.get(&server)));
-            }
-            wrong = caused(&base, look(&self.limits, pool, &trial));
-            if wrong.is_empty() {
-                break;
-            }
-        }
-        if !wrong.is_empty() {
-            trial = kept;
-        }
-        let servers = next.keys().chain(trial.keys()).copied().collect::<BTreeSet<_>>();
-        decision.held = servers.into_iter().filter(|server| next.get(server) != trial.get(server)).collect();
-        if self.said == 0 || since == now || now.saturating_sub(self.said) >= self.limits.patience {
-            self.said = now;
-            decision.refused = found.into_iter().map(|finding| Refused { finding, since }).collect();
+        let repaired = self.repair(pool, &next, fallback, &fallback_findings, &new_findings);
+        decision.reverted = differing_servers(&next, &repaired);
+        if self.is_report_due(now, since) {
+            self.reported_at = now;
+            let refusal = |finding| Refusal { finding, since };
+            decision.refusals = new_findings.into_iter().map(refusal).collect();
         }
         decision
     }
 
-    /// Open lines of servers that are out: they go as draining, whoever wanted them open.
-    fn shut(&self, pool: &Pool, after: &Lines) -> BTreeSet<ServerId> {
-        let out =
-            |server: &ServerId| pool.servers.get(server).is_none_or(|known| known.standing == Standing::Out);
-        after
-            .iter()
-            .filter(|(server, line)| !line.draining && out(server))
-            .map(|(&server, _)| server)
-            .collect()
+    /// Ratios are waived where they alone have been refused for too long.
+    fn may_waive(&self, now: Nanos, since: Nanos, findings: &[Finding]) -> bool {
+        let refused_too_long = now.saturating_sub(since) >= self.limits.patience;
+        refused_too_long && !findings.iter().any(|finding| finding.rule.is_mandatory())
     }
 
-    /// The table before, with the withdrawals that a rule hangs on.
-    fn kept(&self, pool: &Pool, before: &Lines, next: &Lines) -> Lines {
-        let mut kept = before.clone();
-        for (&server, line) in before {
-            let known = pool.servers.get(&server);
-            let out = known.is_none_or(|known| known.standing == Standing::Out);
-            let cold = known.is_some_and(|known| known.age.is_some());
-            let told = next.get(&server);
-            let less = told.is_none_or(|told| told.draining || told.weight < line.weight);
-            if out && told.is_none() || (out || cold) && less {
-                put(&mut kept, server, told);
-            } else if out {
-                kept.insert(server, Line { draining: true, ..*line });
+    fn is_report_due(&self, now: Nanos, since: Nanos) -> bool {
+        let first = self.reported_at == 0 || since == now;
+        first || now.saturating_sub(self.reported_at) >= self.limits.patience
+    }
+
+    /// The new table with the lines of findings taken back to the fallback's; the fallback where that does not help.
+    fn repair(
+        &self,
+        pool: &Pool,
+        next: &Lines,
+        fallback: Lines,
+        fallback_findings: &[Finding],
+        findings: &[Finding],
+    ) -> Lines {
+        let mut repaired = next.clone();
+        let mut remaining = findings.to_vec();
+        for _ in 0..MAX_REPAIRS {
+            for finding in &remaining {
+                for server in servers_to_revert(finding, pool, &fallback, &repaired) {
+                    put(&mut repaired, server, fallback.get(&server).copied());
+                }
+            }
+            remaining = new_findings(fallback_findings, inspect(&self.limits, pool, &repaired));
+            if remaining.is_empty() {
+                return repaired;
             }
         }
-        kept
+        fallback
+    }
+}
+
+/// Servers with a usable line that are draining or removed.
+fn usable_but_unavailable(pool: &Pool, lines: &Lines) -> BTreeSet<ServerId> {
+    let unavailable = lines.iter().filter(|(&server, line)| !line.draining && pool.is_unavailable(server));
+    unavailable.map(|(&server, _)| server).collect()
+}
+
+fn with_drained(lines: &Lines, drained: &BTreeSet<ServerId>) -> Lines {
+    let mut lines = lines.clone();
+    for server in drained {
+        lines.entry(*server).and_modify(|line| line.draining = true);
+    }
+    lines
+}
+
+/// The table before, with the withdrawals of the next one that keep a rule: those of unavailable servers and of servers in
+/// slow start.
+fn fallback(pool: &Pool, before: &Lines, next: &Lines) -> Lines {
+    let mut fallback = before.clone();
+    for (&server, line) in before {
+        let unavailable = pool.is_unavailable(server);
+        let in_slow_start = pool.servers.get(&server).is_some_and(|known| known.age.is_some());
+        let next_line = next.get(&server).copied();
+        let is_withdrawal = next_line.is_none_or(|next| next.draining || next.weight < line.weight);
+        if (unavailable || in_slow_start) && is_withdrawal {
+            put(&mut fallback, server, next_line);
+        } else if unavailable {
+            fallback.insert(server, Line { draining: true, ..*line });
+        }
+    }
+    fallback
+}
+
+/// Servers whose lines a finding takes back.
+fn servers_to_revert(finding: &Finding, pool: &Pool, fallback: &Lines, next: &Lines) -> Vec<ServerId> {
+    match finding.server {
+        Some(server) => vec![server],
+        None => ready_servers_taken_out(pool, fallback, next),
     }
 }
 
-fn put(lines: &mut Lines, server: ServerId, line: Option<&Line>) {
-    match line {
-        Some(&line) => lines.insert(server, line),
-        None => lines.remove(&server),
+fn ready_servers_taken_out(pool: &Pool, before: &Lines, after: &Lines) -> Vec<ServerId> {
+    let is_usable = |line: Option<&Line>| line.is_some_and(Line::is_usable);
+    let taken_out = |server: &ServerId| {
+        is_usable(before.get(server)) && !is_usable(after.get(server)) && pool.is_ready(*server)
     };
+    before.keys().copied().filter(taken_out).collect()
 }
 
-/// Ready servers that one table takes out of another.
-fn ready_changes(pool: &Pool, before: &Lines, after: &Lines) -> Vec<ServerId> {
-    let ready =
-        |server: &ServerId| pool.servers.get(server).is_some_and(|known| known.standing == Standing::Ready);
-    let open = |line: Option<&Line>| line.is_some_and(|line| !line.draining && line.weight > 0.0);
-    let taken = |server: &&ServerId| open(before.get(server)) && !open(after.get(server)) && ready(server);
-    before.keys().filter(taken).copied().collect()
+fn differing_servers(one: &Lines, other: &Lines) -> BTreeSet<ServerId> {
+    let servers = one.keys().chain(other.keys()).copied();
+    servers.filter(|server| one.get(server) != other.get(server)).collect()
 }
 
-/// What a table has that the one before it has not, or less of.
-fn caused(before: &[Finding], mut after: Vec<Finding>) -> Vec<Finding> {
-    after.retain(|found| {
-        let same = before.iter().find(|one| one.rule == found.rule && one.server == found.server);
-        same.is_none_or(|one| match found.rule {
-            Rule::Thin => found.figure < one.figure,
-            Rule::ColdPushed | Rule::Concentrated => found.figure > one.figure * WORSE,
-            Rule::Empty | Rule::Drained => false,
+/// Findings of a table that the table before does not have, or less of.
+fn new_findings(before: &[Finding], mut after: Vec<Finding>) -> Vec<Finding> {
+    after.retain(|finding| {
+        let same = before.iter().find(|old| old.rule == finding.rule && old.server == finding.server);
+        same.is_none_or(|old| match finding.rule {
+            Rule::TooFewServers => finding.value < old.value,
+            Rule::SlowStartOverload | Rule::TooConcentrated => finding.value > old.value * WORSE_RATIO,
+            Rule::NoUsableLine | Rule::UnavailableServer => false,
         })
     });
     after
 }
 
-/// Is the first worse than the second? By the worst rule first, then by how often it is broken.
-fn worse(one: &[Finding], other: &[Finding]) -> bool {
-    let count = |found: &[Finding], rule: Rule| found.iter().filter(|finding| finding.rule == rule).count();
-    let rules = [Rule::Empty, Rule::Drained, Rule::ColdPushed, Rule::Thin, Rule::Concentrated];
-    let sums = rules.map(|rule| (count(one, rule), count(other, rule)));
-    sums.into_iter().find(|(one, other)| one != other).is_some_and(|(one, other)| one > other)
+/// Whether the first table is worse than the second: by the worst rule that one of them breaks more often.
+fn is_worse(one: &[Finding], other: &[Finding]) -> bool {
+    let count =
+        |findings: &[Finding], rule: Rule| findings.iter().filter(|finding| finding.rule == rule).count();
+    let counts = Rule::ALL.map(|rule| (count(one, rule), count(other, rule)));
+    let first_difference = counts.into_iter().find(|(one, other)| one != other);
+    first_difference.is_some_and(|(one, other)| one > other)
 }
--- a/crates/routing-checks/src/fleet.rs
+++ b/crates/routing-checks/src/fleet.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use shalereel::brain::Controller;
 use shalereel::interface::{Action, EndpointReport, Event, Nanos, ProxyId, ServerId, TableId};
-use shalereel_guard::{Limits, Server, Standing};
+use shalereel_guard::{Availability, Limits, Server};
 use shalereel_store::{Provenance, RetentionLimits};
 use shalereel_xds::{Assignment, Health, Row, ServerFacts};
 use shalereel_xds_supervisor::{Deployment, Facts, Planted, Roster, Tables};
@@ -193,9 +193,9 @@
             locality: roster.locality(&roster.place(server)?.zone)?,
             weight: line.map_or(0.0, |line| f64::from(line.weight)),
             draining: line.is_some_and(|line| line.draining),
-            out: known.standing == Standing::Out,
-            able: limits.able(&known),
-            listed: known.listed,
+            out: known.availability == Availability::Unavailable,
+            able: limits.warmed_part(&known),
+            listed: known.capacity,
         })
     };
     roster.pool(now, facts.slow_start_duration, !facts.removal_is_advisory).filter_map(place).collect()
--- a/crates/xds-supervisor/src/admin.rs
+++ b/crates/xds-supervisor/src/admin.rs
@@ -4,7 +4,7 @@
 use prost::{Message, Oneof};
 use serde_json::{json, Value};
 use shalereel::interface::Nanos;
-use shalereel_guard::Standing;
+use shalereel_guard::Availability;
 use shalereel_rpc::{Code, Status};
 use shalereel_store::{
     ConstraintError, Line, Lines, Provenance, SkipReason, Version, VersionNumber, UNIT_WEIGHT,
@@ -155,8 +155,8 @@
                 json!({
                     "server": server, "line": line(told),
                     "locality": facts.roster.place(*server).map(|place| place.zone.clone()),
-                    "out": known.is_none_or(|known| known.0.standing == Standing::Out),
-                    "able": known.map_or(0.0, |known| known.1), "listed": known.map_or(0.0, |known| known.0.listed),
+                    "out": known.is_none_or(|known| known.0.availability == Availability::Unavailable),
+                    "able": known.map_or(0.0, |known| known.1), "listed": known.map_or(0.0, |known| known.0.capacity),
                 })
             };
             let lines: Vec<Value> = lines.iter().map(row).collect();
--- a/crates/xds-supervisor/src/roster.rs
+++ b/crates/xds-supervisor/src/roster.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 use shalereel::interface::{Endpoint, Nanos, Readiness, ServerId, WatchEvent};
-use shalereel_guard::Standing;
+use shalereel_guard::Availability;
 use shalereel_xds::{Assignment, Health};
 
 /// Where a server is, and its last start.
@@ -194,15 +194,15 @@
         self.places.iter().map(move |(&server, place)| {
             let out =
                 place.draining || self.quiesced.contains(&place.address) || self.ordered.contains(&server);
-            let standing = match place.listed {
-                _ if out => Standing::Out,
-                true => Standing::Ready,
-                false if gone_binds => Standing::Out,
-                false => Standing::Unlisted,
+            let availability = match place.listed {
+                _ if out => Availability::Unavailable,
+                true => Availability::Ready,
+                false if gone_binds => Availability::Unavailable,
+                false => Availability::Unlisted,
             };
             let age = now.saturating_sub(place.ready_at);
             let age = (place.ready_at > 0 && age < cold).then_some(age);
-            (server, shalereel_guard::Server { standing, listed: place.weight, age })
+            (server, shalereel_guard::Server { availability, capacity: place.weight, age })
         })
     }
 
--- a/crates/xds-supervisor/src/tables.rs
+++ b/crates/xds-supervisor/src/tables.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use shalereel::interface::{Action, ControllerConfig, ListedCapacity, Nanos, RetryPolicy, ServerId, TableId};
-use shalereel_guard::{Decision, Guard, Limits, Line as GuardLine, Pool, Refused, Server};
+use shalereel_guard::{Decision, Guard, Limits, Line as GuardLine, Pool, Refusal, Server};
 use shalereel_store::{
     lowest_factors, plan_rollback, ConstraintError, CurrentEndpoint, Line, Lines, Provenance,
     RetentionLimits, Rollback, RollbackPlan, Store, VersionNumber, WeightCap, WeightConstraints, UNIT_WEIGHT,
@@ -303,7 +303,7 @@
 
     /// Servers as the guard sees them, each with the part of its capacity that it has by now.
     pub fn pool(&self, facts: &Facts) -> BTreeMap<ServerId, (Server, f64)> {
-        let able = |server: &Server| self.limits.map_or(1.0, |limits| limits.able(server));
+        let able = |server: &Server| self.limits.map_or(1.0, |limits| limits.warmed_part(server));
         let servers = servers(facts, self.gone_binds, self.sized);
         servers.into_iter().map(|(id, server)| (id, (server, able(&server)))).collect()
     }
@@ -385,7 +385,7 @@
                 let open = |(_, line): &(ServerId, &Line)| !line.draining;
                 let lines = self.store.lines(id).filter(open).map(|(server, _)| server);
                 table.back.extend(lines.filter(|&server| facts.roster.draining(server)));
-                let look_at = limits.look_at(facts.now);
+                let look_at = limits.drain_check_at(facts.now);
                 table.again_at = Some(table.again_at.map_or(look_at, |at| at.min(look_at)));
             }
             if table.again_at.is_some_and(|at| at <= facts.now) || !table.touched.is_empty() {
@@ -431,24 +431,24 @@
             if let Some(guard) = &mut table.guard {
                 let pool = pool.get_or_insert_with(|| Pool {
                     servers: servers(facts, self.gone_binds, self.sized),
-                    part: 1.0,
+                    traffic_share: 1.0,
                 });
-                pool.part = facts.parts.get(&id).copied().unwrap_or(if id == 0 { 1.0 } else { 0.0 });
+                pool.traffic_share = facts.parts.get(&id).copied().unwrap_or(if id == 0 { 1.0 } else { 0.0 });
                 let judged = judge(guard, facts.now, pool, &self.store, id, &mut lines);
                 let open =
                     |server: &&ServerId| self.store.line(id, **server).is_some_and(|line| !line.draining);
-                let shut = judged.shut.iter().filter(open).count();
+                let shut = judged.drained.iter().filter(open).count();
                 if shut > 0 {
                     self.last += 1;
                     table.version = self.last;
                     *self.corrected.entry(id).or_default() += shut;
                 }
                 self.words.extend(said(id, &judged, facts.now));
-                table.again_at = guard.again(facts.now).filter(|_| !judged.held.is_empty());
-                table.back = judged.held;
+                table.again_at = guard.next_inspection(facts.now).filter(|_| !judged.reverted.is_empty());
+                table.back = judged.reverted;
                 self.store.publish(id, lines, facts.now + facts.wall, why);
                 let open = self.store.lines(id).any(|(_, line)| !line.draining);
-                let hollow = guard.hollow(pool, open);
+                let hollow = guard.must_withhold(pool, open);
                 if hollow && !std::mem::replace(&mut table.hollow, hollow) {
                     self.words.push(format!("the guard keeps table {id} back: no line of it is open"));
                 }
@@ -556,8 +556,8 @@
 fn servers(facts: &Facts, gone_binds: bool, sized: bool) -> BTreeMap<ServerId, Server> {
     let pool = facts.roster.pool(facts.now, facts.cold_for, gone_binds);
     pool.map(|(server, known)| {
-        let listed = if sized { known.listed } else { 1.0 };
-        (server, Server { listed, ..known })
+        let capacity = if sized { known.capacity } else { 1.0 };
+        (server, Server { capacity, ..known })
     })
     .collect()
 }
@@ -582,8 +582,8 @@
         };
     }
     let judged = guard.judge(now, pool, &before, &after);
-    lines.retain(|server, _| !judged.held.contains(server));
-    for &server in &judged.shut {
+    lines.retain(|server, _| !judged.reverted.contains(server));
+    for &server in &judged.drained {
         let line = lines.get(&server).copied().flatten().or(store.line(id, server).copied());
         lines.insert(server, line.map(|line| Line { draining: true, ..line }));
     }
@@ -592,15 +592,15 @@
 
 fn said(table: TableId, judged: &Decision, now: Nanos) -> Vec<String> {
     let mut words = Vec::new();
-    for Refused { finding, since } in &judged.refused {
+    for Refusal { finding, since } in &judged.refusals {
         let lasts = now.saturating_sub(*since) / 1_000_000;
         words.push(format!(
             "the guard refuses a change of table {table} ({} lines stay as they were, for {lasts} ms so far): {finding}",
-            judged.held.len()
+            judged.reverted.len()
         ));
     }
     words.extend(
-        judged.yielded.iter().map(|finding| {
+        judged.waived.iter().map(|finding| {
             format!("the guard yields on table {table}, since no rule hangs on it: {finding}")
         }),
     );
