--- a/crates/platform-supervisor/src/start.rs
+++ b/crates/platform-supervisor/src/start.rs
@@ -6,7 +6,7 @@
 
 use serde::Deserialize;
 use shalereel::interface::ControllerConfig;
-use shalereel_simulator_codec::read_profile;
+use shalereel_simulator_codec::decode_settings;
 use thiserror::Error;
 
 use crate::words::List;
@@ -18,7 +18,7 @@
     #[error("{0}: {1}; the platform writes this file as JSON with listen, discovery, seed, limits, known and settings")]
     Bad(PathBuf, serde_json::Error),
     #[error("{0}: {1}")]
-    Profile(PathBuf, shalereel_simulator_codec::ProfileError),
+    Profile(PathBuf, shalereel_simulator_codec::SettingsError),
     #[error("{0}: seed: {1:?} is no number of sixteen hexadecimal digits")]
     Seed(PathBuf, String),
 }
@@ -90,7 +90,7 @@
         let seed =
             u64::from_str_radix(&file.seed, 16).map_err(|_| StartError::Seed(path.into(), file.seed))?;
         let settings = file.settings.to_string();
-        let facts = read_profile(seed, settings.as_bytes())
+        let facts = decode_settings(seed, settings.as_bytes())
             .map_err(|error| StartError::Profile(path.into(), error))?;
         let words: Words = serde_json::from_value(file.settings).map_err(bad)?;
         Ok(Start {
--- a/crates/simulator-adapter/tests/hostile.rs
+++ b/crates/simulator-adapter/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Random bytes, extreme figures and shuffled events: no panic, no order that the wire forbids.
+//! Random bytes, extreme values and shuffled events: no panic, no action that the wire forbids.
 
 use std::collections::BTreeSet;
 
@@ -8,9 +8,9 @@
 use shalereel::interface::{
     Action, Endpoint, EndpointReport, Event, HealthCheckOutcome, Readiness, WatchEvent,
 };
-use shalereel_simulator_codec::{decode_batch, read_profile};
+use shalereel_simulator_codec::{decode_batch, decode_settings};
 
-const PROFILE: &str = include_str!("profile.json");
+const SETTINGS: &str = include_str!("profile.json");
 const SERVERS: u32 = 12;
 const PROXIES: u32 = 5;
 
@@ -73,13 +73,13 @@
     }
 }
 
-/// Plays seeded events; checks every order against what was listed and who is joined; gives back all orders.
+/// Plays seeded events; checks each action against listed servers and joined proxies; gives all actions.
 fn play(seed: u64) -> Vec<Vec<Action>> {
     let mut chance = Rand32::new(seed);
-    let facts = read_profile(seed, PROFILE.as_bytes()).expect("the profile is whole");
-    let mut brain = Controller::new(&facts);
+    let config = decode_settings(seed, SETTINGS.as_bytes()).expect("the settings are complete");
+    let mut controller = Controller::new(&config);
     let (mut listed, mut joined, mut now) = (BTreeSet::new(), BTreeSet::new(), 5_000_000_000_000);
-    let mut given = Vec::new();
+    let mut all_actions = Vec::new();
     for _ in 0..400 {
         now += u64::from(chance.rand_range(0..700_000_000));
         let events: Vec<Event> = (0..chance.rand_range(0..6)).map(|_| event(&mut chance, now)).collect();
@@ -96,9 +96,9 @@
                 _ => {}
             }
         }
-        let orders = brain.decide(now, events);
-        for order in &orders {
-            let legal = match order {
+        let actions = controller.decide(now, events);
+        for action in &actions {
+            let legal = match action {
                 Action::SetWeight { table, server, weight } => {
                     let weight = *weight as f32;
                     *table < u16::MAX && listed.contains(server) && weight.is_finite() && weight >= 0.0
@@ -107,39 +107,40 @@
                 Action::AssignTable { proxy, table, operations } => {
                     joined.contains(proxy) && *table < u16::MAX && *operations < 4
                 }
-                Action::LimitAdmission { operations, limit: amount, .. } => {
-                    *operations < 4 && (0.0..=1.0).contains(amount)
+                Action::LimitAdmission { operations, limit, .. } => {
+                    *operations < 4 && (0.0..=1.0).contains(limit)
                 }
                 Action::SetTimer { delay, .. } => *delay < 71 * 60_000_000_000,
                 Action::SendToPeer { .. } => false,
                 _ => true,
             };
-            assert!(legal, "seed {seed}: {order:?}");
+            assert!(legal, "seed {seed}: {action:?}");
         }
-        given.push(orders);
+        all_actions.push(actions);
     }
-    given
+    all_actions
 }
 
 #[rstest]
-fn shuffled_and_extreme_events_get_legal_and_identical_orders() {
+fn shuffled_and_extreme_events_get_legal_and_reproducible_actions() {
     for seed in 0..60 {
         assert_eq!(play(seed), play(seed), "seed {seed}");
     }
 }
 
 #[rstest]
-fn random_bytes_are_read_or_refused() {
+fn random_bytes_are_decoded_or_rejected() {
     let mut chance = Rand32::new(11);
-    let (mut read, mut refused) = (0, 0);
+    let mut decoded = 0;
+    let mut rejected = 0;
     for _ in 0..20_000 {
         let mut frame = 1_000.0_f64.to_be_bytes().to_vec();
         frame.push(chance.rand_range(1..16) as u8);
         frame.extend((0..chance.rand_range(0..60)).map(|_| chance.rand_range(0..256) as u8));
         match decode_batch(&frame) {
-            Ok(_) => read += 1,
-            Err(_) => refused += 1,
+            Ok(_) => decoded += 1,
+            Err(_) => rejected += 1,
         }
     }
-    assert!(read > 0 && refused > 0, "{read} read, {refused} refused");
+    assert!(decoded > 0 && rejected > 0, "{decoded} decoded, {rejected} rejected");
 }
--- a/crates/simulator-adapter/tests/pipe.rs
+++ b/crates/simulator-adapter/tests/pipe.rs
@@ -5,7 +5,7 @@
 
 use rstest::rstest;
 
-const PROFILE: &str = include_str!("profile.json");
+const SETTINGS: &str = include_str!("profile.json");
 const CLOCK: [u8; 8] = 1_000.0_f64.to_be_bytes();
 
 fn frame(records: &[u8]) -> Vec<u8> {
@@ -13,9 +13,9 @@
     [&length.to_be_bytes(), &CLOCK[..], records].concat()
 }
 
-fn enlist(profile: &str) -> Vec<u8> {
-    let length = (profile.len() as u32).to_be_bytes();
-    [&[7, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 9][..], &length, profile.as_bytes()].concat()
+fn start(settings: &str) -> Vec<u8> {
+    let length = (settings.len() as u32).to_be_bytes();
+    [&[7, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 9][..], &length, settings.as_bytes()].concat()
 }
 
 fn run(input: &[u8]) -> Output {
@@ -32,7 +32,7 @@
 #[rstest]
 #[case::nothing(&[], &[])]
 #[case::empty_batches(&[frame(&[]), frame(&[])].concat(), &[0; 16])]
-fn input_that_ends_on_a_border_ends_well(#[case] input: &[u8], #[case] reply: &[u8]) {
+fn input_that_ends_between_frames_ends_the_host_without_error(#[case] input: &[u8], #[case] reply: &[u8]) {
     let output = run(input);
     assert!(output.status.success());
     assert_eq!(output.stdout, reply);
@@ -43,10 +43,13 @@
 #[case::frame(frame(&[])[..9].to_vec(), "8 bytes")]
 #[case::record(frame(&[8, 0, 0, 0, 1]), "record 0 at byte 8")]
 #[case::code(frame(&[200]), "unknown code 200")]
-#[case::not_json(frame(&enlist("ready")), "settings")]
-#[case::key_lacks(frame(&enlist(&PROFILE.replace("cold_from", "warm_from"))), "cold_from")]
-#[case::no_time(frame(&enlist(&PROFILE.replace("9000.0", "-1.0"))), "no span of time")]
-fn malformed_input_is_named_and_answered_by_nothing(#[case] input: Vec<u8>, #[case] named: &str) {
+#[case::not_json(frame(&start("ready")), "settings")]
+#[case::missing_key(frame(&start(&SETTINGS.replace("cold_from", "warm_from"))), "cold_from")]
+#[case::no_time(frame(&start(&SETTINGS.replace("9000.0", "-1.0"))), "no span of time")]
+fn malformed_input_is_reported_on_standard_error_without_a_reply(
+    #[case] input: Vec<u8>,
+    #[case] named: &str,
+) {
     let output = run(&input);
     let errors = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success());
@@ -55,10 +58,10 @@
 }
 
 #[rstest]
-fn an_instance_starts_asks_for_the_list_and_may_restart_within_a_batch() {
-    let start = enlist(PROFILE);
-    let output = run(&frame(&[&start[..], &[11, 0, 0, 0, 1], &start].concat()));
+fn instance_watches_endpoints_at_its_start_and_may_restart_within_a_batch() {
+    let record = start(SETTINGS);
+    let output = run(&frame(&[&record[..], &[11, 0, 0, 0, 1], &record].concat()));
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let listens = output.stdout.windows(6).filter(|record| record == &[70, 0, 0, 0, 1, 1]).count();
-    assert_eq!(listens, 1);
+    let watches = output.stdout.windows(6).filter(|record| record == &[70, 0, 0, 0, 1, 1]).count();
+    assert_eq!(watches, 1);
 }
--- a/crates/simulator-codec/src/encode.rs
+++ b/crates/simulator-codec/src/encode.rs
@@ -1,12 +1,15 @@
-//! Replies: header, then one record for each order.
+//! Encodes replies: a header with the count of records and their length, then one record for each action.
 
 use bytes::BufMut;
 use shalereel::interface::{Action, RetryPolicy};
 
+use crate::codes::outgoing;
 use crate::{millis, InstanceId};
 
-/// The table number that stands for all joined proxies.
+/// Table number that stands for all tables.
 const ALL_TABLES: u16 = u16::MAX;
+/// Peer number that stands for all peers.
+const ALL_PEERS: u16 = u16::MAX;
 
 /// Records gathered for one reply.
 #[derive(Debug, Default)]
@@ -15,97 +18,103 @@
     records: Vec<u8>,
 }
 
-fn text(out: &mut Vec<u8>, line: &str) {
-    let mut end = line.len().min(u16::MAX.into());
-    while !line.is_char_boundary(end) {
-        end -= 1;
+impl Reply {
+    /// Begins a record; gives where its fields go.
+    fn begin(&mut self, code: u8, instance: InstanceId) -> &mut Vec<u8> {
+        self.count += 1;
+        self.records.put_u8(code);
+        self.records.put_u32(instance);
+        &mut self.records
     }
-    out.put_u16(end as u16);
-    out.put_slice(&line.as_bytes()[..end]);
 }
 
-/// Adds the word that the decision code of an instance has failed.
-pub fn encode_bug(reply: &mut Reply, instance: InstanceId, line: &str) {
-    reply.count += 1;
-    reply.records.put_u8(69);
-    reply.records.put_u32(instance);
-    text(&mut reply.records, line);
+/// Adds a record that the controller of an instance has panicked, with the panic's text.
+pub fn encode_failure(reply: &mut Reply, instance: InstanceId, text: &str) {
+    put_text(reply.begin(outgoing::FAILURE, instance), text);
 }
 
-pub fn encode_action(reply: &mut Reply, instance: InstanceId, order: &Action) {
-    reply.count += 1;
-    let out = &mut reply.records;
-    let mut head = |code: u8| {
-        out.put_u8(code);
-        out.put_u32(instance);
-    };
-    match order {
+/// Adds the record of an action.
+pub fn encode_action(reply: &mut Reply, instance: InstanceId, action: &Action) {
+    let fields = reply.begin(code(action), instance);
+    match action {
         Action::SetTimer { delay, token } => {
-            head(65);
-            out.put_f64(millis(*delay));
-            out.put_u64(*token);
-        }
-        Action::CheckHealth { server } => {
-            head(66);
-            out.put_u32(*server);
+            fields.put_f64(millis(*delay));
+            fields.put_u64(*token);
         }
+        Action::CheckHealth { server } => fields.put_u32(*server),
         Action::SendToPeer { to, content } => {
-            head(67);
-            out.put_u16(to.unwrap_or(u16::MAX));
-            out.put_u16(content.len() as u16);
-            out.put_slice(content);
-        }
-        Action::Log(line) => {
-            head(68);
-            text(out, line);
-        }
-        Action::WatchEndpoints { on } => {
-            head(70);
-            out.put_u8((*on).into());
+            fields.put_u16(to.unwrap_or(ALL_PEERS));
+            fields.put_u16(content.len() as u16);
+            fields.put_slice(content);
         }
-        Action::FetchEndpoints => head(71),
+        Action::Log(text) => put_text(fields, text),
+        Action::WatchEndpoints { on } => fields.put_u8((*on).into()),
+        Action::FetchEndpoints => {}
         Action::SetWeight { table, server, weight } => {
-            head(72);
-            out.put_u16(*table);
-            out.put_u32(*server);
-            out.put_f32(*weight as f32);
-        }
-        Action::ClearTable { table } => {
-            head(73);
-            out.put_u16(*table);
+            fields.put_u16(*table);
+            fields.put_u32(*server);
+            fields.put_f32(*weight as f32);
         }
+        Action::ClearTable { table } => fields.put_u16(*table),
         Action::Exclude { server, on } => {
-            head(74);
-            out.put_u32(*server);
-            out.put_u8((*on).into());
+            fields.put_u32(*server);
+            fields.put_u8((*on).into());
         }
         Action::AssignTable { proxy, table, operations } => {
-            head(75);
-            out.put_u16(*proxy);
-            out.put_u16(*table);
-            out.put_u16(*operations);
+            fields.put_u16(*proxy);
+            fields.put_u16(*table);
+            fields.put_u16(*operations);
         }
-        Action::LimitAdmission { table, operations, limit: amount, retry_policy: further } => {
-            head(76);
-            out.put_u16(table.unwrap_or(ALL_TABLES));
-            out.put_u16(*operations);
-            out.put_f32(*amount as f32);
-            out.put_u8(match further {
-                RetryPolicy::Never => 0,
-                RetryPolicy::IfNotExecuted => 1,
-                RetryPolicy::Once => 2,
-                RetryPolicy::Twice => 3,
-            });
+        Action::LimitAdmission { table, operations, limit, retry_policy } => {
+            fields.put_u16(table.unwrap_or(ALL_TABLES));
+            fields.put_u16(*operations);
+            fields.put_f32(*limit as f32);
+            fields.put_u8(retry_policy_code(*retry_policy));
         }
         Action::RequestAck { serial, everyone } => {
-            head(77);
-            out.put_u64((*serial).into());
-            out.put_u8((*everyone).into());
+            fields.put_u64((*serial).into());
+            fields.put_u8((*everyone).into());
         }
     }
 }
 
-/// The whole frame, ready to be written and flushed.
+fn code(action: &Action) -> u8 {
+    match action {
+        Action::SetTimer { .. } => outgoing::SET_TIMER,
+        Action::CheckHealth { .. } => outgoing::CHECK_HEALTH,
+        Action::SendToPeer { .. } => outgoing::SEND_TO_PEER,
+        Action::Log(_) => outgoing::LOG,
+        Action::WatchEndpoints { .. } => outgoing::WATCH_ENDPOINTS,
+        Action::FetchEndpoints => outgoing::FETCH_ENDPOINTS,
+        Action::SetWeight { .. } => outgoing::SET_WEIGHT,
+        Action::ClearTable { .. } => outgoing::CLEAR_TABLE,
+        Action::Exclude { .. } => outgoing::EXCLUDE,
+        Action::AssignTable { .. } => outgoing::ASSIGN_TABLE,
+        Action::LimitAdmission { .. } => outgoing::LIMIT_ADMISSION,
+        Action::RequestAck { .. } => outgoing::REQUEST_ACK,
+    }
+}
+
+fn retry_policy_code(policy: RetryPolicy) -> u8 {
+    match policy {
+        RetryPolicy::Never => 0,
+        RetryPolicy::IfNotExecuted => 1,
+        RetryPolicy::Once => 2,
+        RetryPolicy::Twice => 3,
+    }
+}
+
+/// A text with its length, cut to what the length can say.
+fn put_text(fields: &mut Vec<u8>, text: &str) {
+    let mut end = text.len().min(u16::MAX.into());
+    while !text.is_char_boundary(end) {
+        end -= 1;
+    }
+    fields.put_u16(end as u16);
+    fields.put_slice(&text.as_bytes()[..end]);
+}
+
+/// The complete frame of a reply.
 pub fn encode_reply(reply: Reply) -> Vec<u8> {
     let mut frame = Vec::with_capacity(reply.records.len() + 8);
     frame.put_u32(reply.count);
--- a/crates/simulator-codec/src/lib.rs
+++ b/crates/simulator-codec/src/lib.rs
@@ -1,26 +1,35 @@
-//! Binary codec of the simulator's wire: batches of events in, replies of orders out. It decides nothing.
+//! Binary codec of the operators' simulator: batches of events in, replies of actions out. It decides nothing and is free of
+//! I/O; `shalereel-wirehost` reads and writes the bytes.
+//!
+//! The simulator has names of its own for the records of its wire (`enlist`, `roster`, `digest` and so on) and for the keys of
+//! its settings (`worth`, `cycle_ms`, `tip_multiple` and so on). They are mapped to the terms of `shalereel::interface` once,
+//! here: records by their codes (`codes`), settings by `serde` attributes. No other part of the project knows them.
 
+#![deny(missing_docs)]
+
+mod codes;
 mod decode;
 mod encode;
-mod profile;
+mod settings;
 
-pub use decode::{decode_batch, Batch, DecodeError, Incoming};
-pub use encode::{encode_action, encode_bug, encode_reply, Reply};
-pub use profile::{read_profile, ProfileError};
+pub use decode::{decode_batch, Batch, DecodeError, Message};
+pub use encode::{encode_action, encode_failure, encode_reply, Reply};
+pub use settings::{decode_settings, SettingsError};
 
 use shalereel::interface::Nanos;
 
-/// Number by which the simulator tells instances apart.
+/// Number by which the simulator tells instances of the controller apart.
 pub type InstanceId = u32;
 
 const NANOS_PER_MS: f64 = 1e6;
 
-/// Milliseconds as whole nanoseconds; nothing where the figure is no time.
+/// Whole nanoseconds of a time in milliseconds; `None` where the number is no time.
 pub(crate) fn nanos(ms: f64) -> Option<Nanos> {
-    (ms.is_finite() && ms >= 0.0 && ms < Nanos::MAX as f64 / NANOS_PER_MS)
-        .then(|| (ms * NANOS_PER_MS).round() as Nanos)
+    let is_time = ms.is_finite() && ms >= 0.0 && ms < Nanos::MAX as f64 / NANOS_PER_MS;
+    is_time.then(|| (ms * NANOS_PER_MS).round() as Nanos)
 }
 
+/// Milliseconds of a time in nanoseconds.
 pub(crate) fn millis(span: Nanos) -> f64 {
     span as f64 / NANOS_PER_MS
 }
--- a/crates/simulator-codec/tests/codec.rs
+++ b/crates/simulator-codec/tests/codec.rs
@@ -1,11 +1,11 @@
-//! The codec against the records and tables of the wire's page.
+//! Records of the simulator's wire, byte by byte.
 
 use rstest::rstest;
 use shalereel::interface::{
     Action, Endpoint, EndpointReport, Event, HealthCheckOutcome, Readiness, RetryPolicy, WatchEvent,
 };
 use shalereel_simulator_codec::{
-    decode_batch, encode_action, encode_bug, encode_reply, DecodeError, Incoming, Reply,
+    decode_batch, encode_action, encode_failure, encode_reply, DecodeError, Message, Reply,
 };
 
 const CLOCK: &str = "40c06e2000000000";
@@ -14,8 +14,8 @@
     hex::decode(hex.replace(' ', "")).expect("test data is hex")
 }
 
-fn decode(records: &str) -> Result<Vec<Incoming>, DecodeError> {
-    decode_batch(&bytes(&format!("{CLOCK} {records}"))).map(|batch| batch.incoming)
+fn decode(records: &str) -> Result<Vec<Message>, DecodeError> {
+    decode_batch(&bytes(&format!("{CLOCK} {records}"))).map(|batch| batch.messages)
 }
 
 fn row(server: u32, locality: u16, weight: f64, started_at: u64) -> Endpoint {
@@ -27,69 +27,69 @@
 }
 
 #[rstest]
-fn an_empty_batch_has_only_its_clock() {
+fn empty_batch_has_only_its_clock() {
     let batch = decode_batch(&bytes(CLOCK)).expect("well formed");
-    assert_eq!((batch.now, batch.incoming), (8_412_250_000, vec![]));
+    assert_eq!((batch.now, batch.messages), (8_412_250_000, vec![]));
 }
 
 #[rstest]
-#[case::fired("01 00000003 000000000000004d", Event::TimerFired { token: 77 })]
-#[case::intake("02 00000003 00000009 0000 0029 00000000 409f400000000000",
+#[case::timer_fired("01 00000003 000000000000004d", Event::TimerFired { token: 77 })]
+#[case::demand_report("02 00000003 00000009 0000 0029 00000000 409f400000000000",
     Event::DemandReport { proxy: 41, operation: 0, total: 9, failures: 0, window: 2_000_000_000 })]
-#[case::mail("03 00000003 0002 0004 68692037", Event::PeerMessage { from: 2, content: b"hi 7".to_vec() })]
-#[case::probed("04 00000003 00 3ff6666666666666 2c9011f2 02 3f1eb852 41600000",
+#[case::peer_message("03 00000003 0002 0004 68692037", Event::PeerMessage { from: 2, content: b"hi 7".to_vec() })]
+#[case::health_checked("04 00000003 00 3ff6666666666666 2c9011f2 02 3f1eb852 41600000",
     Event::HealthChecked { server: 0x2c90_11f2, outcome: HealthCheckOutcome::Answered, elapsed: 1_400_000, load: load() })]
-#[case::leased("05 00000003 0075 01", Event::LeaseChanged { table: 117, on: true })]
-#[case::digest("06 00000003 03124a07 4048200000000000 408f400000000000 00000001 0000000e 0000 02 3f1eb852 41600000",
+#[case::lease_changed("05 00000003 0075 01", Event::LeaseChanged { table: 117, on: true })]
+#[case::endpoint_report("06 00000003 03124a07 4048200000000000 408f400000000000 00000001 0000000e 0000 02 3f1eb852 41600000",
     Event::EndpointReport(EndpointReport { server: 0x0312_4a07, locality: 0, attempts: 14, failures: 1, response_time: 48_250_000,
         window: 1_000_000_000, load: load() }))]
 #[case::left("08 00000003 0029", Event::Left { proxy: 41 })]
 #[case::joined("09 00000003 0029 0000 40d00000 01",
     Event::Joined { proxy: 41, locality: 0, rate: 6.5, is_new: true })]
-#[case::on_record("0a 00000003 0075 2c9011f2 3f400000",
+#[case::recorded_weight("0a 00000003 0075 2c9011f2 3f400000",
     Event::RecordedWeight { table: 117, server: 0x2c90_11f2, weight: 0.75 })]
-#[case::roster("0c 00000003 02 0000000000000029 00000002 \
+#[case::endpoints("0c 00000003 02 0000000000000029 00000002 \
     03124a07 0000 0000 0000 01 3f800000 0000000000000000 \
     2c9011f2 0001 0000 0000 01 3fc00000 40b7d40000000000",
     Event::Endpoints(WatchEvent::Cached(vec![row(0x0312_4a07, 0, 1.0, 0), row(0x2c90_11f2, 1, 1.5, 6_100_000_000)])))]
-#[case::failed_list("0c 00000003 01 0000000000000029 00000000", Event::Endpoints(WatchEvent::Failed))]
-#[case::hotness("0d 00000003 408f400000000000 0075 0000 00000002 00000017",
+#[case::failed_endpoints("0c 00000003 01 0000000000000029 00000000", Event::Endpoints(WatchEvent::Failed))]
+#[case::table_demand("0d 00000003 408f400000000000 0075 0000 00000002 00000017",
     Event::TableDemand { table: 117, operation: 0, total: 23, failures: 2, window: 1_000_000_000 })]
-#[case::confirmed("0e 00000003 0029 000000000000000c 4079c80000000000",
+#[case::acknowledged("0e 00000003 0029 000000000000000c 4079c80000000000",
     Event::Acknowledged { proxy: 41, serial: 12, elapsed: 412_500_000 })]
-fn an_event_is_read_field_by_field(#[case] record: &str, #[case] event: Event) {
-    assert_eq!(decode(record), Ok(vec![Incoming::Event { instance: 3, event }]));
+fn event_is_decoded_field_by_field(#[case] record: &str, #[case] event: Event) {
+    assert_eq!(decode(record), Ok(vec![Message::Event { instance: 3, event }]));
 }
 
 #[rstest]
-fn starts_and_ends_of_instances_are_told_apart_from_events() {
-    let enlist = Incoming::Enlist { instance: 3, seed: 5, profile: b"{}".to_vec() };
+fn instance_start_and_stop_are_decoded() {
+    let start = Message::Start { instance: 3, seed: 5, settings: b"{}".to_vec() };
     let records = "0b 00000003 07 00000003 0000000000000005 00000002 7b7d";
-    assert_eq!(decode(records), Ok(vec![Incoming::Kill { instance: 3 }, enlist]));
+    assert_eq!(decode(records), Ok(vec![Message::Stop { instance: 3 }, start]));
 }
 
 #[rstest]
-#[case::no_number("06 00000003 03124a07 7ff8000000000000 408f400000000000 00000001 0000000e 0000 00")]
+#[case::not_a_number("06 00000003 03124a07 7ff8000000000000 408f400000000000 00000001 0000000e 0000 00")]
 #[case::infinite("0e 00000003 0029 000000000000000c 7ff0000000000000")]
 #[case::negative("02 00000003 00000009 0000 0029 00000000 c09f400000000000")]
-#[case::unknown_list("0c 00000003 09 0000000000000029 00000000")]
-fn figures_that_no_one_can_use_are_set_aside(#[case] record: &str) {
-    assert_eq!(decode(record), Ok(vec![Incoming::Unusable { instance: 3 }]));
+#[case::unknown_watch_event("0c 00000003 09 0000000000000029 00000000")]
+fn record_with_an_unusable_value_is_reported_as_such(#[case] record: &str) {
+    assert_eq!(decode(record), Ok(vec![Message::Unusable { instance: 3 }]));
 }
 
 #[rstest]
 #[case::code("08 00000003 0029 63", DecodeError::UnknownCode { record: 1, offset: 15, code: 0x63 })]
-#[case::cut("08 00000003 0029 08 0000", DecodeError::Overrun { record: 1, offset: 15 })]
-#[case::counted("03 00000003 0002 ffff 68", DecodeError::Overrun { record: 0, offset: 8 })]
-#[case::rows("0c 00000003 00 0000000000000029 ffffffff", DecodeError::Overrun { record: 0, offset: 8 })]
-fn a_malformed_record_is_named_with_its_offset(#[case] records: &str, #[case] error: DecodeError) {
+#[case::truncated("08 00000003 0029 08 0000", DecodeError::TruncatedRecord { record: 1, offset: 15 })]
+#[case::counted("03 00000003 0002 ffff 68", DecodeError::TruncatedRecord { record: 0, offset: 8 })]
+#[case::endpoints("0c 00000003 00 0000000000000029 ffffffff", DecodeError::TruncatedRecord { record: 0, offset: 8 })]
+fn malformed_record_is_rejected_with_its_offset(#[case] records: &str, #[case] error: DecodeError) {
     assert_eq!(decode(records), Err(error));
 }
 
 #[rstest]
-#[case::short("40c06e")]
+#[case::truncated("40c06e")]
 #[case::no_time("7ff8000000000000")]
-fn a_malformed_header_is_refused(#[case] frame: &str) {
+fn malformed_header_is_rejected(#[case] frame: &str) {
     assert!(decode_batch(&bytes(frame)).is_err());
 }
 
@@ -109,9 +109,9 @@
 #[case("4c 00000003 ffff 0000 3f800000 03",
     Action::LimitAdmission { table: None, operations: 0, limit: 1.0, retry_policy: RetryPolicy::Twice })]
 #[case("4d 00000003 000000000000000c 00", Action::RequestAck { serial: 12, everyone: false })]
-fn an_order_is_written_field_by_field(#[case] record: &str, #[case] order: Action) {
+fn action_is_encoded_field_by_field(#[case] record: &str, #[case] action: Action) {
     let mut reply = Reply::default();
-    encode_action(&mut reply, 3, &order);
+    encode_action(&mut reply, 3, &action);
     let record = bytes(record);
     let mut frame = vec![0, 0, 0, 1, 0, 0, 0, record.len() as u8];
     frame.extend(record);
@@ -119,11 +119,11 @@
 }
 
 #[rstest]
-fn a_failure_is_written_with_its_text_and_a_long_one_is_cut() {
+fn failure_is_encoded_with_its_text_and_a_long_one_is_cut() {
     let mut reply = Reply::default();
-    encode_bug(&mut reply, 3, "index out of range");
+    encode_failure(&mut reply, 3, "index out of range");
     assert_eq!(encode_reply(reply)[8..], bytes("45 00000003 0012 696e646578206f7574206f662072616e6765"));
     let mut reply = Reply::default();
-    encode_bug(&mut reply, 3, &"é".repeat(40_000));
+    encode_failure(&mut reply, 3, &"é".repeat(40_000));
     assert_eq!(encode_reply(reply).len(), 8 + 7 + 65_534);
 }
--- a/crates/simulator-codec/tests/settings.rs
+++ b/crates/simulator-codec/tests/settings.rs
@@ -5,7 +5,7 @@
     AdmissionMode, ControllerConfig, DeduplicationScope, Idempotency, ListedCapacity, LoadColumn, LoadSource,
     Operation,
 };
-use shalereel_simulator_codec::read_profile;
+use shalereel_simulator_codec::decode_settings;
 
 const SETTINGS: &str = r#"{
   "classes": [
@@ -102,7 +102,7 @@
 /// Guards against a renamed field that is no longer read from its key.
 #[rstest]
 fn each_setting_is_read_from_its_key() {
-    let settings = read_profile(41, SETTINGS.as_bytes()).unwrap();
+    let settings = decode_settings(41, SETTINGS.as_bytes()).unwrap();
     assert_eq!(format!("{settings:#?}"), format!("{:#?}", expected()));
 }
 
@@ -117,7 +117,7 @@
 #[case::weights_rough(r#""live""#, r#""rough""#, "listed_capacity: Approximate")]
 fn each_choice_is_read_from_its_word(#[case] word: &str, #[case] other: &str, #[case] read: &str) {
     let text = SETTINGS.replacen(word, other, 1);
-    let settings = format!("{:?}", read_profile(41, text.as_bytes()).unwrap());
+    let settings = format!("{:?}", decode_settings(41, text.as_bytes()).unwrap());
     assert!(settings.contains(read), "{settings}");
 }
 
@@ -146,6 +146,6 @@
     "settings of the instance: invalid type: integer `7`, expected struct Profile at line"
 )]
 fn malformed_setting_is_named_by_its_key(#[case] part: &str, #[case] other: &str, #[case] text: &str) {
-    let error = read_profile(41, SETTINGS.replacen(part, other, 1).as_bytes()).unwrap_err();
+    let error = decode_settings(41, SETTINGS.replacen(part, other, 1).as_bytes()).unwrap_err();
     assert!(error.to_string().starts_with(text), "{error}");
 }
