--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -92,7 +92,7 @@
         ],
     );
     assert_stands(&verdict);
-    assert!(verdict.remarks.iter().any(|remark| remark.contains("withdrawn")), "{:?}", verdict.remarks);
+    assert!(verdict.remarks.iter().any(|remark| remark.contains("ejected")), "{:?}", verdict.remarks);
 }
 
 /// A supervisor is killed while a slow channel still holds half of a drain; all forwarders rejoin on the other.
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -187,7 +187,7 @@
             Message::Ejection(true) if self.out_since.is_none() => {
                 let fault = self.fault.unwrap_or(Fault::Score);
                 self.out_since = Some(now);
-                mailboxes.log(format!("server {} withdrawn: {fault:?}", self.row.server));
+                mailboxes.log(format!("server {} ejected: {fault}", self.row.server));
             }
             _ => {}
         }
@@ -592,10 +592,10 @@
         if lost_share > FURTHER_CUT && wide > WIDE.max(slow / QUICK) {
             self.apart_for = (2 * self.apart_for).max(APART_FOR);
             self.apart_until = mailboxes.now + self.apart_for;
-            mailboxes.log("proxies kept apart: connections are hard to get".into());
+            mailboxes.log("proxies isolated on subsets: connections fail".into());
         } else if self.apart_until > 0 {
             self.apart_until = 0;
-            mailboxes.log("proxies back on one table".into());
+            mailboxes.log("proxies back on the shared table".into());
         }
         mailboxes.send(Component::Channel, Message::Isolate(self.apart_until > 0));
     }
@@ -606,7 +606,7 @@
         let before = self.general;
         self.general = share > if before { FURTHER_BACK } else { FURTHER_CUT };
         if before != self.general {
-            let line = ["further tries restored", "further tries cut back: failures are general"];
+            let line = ["retries enabled", "retries disabled: general failure"];
             mailboxes.log(line[usize::from(self.general)].into());
         }
         let further = !self.general || self.apart_until > 0;
@@ -663,7 +663,10 @@
             self.capacity = None;
         }
         if limited != self.capacity.is_some() {
-            mailboxes.log(if limited { "shedding ends" } else { "shedding: answers come late" }.into());
+            mailboxes.log(
+                if limited { "load shedding ends" } else { "load shedding begins: responses are late" }
+                    .into(),
+            );
         }
     }
 }
--- a/src/message.rs
+++ b/src/message.rs
@@ -115,6 +115,16 @@
     Score,
 }
 
+impl std::fmt::Display for Fault {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        formatter.write_str(match self {
+            Fault::Errors => "error rate",
+            Fault::Unresponsive => "unresponsive",
+            Fault::Score => "health score",
+        })
+    }
+}
+
 /// What a server reports of itself to the fleet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerStatus {
