--- a/crates/xds-supervisor/src/core.rs
+++ b/crates/xds-supervisor/src/core.rs
@@ -360,7 +360,7 @@
 
     /// What was learned so far, as the file has it.
     fn memorise(&mut self, now: Nanos) -> Vec<u8> {
-        let remembered = self.brain.remember(now);
+        let remembered = self.brain.snapshot(now);
         let lives = remembered.servers.iter().map(|one| (one.server, self.roster.life(one.server))).collect();
         let rate = |(name, id): (&String, &ProxyId)| Some((name.clone(), *self.rates.get(id)?));
         let rates = self.numbers.iter().filter_map(rate).collect();
--- /dev/null
+++ b/src/admission.rs
@@ -0,0 +1,197 @@
+//! Load shedding: how overloaded the fleet is, how much load it can serve, and what is admitted of each operation.
+//! Updated by [`Fleet`](crate::fleet::Fleet); only where proxies apply limits as ratios ([`AdmissionMode::Ratio`]).
+//!
+//! Guards against any lack of capacity: late responses are worth next to nothing and cost as much as others.
+
+use crate::channel::WEIGHT_STEP;
+use crate::interface::*;
+use crate::message::*;
+use crate::retries::GENERAL_FAILURE_RATE;
+use crate::statistics::{DecayingSum, OutcomeTotals};
+
+#[cfg(test)]
+mod tests;
+
+/// Mean response time from which the fleet counts as overloaded, as a share of the mean latency objective.
+const OVERLOAD_LATENCY_SHARE: f64 = 0.65;
+/// Overload below which the load limit is raised; between it and 1 the limit holds.
+const LOW_OVERLOAD: f64 = 0.7;
+/// Factor per report interval by which a limit falls or, inverted, rises, and the peak load is forgotten.
+const LIMIT_STEP: f64 = 0.95;
+/// Least share of the load limit that is admitted while queues are worked off.
+const MIN_DRAIN_SHARE: f64 = 0.5;
+/// Least share of an operation that is admitted.
+const MIN_ADMITTED_SHARE: f64 = 0.1;
+/// A limit is left as it is where it would move by less.
+const MIN_LIMIT_CHANGE: f64 = WEIGHT_STEP / 2.0;
+
+/// Mean response time from which the fleet counts as overloaded, ns: most of the value is still kept at it.
+pub(crate) fn overload_response_time(config: &ControllerConfig) -> f64 {
+    let value: f64 = config.operations.iter().map(|operation| operation.priority_weight).sum();
+    let weighted = config
+        .operations
+        .iter()
+        .map(|operation| operation.priority_weight * operation.latency_objective as f64);
+    OVERLOAD_LATENCY_SHARE * weighted.sum::<f64>() / value.max(f64::MIN_POSITIVE)
+}
+
+/// Recent requests of one operation.
+#[derive(Debug, Default)]
+struct OperationDemand {
+    operation: usize,
+    /// Cost of one request: its latency objective, ns, stands in for work, which is not reported.
+    cost: f64,
+    requests: DecayingSum,
+    failures: DecayingSum,
+}
+
+impl OperationDemand {
+    /// Cost of all recent requests, as of when they were last read.
+    fn total_cost(&self) -> f64 {
+        (self.cost * self.requests.sum).max(f64::MIN_POSITIVE)
+    }
+}
+
+/// The operations in the order in which they are admitted: by value for their cost.
+fn operations_by_value(config: &ControllerConfig) -> Vec<OperationDemand> {
+    if config.admission_mode != AdmissionMode::Ratio {
+        return Vec::new();
+    }
+    let cost = |operation: usize| config.operations[operation].latency_objective as f64;
+    let value = |operation: usize| config.operations[operation].priority_weight / cost(operation);
+    let mut order: Vec<usize> = (0..config.operations.len()).collect();
+    order.sort_by(|&a, &b| value(b).total_cmp(&value(a)));
+    let demand =
+        |operation| OperationDemand { operation, cost: cost(operation), ..OperationDemand::default() };
+    order.into_iter().map(demand).collect()
+}
+
+/// What the limits are computed from.
+pub(crate) struct AdmissionInputs {
+    /// Outcomes of about the last report interval.
+    pub(crate) recent: OutcomeTotals,
+    /// See [`overload_response_time`].
+    pub(crate) overload_response_time: f64,
+    /// Weight of the servers in the table, warming ones up to their limit.
+    pub(crate) ready_weight: f64,
+    /// Proxies are isolated: failures then come from connections, not from load.
+    pub(crate) isolated: bool,
+}
+
+/// Knows the load that the fleet can serve, and limits what is admitted.
+#[derive(Debug, Default)]
+pub(crate) struct Admission {
+    /// Operations in the order in which they are admitted; none where proxies apply no ratios.
+    demands: Vec<OperationDemand>,
+    /// Time between two reports of a proxy, ns.
+    report_interval: Nanos,
+    /// Cost served in a report interval by a unit of ready weight: the most of late.
+    pub(crate) peak_load: f64,
+    /// Cost per unit of ready weight that is admitted in a report interval, while load is shed.
+    pub(crate) load_limit: Option<f64>,
+    /// Last measured overload: from 1 on the fleet is overloaded.
+    overload: f64,
+    adjusted_at: Nanos,
+}
+
+impl Admission {
+    pub(crate) fn new(config: &ControllerConfig) -> Self {
+        Admission {
+            demands: operations_by_value(config),
+            report_interval: config.report_interval,
+            ..Admission::default()
+        }
+    }
+
+    /// Adds requests of an operation and those that got no response.
+    pub(crate) fn record_demand(&mut self, operation: usize, total: f64, failures: f64, now: Nanos) {
+        for demand in self.demands.iter_mut().filter(|demand| demand.operation == operation) {
+            demand.requests.add(now, self.report_interval, total);
+            demand.failures.add(now, self.report_interval, failures);
+        }
+    }
+
+    /// Adjusts the limits, once a report interval.
+    pub(crate) fn update(
+        &mut self,
+        inputs: &AdmissionInputs,
+        limits: &mut [AdmissionLimit],
+        mailboxes: &mut Mailboxes,
+    ) {
+        let now = mailboxes.now;
+        if self.demands.is_empty() || now.saturating_sub(self.adjusted_at) < self.report_interval {
+            return;
+        }
+        self.adjusted_at = now;
+        let overload = self.expected_overload(inputs);
+        let was_limited = self.load_limit.is_some();
+        let served_load = self.served_cost(limits, now) / inputs.ready_weight.max(f64::MIN_POSITIVE);
+        self.move_load_limit(overload, served_load);
+        let all_admitted = self.share_out(self.budget(overload, inputs.ready_weight), limits);
+        if all_admitted && overload < LOW_OVERLOAD {
+            self.load_limit = None;
+        }
+        if was_limited != self.load_limit.is_some() {
+            let line =
+                if was_limited { "load shedding ends" } else { "load shedding begins: responses are late" };
+            mailboxes.log(line.into());
+        }
+    }
+
+    /// Overload: mean response time or failure rate over what counts as overload. Reports are late, so that it is taken
+    /// as where its last change leads in a report interval.
+    fn expected_overload(&mut self, inputs: &AdmissionInputs) -> f64 {
+        let failing = if inputs.isolated { 0.0 } else { inputs.recent.failure_rate() / GENERAL_FAILURE_RATE };
+        let overload = (inputs.recent.mean_response_time() / inputs.overload_response_time).max(failing);
+        let before = std::mem::replace(&mut self.overload, overload);
+        if before > 0.0 {
+            2.0 * overload - before
+        } else {
+            overload
+        }
+    }
+
+    /// Cost of the requests that were admitted and served in about the last report interval.
+    fn served_cost(&mut self, limits: &[AdmissionLimit], now: Nanos) -> f64 {
+        let mut served = 0.0;
+        for demand in &mut self.demands {
+            let admitted = demand.requests.read(now, self.report_interval) * limits[demand.operation].limit;
+            let failures = demand.failures.read(now, self.report_interval);
+            served += demand.cost * (admitted - failures).max(0.0);
+        }
+        served
+    }
+
+    /// Sets the limit to the load served at the peak once the fleet is overloaded, then lowers or raises it by steps.
+    fn move_load_limit(&mut self, overload: f64, served_load: f64) {
+        self.peak_load = served_load.max(self.peak_load * LIMIT_STEP);
+        self.load_limit = match self.load_limit {
+            None if overload > 1.0 => Some(self.peak_load),
+            Some(limit) if overload > 1.0 => Some(limit.min(self.peak_load / LIMIT_STEP) * LIMIT_STEP),
+            Some(limit) if overload < LOW_OVERLOAD => Some(served_load.max(limit / LIMIT_STEP)),
+            limit => limit.map(|limit| limit.max(served_load)),
+        };
+    }
+
+    /// Cost that may be admitted in a report interval; less while queues are to be worked off.
+    fn budget(&self, overload: f64, ready_weight: f64) -> f64 {
+        let drain_share = overload.max(1.0).powi(-2).max(MIN_DRAIN_SHARE);
+        self.load_limit.map_or(f64::MAX, |limit| limit * ready_weight * drain_share)
+    }
+
+    /// Shares the budget out among the operations, the most valuable first; true if all is admitted.
+    fn share_out(&self, mut budget: f64, limits: &mut [AdmissionLimit]) -> bool {
+        let mut all_admitted = true;
+        for demand in &self.demands {
+            let cost = demand.total_cost();
+            let admitted = (budget / cost).clamp(MIN_ADMITTED_SHARE, 1.0);
+            budget = (budget - cost * admitted).max(0.0);
+            all_admitted &= admitted >= 1.0;
+            let limit = &mut limits[demand.operation].limit;
+            if (*limit - admitted).abs() > MIN_LIMIT_CHANGE || admitted >= 1.0 {
+                *limit = admitted;
+            }
+        }
+        all_admitted
+    }
+}
--- /dev/null
+++ b/src/fleet.rs
@@ -0,0 +1,243 @@
+//! Compares the servers, and decides for all of them: collects their statuses at each evaluation and puts the rules of
+//! `ejection`, `slow_start`, `admission`, `retries` and `isolation` together. The controller hands it messages.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::admission::{overload_response_time, Admission, AdmissionInputs};
+use crate::ejection::{servers_to_eject, unresponsive_after};
+use crate::health::KIND_PRIOR_RESPONSES;
+use crate::interface::*;
+use crate::isolation::Isolation;
+use crate::message::*;
+use crate::retries::Retries;
+use crate::slow_start::{SlowStartGuard, WeightInputs};
+use crate::statistics::{
+    median, AttemptSums, DecayingSum, OutcomeTotals, RecentOutcomes, OUTCOME_TIME_CONSTANT,
+};
+
+/// Reports of late, from all proxies.
+#[derive(Debug, Default)]
+pub(crate) struct ReportTimes {
+    /// When the last one came; 0: none yet.
+    pub(crate) last: Nanos,
+    /// Time that they cover together, ns.
+    windows: DecayingSum,
+    count: DecayingSum,
+}
+
+impl ReportTimes {
+    /// Adds a report that covers `window` ns.
+    fn record(&mut self, window: f64, now: Nanos) {
+        self.last = now;
+        self.windows.add(now, OUTCOME_TIME_CONSTANT, window);
+        self.count.add(now, OUTCOME_TIME_CONSTANT, 1.0);
+    }
+
+    /// Mean time that a report covers, ns.
+    fn mean_window(&self) -> f64 {
+        self.windows.sum / self.count.sum.max(1.0)
+    }
+}
+
+/// All servers together.
+#[derive(Debug, Default)]
+pub(crate) struct Fleet {
+    /// Each server's last status.
+    pub(crate) statuses: BTreeMap<ServerId, ServerStatus>,
+    /// Statuses of this evaluation that are still to come.
+    pub(crate) pending_statuses: usize,
+    /// Responses that were reported since the last evaluation.
+    pub(crate) new_responses: f64,
+    pub(crate) reports: ReportTimes,
+    /// Recent attempts at all servers and failures.
+    pub(crate) outcomes: AttemptSums,
+    /// The same over about one report interval: load shedding must not act on old reports.
+    pub(crate) recent_outcomes: RecentOutcomes,
+    /// Time between two reports of a proxy, ns.
+    pub(crate) report_interval: Nanos,
+    /// Mean response time from which the fleet counts as overloaded, ns.
+    pub(crate) overload_response_time: f64,
+    /// Weights that were last decided.
+    pub(crate) weights: BTreeMap<ServerId, f64>,
+    /// Servers that our proxies use, while these are isolated on subsets.
+    pub(crate) subset_servers: BTreeSet<ServerId>,
+    pub(crate) slow_start: SlowStartGuard,
+    pub(crate) admission: Admission,
+    pub(crate) retries: Retries,
+    pub(crate) isolation: Isolation,
+    /// What is admitted of each operation, and when it is retried.
+    pub(crate) limits: Vec<AdmissionLimit>,
+}
+
+impl Fleet {
+    /// A fleet without servers; `limits` are those that proxies begin with.
+    pub(crate) fn new(config: &ControllerConfig, limits: Vec<AdmissionLimit>) -> Self {
+        Fleet {
+            report_interval: config.report_interval,
+            overload_response_time: overload_response_time(config),
+            slow_start: SlowStartGuard::new(config),
+            admission: Admission::new(config),
+            retries: Retries::new(config),
+            limits,
+            ..Fleet::default()
+        }
+    }
+
+    pub(crate) fn handle(&mut self, message: Message, mailboxes: &mut Mailboxes) {
+        let now = mailboxes.now;
+        match message {
+            Message::Restored { snapshot, age } => self.restore(&snapshot, age, now),
+            Message::Observed { attempts, failures, time, window } => {
+                self.record_report(attempts, failures, time, window, now)
+            }
+            Message::Demand { operation, total, failures } => {
+                self.retries.record_demand(operation, total, failures, now);
+                self.admission.record_demand(operation, total, failures, now);
+            }
+            Message::SubsetServers(servers) => self.subset_servers = servers,
+            Message::Tick(servers) => self.request_statuses(servers, mailboxes),
+            Message::Status(status) => {
+                self.statuses.insert(status.endpoint.server, status);
+                self.pending_statuses = self.pending_statuses.saturating_sub(1);
+                if self.pending_statuses == 0 {
+                    self.decide(mailboxes);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Adds the sums of one server's report; `time` is the time of all responses, and `window` what it covers, ns.
+    fn record_report(&mut self, attempts: f64, failures: f64, time: f64, window: f64, now: Nanos) {
+        self.slow_start.record_report(self.reports.last, now);
+        self.reports.record(window, now);
+        self.new_responses += attempts - failures;
+        self.recent_outcomes.add(now, self.report_interval, attempts, failures, time);
+        self.outcomes.add(now, attempts, failures);
+    }
+
+    /// Asks each server for its status; the last answer leads to decisions.
+    pub(crate) fn request_statuses(&mut self, servers: Vec<ServerId>, mailboxes: &mut Mailboxes) {
+        let subsets = &self.subset_servers;
+        self.weights.retain(|server, _| subsets.is_empty() || subsets.contains(server));
+        let total_weight: f64 = self.weights.values().sum();
+        let statistics = self.statistics();
+        let kinds = self.response_times_by_kind();
+        self.pending_statuses = servers.len();
+        if servers.is_empty() {
+            self.decide(mailboxes);
+        }
+        for server in servers {
+            let weight = self.weights.get(&server);
+            let weight_share = weight.map_or(0.0, |weight| weight / total_weight.max(f64::MIN_POSITIVE));
+            let kind = self.statuses.get(&server).map(|status| status.endpoint.kind);
+            let kind_response_time = kind.and_then(|kind| kinds.get(&kind)).copied().unwrap_or(0.0);
+            let statistics = FleetStatistics { weight_share, kind_response_time, ..statistics };
+            mailboxes.send(Component::Server(server), Message::Evaluate(statistics));
+        }
+    }
+
+    /// What all servers compare themselves with.
+    fn statistics(&mut self) -> FleetStatistics {
+        let responses = std::mem::take(&mut self.new_responses);
+        let ready = || self.statuses.values().filter(|status| status.is_ready());
+        FleetStatistics {
+            median_response_time: median(ready().filter_map(|status| status.response_time).collect()),
+            median_error_rate: median(ready().map(|status| status.error_rate).collect()),
+            responses,
+            general_failure: self.retries.general_failure,
+            unresponsive_after: unresponsive_after(ready().count()),
+            // The time of a late response, and that until it is reported.
+            max_report_gap: self.overload_response_time + self.reports.mean_window(),
+            ..FleetStatistics::default()
+        }
+    }
+
+    /// Mean response time of each kind of servers, ns, where enough responses are known.
+    fn response_times_by_kind(&self) -> BTreeMap<u16, f64> {
+        let mut kinds: BTreeMap<u16, ResponseTotals> = BTreeMap::new();
+        for status in self.statuses.values() {
+            let totals = kinds.entry(status.endpoint.kind).or_default();
+            totals.time += status.recent_responses.time;
+            totals.count += status.recent_responses.count;
+        }
+        kinds.retain(|_, totals| totals.count > KIND_PRIOR_RESPONSES);
+        kinds.into_iter().map(|(kind, totals)| (kind, totals.time / totals.count)).collect()
+    }
+
+    /// Applies all rules to the statuses of this evaluation, and tells servers and channel what came of it.
+    fn decide(&mut self, mailboxes: &mut Mailboxes) {
+        let now = mailboxes.now;
+        let ejected = servers_to_eject(&self.statuses);
+        let failure_rate = self.outcomes.failure_rate(now);
+        let recent = self.recent_outcomes.read(now, self.report_interval);
+        self.update_admission(recent, self.included_weight(&ejected), mailboxes);
+        let general_failure_rate = if self.retries.is_operation_spared(now) { 0.0 } else { failure_rate };
+        self.update_isolation(general_failure_rate, &recent, mailboxes);
+        self.update_retries(general_failure_rate, mailboxes);
+        self.update_weights(&ejected, 1.0 - failure_rate.max(recent.failure_rate()), now);
+        self.send_decisions(&ejected, mailboxes);
+    }
+
+    /// Weight of the servers that are ready and not ejected, warming ones up to their limit.
+    fn included_weight(&self, ejected: &BTreeSet<ServerId>) -> f64 {
+        let included = self
+            .statuses
+            .values()
+            .filter(|status| status.is_ready() && !ejected.contains(&status.endpoint.server));
+        included.map(|status| status.slow_start_limit.unwrap_or(status.listed_weight)).sum()
+    }
+
+    pub(crate) fn update_admission(
+        &mut self,
+        recent: OutcomeTotals,
+        ready_weight: f64,
+        mailboxes: &mut Mailboxes,
+    ) {
+        let inputs = AdmissionInputs {
+            recent,
+            overload_response_time: self.overload_response_time,
+            ready_weight,
+            isolated: self.isolation.is_active(),
+        };
+        self.admission.update(&inputs, &mut self.limits, mailboxes);
+    }
+
+    fn update_isolation(&mut self, failure_rate: f64, recent: &OutcomeTotals, mailboxes: &mut Mailboxes) {
+        let late = self.overload_response_time;
+        self.isolation.update(failure_rate, recent, late, &self.statuses, mailboxes);
+        mailboxes.send(Component::Channel, Message::Isolate(self.isolation.is_active()));
+    }
+
+    fn update_retries(&mut self, failure_rate: f64, mailboxes: &mut Mailboxes) {
+        let isolated = self.isolation.is_active();
+        self.retries.update(failure_rate, isolated, &mut self.limits, mailboxes);
+        mailboxes.send(Component::Channel, Message::AdmissionLimits(self.limits.clone()));
+    }
+
+    pub(crate) fn update_weights(&mut self, ejected: &BTreeSet<ServerId>, success_rate: f64, now: Nanos) {
+        let statuses = &self.statuses;
+        let last_report = self.reports.last;
+        self.weights =
+            self.slow_start.weights(&WeightInputs { statuses, ejected, success_rate, last_report, now });
+    }
+
+    /// Tells each server whether it is ejected, and the channel its weight.
+    fn send_decisions(&self, ejected: &BTreeSet<ServerId>, mailboxes: &mut Mailboxes) {
+        for (&server, status) in &self.statuses {
+            let is_ejected = ejected.contains(&server);
+            mailboxes.send(Component::Server(server), Message::Ejection(is_ejected));
+            let included = status.is_ready() && !is_ejected;
+            let weight = self.weights.get(&server).copied().unwrap_or(status.weight);
+            let desired = DesiredWeight {
+                weight: if included { weight } else { 0.0 },
+                urgent: !status.is_ready() || !status.warm,
+                must_exclude: status.must_exclude,
+                unready: !status.is_ready(),
+                locality: status.endpoint.locality,
+                restarted: status.endpoint.started_at > 0,
+            };
+            mailboxes.send(Component::Channel, Message::DesiredWeight(server, desired));
+        }
+    }
+}
--- a/src/message.rs
+++ b/src/message.rs
@@ -125,6 +125,14 @@
     }
 }
 
+/// Recent responses: how many, and their time together.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub(crate) struct ResponseTotals {
+    pub(crate) count: f64,
+    /// ns
+    pub(crate) time: f64,
+}
+
 /// What a server reports of itself to the fleet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerStatus {
@@ -148,13 +156,14 @@
     pub(crate) slow_start_limit: Option<f64>,
     /// Its mean response time, ns.
     pub(crate) response_time: Option<f64>,
-    /// Time of recent responses, ns, and how many they were.
-    pub(crate) recent_responses: (f64, f64),
+    /// Its recent responses.
+    pub(crate) recent_responses: ResponseTotals,
     /// Share of its attempts that failed, 0 to 1.
     pub(crate) error_rate: f64,
 }
 
 impl ServerStatus {
+    /// Whether it is listed to take requests.
     pub(crate) fn is_ready(&self) -> bool {
         self.endpoint.readiness == Readiness::Ready
     }
--- /dev/null
+++ b/src/server.rs
@@ -0,0 +1,235 @@
+//! What is known of one server, and its evaluation, put together from the rules in `health`, `ejection` and
+//! `slow_start`. The controller hands it messages; the fleet asks for its status at each evaluation.
+
+use crate::ejection::{detect_fault, Ejection, Responsiveness};
+use crate::health::{
+    capacity_factor, HealthScore, HealthState, ResponseTimes, CAPACITY_EXPONENT, NOMINAL_KIND_EXPONENT,
+    RESPONSE_TIME_CONSTANT,
+};
+use crate::interface::*;
+use crate::message::*;
+use crate::slow_start::SlowStart;
+use crate::statistics::{AttemptSums, PRIOR_ATTEMPTS};
+
+#[cfg(test)]
+mod tests;
+
+/// Recent attempts from which proxies count as sending to a server.
+const MIN_RECENT_ATTEMPTS: f64 = 0.1;
+/// Recent responses from which a server that is no longer listed still counts as ready, where a list may drop servers
+/// wrongly.
+const MIN_RESPONSES_UNLISTED: f64 = PRIOR_ATTEMPTS;
+
+/// What all servers are evaluated by.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ServerConfig {
+    pub(crate) slow_start: SlowStart,
+    /// From an action until reports show its effect, at the longest, ns.
+    pub(crate) feedback_delay: Nanos,
+    /// Listed weights are nominal capacities; otherwise all count as 1.
+    pub(crate) capacities_listed: bool,
+    /// Power of the ratio of response times between kinds of servers.
+    pub(crate) kind_exponent: f64,
+    /// Requests may still go to a server that was removed without having drained.
+    pub(crate) removal_is_advisory: bool,
+}
+
+impl ServerConfig {
+    pub(crate) fn new(config: &ControllerConfig) -> Self {
+        let capacities_listed = config.listed_capacity == ListedCapacity::Nominal;
+        ServerConfig {
+            slow_start: SlowStart::new(config),
+            feedback_delay: (config.worst_transit + 2 * config.report_interval).max(1),
+            capacities_listed,
+            kind_exponent: if capacities_listed { NOMINAL_KIND_EXPONENT } else { CAPACITY_EXPONENT },
+            removal_is_advisory: config.removal_is_advisory,
+        }
+    }
+}
+
+/// One server as the proxies of this supervisor experience it.
+#[derive(Debug, Default)]
+pub(crate) struct Server {
+    /// As it is listed.
+    pub(crate) endpoint: Endpoint,
+    /// Since when it is listed, removed, or back from an ejection.
+    pub(crate) state_since: Nanos,
+    /// Recent attempts there and failures.
+    pub(crate) outcomes: AttemptSums,
+    pub(crate) response_times: ResponseTimes,
+    pub(crate) responsiveness: Responsiveness,
+    pub(crate) health: HealthState,
+    pub(crate) ejection: Ejection,
+    evaluated_at: Nanos,
+}
+
+impl Server {
+    pub(crate) fn new(endpoint: Endpoint, now: Nanos) -> Self {
+        Server { endpoint, state_since: now, evaluated_at: now, ..Server::default() }
+    }
+
+    /// When it last changed state or responded.
+    pub(crate) fn last_active(&self) -> Nanos {
+        self.state_since.max(self.responsiveness.last_response)
+    }
+
+    pub(crate) fn handle(&mut self, message: Message, config: &ServerConfig, mailboxes: &mut Mailboxes) {
+        let now = mailboxes.now;
+        match message {
+            Message::Listed(endpoint) => self.follow_list(endpoint, now),
+            Message::Removed => {
+                if self.endpoint.readiness == Readiness::Ready {
+                    self.endpoint.readiness = Readiness::Removed;
+                }
+                self.state_since = now;
+            }
+            Message::RestoredServer { snapshot, age } if self.responsiveness.last_response == 0 => {
+                self.restore(&snapshot, age, config.feedback_delay, now)
+            }
+            Message::Report(report) => self.record_report(&report, mailboxes),
+            Message::Evaluate(fleet) => {
+                let status = self.evaluate(fleet, config, now);
+                mailboxes.send(Component::Fleet, Message::Status(status));
+            }
+            Message::Ejection(true) if !self.ejection.is_active() => {
+                let fault = self.ejection.begin(now);
+                mailboxes.log(format!("server {} ejected: {fault}", self.endpoint.server));
+            }
+            _ => {}
+        }
+    }
+
+    /// Takes what the list says: a restarted server begins anew.
+    fn follow_list(&mut self, endpoint: Endpoint, now: Nanos) {
+        let before = self.endpoint.readiness;
+        let became_ready = endpoint.readiness == Readiness::Ready && before != Readiness::Ready;
+        if endpoint.started_at > self.endpoint.started_at || became_ready {
+            *self = Server::new(endpoint, now);
+        }
+        let before = self.endpoint.readiness;
+        if endpoint.readiness == Readiness::Removed && before != Readiness::Removed {
+            self.state_since = now;
+        }
+        // What drained must stay excluded when it is removed.
+        let drained = before == Readiness::Draining && endpoint.readiness == Readiness::Removed;
+        let readiness = if drained { before } else { endpoint.readiness };
+        self.endpoint = Endpoint { readiness, ..endpoint };
+    }
+
+    /// Takes what proxies observed at it, and passes the sums on to the fleet.
+    pub(crate) fn record_report(&mut self, report: &EndpointReport, mailboxes: &mut Mailboxes) {
+        let now = mailboxes.now;
+        let attempts = f64::from(report.attempts);
+        let failures = f64::from(report.failures.min(report.attempts));
+        let responses = attempts - failures;
+        self.outcomes.add(now, attempts, failures);
+        let mut time = 0.0;
+        if responses > 0.0 && report.response_time > 0 {
+            time = report.response_time as f64 * responses;
+            self.response_times.add(now, responses, time);
+        }
+        if responses > 0.0 {
+            self.responsiveness.record_response(now);
+        }
+        self.ejection.last_report_good = responses > failures;
+        let window = report.window as f64;
+        mailboxes.send(Component::Fleet, Message::Observed { attempts, failures, time, window });
+    }
+
+    /// Compares it with the fleet, follows its ejection, and gives its status.
+    pub(crate) fn evaluate(
+        &mut self,
+        fleet: FleetStatistics,
+        config: &ServerConfig,
+        now: Nanos,
+    ) -> ServerStatus {
+        let elapsed = now.saturating_sub(self.evaluated_at);
+        self.evaluated_at = now;
+        self.responsiveness.apply_share(fleet.weight_share, elapsed, config.feedback_delay);
+        let feedback_due = now.saturating_sub(self.state_since) > config.feedback_delay;
+        self.responsiveness.count_missing(fleet.responses, feedback_due);
+
+        let error_rate = self.outcomes.failure_rate(now);
+        let response_time = self.response_times.mean(now, fleet.kind_response_time);
+        let score = HealthScore::new(error_rate, response_time, &fleet);
+        let fault =
+            detect_fault(&self.responsiveness, self.state_since, &score, &mut self.health, &fleet, now);
+        let missing_responses = self.responsiveness.missing_responses;
+        if self.ejection.update(fault, missing_responses, elapsed, now) {
+            self.return_from_ejection(now);
+        }
+        let evaluation = Evaluation { error_rate, response_time, score };
+        self.status(&evaluation, &fleet, config, now)
+    }
+
+    /// Begins anew after an ejection, with a small share of its weight.
+    pub(crate) fn return_from_ejection(&mut self, now: Nanos) {
+        *self = Server { ejection: self.ejection.ended(), ..Server::new(self.endpoint, now) };
+    }
+
+    /// Its status after an evaluation.
+    fn status(
+        &mut self,
+        evaluation: &Evaluation,
+        fleet: &FleetStatistics,
+        config: &ServerConfig,
+        now: Nanos,
+    ) -> ServerStatus {
+        let Evaluation { error_rate, response_time, score } = *evaluation;
+        let slow_start_share = config.slow_start.weight_share(self.endpoint.started_at, now);
+        let warm = slow_start_share >= 1.0;
+        let listed_weight = if config.capacities_listed { self.endpoint.weight } else { 1.0 };
+        let factor = capacity_factor(response_time, fleet, config.kind_exponent);
+        let health_share = self.health.weight_share(score.goodness());
+        let endpoint = self.effective_endpoint(config, now);
+        let missing_share = self.responsiveness.missing_responses / fleet.unresponsive_after.max(1.0);
+        ServerStatus {
+            endpoint,
+            must_exclude: self.must_exclude(endpoint.readiness, config),
+            warm,
+            ejected: self.ejection.is_active(),
+            fault: self.ejection.fault,
+            severity: score.errors + score.latency + missing_share,
+            weight: listed_weight * factor * health_share * self.ejection.recovery.min(slow_start_share),
+            listed_weight,
+            slow_start_limit: (!warm).then_some(listed_weight * slow_start_share),
+            response_time: response_time.filter(|_| !self.ejection.is_active()),
+            recent_responses: ResponseTotals {
+                count: self.response_times.responses.sum,
+                time: self.response_times.total.sum,
+            },
+            error_rate,
+        }
+    }
+
+    /// The endpoint as it counts: where a list may drop servers wrongly, one that still responds is ready.
+    fn effective_endpoint(&mut self, config: &ServerConfig, now: Nanos) -> Endpoint {
+        let responds = config.removal_is_advisory
+            && self.response_times.responses.read(now, RESPONSE_TIME_CONSTANT) > MIN_RESPONSES_UNLISTED;
+        let mut endpoint = self.endpoint;
+        if responds && endpoint.readiness == Readiness::Removed {
+            endpoint.readiness = Readiness::Ready;
+        }
+        endpoint
+    }
+
+    /// Whether no proxy may send to it, whatever its table says.
+    fn must_exclude(&self, readiness: Readiness, config: &ServerConfig) -> bool {
+        match readiness {
+            Readiness::Ready => false,
+            Readiness::Draining => true,
+            Readiness::Removed => {
+                !config.removal_is_advisory && self.outcomes.attempts.sum > MIN_RECENT_ATTEMPTS
+            }
+        }
+    }
+}
+
+/// What an evaluation found, before any ejection ended.
+struct Evaluation {
+    /// Share of recent attempts that failed, 0 to 1.
+    error_rate: f64,
+    /// Mean response time, ns.
+    response_time: Option<f64>,
+    score: HealthScore,
+}
--- /dev/null
+++ b/src/snapshot.rs
@@ -0,0 +1,133 @@
+//! What survives a restart, and what it weighs by its age: servers and fleet write their part of a [`Snapshot`] and
+//! begin from one.
+//!
+//! Guards callers against a controller that learns again, at their cost, which servers fail. Servers that recovered
+//! meanwhile return after [`MAX_EJECTION_TIME`] at the latest.
+
+use crate::ejection::{BASE_EJECTION_TIME, FALSE_POSITIVES, MAX_EJECTION_TIME, RETURN_SHARE};
+use crate::fleet::Fleet;
+use crate::health::{Health, RESPONSE_TIME_CONSTANT};
+use crate::interface::*;
+use crate::message::*;
+use crate::server::Server;
+use crate::slow_start::USUAL_WEIGHT_TIME_CONSTANT;
+use crate::statistics::{DecayingSum, OUTCOME_TIME_CONSTANT};
+
+#[cfg(test)]
+mod tests;
+
+/// Share that restored sums weigh, beside what they decay by their age.
+const RESTORED_SHARE: f64 = 0.8;
+/// States, such as health or a limit, are restored up to this age; sums always.
+const MAX_STATE_AGE: Nanos = 60 * SECOND;
+
+/// What a restored sum weighs by its age.
+fn restored_share(age: Nanos, time_constant: Nanos) -> f64 {
+    RESTORED_SHARE * (-(age as f64) / time_constant as f64).exp()
+}
+
+impl Server {
+    /// What is known of it, as of `now`.
+    pub(crate) fn snapshot(&mut self, now: Nanos) -> ServerSnapshot {
+        let outcomes = self.outcomes.read(now);
+        ServerSnapshot {
+            server: self.endpoint.server,
+            attempts: outcomes.attempts,
+            failures: outcomes.failures,
+            responses: self.response_times.responses.read(now, RESPONSE_TIME_CONSTANT),
+            response_time_sum: self.response_times.total.read(now, RESPONSE_TIME_CONSTANT),
+            missing_responses: self.responsiveness.missing_responses.max(0.0),
+            applied_share: self.responsiveness.applied_share,
+            health: self.health.health as u8,
+            recovery: self.ejection.recovery,
+            ejected_for: self.ejection.since.map(|since| now.saturating_sub(since)),
+            unresponsive: self.ejection.fault == Some(Fault::Unresponsive),
+            ejection_time: self.ejection.duration,
+        }
+    }
+
+    /// Takes what was known of it `age` ago; `feedback_delay`, ns, is the longest time until reports show an action's
+    /// effect.
+    pub(crate) fn restore(
+        &mut self,
+        snapshot: &ServerSnapshot,
+        age: Nanos,
+        feedback_delay: Nanos,
+        now: Nanos,
+    ) {
+        let restored = |sum: f64, time_constant: Nanos| DecayingSum {
+            sum: sum * restored_share(age, time_constant),
+            updated_at: now,
+        };
+        self.outcomes.attempts = restored(snapshot.attempts, OUTCOME_TIME_CONSTANT);
+        self.outcomes.failures = restored(snapshot.failures, OUTCOME_TIME_CONSTANT);
+        self.response_times.responses = restored(snapshot.responses, RESPONSE_TIME_CONSTANT);
+        self.response_times.total = restored(snapshot.response_time_sum, RESPONSE_TIME_CONSTANT);
+        if age > MAX_STATE_AGE {
+            return;
+        }
+        self.health.health = Health::from_number(snapshot.health);
+        // Proxies still apply the earlier tables: a server that is silent now was silent before.
+        self.responsiveness.responded = false;
+        self.responsiveness.missing_responses =
+            snapshot.missing_responses * restored_share(age, OUTCOME_TIME_CONSTANT);
+        self.responsiveness.applied_share = snapshot.applied_share;
+        if age < feedback_delay {
+            self.state_since = now.saturating_sub(feedback_delay);
+        }
+        self.restore_ejection(snapshot, age, now);
+    }
+
+    /// An ejection goes on for what is left of it; one that is over has ended.
+    fn restore_ejection(&mut self, snapshot: &ServerSnapshot, age: Nanos, now: Nanos) {
+        self.ejection.recovery = snapshot.recovery.clamp(RETURN_SHARE, 1.0);
+        self.ejection.duration = snapshot.ejection_time.clamp(BASE_EJECTION_TIME, MAX_EJECTION_TIME);
+        let Some(ejected_for) = snapshot.ejected_for.map(|before| before.saturating_add(age)) else {
+            return;
+        };
+        if ejected_for >= self.ejection.duration {
+            return self.return_from_ejection(now);
+        }
+        let fault = if snapshot.unresponsive { Fault::Unresponsive } else { Fault::Score };
+        self.ejection.since = Some(now.saturating_sub(ejected_for));
+        self.ejection.fault = Some(fault);
+        // It counts as silent, so that its first response ends the ejection.
+        self.responsiveness.missing_responses = 1.0 / FALSE_POSITIVES;
+    }
+}
+
+impl Fleet {
+    /// What is known of all servers together, as of `now`; each server adds its own part.
+    pub(crate) fn snapshot(&mut self, now: Nanos) -> Snapshot {
+        let outcomes = self.outcomes.read(now);
+        Snapshot {
+            servers: Vec::new(),
+            attempts: outcomes.attempts,
+            failures: outcomes.failures,
+            usual_weight: self.slow_start.usual_weight.read(now, USUAL_WEIGHT_TIME_CONSTANT),
+            peak_load: self.admission.peak_load,
+            load_limit: self.admission.load_limit,
+            isolation_left: self.isolation.until.saturating_sub(now),
+            isolation_time: self.isolation.duration,
+        }
+    }
+
+    /// Takes what was known `age` ago.
+    pub(crate) fn restore(&mut self, snapshot: &Snapshot, age: Nanos, now: Nanos) {
+        let share = restored_share(age, OUTCOME_TIME_CONSTANT);
+        self.outcomes.add(now, snapshot.attempts * share, snapshot.failures * share);
+        if age > MAX_STATE_AGE {
+            return;
+        }
+        // The usual weight is no evidence of anything: it decays, and is not worth less beside.
+        let usual_share = restored_share(age, USUAL_WEIGHT_TIME_CONSTANT);
+        self.slow_start.usual_weight =
+            DecayingSum { sum: snapshot.usual_weight * usual_share / RESTORED_SHARE, updated_at: now };
+        self.admission.peak_load = snapshot.peak_load;
+        self.admission.load_limit = snapshot.load_limit;
+        self.isolation.duration = snapshot.isolation_time;
+        if snapshot.isolation_left > age {
+            self.isolation.until = now + snapshot.isolation_left - age;
+        }
+    }
+}
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -2,8 +2,12 @@
 
 use rstest::fixture;
 
+use crate::fleet::Fleet;
+use crate::health::CAPACITY_EXPONENT;
 use crate::interface::*;
-use crate::message::SECOND;
+use crate::message::*;
+use crate::server::{Server, ServerConfig};
+use crate::slow_start::{SlowStart, SlowStartGuard, CAUTION};
 use crate::Controller;
 
 /// When tests begin.
@@ -82,3 +86,74 @@
     brain.decide(START, vec![listed((1..5).map(endpoint)), joined(1)]);
     brain
 }
+
+/// What proxies observed at a server in one second; its responses took 0.2 s.
+pub(crate) fn report(server: ServerId, attempts: u32, failures: u32) -> EndpointReport {
+    EndpointReport {
+        server,
+        locality: 0,
+        attempts,
+        failures,
+        response_time: if failures < attempts { SECOND / 5 } else { 0 },
+        window: SECOND,
+        load: Vec::new(),
+    }
+}
+
+/// Hands a server a report on itself at `now`.
+pub(crate) fn record_report(server: &mut Server, attempts: u32, failures: u32, now: Nanos) {
+    let observed = report(server.endpoint.server, attempts, failures);
+    server.record_report(&observed, &mut Mailboxes::at(now));
+}
+
+pub(crate) fn server_config() -> ServerConfig {
+    ServerConfig {
+        slow_start: SlowStart { capacity: 0.2, duration: 10 * SECOND, overload_factor: 1.0 },
+        feedback_delay: 2 * SECOND,
+        capacities_listed: false,
+        kind_exponent: CAPACITY_EXPONENT,
+        removal_is_advisory: false,
+    }
+}
+
+/// Status of a healthy, warm server.
+pub(crate) fn status(server: ServerId) -> ServerStatus {
+    ServerStatus {
+        endpoint: endpoint(server),
+        must_exclude: false,
+        warm: true,
+        ejected: false,
+        fault: None,
+        severity: 0.0,
+        weight: 1.0,
+        listed_weight: 1.0,
+        slow_start_limit: None,
+        response_time: None,
+        recent_responses: ResponseTotals::default(),
+        error_rate: 0.0,
+    }
+}
+
+/// Status of a server that warms up.
+pub(crate) fn warming(server: ServerId, slow_start_limit: f64) -> ServerStatus {
+    ServerStatus { warm: false, slow_start_limit: Some(slow_start_limit), ..status(server) }
+}
+
+/// A fleet of these servers, which had its last report at [`START`].
+pub(crate) fn fleet(statuses: impl IntoIterator<Item = ServerStatus>) -> Fleet {
+    let report_interval = 10 * SECOND;
+    let mut fleet = Fleet {
+        statuses: statuses.into_iter().map(|status| (status.endpoint.server, status)).collect(),
+        report_interval,
+        overload_response_time: SECOND as f64,
+        ..Fleet::default()
+    };
+    fleet.reports.last = START;
+    fleet.slow_start = SlowStartGuard {
+        report_interval,
+        avoidance_failure_rate: 0.4,
+        caution: CAUTION,
+        ..SlowStartGuard::default()
+    };
+    fleet
+}
