--- a/src/channel.rs
+++ b/src/channel.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::deadlines::{Ledger, Obligation};
+use crate::deadlines::{DeadlineStatistics, Obligation};
 use crate::interface::*;
 use crate::message::*;
 use crate::pacing::Pacing;
@@ -98,7 +98,7 @@
     pub(crate) grace: Nanos,
     /// When whole tables were last too long to be told in time.
     pressed: Option<Nanos>,
-    ledger: Ledger,
+    ledger: DeadlineStatistics,
     /// Lines that joiners may take before the next changes to others.
     pub(crate) turn: f64,
     pub(crate) supervisor: f64,
@@ -193,10 +193,10 @@
             }
             Message::Left(proxy) => {
                 self.members.remove(&proxy);
-                self.pacing.left(proxy);
+                self.pacing.remove_proxy(proxy);
             }
-            Message::Acknowledged { proxy, serial } => self.pacing.confirmed(proxy, serial, mailboxes.now),
-            Message::Backlog(lines) => self.pacing.inherit(lines, mailboxes.now),
+            Message::Acknowledged { proxy, serial } => self.pacing.acknowledge(proxy, serial, mailboxes.now),
+            Message::Backlog(lines) => self.pacing.take_over_backlog(lines, mailboxes.now),
             Message::Flush => self.flush(mailboxes),
             _ => {}
         }
@@ -218,7 +218,7 @@
 
     /// What has a deadline goes first, by the earliest; whole tables and what only serves better share the rest.
     fn flush(&mut self, mailboxes: &mut Mailboxes) {
-        self.pacing.waiting(mailboxes.now);
+        self.pacing.update_queue(mailboxes.now);
         self.choose_tables(mailboxes.now);
         self.fill_unused(mailboxes);
         let newcomers_due = self.newcomers().map(|member| self.newcomer_due(member)).min();
@@ -241,7 +241,7 @@
 
     fn report(&mut self, mailboxes: &mut Mailboxes) {
         let owed = self.newcomers().count();
-        if let Some(line) = self.ledger.report(owed, mailboxes.now, SECOND) {
+        if let Some(line) = self.ledger.log_line(owed, mailboxes.now, SECOND) {
             mailboxes.log(line);
         }
     }
@@ -259,7 +259,7 @@
 
     /// Lines of a message that puts a proxy on a small table.
     fn stand_in_lines(&self) -> f64 {
-        self.pacing.overhead + 2.0 + self.gates.len() as f64 + self.stand_in_servers() as f64
+        self.pacing.message_overhead + 2.0 + self.gates.len() as f64 + self.stand_in_servers() as f64
     }
 
     fn urgent_by_table(&self, now: Nanos) -> BTreeMap<TableId, (f64, Nanos)> {
@@ -289,21 +289,21 @@
             return;
         }
         self.limit_whole();
-        let capacity = self.pacing.capacity(now);
+        let capacity = self.pacing.forecast(now);
         let urgent = self.urgent_by_table(now);
         let users = self.users();
-        let heads = self.pacing.overhead + 1.0;
+        let heads = self.pacing.message_overhead + 1.0;
         let short = self.stand_in_lines();
         let changes: Vec<Obligation> = urgent
             .iter()
             .map(|(table, (lines, due))| {
                 let users = users.get(table).copied().unwrap_or_default();
-                Obligation { due: *due, lines: users * (heads + lines) }
+                Obligation { deadline: *due, lines: users * (heads + lines) }
             })
             .collect();
         let newcomers_whole = self.newcomer_obligations(now);
         let mut whole: Vec<Obligation> = changes.iter().chain(&newcomers_whole).copied().collect();
-        if capacity.keeps(&mut whole) {
+        if capacity.meets_all(&mut whole) {
             return self.restore_whole(now, urgent.is_empty());
         }
         self.pressed = Some(now);
@@ -313,7 +313,7 @@
         let newcomers_short = newcomers_whole.iter().map(|owed| Obligation { lines: short, ..*owed });
         let mut rest: Vec<Obligation> = changes.into_iter().chain(newcomers_short).collect();
         let whole_lines = urgent.get(&WHOLE).map_or(0.0, |(lines, _)| *lines);
-        if whole_lines + heads > short && !capacity.keeps(&mut rest) {
+        if whole_lines + heads > short && !capacity.meets_all(&mut rest) {
             let on_whole = |member: &Member| member.bound == Some(WHOLE) && member.table == WHOLE;
             let moving = self.members.iter().filter(|(_, member)| on_whole(member));
             let moving: Vec<ProxyId> = moving.map(|(&proxy, _)| proxy).collect();
@@ -331,7 +331,7 @@
         let (held, back) = lines.get(&WHOLE).copied().unwrap_or_default();
         let message = |member: &Member| {
             let small = member.table != WHOLE;
-            let table = if small { self.stand_in_lines() } else { self.pacing.overhead + held };
+            let table = if small { self.stand_in_lines() } else { self.pacing.message_overhead + held };
             table + if member.brought && !small { back } else { 0.0 }
         };
         let owed = self.newcomers().map(|member| (member.joined, self.newcomer_due(member), message(member)));
@@ -339,10 +339,11 @@
         let (mut came, since) = (0, now.saturating_sub((WAVE_PART * self.grace as f64) as Nanos));
         for (joined, due, lines) in owed {
             came += usize::from(joined >= since);
-            obligations.push(Obligation { due, lines });
+            obligations.push(Obligation { deadline: due, lines });
         }
         let others = (self.proxies as usize).saturating_sub(self.members.len());
-        let expected = Obligation { due: now + self.grace, lines: self.pacing.overhead + held + back };
+        let expected =
+            Obligation { deadline: now + self.grace, lines: self.pacing.message_overhead + held + back };
         obligations.extend(std::iter::repeat_n(expected, came.min(others)));
         obligations
     }
@@ -354,7 +355,7 @@
 
     /// As many proxies go by the whole table as could all be moved to small ones within a grace.
     fn whole_most(&self) -> usize {
-        let sending = self.pacing.sending_lines(self.grace) - self.pacing.prompt;
+        let sending = self.pacing.deliverable_lines(self.grace) - self.pacing.configured_queue_target;
         (MOVE_PART * sending.max(0.0) / self.stand_in_lines()) as usize
     }
 
@@ -481,7 +482,8 @@
             return false;
         }
         // A whole table does as well: until it cannot be there in time, it is waited for.
-        let warn = now + self.grace.min((self.pacing.waiting / self.pacing.pace()) as Nanos);
+        let warn =
+            now + self.grace.min((self.pacing.queued_lines / self.pacing.learned_lines_per_ns()) as Nanos);
         let late = |member: &Member| warn >= member.joined + (WARN_PART * self.grace as f64) as Nanos;
         self.members.values().any(|member| member.bound.is_none() && late(member))
     }
@@ -556,30 +558,31 @@
             *urgent.entry(change.table).or_default() += 1.0;
         }
         let owed = changes.iter().filter(|change| change.rank == 0).count();
-        let heads = self.pacing.overhead + 1.0;
+        let heads = self.pacing.message_overhead + 1.0;
         let all_heads = heads * self.members.len() as f64;
-        let gap = BATCH_GAP.max((all_heads / HEADS_PART / self.pacing.lines_per_ns) as Nanos);
+        let gap = BATCH_GAP.max((all_heads / HEADS_PART / self.pacing.configured_lines_per_ns) as Nanos);
         let due = now.saturating_sub(self.flushed) >= gap || self.flushed == 0;
         // What is urgent may need as many lines as its heads.
-        let ordinary = URGENT_ROOM - 2.0 * all_heads / self.pacing.room;
+        let ordinary = URGENT_ROOM - 2.0 * all_heads / self.pacing.capacity_lines;
         let ordinary = ordinary.clamp(ORDINARY_ROOM, JOIN_ROOM);
-        let waiting = self.pacing.waiting(now);
-        let room = |part: f64| part * self.pacing.room - waiting;
+        let waiting = self.pacing.update_queue(now);
+        let room = |part: f64| part * self.pacing.capacity_lines - waiting;
         // What is thought to travel waits where the channel has just become slow.
-        let rule = (URGENT_ROOM - self.pacing.travelling() / self.pacing.room).max(JOIN_ROOM);
+        let rule = (URGENT_ROOM - self.pacing.lines_in_transit() / self.pacing.capacity_lines).max(JOIN_ROOM);
         let strangers = readers.contains_key(&SHUNNED);
         let bound = readers.len() > usize::from(strangers);
         // Joiners have their turn. What would only wait in the channel waits here, and gathers: it arrives no
         // later, in fewer messages.
         let theirs = strangers && self.turn > 0.0 && room(JOIN_ROOM) > 0.0;
-        let long = waiting > self.pacing.prompt_lines() && !self.pacing.may_probe(now);
+        let long = waiting > self.pacing.queue_target() && !self.pacing.is_probe_due(now);
         let prompt = due && !long && !theirs;
         // Of what only serves better, no more than goes until the next: what is urgent would stand behind it.
-        let until_next = if self.is_calm(now) { self.pacing.pace() * gap as f64 } else { 0.0 };
-        let ordinary = ordinary.min((self.pacing.prompt_lines() + until_next) / self.pacing.room);
+        let until_next =
+            if self.is_calm(now) { self.pacing.learned_lines_per_ns() * gap as f64 } else { 0.0 };
+        let ordinary = ordinary.min((self.pacing.queue_target() + until_next) / self.pacing.capacity_lines);
         // Half of what a limit on messages leaves is for what is urgent.
-        let most = self.pacing.messages_half * if owed > 0 { 1.0 } else { ORDINARY_ROOM };
-        if !(owed > 0 || prompt) || self.pacing.written + 1.0 > most.max(1.0) {
+        let most = self.pacing.half_message_limit * if owed > 0 { 1.0 } else { ORDINARY_ROOM };
+        if !(owed > 0 || prompt) || self.pacing.recent_messages + 1.0 > most.max(1.0) {
             return owed == 0;
         }
         let mut sending =
@@ -626,9 +629,9 @@
         }
         let reached = self.reached(&sending.touched);
         if !reached.is_empty() {
-            self.turn =
-                (TURN * sending.cost).min(WARN_PART / 2.0 * self.grace as f64 * self.pacing.lines_per_ns);
-            self.pacing.book(sending.cost, reached, mailboxes);
+            self.turn = (TURN * sending.cost)
+                .min(WARN_PART / 2.0 * self.grace as f64 * self.pacing.configured_lines_per_ns);
+            self.pacing.record_sent(sending.cost, reached, mailboxes);
         }
         if sent == owed && sending.touched.iter().any(|(table, _)| *table == SHUNNED) {
             self.members.values_mut().for_each(|member| member.warned |= member.bound.is_none());
@@ -651,12 +654,12 @@
         let due =
             urgent.map(|change| self.unready.get(&change.server).copied().unwrap_or(now) + self.grace).min();
         let margin = (WARN_PART * self.grace as f64) as Nanos;
-        due.is_some_and(|due| self.pacing.capacity(now).arrival(lines + heads) + margin < due)
+        due.is_some_and(|due| self.pacing.forecast(now).arrival(lines + heads) + margin < due)
     }
 
     /// Notes when drains that are told now arrive.
     fn enter(&mut self, changes: &[Change], sending: &Sending, now: Nanos) {
-        let arrival = self.pacing.capacity(now).arrival(sending.cost);
+        let arrival = self.pacing.forecast(now).arrival(sending.cost);
         let mut dues: BTreeMap<TableId, Nanos> = BTreeMap::new();
         for change in changes.iter().filter(|change| change.table != SHUNNED) {
             if let Some(told) = self.unready.get(&change.server) {
@@ -666,7 +669,7 @@
         }
         for (table, due) in dues {
             let users = sending.readers.get(&table).copied().unwrap_or_default();
-            self.ledger.enter(users as usize, due, arrival);
+            self.ledger.record(users as usize, due, arrival);
         }
     }
 
@@ -721,20 +724,23 @@
         waiting.sort_by(|(due_a, _, a), (due_b, _, b)| {
             due_a.cmp(due_b).then(a.bound.cmp(&b.bound)).then(b.came.sum.total_cmp(&a.came.sum))
         });
-        let queued = self.pacing.waiting(mailboxes.now);
-        let rule = (URGENT_ROOM - self.pacing.travelling() / self.pacing.room).max(JOIN_ROOM);
+        let queued = self.pacing.update_queue(mailboxes.now);
+        let rule = (URGENT_ROOM - self.pacing.lines_in_transit() / self.pacing.capacity_lines).max(JOIN_ROOM);
         let room = match joins {
-            Joins::Urgent => self.pacing.room * rule - queued,
-            Joins::Within(part) => (self.pacing.room * part).min(self.pacing.prompt_lines()) - queued,
+            Joins::Urgent => self.pacing.capacity_lines * rule - queued,
+            Joins::Within(part) => {
+                (self.pacing.capacity_lines * part).min(self.pacing.queue_target()) - queued
+            }
         };
         // One goes where nothing waits, or to see whether the channel is slow or proxies are gone.
-        let probes = self.pacing.may_probe(mailboxes.now) && self.pacing.room * JOIN_ROOM > queued;
-        let one = !urgent && (self.pacing.waiting == 0.0 || probes);
+        let probes =
+            self.pacing.is_probe_due(mailboxes.now) && self.pacing.capacity_lines * JOIN_ROOM > queued;
+        let one = !urgent && (self.pacing.queued_lines == 0.0 || probes);
         let (mut cost, mut reached) = (0.0, BTreeSet::new());
         let mut entries = Vec::new();
         for (due, proxy, member) in waiting {
             let (held, back) = lines[&member.table];
-            let more = self.pacing.overhead + held + if member.brought { back } else { 0.0 };
+            let more = self.pacing.message_overhead + held + if member.brought { back } else { 0.0 };
             if cost + more > room && !(one && reached.is_empty()) {
                 break;
             }
@@ -746,9 +752,9 @@
         if reached.is_empty() {
             return;
         }
-        let capacity = self.pacing.capacity(mailboxes.now);
+        let capacity = self.pacing.forecast(mailboxes.now);
         for (due, lines) in entries.into_iter().filter(|_| urgent) {
-            self.ledger.enter(1, due, capacity.arrival(lines));
+            self.ledger.record(1, due, capacity.arrival(lines));
         }
         for proxy in &reached {
             if let Some(member) = self.members.get_mut(proxy) {
@@ -756,6 +762,6 @@
             }
         }
         self.turn -= cost;
-        self.pacing.book(cost, reached, mailboxes);
+        self.pacing.record_sent(cost, reached, mailboxes);
     }
 }
--- a/src/channel/tests.rs
+++ b/src/channel/tests.rs
@@ -1,7 +1,7 @@
 use rstest::rstest;
 
 use super::*;
-use crate::pacing::{Fence, Pacing};
+use crate::pacing::PendingMark;
 use crate::testing::*;
 use crate::Controller;
 
@@ -15,15 +15,15 @@
 ) {
     (config.removal_is_advisory, config.drain_grace) = (true, 4 * SECOND);
     let mut brain = running(&config);
-    brain.channel.pacing.waiting = config.channel_capacity * JOIN_ROOM;
-    brain.channel.pacing.at = START;
+    brain.channel.pacing.queued_lines = config.channel_capacity * JOIN_ROOM;
+    brain.channel.pacing.updated_at = START;
     let gone = Endpoint { readiness, ..endpoint(4) };
     let orders = brain.decide(START + 1, vec![Event::Endpoints(WatchEvent::Delta(vec![gone])), joined(2)]);
     let shuns = |orders: Vec<Action>| orders.contains(&Action::Exclude { server: 4, on: true });
     assert!(!shuns(orders), "its table may still come in time");
     // No room for a table, as before; a quarter of the grace, less what waits in the channel, has passed.
-    brain.channel.pacing.waiting = config.channel_capacity * JOIN_ROOM;
-    brain.channel.pacing.at = START + config.drain_grace / 8 + 2;
+    brain.channel.pacing.queued_lines = config.channel_capacity * JOIN_ROOM;
+    brain.channel.pacing.updated_at = START + config.drain_grace / 8 + 2;
     assert_eq!(shuns(brain.decide(START + config.drain_grace / 8 + 2, vec![])), told);
 }
 
@@ -84,52 +84,6 @@
     assert!((1..4).contains(&messages), "{messages}");
 }
 
-#[rstest]
-#[case::answered(4, 1, 0.0)]
-#[case::three_of_four_are_out(1, 1, 700.0)]
-#[case::taken_for_lost(1, 13, 0.0)]
-fn what_is_not_answered_still_waits(
-    config: ControllerConfig,
-    #[case] answers: ProxyId,
-    #[case] after: u64,
-    #[case] waiting: f64,
-) {
-    let mut pacing = Controller::new(&config).channel.pacing;
-    let due = START + 20 * SECOND;
-    pacing.fenced.insert(
-        1,
-        Fence { at: START, lines: 1_200.0, ahead: 1_200.0, messages: 4, open: (0..4).collect(), due },
-    );
-    (0..answers).for_each(|proxy| pacing.confirmed(proxy, 1, START));
-    assert!((pacing.waiting(START + after * SECOND) - waiting).abs() < 1e-6);
-}
-
-#[rstest]
-fn an_answer_counts_once_and_for_all_that_was_sent_before(config: ControllerConfig) {
-    let mut pacing = Controller::new(&config).channel.pacing;
-    let mut book = |at: u64, proxies: &[ProxyId]| {
-        let mut mailboxes = Mailboxes::at(START + at);
-        pacing.book(1_000.0, proxies.iter().copied().collect(), &mut mailboxes);
-        mailboxes.actions.len()
-    };
-    // What goes out in one reply is one message a proxy, with one mark.
-    assert_eq!((book(0, &[1, 2]), book(0, &[2, 3]), book(1, &[1, 2])), (1, 0, 1));
-    let open = |pacing: &Pacing| pacing.fenced.values().map(|fence| fence.open.len()).collect::<Vec<_>>();
-    assert_eq!(
-        (open(&pacing), pacing.fenced[&1].lines, pacing.fenced[&1].messages),
-        (vec![3, 2], 2_000.0, 3)
-    );
-    // Said twice, by one that owes nothing, and of a mark that there is not.
-    [(1, 1), (1, 1), (9, 1), (2, 7)]
-        .into_iter()
-        .for_each(|(proxy, mark)| pacing.confirmed(proxy, mark, START));
-    assert_eq!(open(&pacing), [2, 2]);
-    pacing.confirmed(2, 2, START);
-    assert_eq!(open(&pacing), [1], "messages leave one after another: the first ones have left");
-    pacing.left(1);
-    assert_eq!(open(&pacing), [0]);
-}
-
 #[rstest]
 fn newcomers_alone_are_told_again_what_is_shunned(mut config: ControllerConfig) {
     (config.proxy_count, config.channel_capacity) = (200, 5_000.0);
@@ -140,20 +94,21 @@
     brain.decide(START, vec![listed(cold.chain(drained))]);
     // No room for whole tables in time: all wait, and are told what is shunned.
     let full = |brain: &mut Controller, at: u64| {
-        brain.channel.pacing.fenced.clear();
-        (brain.channel.pacing.waiting, brain.channel.pacing.at) = (4_000.0 * JOIN_ROOM, START + at);
+        brain.channel.pacing.pending_marks.clear();
+        (brain.channel.pacing.queued_lines, brain.channel.pacing.updated_at) =
+            (4_000.0 * JOIN_ROOM, START + at);
     };
     full(&mut brain, 1);
     brain.decide(START + 1, (0..20).map(joined).collect());
-    assert_eq!(brain.channel.pacing.waiting, 2_000.0 + 20.0 * (5.0 + 1.0 + 50.0));
+    assert_eq!(brain.channel.pacing.queued_lines, 2_000.0 + 20.0 * (5.0 + 1.0 + 50.0));
     for at in 2..20 {
         full(&mut brain, at);
         let proxy = 20 + at as ProxyId;
         let orders = brain.decide(START + at, vec![joined(proxy)]);
         let shunned = orders.iter().filter(|order| matches!(order, Action::Exclude { on: true, .. })).count();
-        assert_eq!((shunned, brain.channel.pacing.waiting), (50, 2_000.0 + 5.0 + 1.0 + 50.0), "{at}");
-        let fence = brain.channel.pacing.fenced.values().next_back().unwrap();
-        assert!(fence.open.iter().eq([&proxy]), "{:?}", fence.open);
+        assert_eq!((shunned, brain.channel.pacing.queued_lines), (50, 2_000.0 + 5.0 + 1.0 + 50.0), "{at}");
+        let fence = brain.channel.pacing.pending_marks.values().next_back().unwrap();
+        assert!(fence.awaiting.iter().eq([&proxy]), "{:?}", fence.awaiting);
     }
 }
 
@@ -170,12 +125,19 @@
 #[rstest]
 fn what_a_proxy_that_left_did_not_answer_waits_no_more(config: ControllerConfig) {
     let mut channel = running(&config).channel;
-    channel.pacing.fenced.insert(
+    channel.pacing.pending_marks.insert(
         9,
-        Fence { at: START, lines: 900.0, ahead: 900.0, messages: 1, open: [1].into(), due: START },
+        PendingMark {
+            sent_at: START,
+            lines: 900.0,
+            queued_lines: 900.0,
+            messages: 1,
+            awaiting: [1].into(),
+            due: START,
+        },
     );
     channel.handle(Message::Left(1), &mut Mailboxes::at(START));
-    assert!(channel.pacing.waiting(START + SECOND) < 1.0);
+    assert!(channel.pacing.update_queue(START + SECOND) < 1.0);
 }
 
 #[rstest]
@@ -189,8 +151,8 @@
     let mut brain = large(config, 400, 40);
     brain.channel.members.values_mut().take(20).for_each(|member| member.bound = Some(WHOLE));
     brain.channel.members.values_mut().skip(20).for_each(|member| member.bound = None);
-    (brain.channel.pacing.waiting, brain.channel.pacing.at) =
-        (brain.channel.pacing.room / 2.0, START + SECOND);
+    (brain.channel.pacing.queued_lines, brain.channel.pacing.updated_at) =
+        (brain.channel.pacing.capacity_lines / 2.0, START + SECOND);
     let drained = (1..=200).map(|id| Endpoint { readiness: Readiness::Draining, ..endpoint(id) });
     let others = (201..=400).map(|id| Endpoint { started_at, ..endpoint(id) });
     let news = vec![Event::Endpoints(WatchEvent::Delta(drained.chain(others).collect()))];
@@ -219,7 +181,7 @@
 
 /// Decides, and has all that was ordered answered.
 fn answered(brain: &mut Controller, now: Nanos, events: Vec<Event>) -> Vec<Action> {
-    brain.channel.pacing.fenced.clear();
+    brain.channel.pacing.pending_marks.clear();
     brain.decide(now, events)
 }
 
@@ -289,7 +251,7 @@
 fn apart(config: ControllerConfig) -> Channel {
     let mut channel = large(ControllerConfig { proxy_count: 40, ..config }, 120, 20).channel;
     let mut mailboxes = Mailboxes::at(START + SECOND);
-    channel.pacing.fenced.clear();
+    channel.pacing.pending_marks.clear();
     for note in [Message::Isolate(true), Message::Flush] {
         channel.handle(note, &mut mailboxes);
     }
@@ -342,7 +304,7 @@
     let mut channel = apart(config);
     let mailboxes = &mut Mailboxes::at(START + 2 * SECOND);
     let cold = DesiredWeight { weight: 0.2, urgent: true, ..DesiredWeight::default() };
-    channel.pacing.fenced.clear();
+    channel.pacing.pending_marks.clear();
     for note in [Message::DesiredWeight(server, cold), Message::Isolate(true), Message::Flush] {
         channel.handle(note, mailboxes);
     }
@@ -356,7 +318,8 @@
 fn small_tables_stand_until_the_last_proxy_has_left_them(config: ControllerConfig) {
     let mut channel = apart(config);
     let mailboxes = &mut Mailboxes::at(START + 40 * SECOND);
-    (channel.pacing.waiting, channel.pacing.at) = (channel.pacing.room / 2.5, mailboxes.now);
+    (channel.pacing.queued_lines, channel.pacing.updated_at) =
+        (channel.pacing.capacity_lines / 2.5, mailboxes.now);
     for note in [Message::Isolate(false), Message::Flush] {
         channel.handle(note, mailboxes);
     }
@@ -396,8 +359,8 @@
     let warm = |at: u64| Endpoint { started_at: START - 20 * SECOND, ..endpoint(at as ServerId) };
     for at in 1..10 {
         // A new warm server each second; nothing waits in the channel.
-        brain.channel.pacing.waiting = 0.0;
-        brain.channel.pacing.fenced.clear();
+        brain.channel.pacing.queued_lines = 0.0;
+        brain.channel.pacing.pending_marks.clear();
         let orders =
             brain.decide(START + at * SECOND, vec![Event::Endpoints(WatchEvent::Delta(vec![warm(2 + at)]))]);
         assert_eq!(told(&orders), at % 5 == 0, "after {at} s");
@@ -411,20 +374,20 @@
     (config.proxy_count, config.channel_capacity, config.drain_grace) = (400, 60_000.0, 30 * SECOND);
     let mut brain = Controller::new(&config);
     brain.decide(START, vec![listed((1..=100).map(endpoint))]);
-    let prompt = brain.channel.pacing.prompt;
+    let prompt = brain.channel.pacing.configured_queue_target;
     brain.decide(START + 1, (0..400).map(joined).collect());
     let (mut told, mut most) = (0, 0.0);
     for at in 1..120u32 {
         // A server drains every second; all that is sent is answered as the channel empties.
-        brain.channel.pacing.fenced.clear();
+        brain.channel.pacing.pending_marks.clear();
         let drained = Endpoint { readiness: Readiness::Draining, ..endpoint(1 + at / 4) };
         let now = START + Nanos::from(at) * SECOND / 4;
-        let before = brain.channel.pacing.waiting(now);
+        let before = brain.channel.pacing.update_queue(now);
         let orders = brain.decide(now, vec![Event::Endpoints(WatchEvent::Delta(vec![drained]))]);
         let lines = orders.iter().filter(|order| matches!(order, Action::SetWeight { .. })).count();
         assert!(lines == 0 || before <= prompt, "{lines} behind {before}");
         told += lines;
-        let sent = brain.channel.pacing.waiting - before;
+        let sent = brain.channel.pacing.queued_lines - before;
         most = f64::max(most, if lines == 0 { sent } else { 0.0 });
     }
     let bound = brain.channel.members.values().filter(|member| member.bound.is_some()).count();
@@ -434,27 +397,6 @@
     assert!(most <= prompt, "{most} at once");
 }
 
-/// A channel at a tenth of its pace: what would travel at the told pace still waits, and shows once most answers are late.
-#[rstest]
-#[case::in_time(0, 6_000.0 - 2_000.0 - 200.0)]
-#[case::late(2, 6_000.0)]
-fn a_slow_channel_shows_by_answers_that_are_late(
-    config: ControllerConfig,
-    #[case] after: u64,
-    #[case] waiting: f64,
-) {
-    let mut pacing =
-        Controller::new(&ControllerConfig { channel_capacity: 20_000.0, ..config }).channel.pacing;
-    let mut mailboxes = Mailboxes::at(START);
-    pacing.at = START;
-    pacing.book(6_000.0, (0..6).collect(), &mut mailboxes);
-    let now = START + 6 * SECOND + after * SECOND;
-    if after == 0 {
-        (0..2).for_each(|proxy| pacing.confirmed(proxy, 1, START));
-    }
-    assert_eq!(pacing.waiting(now), waiting);
-}
-
 /// Whoever is bound to a table that still holds a server is told to shun it too: that must not go unbooked.
 #[rstest]
 fn nothing_is_shunned_before_it_has_left_the_tables(mut config: ControllerConfig) {
--- a/src/deadlines.rs
+++ b/src/deadlines.rs
@@ -1,79 +1,89 @@
-//! What proxies must have been told by when, and whether the channel can still deliver it: earliest deadline first.
+//! Obligations with deadlines, whether the channel can still meet them (earliest deadline first), and the account of
+//! met and missed deadlines for the log. Used by the channel and its pacing.
 
 use crate::interface::Nanos;
 
-/// Lines that must have reached proxies by a time.
+/// Nanoseconds in a millisecond.
+const NANOS_PER_MS: Nanos = 1_000_000;
+
+/// Lines that must have reached proxies by a deadline.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Obligation {
-    pub(crate) due: Nanos,
+    pub(crate) deadline: Nanos,
     pub(crate) lines: f64,
 }
 
-/// A channel that delivers first in, first out.
+/// When a first-in-first-out channel delivers what is put into it now.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Capacity {
+pub(crate) struct DeliveryForecast {
     pub(crate) now: Nanos,
-    /// Lines that wait in it already.
-    pub(crate) queued: f64,
+    /// Lines that are in the queue already.
+    pub(crate) queued_lines: f64,
     pub(crate) lines_per_ns: f64,
-    /// From leaving the channel to the proxy.
+    /// Time from leaving the channel to arriving at the proxy.
     pub(crate) transit: Nanos,
 }
 
-impl Capacity {
-    /// When the last of so many more lines arrives.
+impl DeliveryForecast {
+    /// Time at which the last of `lines` more lines arrives.
     pub(crate) fn arrival(&self, lines: f64) -> Nanos {
-        let sending = (self.queued + lines) / self.lines_per_ns;
+        let sending = (self.queued_lines + lines) / self.lines_per_ns;
         self.now + sending as Nanos + self.transit
     }
 
-    /// By how much the latest arrives after its deadline, if the earliest deadlines go first; 0 where all are kept.
-    /// No order of sending has a lower one.
-    pub(crate) fn worst_lateness(&self, obligations: &mut [Obligation]) -> Nanos {
-        obligations.sort_by_key(|obligation| obligation.due);
-        let (mut lines, mut worst) = (0.0, 0);
+    /// The longest time by which one of the obligations is late if the earliest deadlines go first; 0 if all are
+    /// met. No order of sending has a lower one.
+    pub(crate) fn max_lateness(&self, obligations: &mut [Obligation]) -> Nanos {
+        obligations.sort_by_key(|obligation| obligation.deadline);
+        let mut lines = 0.0;
+        let mut max_lateness = 0;
         for obligation in obligations.iter() {
             lines += obligation.lines;
-            worst = worst.max(self.arrival(lines).saturating_sub(obligation.due));
+            max_lateness = max_lateness.max(self.arrival(lines).saturating_sub(obligation.deadline));
         }
-        worst
+        max_lateness
     }
 
-    pub(crate) fn keeps(&self, obligations: &mut [Obligation]) -> bool {
-        self.worst_lateness(obligations) == 0
+    /// Whether the channel can meet all of the obligations.
+    pub(crate) fn meets_all(&self, obligations: &mut [Obligation]) -> bool {
+        self.max_lateness(obligations) == 0
     }
 }
 
-/// How deadlines fared, for the log.
+/// Notifications that met and that missed their deadline since the last line in the log.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Ledger {
-    kept: usize,
+pub(crate) struct DeadlineStatistics {
+    /// Proxies notified in time.
+    met: usize,
+    /// Proxies notified late.
     missed: usize,
-    worst: Nanos,
-    said: Option<Nanos>,
+    max_lateness: Nanos,
+    logged_at: Option<Nanos>,
 }
 
-impl Ledger {
-    /// So many proxies are told something that arrives then.
-    pub(crate) fn enter(&mut self, proxies: usize, due: Nanos, arrival: Nanos) {
-        if arrival > due {
+impl DeadlineStatistics {
+    /// Counts a notification of `proxies` that arrives at `arrival`.
+    pub(crate) fn record(&mut self, proxies: usize, deadline: Nanos, arrival: Nanos) {
+        if arrival > deadline {
             self.missed += proxies;
-            self.worst = self.worst.max(arrival - due);
+            self.max_lateness = self.max_lateness.max(arrival - deadline);
         } else {
-            self.kept += proxies;
+            self.met += proxies;
         }
     }
 
-    /// The line for the log where deadlines were missed, at most once in such a span.
-    pub(crate) fn report(&mut self, owed: usize, now: Nanos, span: Nanos) -> Option<String> {
-        if self.missed == 0 || self.said.is_some_and(|said| now.saturating_sub(said) < span) {
+    /// The line for the log if deadlines were missed, at most once in `interval`; `pending` proxies are yet to be
+    /// notified.
+    pub(crate) fn log_line(&mut self, pending: usize, now: Nanos, interval: Nanos) -> Option<String> {
+        let logged_lately = self.logged_at.is_some_and(|at| now.saturating_sub(at) < interval);
+        if self.missed == 0 || logged_lately {
             return None;
         }
-        let Ledger { kept, missed, worst, .. } = *self;
-        *self = Ledger { said: Some(now), ..Ledger::default() };
-        let worst = worst / 1_000_000;
+        let DeadlineStatistics { met, missed, max_lateness, .. } = *self;
+        *self = DeadlineStatistics { logged_at: Some(now), ..DeadlineStatistics::default() };
+        let max_lateness_ms = max_lateness / NANOS_PER_MS;
         Some(format!(
-            "deadlines missed: {missed} proxies are told late, {kept} in time, {owed} yet to be told; the worst by {worst} ms"
+            "deadlines missed: {missed} proxies are told late, {met} in time, {pending} yet to be told; the worst by {max_lateness_ms} ms"
         ))
     }
 }
--- a/src/pacing.rs
+++ b/src/pacing.rs
@@ -1,209 +1,256 @@
-//! The account of lines that wait in the supervisor's one channel, from what was ordered and what proxies answered.
+//! Pacing of the supervisor's one channel: an estimate of the lines in its queue, from what was sent and what proxies
+//! acknowledged, the rate learned from late acknowledgements, and the limit on messages. The channel asks it before it
+//! sends and records with it what was sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::deadlines::Capacity;
+use crate::deadlines::DeliveryForecast;
 use crate::interface::*;
 use crate::message::{tick_interval, Mailboxes, SECOND};
 
-/// Nothing that can wait is put into the channel while more is there than empties in so many times the longest way,
-/// nor than in this part of the time that a grace leaves for sending: what is due next must not stand behind it.
-const PROMPT: f64 = 2.0;
-const PROMPT_GRACE_PART: f64 = 0.25;
-/// What is not answered in so many times the span in which a full channel empties is taken for lost.
-const SLOWEST: f64 = 12.0;
-/// Answers that do not fit the learned pace move it by this part.
-const PACE_GAIN: f64 = 0.5;
-/// What half of fewer messages than this show may be the proxies' own lateness.
-const LEAST_MESSAGES: usize = 4;
-
-/// The marked messages of one reply: when they were ordered, their lines, how many they are, and who has not
-/// answered.
+#[cfg(test)]
+mod tests;
+
+/// The queue that deferrable lines may stand behind, in multiples of what the channel sends within the longest transit.
+const QUEUE_TARGET_TRANSITS: f64 = 2.0;
+/// The same as a share of what can be delivered within a drain grace: what is due next must not stand behind it.
+const QUEUE_TARGET_GRACE_SHARE: f64 = 0.25;
+/// Longest time by which the channel is taken to be slower than configured, in multiples of the configured time. What is
+/// unacknowledged for longer than a full channel then takes counts as lost.
+const MAX_SLOWDOWN: f64 = 12.0;
+/// Share by which an acknowledgement out of time moves the learned slowdown towards what it shows.
+const SLOWDOWN_GAIN: f64 = 0.5;
+/// With fewer messages, half of them may be late by the proxies' own doing.
+const MIN_MESSAGES_TO_LEARN: usize = 4;
+
+/// The messages of one flush that await acknowledgement of the same serial.
 #[derive(Clone, Debug)]
-pub(crate) struct Fence {
-    pub(crate) at: Nanos,
+pub(crate) struct PendingMark {
+    pub(crate) sent_at: Nanos,
+    /// Lines of all its messages.
     pub(crate) lines: f64,
-    /// Lines that waited in the channel then, its own among them.
-    pub(crate) ahead: f64,
+    /// Lines in the queue then, its own among them.
+    pub(crate) queued_lines: f64,
     pub(crate) messages: usize,
-    pub(crate) open: BTreeSet<ProxyId>,
-    /// By when most have arrived, at the channel's ordinary pace.
+    /// Proxies that have not acknowledged it.
+    pub(crate) awaiting: BTreeSet<ProxyId>,
+    /// By when most should have arrived.
     pub(crate) due: Nanos,
 }
 
-impl Fence {
+impl PendingMark {
     /// Lines that are not known to have left the channel.
-    fn unanswered(&self) -> f64 {
-        self.lines * self.open.len() as f64 / self.messages as f64
+    fn unacknowledged_lines(&self) -> f64 {
+        self.lines * self.awaiting.len() as f64 / self.messages as f64
     }
 
-    fn late(&self, now: Nanos) -> bool {
-        now > self.due && 2 * self.open.len() > self.messages
+    fn is_late(&self, now: Nanos) -> bool {
+        now > self.due && 2 * self.awaiting.len() > self.messages
     }
 }
 
-/// Figures of the channel, and the account of lines that wait in it.
+/// Figures of the channel, and the estimate of its queue. Rates are in lines per nanosecond.
 #[derive(Debug, Default)]
 pub(crate) struct Pacing {
-    /// The pace that the settings tell.
-    pub(crate) lines_per_ns: f64,
-    pub(crate) room: f64,
-    pub(crate) overhead: f64,
-    pub(crate) transit: Nanos,
+    pub(crate) configured_lines_per_ns: f64,
+    /// Lines that the channel holds.
+    pub(crate) capacity_lines: f64,
+    /// Cost of a message beside its lines, in lines.
+    pub(crate) message_overhead: f64,
+    /// Time from leaving the channel to arriving at the proxy.
+    pub(crate) mean_transit: Nanos,
     pub(crate) worst_transit: Nanos,
-    /// The same at the told pace.
-    pub(crate) prompt: f64,
-    pub(crate) waiting: f64,
-    pub(crate) at: Nanos,
-    pub(crate) serial: u16,
-    pub(crate) fenced: BTreeMap<u64, Fence>,
-    /// Messages written of late; half of the limit may be written at once, the other half over its span.
-    pub(crate) written: f64,
-    pub(crate) messages_half: f64,
-    pub(crate) messages_over: Nanos,
-    /// By what part of the told time messages take longer than told, as late answers show.
-    slower: f64,
-    booked_at: Nanos,
+    /// Lines that deferrable ones may stand behind, at the configured rate.
+    pub(crate) configured_queue_target: f64,
+    /// Lines in the queue as of `updated_at`.
+    pub(crate) queued_lines: f64,
+    pub(crate) updated_at: Nanos,
+    pub(crate) last_serial: u16,
+    /// Marks that await acknowledgement, by serial.
+    pub(crate) pending_marks: BTreeMap<u64, PendingMark>,
+    /// Messages written of late, as of `updated_at`.
+    pub(crate) recent_messages: f64,
+    /// Half of the limit on messages: it may be written at once, the other half over the limit's window.
+    pub(crate) half_message_limit: f64,
+    pub(crate) message_limit_window: Nanos,
+    /// Time by which messages take longer than at the configured rate, in multiples of that time.
+    slowdown: f64,
+    last_sent_at: Nanos,
 }
 
 impl Pacing {
+    /// An idle channel as it is configured.
     pub(crate) fn new(config: &ControllerConfig) -> Self {
         let mut pacing = Pacing {
-            lines_per_ns: config.lines_per_s / SECOND as f64,
-            room: config.channel_capacity,
-            overhead: config.message_overhead,
-            transit: config.mean_transit,
+            configured_lines_per_ns: config.lines_per_s / SECOND as f64,
+            capacity_lines: config.channel_capacity,
+            message_overhead: config.message_overhead,
+            mean_transit: config.mean_transit,
             worst_transit: config.worst_transit,
-            messages_half: match config.message_limit {
+            half_message_limit: match config.message_limit {
                 0 => f64::INFINITY,
-                most => f64::from(most) / 2.0,
+                limit => f64::from(limit) / 2.0,
             },
-            messages_over: config.message_limit_window.max(1),
+            message_limit_window: config.message_limit_window.max(1),
             ..Pacing::default()
         };
-        let longest_way = PROMPT * config.worst_transit as f64 * pacing.lines_per_ns;
-        let of_the_grace = PROMPT_GRACE_PART * pacing.sending_lines(config.drain_grace);
-        // Enough at least that the channel is never idle from one decision to the next.
-        let until_next = tick_interval(config) as f64 * pacing.lines_per_ns;
-        pacing.prompt = longest_way.min(of_the_grace).max(until_next);
+        let by_transit = QUEUE_TARGET_TRANSITS * config.worst_transit as f64 * pacing.configured_lines_per_ns;
+        let by_grace = QUEUE_TARGET_GRACE_SHARE * pacing.deliverable_lines(config.drain_grace);
+        // Enough that the channel is not idle between two evaluations.
+        let until_next_tick = tick_interval(config) as f64 * pacing.configured_lines_per_ns;
+        pacing.configured_queue_target = by_transit.min(by_grace).max(until_next_tick);
         pacing
     }
 
-    /// How long a message is likely to take from leaving the channel to its proxy.
+    /// Time that a message is likely to take from leaving the channel to arriving at its proxy.
     fn likely_transit(&self) -> Nanos {
-        self.transit + self.worst_transit.saturating_sub(self.transit) / 2
+        self.mean_transit + self.worst_transit.saturating_sub(self.mean_transit) / 2
     }
 
-    /// Lines that can be sent within a span and arrive within it, at the told pace.
-    pub(crate) fn sending_lines(&self, span: Nanos) -> f64 {
-        span.saturating_sub(self.likely_transit()) as f64 * self.lines_per_ns
+    /// Lines that can be sent and arrive within `time`, at the configured rate.
+    pub(crate) fn deliverable_lines(&self, time: Nanos) -> f64 {
+        time.saturating_sub(self.likely_transit()) as f64 * self.configured_lines_per_ns
     }
 
-    /// The pace as answers show it, the told one at most.
-    pub(crate) fn pace(&self) -> f64 {
-        self.lines_per_ns / (1.0 + self.slower)
+    /// The rate that acknowledgements show, at most the configured one.
+    pub(crate) fn learned_lines_per_ns(&self) -> f64 {
+        self.configured_lines_per_ns / (1.0 + self.slowdown)
     }
 
-    /// Lines that may wait, at the pace that answers show, when more is put behind them.
-    pub(crate) fn prompt_lines(&self) -> f64 {
-        self.prompt / (1.0 + self.slower)
+    /// Lines in the queue behind which deferrable ones may be put, at the learned rate.
+    pub(crate) fn queue_target(&self) -> f64 {
+        self.configured_queue_target / (1.0 + self.slowdown)
     }
 
-    /// What the channel can deliver from now on; [`Pacing::waiting`] has brought the account up to date.
-    pub(crate) fn capacity(&self, now: Nanos) -> Capacity {
-        Capacity { now, queued: self.waiting, lines_per_ns: self.pace(), transit: self.likely_transit() }
+    /// When the channel delivers what is sent now; [`Pacing::update_queue`] has brought the estimate up to date.
+    pub(crate) fn forecast(&self, now: Nanos) -> DeliveryForecast {
+        DeliveryForecast {
+            now,
+            queued_lines: self.queued_lines,
+            lines_per_ns: self.learned_lines_per_ns(),
+            transit: self.likely_transit(),
+        }
     }
 
-    /// Books what was ordered, and has the messages answered. All orders of one reply to a proxy are one message.
-    pub(crate) fn book(&mut self, lines: f64, reached: BTreeSet<ProxyId>, mailboxes: &mut Mailboxes) {
-        self.waiting += lines;
-        self.booked_at = mailboxes.now;
-        let due = mailboxes.now + (self.waiting / self.pace()) as Nanos + self.transit;
-        if let Some(fence) =
-            self.fenced.get_mut(&self.serial.into()).filter(|fence| fence.at == mailboxes.now)
-        {
-            fence.open.extend(reached);
-            (fence.lines, fence.messages, fence.due) = (fence.lines + lines, fence.open.len(), due);
-            fence.ahead = self.waiting;
+    /// Records what was sent and requests acknowledgement. All actions of one flush are one message to a proxy, with one
+    /// mark.
+    pub(crate) fn record_sent(
+        &mut self,
+        lines: f64,
+        recipients: BTreeSet<ProxyId>,
+        mailboxes: &mut Mailboxes,
+    ) {
+        self.queued_lines += lines;
+        self.last_sent_at = mailboxes.now;
+        let sending = (self.queued_lines / self.learned_lines_per_ns()) as Nanos;
+        let due = mailboxes.now + sending + self.mean_transit;
+        let last_mark = self.pending_marks.get_mut(&self.last_serial.into());
+        if let Some(mark) = last_mark.filter(|mark| mark.sent_at == mailboxes.now) {
+            mark.awaiting.extend(recipients);
+            mark.lines += lines;
+            mark.messages = mark.awaiting.len();
+            mark.due = due;
+            mark.queued_lines = self.queued_lines;
             return;
         }
-        self.serial = self.serial.wrapping_add(1);
-        let ahead = self.waiting;
-        let fence = Fence { at: mailboxes.now, lines, ahead, messages: reached.len(), open: reached, due };
-        self.fenced.insert(self.serial.into(), fence);
-        self.written += 1.0;
-        mailboxes.actions.push(Action::RequestAck { serial: self.serial, everyone: false });
+        self.last_serial = self.last_serial.wrapping_add(1);
+        let mark = PendingMark {
+            sent_at: mailboxes.now,
+            lines,
+            queued_lines: self.queued_lines,
+            messages: recipients.len(),
+            awaiting: recipients,
+            due,
+        };
+        self.pending_marks.insert(self.last_serial.into(), mark);
+        self.recent_messages += 1.0;
+        mailboxes.actions.push(Action::RequestAck { serial: self.last_serial, everyone: false });
     }
 
-    /// Takes over what an earlier instance wrote and nobody has answered.
-    pub(crate) fn inherit(&mut self, lines: f64, now: Nanos) {
-        self.waiting(now);
-        self.waiting = self.waiting.max(lines);
+    /// Takes over lines that an earlier controller sent and nobody has acknowledged.
+    pub(crate) fn take_over_backlog(&mut self, lines: f64, now: Nanos) {
+        self.update_queue(now);
+        self.queued_lines = self.queued_lines.max(lines);
     }
 
-    pub(crate) fn waiting(&mut self, now: Nanos) -> f64 {
-        let elapsed = now.saturating_sub(self.at) as f64;
-        self.at = now;
-        self.written = (self.written - self.messages_half * elapsed / self.messages_over as f64).max(0.0);
-        // What is not answered yet, less what travels at the ordinary pace, still waits.
-        let (pace, most) = (self.lines_per_ns, SLOWEST * self.room);
-        self.fenced.retain(|_, f| (now.saturating_sub(f.at) as f64) * pace < most && !f.open.is_empty());
-        let travels = if self.is_late(now) { 0.0 } else { self.travelling() };
-        let open = self.fenced.values().map(Fence::unanswered).sum::<f64>() - travels;
-        self.waiting = (self.waiting - elapsed * self.pace()).max(open).max(0.0);
-        self.waiting
+    /// Brings the estimate up to date and returns the lines in the queue.
+    pub(crate) fn update_queue(&mut self, now: Nanos) -> f64 {
+        let elapsed = now.saturating_sub(self.updated_at) as f64;
+        self.updated_at = now;
+        let written_since = self.half_message_limit * elapsed / self.message_limit_window as f64;
+        self.recent_messages = (self.recent_messages - written_since).max(0.0);
+        self.drop_lost_marks(now);
+        // What is unacknowledged, less what is in transit, is still queued.
+        let in_transit = if self.has_late_mark(now) { 0.0 } else { self.lines_in_transit() };
+        let unacknowledged =
+            self.pending_marks.values().map(PendingMark::unacknowledged_lines).sum::<f64>() - in_transit;
+        self.queued_lines =
+            (self.queued_lines - elapsed * self.learned_lines_per_ns()).max(unacknowledged).max(0.0);
+        self.queued_lines
     }
 
-    fn is_late(&self, now: Nanos) -> bool {
-        self.fenced.values().any(|fence| fence.late(now))
+    /// Drops marks that all have acknowledged, and those that count as lost.
+    fn drop_lost_marks(&mut self, now: Nanos) {
+        let lines_per_ns = self.configured_lines_per_ns;
+        let max_lines = MAX_SLOWDOWN * self.capacity_lines;
+        self.pending_marks.retain(|_, mark| {
+            let lines_since = (now.saturating_sub(mark.sent_at) as f64) * lines_per_ns;
+            lines_since < max_lines && !mark.awaiting.is_empty()
+        });
+    }
+
+    fn has_late_mark(&self, now: Nanos) -> bool {
+        self.pending_marks.values().any(|mark| mark.is_late(now))
     }
 
-    /// Answers are late and nothing was sent for as long as one may take: whether the channel is slow or whoever
-    /// owes them is gone shows only by another message.
-    pub(crate) fn may_probe(&self, now: Nanos) -> bool {
-        self.is_late(now) && now.saturating_sub(self.booked_at) >= self.worst_transit
+    /// Whether a message should go although the queue seems long: acknowledgements are late and nothing was sent for the
+    /// worst transit. Only another message shows whether the channel is slow or the proxies are gone.
+    pub(crate) fn is_probe_due(&self, now: Nanos) -> bool {
+        self.has_late_mark(now) && now.saturating_sub(self.last_sent_at) >= self.worst_transit
     }
 
-    /// Lines on their way to proxies at the channel's ordinary pace.
-    pub(crate) fn travelling(&self) -> f64 {
-        self.lines_per_ns * self.transit as f64
+    /// Lines on their way to proxies at the configured rate.
+    pub(crate) fn lines_in_transit(&self) -> f64 {
+        self.configured_lines_per_ns * self.mean_transit as f64
     }
 
-    /// Learns the channel's pace when half of a reply's messages are answered. One that is late though a later mark
-    /// was answered before tells nothing of the channel: its fence is gone by then.
-    fn observe(&mut self, serial: u64, now: Nanos) {
-        let Some(fence) = self.fenced.get(&serial) else { return };
-        if fence.open.len() != fence.messages / 2 || fence.messages < LEAST_MESSAGES {
+    /// Learns the channel's slowdown when half of a mark's messages are acknowledged. A proxy that is late though it
+    /// acknowledged a later mark before tells nothing of the channel: its mark is dropped by then.
+    fn learn_slowdown(&mut self, serial: u64, now: Nanos) {
+        let Some(mark) = self.pending_marks.get(&serial) else { return };
+        if mark.awaiting.len() != mark.messages / 2 || mark.messages < MIN_MESSAGES_TO_LEARN {
             return;
         }
-        let told = (fence.ahead - fence.unanswered()).max(self.overhead) / self.lines_per_ns;
-        let expected = told * (1.0 + self.slower);
-        let took = now.saturating_sub(fence.at + self.transit) as f64;
-        let jitter = self.worst_transit.saturating_sub(self.transit) as f64;
-        let slower = if took > expected + jitter {
-            (took - jitter) / told - 1.0
-        } else if took < expected - jitter {
-            took / told - 1.0
+        let lines = (mark.queued_lines - mark.unacknowledged_lines()).max(self.message_overhead);
+        let configured_time = lines / self.configured_lines_per_ns;
+        let expected_time = configured_time * (1.0 + self.slowdown);
+        let time = now.saturating_sub(mark.sent_at + self.mean_transit) as f64;
+        let jitter = self.worst_transit.saturating_sub(self.mean_transit) as f64;
+        let slowdown = if time > expected_time + jitter {
+            (time - jitter) / configured_time - 1.0
+        } else if time < expected_time - jitter {
+            time / configured_time - 1.0
         } else {
             return;
         };
-        self.slower += PACE_GAIN * (slower.clamp(0.0, SLOWEST) - self.slower);
+        self.slowdown += SLOWDOWN_GAIN * (slowdown.clamp(0.0, MAX_SLOWDOWN) - self.slowdown);
     }
 
-    /// A proxy has what was marked. Messages leave the channel one after another: all of before have left it.
-    pub(crate) fn confirmed(&mut self, proxy: ProxyId, serial: u64, now: Nanos) {
-        let Some(fence) = self.fenced.get_mut(&serial) else { return };
-        let at = fence.at;
-        if fence.open.remove(&proxy) {
-            self.observe(serial, now);
+    /// A proxy has applied what was marked with `serial`. Messages leave the channel in order: all marks before have
+    /// left it too.
+    pub(crate) fn acknowledge(&mut self, proxy: ProxyId, serial: u64, now: Nanos) {
+        let Some(mark) = self.pending_marks.get_mut(&serial) else { return };
+        let sent_at = mark.sent_at;
+        if mark.awaiting.remove(&proxy) {
+            self.learn_slowdown(serial, now);
         }
-        self.fenced.retain(|_, fence| fence.at >= at);
+        self.pending_marks.retain(|_, mark| mark.sent_at >= sent_at);
     }
 
-    /// Nothing that it was sent waits any more.
-    pub(crate) fn left(&mut self, proxy: ProxyId) {
-        for fence in self.fenced.values_mut() {
-            fence.open.remove(&proxy);
+    /// Forgets a proxy that has left: nothing sent to it is queued any more.
+    pub(crate) fn remove_proxy(&mut self, proxy: ProxyId) {
+        for mark in self.pending_marks.values_mut() {
+            mark.awaiting.remove(&proxy);
         }
     }
 }
