--- a/crates/platform-supervisor/src/supervisor/mod.rs
+++ b/crates/platform-supervisor/src/supervisor/mod.rs
@@ -146,7 +146,7 @@
     /// When [`Supervisor::advance`] must be called at the latest.
     pub fn next_wakeup(&self) -> Option<Nanos> {
         let next_run = self.controller.next_run_at(self.config.batch_interval);
-        self.timers.next().into_iter().chain(next_run).min()
+        self.timers.next_at().into_iter().chain(next_run).min()
     }
 
     /// Takes the commands that have accumulated, in the order in which they must be carried out.
@@ -157,7 +157,7 @@
     /// Handles timers that are due, and runs the controller on pending events.
     pub fn advance(&mut self, clocks: Clocks) {
         let now = clocks.now;
-        while let Some(timer) = self.timers.due(now) {
+        while let Some(timer) = self.timers.pop_due(now) {
             match timer {
                 Timer::Controller { token } => self.controller.push(Event::TimerFired { token }),
                 Timer::JoinDeadline(connection) => self.check_joined(connection, now),
--- a/crates/reactor/src/socket.rs
+++ b/crates/reactor/src/socket.rs
@@ -1,5 +1,7 @@
+//! TCP streams that never block, accepted or dialled.
+
 use std::io::{self, IoSlice, Read, Write};
-use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream};
+use std::net::{IpAddr, Shutdown, SocketAddr, TcpStream};
 use std::os::fd::{AsFd, BorrowedFd};
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,8 +11,13 @@
 use rustix::net::{self, sockopt, AddressFamily, SocketFlags, SocketType};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Makes a call again that a signal has interrupted, as the standard library does at `accept`.
-fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+use crate::loopback::require_loopback;
+
+/// Bytes that are read from one socket before others have their turn.
+const MAX_READ_BYTES_PER_TURN: usize = 256 * 1024;
+
+/// Repeats a call that a signal has interrupted, as the standard library does at `accept`.
+fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -19,69 +26,26 @@
     }
 }
 
-/// Does the kernel lack something for a moment? The call is to be made again after a while; no readiness tells when.
-pub fn is_momentary(error: &io::Error) -> bool {
+/// Whether the kernel lacks memory or buffers for a call. It must be repeated after a delay: no readiness follows.
+pub fn is_transient(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
     matches!(errno, Some(Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// Bytes read from one socket before others have their turn.
-const TURN: usize = 256 * 1024;
-
-fn on_loopback(address: SocketAddr) -> io::Result<()> {
-    if address.ip().is_loopback() {
-        return Ok(());
-    }
-    let text = format!("{address} is not a loopback address; use 127.0.0.0/8 or [::1]");
-    Err(io::Error::new(io::ErrorKind::PermissionDenied, text))
-}
-
-/// Accepts connections on loopback.
-#[derive(Debug)]
-pub struct Listener(TcpListener);
-
-impl Listener {
-    /// Port 0 lets the kernel choose. Errors: the address is not loopback or is taken.
-    pub fn bind(address: SocketAddr) -> io::Result<Self> {
-        on_loopback(address)?;
-        Self::bind_given(address)
-    }
-
-    /// The same for an address that a platform has given, wherever it is.
-    pub fn bind_given(address: SocketAddr) -> io::Result<Self> {
-        let listener = TcpListener::bind(address)?;
-        listener.set_nonblocking(true)?;
-        Ok(Listener(listener))
-    }
-
-    pub fn address(&self) -> io::Result<SocketAddr> {
-        self.0.local_addr()
-    }
-
-    /// The next connection that waits, if any.
-    pub fn accept(&self) -> io::Result<Option<Socket>> {
-        match self.0.accept() {
-            Ok((stream, _)) => Socket::new(stream).map(Some),
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(None),
-            Err(error) => Err(error),
-        }
-    }
-}
-
-impl AsFd for Listener {
-    fn as_fd(&self) -> BorrowedFd<'_> {
-        self.0.as_fd()
-    }
-}
-
-/// Starts a connection; whether it is refused shows at the first read or write.
+/// Starts a connection to a loopback address; a connection that is refused shows at the first read or write.
+///
+/// # Errors
+/// The address is not loopback (`PermissionDenied`), or there is no descriptor.
 pub fn dial(address: SocketAddr) -> io::Result<Socket> {
-    on_loopback(address)?;
-    dial_given(address)
+    require_loopback(address)?;
+    dial_any_address(address)
 }
 
-/// The same for an address that a platform has given, wherever it is.
-pub fn dial_given(address: SocketAddr) -> io::Result<Socket> {
+/// Starts a connection to an address that the platform has assigned, loopback or not; see [`dial`].
+///
+/// # Errors
+/// There is no descriptor, or no route.
+pub fn dial_any_address(address: SocketAddr) -> io::Result<Socket> {
     let family = match address.ip() {
         IpAddr::V4(_) => AddressFamily::INET,
         IpAddr::V6(_) => AddressFamily::INET6,
@@ -89,95 +53,114 @@
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let fd = net::socket_with(family, SocketType::STREAM, flags, None)?;
     match net::connect(&fd, &address) {
-        // One that a signal interrupts goes on by itself.
+        // A call that a signal interrupts goes on by itself.
         Ok(()) | Err(Errno::INPROGRESS | Errno::INTR) => Socket::connecting(TcpStream::from(fd)),
         Err(error) => Err(error.into()),
     }
 }
 
-/// A stream that never blocks, as `h2` wants it. It keeps no waker: its owner is polled when it is ready.
+/// A stream that never blocks, as `h2` expects it. It keeps no waker: its owner is polled when it is ready.
 #[derive(Debug)]
 pub struct Socket {
     stream: TcpStream,
-    turn: usize,
-    /// Dialled, and nothing was read or written yet.
-    connecting: bool,
+    /// Bytes that may still be read in this turn.
+    read_budget: usize,
+    /// It was dialled, and nothing has been read or written yet.
+    is_connecting: bool,
 }
 
 impl Socket {
-    fn new(stream: TcpStream) -> io::Result<Self> {
+    pub(crate) fn accepted(stream: TcpStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
-        Ok(Socket { stream, turn: TURN, connecting: false })
+        Ok(Socket { stream, read_budget: MAX_READ_BYTES_PER_TURN, is_connecting: false })
     }
 
-    /// One whose connection is being made. Linux answers EAGAIN until it stands; POSIX allows ENOTCONN, which
-    /// is no end then: readiness follows.
+    /// A stream whose connection is being made. Until it is, Linux answers reads and writes with EAGAIN; POSIX also
+    /// allows ENOTCONN, which is no end: readiness follows.
+    ///
+    /// # Errors
+    /// The options of the stream cannot be set.
     pub fn connecting(stream: TcpStream) -> io::Result<Self> {
-        Ok(Socket { connecting: true, ..Socket::new(stream)? })
+        Ok(Socket { is_connecting: true, ..Socket::accepted(stream)? })
     }
 
     /// Closes with a reset instead of an orderly end, once dropped.
+    ///
+    /// # Errors
+    /// Those of `setsockopt`.
     pub fn reset_at_close(&self) -> io::Result<()> {
         Ok(sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO))?)
     }
 
-    /// A peer that acknowledges nothing for so long is taken for gone by the kernel.
-    pub fn give_up_after(&self, span: Duration) -> io::Result<()> {
-        Ok(sockopt::set_tcp_user_timeout(&self.stream, span.as_millis() as u32)?)
+    /// The kernel ends the connection when the peer acknowledges nothing for so long.
+    ///
+    /// # Errors
+    /// Those of `setsockopt`.
+    pub fn set_user_timeout(&self, timeout: Duration) -> io::Result<()> {
+        Ok(sockopt::set_tcp_user_timeout(&self.stream, timeout.as_millis() as u32)?)
     }
 
-    /// Another handle on the same socket, for the reactor and for [`Socket::reset_at_close`].
-    pub fn handle(&self) -> io::Result<Socket> {
-        Ok(Socket { stream: self.stream.try_clone()?, turn: TURN, connecting: self.connecting })
+    /// Another handle on the same socket, for options and for [`Socket::shutdown`].
+    ///
+    /// # Errors
+    /// There is no descriptor.
+    pub fn try_clone(&self) -> io::Result<Socket> {
+        Ok(Socket {
+            stream: self.stream.try_clone()?,
+            read_budget: MAX_READ_BYTES_PER_TURN,
+            is_connecting: self.is_connecting,
+        })
     }
 
-    /// Ends both directions at once, whoever else holds a handle.
-    pub fn shut(&self) -> io::Result<()> {
-        self.stream.shutdown(std::net::Shutdown::Both)
-    }
-}
-
-impl AsFd for Socket {
-    fn as_fd(&self) -> BorrowedFd<'_> {
-        self.stream.as_fd()
+    /// Ends both directions at once, whoever else has a handle.
+    ///
+    /// # Errors
+    /// Those of `shutdown`.
+    pub fn shutdown(&self) -> io::Result<()> {
+        self.stream.shutdown(Shutdown::Both)
     }
-}
 
-impl Socket {
-    fn polled<T>(&mut self, result: io::Result<T>) -> Poll<io::Result<T>> {
+    /// Maps the result of a call that would block, or whose connection is not made yet, to pending.
+    fn poll_result<T>(&mut self, result: io::Result<T>) -> Poll<io::Result<T>> {
         match result {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => Poll::Pending,
-            Err(error) if self.connecting && error.kind() == io::ErrorKind::NotConnected => Poll::Pending,
+            Err(error) if self.is_connecting && error.kind() == io::ErrorKind::NotConnected => Poll::Pending,
             other => {
-                self.connecting = false;
+                self.is_connecting = false;
                 Poll::Ready(other)
             }
         }
     }
 }
 
+impl AsFd for Socket {
+    fn as_fd(&self) -> BorrowedFd<'_> {
+        self.stream.as_fd()
+    }
+}
+
 impl AsyncRead for Socket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.turn == 0 {
-            self.turn = TURN;
+        if self.read_budget == 0 {
+            self.read_budget = MAX_READ_BYTES_PER_TURN;
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
-        let read = uninterrupted(|| self.stream.read(buf.initialize_unfilled()));
-        match self.polled(read) {
+        let result = retry_interrupted(|| self.stream.read(buf.initialize_unfilled()));
+        match self.poll_result(result) {
             Poll::Ready(Ok(count)) => {
                 buf.advance(count);
-                self.turn = self.turn.saturating_sub(count);
+                self.read_budget = self.read_budget.saturating_sub(count);
                 Poll::Ready(Ok(()))
             }
             Poll::Ready(Err(error)) => Poll::Ready(Err(error)),
             Poll::Pending => {
-                self.turn = TURN;
+                self.read_budget = MAX_READ_BYTES_PER_TURN;
                 Poll::Pending
             }
         }
@@ -186,8 +169,8 @@
 
 impl AsyncWrite for Socket {
     fn poll_write(mut self: Pin<&mut Self>, _: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let written = uninterrupted(|| self.stream.write(buf));
-        self.polled(written)
+        let result = retry_interrupted(|| self.stream.write(buf));
+        self.poll_result(result)
     }
 
     fn poll_write_vectored(
@@ -195,8 +178,8 @@
         _: &mut Context<'_>,
         pieces: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let written = uninterrupted(|| self.stream.write_vectored(pieces));
-        self.polled(written)
+        let result = retry_interrupted(|| self.stream.write_vectored(pieces));
+        self.poll_result(result)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -208,6 +191,6 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(self.stream.shutdown(std::net::Shutdown::Write).or(Ok(())))
+        Poll::Ready(self.stream.shutdown(Shutdown::Write).or(Ok(())))
     }
 }
--- a/crates/reactor/src/timers.rs
+++ b/crates/reactor/src/timers.rs
@@ -1,47 +1,56 @@
+//! A queue of timers. It has no clock: its owner says what time it is.
+
 use std::collections::BTreeMap;
 
-use crate::Nanos;
+use crate::clock::Nanos;
 
-/// Timers by their time; those of one time come in the order in which they were set.
+/// Timers by their time; those of the same time come in the order in which they were set.
 #[derive(Debug)]
 pub struct Timers<K> {
-    set: BTreeMap<(Nanos, u64), K>,
-    last: u64,
+    timers: BTreeMap<TimerId, K>,
+    last_serial: u64,
 }
 
 impl<K> Default for Timers<K> {
     fn default() -> Self {
-        Timers { set: BTreeMap::new(), last: 0 }
+        Timers { timers: BTreeMap::new(), last_serial: 0 }
     }
 }
 
-/// Names one timer, to take it back.
-pub type TimerId = (Nanos, u64);
+/// Identifies one timer, to cancel it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct TimerId {
+    at: Nanos,
+    serial: u64,
+}
 
 impl<K> Timers<K> {
+    /// Sets a timer.
     pub fn set(&mut self, at: Nanos, key: K) -> TimerId {
-        self.last += 1;
-        self.set.insert((at, self.last), key);
-        (at, self.last)
+        self.last_serial += 1;
+        let id = TimerId { at, serial: self.last_serial };
+        self.timers.insert(id, key);
+        id
     }
 
-    /// Was it still to come?
+    /// Cancels a timer; whether it was still set.
     pub fn cancel(&mut self, id: TimerId) -> bool {
-        self.set.remove(&id).is_some()
+        self.timers.remove(&id).is_some()
     }
 
-    pub fn next(&self) -> Option<Nanos> {
-        self.set.keys().next().map(|key| key.0)
+    /// Time of the first timer.
+    pub fn next_at(&self) -> Option<Nanos> {
+        self.timers.keys().next().map(|id| id.at)
     }
 
-    /// The first timer, whether its time has come or not.
+    /// Takes the first timer, whether its time has come or not.
     pub fn pop(&mut self) -> Option<(Nanos, K)> {
-        self.set.pop_first().map(|((at, _), key)| (at, key))
+        self.timers.pop_first().map(|(id, key)| (id.at, key))
     }
 
-    /// The first timer whose time has come.
-    pub fn due(&mut self, now: Nanos) -> Option<K> {
-        let first = self.set.first_entry()?;
-        (first.key().0 <= now).then(|| first.remove())
+    /// Takes the first timer whose time has come.
+    pub fn pop_due(&mut self, now: Nanos) -> Option<K> {
+        let first = self.timers.first_entry()?;
+        (first.key().at <= now).then(|| first.remove())
     }
 }
--- a/crates/reactor/tests/reactor.rs
+++ b/crates/reactor/tests/reactor.rs
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 #[test]
-fn a_wake_and_a_time_end_the_wait() {
+fn waker_time_and_hang_up_end_the_wait() {
     let mut reactor = Reactor::new().unwrap();
     let (ours, theirs) = UnixStream::pair().unwrap();
     let token = reactor.add(&ours).unwrap();
@@ -22,22 +22,25 @@
     reactor.waker(token).wake_by_ref();
     assert_eq!(reactor.wait(None).unwrap(), [token]);
     drop(theirs);
-    assert_eq!(reactor.wait(None).unwrap(), [token], "a hang-up is told");
+    assert_eq!(reactor.wait(None).unwrap(), [token], "a hang-up is reported");
 }
 
 #[test]
-fn timers_come_in_order_and_can_be_taken_back() {
+fn timers_come_in_order_and_can_be_cancelled() {
     let mut timers = Timers::default();
     timers.set(30, "late");
     let middle = timers.set(20, "never");
     timers.set(10, "early");
     assert!(timers.cancel(middle) && !timers.cancel(middle));
-    assert_eq!((timers.next(), timers.due(9)), (Some(10), None));
-    assert_eq!((timers.due(30), timers.due(30), timers.due(30)), (Some("early"), Some("late"), None));
+    assert_eq!((timers.next_at(), timers.pop_due(9)), (Some(10), None));
+    assert_eq!(
+        (timers.pop_due(30), timers.pop_due(30), timers.pop_due(30)),
+        (Some("early"), Some("late"), None)
+    );
 }
 
 #[test]
-fn only_loopback_is_served_and_dialled() {
+fn only_loopback_is_listened_on_and_dialled() {
     for address in ["0.0.0.0:0", "192.0.2.1:80"] {
         let address = address.parse().unwrap();
         assert_eq!(Listener::bind(address).unwrap_err().kind(), io::ErrorKind::PermissionDenied);
@@ -45,10 +48,10 @@
     }
 }
 
-/// What a socket answers before its connection stands is the system's choice; a socket that was never connected
-/// answers ENOTCONN on Linux too, so the order is forced here.
+/// Guards against taking ENOTCONN of a connection that is being made for its end. Which error a socket gives before
+/// that is the system's choice; one that was never connected gives ENOTCONN on Linux too, so the order is forced here.
 #[test]
-fn a_socket_that_is_being_connected_has_not_ended() {
+fn socket_that_is_being_connected_has_not_ended() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let fd = net::socket_with(AddressFamily::INET, SocketType::STREAM, flags, None).unwrap();
@@ -71,10 +74,10 @@
     peer.read_exact(&mut piece[..1]).unwrap();
     peer.write_all(b"y").unwrap();
     peer.shutdown(std::net::Shutdown::Both).unwrap();
-    let by = now() + 10_000 * MILLI;
+    let deadline = now() + 10_000 * MILLI;
     while read(&mut socket, &mut cx, &mut piece) != Poll::Ready(Ok(())) {
-        reactor.wait(Some(by)).unwrap();
-        assert!(now() < by, "what the peer wrote");
+        reactor.wait(Some(deadline)).unwrap();
+        assert!(now() < deadline, "what the peer wrote");
     }
     assert_eq!(piece[0], b'y');
 }
--- a/crates/rpc/src/hub.rs
+++ b/crates/rpc/src/hub.rs
@@ -9,8 +9,8 @@
 
 use bytes::{Buf, Bytes};
 use shalereel_reactor::{
-    dial, dial_given, is_momentary, now, reload_signals, stop_signals, Listener, Nanos, Reactor, Socket,
-    TimerId, Timers, Token,
+    dial, dial_any_address, is_transient, now, reload_signals, stop_signals, Listener, Nanos, Reactor,
+    Socket, TimerId, Timers, Token,
 };
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
@@ -100,7 +100,7 @@
         while let Some(first) = self.out.front_mut() {
             match Pin::new(&mut self.socket).poll_write(cx, first) {
                 Poll::Ready(Ok(count)) => first.advance(count),
-                Poll::Ready(Err(error)) if is_momentary(&error) => {
+                Poll::Ready(Err(error)) if is_transient(&error) => {
                     self.refused = true;
                     break;
                 }
@@ -138,7 +138,7 @@
                     return Poll::Ready("closed by the peer".into());
                 }
                 Poll::Ready(Ok(())) => came.push(Bytes::copy_from_slice(buffer.filled())),
-                Poll::Ready(Err(error)) if is_momentary(&error) => {
+                Poll::Ready(Err(error)) if is_transient(&error) => {
                     self.refused = true;
                     return Poll::Pending;
                 }
@@ -296,7 +296,7 @@
 
     /// The same at an address that a platform has given, wherever it is.
     pub fn listen_given(&mut self, address: SocketAddr, name: L) -> io::Result<(Token, SocketAddr)> {
-        self.open(Listener::bind_given(address)?, name, true)
+        self.open(Listener::bind_any_address(address)?, name, true)
     }
 
     fn open(&mut self, listener: Listener, name: L, plain: bool) -> io::Result<(Token, SocketAddr)> {
@@ -335,7 +335,7 @@
 
     /// The same to an address that a platform has given, wherever it is.
     pub fn dial_given(&mut self, address: SocketAddr) -> io::Result<ConnId> {
-        let socket = dial_given(address)?;
+        let socket = dial_any_address(address)?;
         self.hold(socket, false, |socket, _| Speech::Plain(Plain::new(socket)))
     }
 
@@ -345,9 +345,9 @@
         calls: bool,
         make: fn(Socket, Bounds) -> Speech,
     ) -> io::Result<ConnId> {
-        socket.give_up_after(Duration::from_nanos(self.bounds.silence))?;
+        socket.set_user_timeout(Duration::from_nanos(self.bounds.silence))?;
         let id = ConnId(self.reactor.add(&socket)?);
-        let handle = if calls { Some(socket.handle()?) } else { None };
+        let handle = if calls { Some(socket.try_clone()?) } else { None };
         self.conns.insert(id, Held { speech: make(socket, self.bounds), handle, paused: false });
         self.touched.insert(id);
         Ok(id)
@@ -438,7 +438,7 @@
             (Speech::Calls(_), Some(handle)) => handle,
             (Speech::Calls(_), None) => return,
         };
-        let _ = if abrupt { socket.reset_at_close() } else { socket.shut() };
+        let _ = if abrupt { socket.reset_at_close() } else { socket.shutdown() };
     }
 
     /// Writes what the kernel takes of what waits on plain connections, before a process ends.
@@ -480,11 +480,11 @@
             self.accept_starved();
             self.retry();
             let time = now();
-            while let Some(key) = self.timers.due(time) {
+            while let Some(key) = self.timers.pop_due(time) {
                 self.ready.push_back(Input::Due(key));
             }
             let idle = self.ready.is_empty();
-            let next = self.timers.next().into_iter().chain(until).chain(self.retries.at).min();
+            let next = self.timers.next_at().into_iter().chain(until).chain(self.retries.at).min();
             for token in self.reactor.wait(if idle { next } else { Some(0) })? {
                 self.woken(token)?;
             }
