--- a/crates/cli/src/group_command.rs
+++ b/crates/cli/src/group_command.rs
@@ -9,7 +9,7 @@
 use clap::{Args, Subcommand};
 use serde_json::Value;
 use shalereel_fault_scenarios::{order_at, standing};
-use shalereel_group::sim::{play, ScheduleSettings, ScheduleStats, Violation};
+use shalereel_group::sim::{run_schedule, ScheduleSettings, ScheduleStats, Violation};
 use shalereel_group::wire::{
     CommandPayload, MemberAddress, MembershipChange, MoveRange, OperatorOrder, ReleaseOrder,
 };
@@ -144,8 +144,11 @@
 
 /// Exit 1 at the first schedule that breaks something; it is named by its seed.
 pub fn rehearse(arguments: &RehearseArguments) -> ExitCode {
-    let script =
-        ScheduleSettings { nodes: arguments.nodes, batch: arguments.batch, ..ScheduleSettings::default() };
+    let script = ScheduleSettings {
+        members: arguments.nodes,
+        max_batch_entries: arguments.batch,
+        ..ScheduleSettings::default()
+    };
     let next = AtomicU64::new(0);
     let found: Mutex<Option<Violation>> = Mutex::new(None);
     let sum: Mutex<ScheduleStats> = Mutex::new(ScheduleStats::default());
@@ -157,7 +160,7 @@
                 if at >= arguments.schedules || over {
                     return;
                 }
-                match play(arguments.seed + at, script) {
+                match run_schedule(arguments.seed + at, script) {
                     Ok(tally) => {
                         if let Ok(mut sum) = sum.lock() {
                             sum.add(&tally);
--- /dev/null
+++ b/crates/group/src/leases/grantor.rs
@@ -0,0 +1,142 @@
+//! What a member has granted to its forwarders, and when a withdrawn range is clear of them.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use shalereel::interface::Nanos;
+
+use super::route::{RangeRoute, RouteRequest, RouteResponse};
+use crate::state_machine::{RangeOwnership, StateMachine};
+use crate::timing::Timing;
+use crate::wire::{Epoch, LogIndex, MemberId};
+
+/// When a route was last granted on a stream, and in which response.
+#[derive(Clone, Copy, Debug)]
+struct Grant {
+    at: Nanos,
+    response: u64,
+}
+
+/// Routes that a member has granted to forwarders.
+#[derive(Clone, Debug)]
+pub struct RangeGrantor {
+    /// When the last route that an earlier start of this member may have granted lapses.
+    earlier_grants_lapse_at: Nanos,
+    /// By range and epoch, and then by stream.
+    granted: BTreeMap<(u32, Epoch), BTreeMap<u64, Grant>>,
+    responses: u64,
+    /// By range: when a forwarder last acknowledged that it has left a former owner.
+    left_at: BTreeMap<u32, Nanos>,
+}
+
+fn stands(state_machine: &StateMachine, range: u32, epoch: Epoch) -> bool {
+    let ownership = state_machine.ranges().get(&range);
+    ownership.is_some_and(|ownership| ownership.epoch == epoch && ownership.owner.is_some())
+}
+
+fn standing_route((&range, ownership): (&u32, &RangeOwnership)) -> Option<RangeRoute> {
+    ownership.owner.map(|owner| RangeRoute { range, owner, epoch: ownership.epoch })
+}
+
+impl RangeGrantor {
+    /// A grantor of a member that starts at `started_at`.
+    pub fn new(timing: &Timing, started_at: Nanos) -> Self {
+        RangeGrantor {
+            earlier_grants_lapse_at: started_at + timing.route_lapse(),
+            granted: BTreeMap::new(),
+            responses: 0,
+            left_at: BTreeMap::new(),
+        }
+    }
+
+    /// Answers a forwarder's request: with all routes that stand, for a tenure from the request on, or without routes
+    /// where the member has no valid lease. A forwarder that reconnects has a new stream, and what was granted on the
+    /// old one lapses by time.
+    pub fn handle_request(
+        &mut self,
+        now: Nanos,
+        stream: u64,
+        request: &RouteRequest,
+        state_machine: &StateMachine,
+        lease_is_valid: bool,
+    ) -> RouteResponse {
+        self.responses += 1;
+        self.note_left_routes(now, stream, request, state_machine);
+        if !lease_is_valid {
+            return RouteResponse { sequence: self.responses, routes: None };
+        }
+        let routes: Vec<RangeRoute> = state_machine.ranges().iter().filter_map(standing_route).collect();
+        for route in &routes {
+            let grants = self.granted.entry((route.range, route.epoch)).or_default();
+            grants.insert(stream, Grant { at: now, response: self.responses });
+        }
+        RouteResponse { sequence: self.responses, routes: Some(routes) }
+    }
+
+    /// A route that no longer stands is left once the forwarder does not hold it and has read the response that
+    /// granted it: a response still unread may grant it after this request was sent.
+    fn note_left_routes(
+        &mut self,
+        now: Nanos,
+        stream: u64,
+        request: &RouteRequest,
+        state_machine: &StateMachine,
+    ) {
+        let held: BTreeSet<(u32, Epoch)> = request.held.iter().map(|held| (held.range, held.epoch)).collect();
+        for (&(range, epoch), grants) in &mut self.granted {
+            let in_use = stands(state_machine, range, epoch) || held.contains(&(range, epoch));
+            let read = grants.get(&stream).is_some_and(|grant| grant.response <= request.last_response_read);
+            if !in_use && read {
+                grants.remove(&stream);
+                self.left_at.insert(range, now);
+            }
+        }
+    }
+
+    /// The routes that stand, to be pushed when a range is withdrawn; this extends no grant.
+    pub fn current_routes(&mut self, state_machine: &StateMachine) -> RouteResponse {
+        self.responses += 1;
+        let routes = state_machine.ranges().iter().filter_map(standing_route).collect();
+        RouteResponse { sequence: self.responses, routes: Some(routes) }
+    }
+
+    /// Moves, by range and index, that no forwarder of this member stands against any more and that it has not yet
+    /// cleared.
+    pub fn cleared_moves(
+        &mut self,
+        now: Nanos,
+        timing: &Timing,
+        own_id: MemberId,
+        state_machine: &StateMachine,
+    ) -> Vec<(u32, LogIndex)> {
+        let route_lapse = timing.route_lapse();
+        self.granted.retain(|_, grants| {
+            grants.retain(|_, grant| grant.at + route_lapse > now);
+            !grants.is_empty()
+        });
+        let mut cleared = Vec::new();
+        for (&range, ownership) in state_machine.ranges() {
+            let Some(pending_move) = &ownership.pending_move else { continue };
+            if !pending_move.cleared_by.contains(&own_id) && self.is_clear(now, timing, range) {
+                cleared.push((range, pending_move.move_index));
+            }
+        }
+        cleared
+    }
+
+    fn is_clear(&self, now: Nanos, timing: &Timing, range: u32) -> bool {
+        let granted = self.granted.keys().any(|(granted, _)| *granted == range);
+        let in_flight = self.left_at.get(&range).is_some_and(|left| now < left + timing.in_flight_span());
+        now >= self.earlier_grants_lapse_at && !granted && !in_flight
+    }
+
+    /// When a move may next become clear; nothing where no range is moving.
+    pub fn next_deadline(&self, timing: &Timing, state_machine: &StateMachine) -> Option<Nanos> {
+        let moving = state_machine.ranges().values().any(|ownership| ownership.pending_move.is_some());
+        moving.then(|| {
+            let grants = self.granted.values().flat_map(BTreeMap::values);
+            let lapses = grants.map(|grant| grant.at + timing.route_lapse());
+            let left = self.left_at.values().map(|left| left + timing.in_flight_span());
+            lapses.chain(left).fold(self.earlier_grants_lapse_at, Nanos::min)
+        })
+    }
+}
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -5,7 +5,6 @@
 
 mod fault;
 mod group;
-mod lease_client;
 mod leases;
 mod log;
 mod membership;
@@ -16,19 +15,18 @@
 mod state_machine;
 mod storage;
 mod timing;
-#[cfg(test)]
-mod walk;
 pub mod wire;
 
 pub use fault::InjectedFault;
-pub use group::{Action, Group, GroupConfig, MemberRole, OrderError};
-pub use lease_client::LeaseClient;
-pub use leases::{Lease, LeaseTable, RangeGrantor, RangeRoute};
+pub use group::{Action, Group, GroupConfig, LogEvent, LogStatus, MemberRole, OrderError};
+pub use leases::{
+    Lease, LeaseClient, LeaseTable, RangeGrantor, RangeRoute, RouteRequest, RouteResponse, RouteTenure,
+};
 pub use membership::{Member, Membership, StatusChange};
 pub use placement::ServerAvailability;
 pub use raft::LogWrite;
 pub use state_machine::{
-    AppliedChange, DutyAssignment, PendingMove, RangeOwnership, StandingOrder, StateMachine,
+    AppliedChange, DutyAssignment, PendingMove, RangeOwnership, Rejection, StandingOrder, StateMachine,
 };
 pub use storage::{encode, StoredLog, LOG_FILE_HEAD};
 pub use timing::{Timing, TimingSettings};
--- a/crates/group/src/log.rs
+++ b/crates/group/src/log.rs
@@ -1,151 +1,162 @@
-//! The log as one member has it: a snapshot up to its base, entries after it, and how much of it is kept safely.
+//! A member's Raft log: a snapshot, the entries after it, and how much of it is synced.
 
 use crate::wire::{Configuration, Entry, LogIndex, Snapshot};
 
-/// Entries from the base on, without holes.
+/// A write to the file that is not done yet.
+#[derive(Debug)]
+struct WriteInFlight {
+    sequence: u64,
+    /// Index of the last entry that is synced once it is done.
+    last_index: LogIndex,
+}
+
+/// Entries from the snapshot on, without holes.
 #[derive(Debug, Default)]
 pub(crate) struct Log {
     snapshot: Snapshot,
     entries: Vec<Entry>,
-    /// What would survive a crash.
+    /// Synced up to here: what would survive a crash.
     stored_index: LogIndex,
-    /// Writes that are under way, and how far each one reaches.
-    writes_in_flight: Vec<(u64, LogIndex)>,
+    writes_in_flight: Vec<WriteInFlight>,
 }
 
 impl Log {
+    /// The log as read from the file: all of it is synced.
+    pub(crate) fn recovered(snapshot: Snapshot, entries: Vec<Entry>) -> Self {
+        let mut log = Log { snapshot, entries, stored_index: 0, writes_in_flight: Vec::new() };
+        log.stored_index = log.last_index();
+        log
+    }
+
     pub(crate) fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
+    pub(crate) fn snapshot_index(&self) -> LogIndex {
+        self.snapshot.last_included_index
+    }
+
+    /// Synced up to here.
     pub(crate) fn stored_index(&self) -> LogIndex {
         self.stored_index
     }
 
-    pub(crate) fn last_index_and_term(&self) -> (LogIndex, u64) {
-        self.entries
-            .last()
-            .map_or((self.snapshot.last_included_index, self.snapshot.last_included_term), |entry| {
-                (entry.index, entry.term)
-            })
+    pub(crate) fn last_index(&self) -> LogIndex {
+        self.entries.last().map_or(self.snapshot.last_included_index, |entry| entry.index)
+    }
+
+    pub(crate) fn last_term(&self) -> u64 {
+        self.entries.last().map_or(self.snapshot.last_included_term, |entry| entry.term)
+    }
+
+    pub(crate) fn entries(&self) -> &[Entry] {
+        &self.entries
     }
 
     fn position(&self, index: LogIndex) -> Option<usize> {
-        index
-            .checked_sub(self.snapshot.last_included_index + 1)
-            .map(|at| at as usize)
-            .filter(|&at| at < self.entries.len())
+        let position = index.checked_sub(self.snapshot_index() + 1)? as usize;
+        (position < self.entries.len()).then_some(position)
     }
 
-    /// Nothing where it lies before the base or after the end.
+    /// Term of the entry at `index`; nothing where that is before the snapshot's index or after the last entry.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<u64> {
-        if index == self.snapshot.last_included_index {
+        if index == self.snapshot_index() {
             return Some(self.snapshot.last_included_term);
         }
-        self.position(index).map(|at| self.entries[at].term)
+        self.entry(index).map(|entry| entry.term)
     }
 
     pub(crate) fn entry(&self, index: LogIndex) -> Option<&Entry> {
-        self.position(index).map(|at| &self.entries[at])
+        self.position(index).map(|position| &self.entries[position])
     }
 
     pub(crate) fn entries_from(&self, index: LogIndex) -> &[Entry] {
-        self.position(index).map_or(&[], |at| &self.entries[at..])
+        self.position(index).map_or(&[], |position| &self.entries[position..])
     }
 
-    /// The first entry of the term that the one at `index` belongs to.
+    /// The first entry of the term of the one at `index`.
     pub(crate) fn first_index_of_term(&self, index: LogIndex) -> LogIndex {
         let Some(term) = self.term_at(index) else { return index };
         let mut first = index;
-        while first > self.snapshot.last_included_index + 1 && self.term_at(first - 1) == Some(term) {
+        while first > self.snapshot_index() + 1 && self.term_at(first - 1) == Some(term) {
             first -= 1;
         }
         first
     }
 
-    /// Puts an entry at its index; those there and after it are no more. It must follow what is held.
+    /// Puts an entry at its index, at most one after the last; entries there and after it are dropped.
     pub(crate) fn append(&mut self, entry: Entry) {
-        if let Some(at) = self.position(entry.index) {
-            self.entries.truncate(at);
-            self.stored_index = self.stored_index.min(entry.index - 1);
-            self.writes_in_flight.iter_mut().for_each(|(_, reach)| *reach = (*reach).min(entry.index - 1));
+        if let Some(position) = self.position(entry.index) {
+            self.entries.truncate(position);
+            let last_index = entry.index - 1;
+            self.stored_index = self.stored_index.min(last_index);
+            for write in &mut self.writes_in_flight {
+                write.last_index = write.last_index.min(last_index);
+            }
         }
-        debug_assert_eq!(entry.index, self.last_index_and_term().0 + 1);
+        debug_assert_eq!(entry.index, self.last_index() + 1);
         self.entries.push(entry);
     }
 
-    /// A write that covers all that is held now has begun.
-    pub(crate) fn begin_write(&mut self, number: u64) {
-        let reach = self.last_index_and_term().0;
-        self.writes_in_flight.push((number, reach));
+    /// A write that covers all entries has begun.
+    pub(crate) fn begin_write(&mut self, sequence: u64) {
+        let last_index = self.last_index();
+        self.writes_in_flight.push(WriteInFlight { sequence, last_index });
     }
 
-    /// All writes up to this one are done.
-    pub(crate) fn finish_write(&mut self, number: u64) {
-        let reach =
-            self.writes_in_flight.iter().filter(|(of, _)| *of <= number).map(|(_, reach)| *reach).max();
-        self.writes_in_flight.retain(|(of, _)| *of > number);
-        self.stored_index = self.stored_index.max(reach.unwrap_or(0));
+    /// All writes up to this one are synced.
+    pub(crate) fn finish_write(&mut self, sequence: u64) {
+        let done = self.writes_in_flight.iter().filter(|write| write.sequence <= sequence);
+        let synced = done.map(|write| write.last_index).max().unwrap_or(0);
+        self.writes_in_flight.retain(|write| write.sequence > sequence);
+        self.stored_index = self.stored_index.max(synced);
     }
 
-    /// The seats as the newest entry has them, whether committed or not, and that entry's index.
-    pub(crate) fn latest_configuration(&self) -> (LogIndex, Configuration) {
+    /// Index of the newest entry with a configuration, committed or not; of the snapshot where there is none.
+    pub(crate) fn configuration_index(&self) -> LogIndex {
         let newest = self.entries.iter().rev().find(|entry| entry.configuration.is_some());
-        match newest {
-            Some(entry) => (entry.index, entry.configuration.clone().unwrap_or_default()),
-            None => {
-                (self.snapshot.last_included_index, self.snapshot.configuration.clone().unwrap_or_default())
-            }
-        }
+        newest.map_or(self.snapshot_index(), |entry| entry.index)
+    }
+
+    /// The newest configuration, committed or not.
+    pub(crate) fn configuration(&self) -> Configuration {
+        self.configuration_at(LogIndex::MAX)
     }
 
     fn configuration_at(&self, index: LogIndex) -> Configuration {
-        let newest =
-            self.entries.iter().rev().find(|entry| entry.configuration.is_some() && entry.index <= index);
-        newest
-            .and_then(|entry| entry.configuration.clone())
-            .or_else(|| self.snapshot.configuration.clone())
-            .unwrap_or_default()
+        let mut entries = self.entries.iter().rev().filter(|entry| entry.index <= index);
+        let newest = entries.find_map(|entry| entry.configuration.as_ref());
+        newest.or(self.snapshot.configuration.as_ref()).cloned().unwrap_or_default()
     }
 
-    /// Entries up to `index` become the snapshot `state`.
+    /// Replaces the entries up to `index` by a snapshot with this state.
     pub(crate) fn compact(&mut self, index: LogIndex, state: Vec<u8>) {
-        let Some(index_term) = self.term_at(index) else { return };
-        let seats = Some(self.configuration_at(index));
-        if let Some(at) = self.position(index) {
-            self.entries.drain(..=at);
+        let Some(last_included_term) = self.term_at(index) else { return };
+        let configuration = Some(self.configuration_at(index));
+        if let Some(position) = self.position(index) {
+            self.entries.drain(..=position);
         }
         self.snapshot = Snapshot {
             term: 0,
             last_included_index: index,
-            last_included_term: index_term,
-            configuration: seats,
+            last_included_term,
+            configuration,
             state,
             heartbeat_round: 0,
         };
     }
 
-    /// Replaced by a leader's snapshot; what follows it and agrees with it stays.
-    pub(crate) fn restore(&mut self, base: Snapshot) {
-        if self.term_at(base.last_included_index) == Some(base.last_included_term) {
-            let at = self.position(base.last_included_index).map_or(0, |at| at + 1);
-            self.entries.drain(..at);
+    /// Replaces the log by a leader's snapshot; entries after it stay where the log agrees with it.
+    pub(crate) fn restore(&mut self, snapshot: Snapshot) {
+        let index = snapshot.last_included_index;
+        if self.term_at(index) == Some(snapshot.last_included_term) {
+            let kept_from = self.position(index).map_or(0, |position| position + 1);
+            self.entries.drain(..kept_from);
         } else {
             self.entries.clear();
             self.stored_index = 0;
             self.writes_in_flight.clear();
         }
-        self.snapshot = base;
-    }
-
-    /// As read back from a file: all of it is stored.
-    pub(crate) fn recovered(base: Snapshot, entries: Vec<Entry>) -> Self {
-        let mut log = Log { snapshot: base, entries, stored_index: 0, writes_in_flight: Vec::new() };
-        log.stored_index = log.last_index_and_term().0;
-        log
-    }
-
-    pub(crate) fn entries(&self) -> &[Entry] {
-        &self.entries
+        self.snapshot = snapshot;
     }
 }
--- a/crates/group/src/report_merge.rs
+++ b/crates/group/src/report_merge.rs
@@ -1,4 +1,5 @@
-//! Reports of all members, merged by the one that holds this duty: sums, not raw lines, of a bounded size.
+//! Load reports of all members, merged by the holder of [`Duty::MergeReports`](crate::wire::Duty::MergeReports):
+//! totals of bounded size rather than raw rows.
 
 use std::collections::BTreeMap;
 
@@ -6,178 +7,175 @@
 
 use crate::wire::{MemberId, ReportTotals};
 
-/// Rows in one message at most: twice a large fleet's servers and localities in some tens of kilobytes.
+#[cfg(test)]
+mod tests;
+
+/// Rows in one message: twice a large fleet's servers and localities, in some tens of kilobytes.
 pub const MAX_ROWS: usize = 4096;
-const MICRO: Nanos = 1_000;
-const MILLI: Nanos = 1_000_000;
+const MICROSECOND: Nanos = 1_000;
+const MILLISECOND: Nanos = 1_000_000;
 
-/// Server and locality.
-type Key = (u32, u16);
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Key {
+    server: u32,
+    locality: u16,
+}
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Row {
-    tries: u64,
-    lost: u64,
-    /// Time of all that succeeded.
-    time: u128,
+struct Totals {
+    attempts: u64,
+    failures: u64,
+    /// Of all attempts that succeeded, in nanoseconds.
+    response_time: u128,
     window: Nanos,
 }
 
-impl Row {
-    fn add(&mut self, other: &Row) {
-        self.tries += other.tries;
-        self.lost += other.lost;
-        self.time += other.time;
+impl Totals {
+    fn add(&mut self, other: &Totals) {
+        self.attempts += other.attempts;
+        self.failures += other.failures;
+        self.response_time += other.response_time;
         self.window = self.window.max(other.window);
     }
+
+    fn mean_response_time(&self) -> u128 {
+        let succeeded = self.attempts.saturating_sub(self.failures).max(1);
+        self.response_time / u128::from(succeeded)
+    }
 }
 
-fn fits(number: u64) -> u32 {
+type Rows = BTreeMap<Key, Totals>;
+
+fn saturating_u32(number: u64) -> u32 {
     number.min(u32::MAX.into()) as u32
 }
 
-fn pack(rows: &BTreeMap<Key, Row>) -> ReportTotals {
-    let mut order: Vec<(&Key, &Row)> = rows.iter().collect();
-    // Where not all fit, those with losses go first, then those that met most.
+fn to_message(rows: &Rows) -> ReportTotals {
+    let mut order: Vec<(&Key, &Totals)> = rows.iter().collect();
+    // Where not all fit, rows with most failures go first, and then those with most attempts.
     if order.len() > MAX_ROWS {
-        order.sort_by_key(|(key, row)| (std::cmp::Reverse((row.lost, row.tries)), **key));
+        order.sort_by_key(|(key, row)| (std::cmp::Reverse((row.failures, row.attempts)), **key));
     }
-    let mut sums =
-        ReportTotals { omitted_rows: order.len().saturating_sub(MAX_ROWS) as u32, ..ReportTotals::default() };
-    for ((server, locality), row) in order.into_iter().take(MAX_ROWS) {
-        let succeeded = row.tries.saturating_sub(row.lost).max(1);
-        sums.servers.push(*server);
-        sums.localities.push((*locality).into());
-        sums.attempts.push(fits(row.tries));
-        sums.failures.push(fits(row.lost));
-        sums.mean_response_time_us.push(fits((row.time / u128::from(succeeded) / u128::from(MICRO)) as u64));
-        sums.window_ms.push(fits(row.window / MILLI));
+    let omitted_rows = order.len().saturating_sub(MAX_ROWS) as u32;
+    let mut message = ReportTotals { omitted_rows, ..ReportTotals::default() };
+    for (key, row) in order.into_iter().take(MAX_ROWS) {
+        let mean_response_time_us = (row.mean_response_time() / u128::from(MICROSECOND)) as u64;
+        message.servers.push(key.server);
+        message.localities.push(key.locality.into());
+        message.attempts.push(saturating_u32(row.attempts));
+        message.failures.push(saturating_u32(row.failures));
+        message.mean_response_time_us.push(saturating_u32(mean_response_time_us));
+        message.window_ms.push(saturating_u32(row.window / MILLISECOND));
     }
-    sums
+    message
 }
 
-fn unpack(sums: &ReportTotals) -> BTreeMap<Key, Row> {
-    let columns =
-        [&sums.localities, &sums.attempts, &sums.failures, &sums.mean_response_time_us, &sums.window_ms];
-    let whole =
-        columns.iter().map(|column| column.len()).min().unwrap_or(0).min(sums.servers.len()).min(MAX_ROWS);
-    let row = |at: usize| {
-        let (tries, lost) =
-            (u64::from(sums.attempts[at]), u64::from(sums.failures[at].min(sums.attempts[at])));
-        let time = u128::from(sums.mean_response_time_us[at]) * u128::from(MICRO) * u128::from(tries - lost);
-        let window = Nanos::from(sums.window_ms[at]) * MILLI;
-        (
-            (sums.servers[at], sums.localities[at].min(u16::MAX.into()) as u16),
-            Row { tries, lost, time, window },
-        )
+/// Rows up to the end of the shortest column.
+fn from_message(message: &ReportTotals) -> Rows {
+    let columns = [
+        &message.servers,
+        &message.localities,
+        &message.attempts,
+        &message.failures,
+        &message.mean_response_time_us,
+        &message.window_ms,
+    ];
+    let rows = columns.iter().map(|column| column.len()).min().unwrap_or(0).min(MAX_ROWS);
+    (0..rows).map(|row| row_at(message, row)).collect()
+}
+
+fn row_at(message: &ReportTotals, row: usize) -> (Key, Totals) {
+    let attempts = u64::from(message.attempts[row]);
+    let failures = u64::from(message.failures[row]).min(attempts);
+    let mean_response_time = u128::from(message.mean_response_time_us[row]) * u128::from(MICROSECOND);
+    let key =
+        Key { server: message.servers[row], locality: message.localities[row].min(u16::MAX.into()) as u16 };
+    let totals = Totals {
+        attempts,
+        failures,
+        response_time: mean_response_time * u128::from(attempts - failures),
+        window: Nanos::from(message.window_ms[row]) * MILLISECOND,
     };
-    (0..whole).map(row).collect()
+    (key, totals)
 }
 
 /// A member's own reports of a cycle as a message.
-pub fn told<'a>(digests: impl Iterator<Item = &'a EndpointReport>) -> ReportTotals {
-    let mut rows: BTreeMap<Key, Row> = BTreeMap::new();
-    for digest in digests {
-        let (tries, lost) = (u64::from(digest.attempts), u64::from(digest.failures.min(digest.attempts)));
-        let time = u128::from(digest.response_time) * u128::from(tries - lost);
-        let row = Row { tries, lost, time, window: digest.window };
-        rows.entry((digest.server, digest.locality)).or_default().add(&row);
+pub fn encode_reports<'a>(reports: impl Iterator<Item = &'a EndpointReport>) -> ReportTotals {
+    let mut rows = Rows::new();
+    for report in reports {
+        let attempts = u64::from(report.attempts);
+        let failures = u64::from(report.failures).min(attempts);
+        let totals = Totals {
+            attempts,
+            failures,
+            response_time: u128::from(report.response_time) * u128::from(attempts - failures),
+            window: report.window,
+        };
+        let key = Key { server: report.server, locality: report.locality };
+        rows.entry(key).or_default().add(&totals);
     }
-    pack(&rows)
+    to_message(&rows)
 }
 
-/// What others met, as if one's own forwarders of those localities had.
-pub fn digests(sums: &ReportTotals) -> Vec<EndpointReport> {
-    let digest = |(server, locality): Key, row: Row| EndpointReport {
-        server,
-        locality,
-        attempts: fits(row.tries),
-        failures: fits(row.lost),
-        response_time: (row.time / u128::from((row.tries - row.lost).max(1))) as Nanos,
-        window: row.window,
+/// The rows of a message, as if one's own forwarders had reported them.
+pub fn decode_reports(message: &ReportTotals) -> Vec<EndpointReport> {
+    let report = |(key, totals): (Key, Totals)| EndpointReport {
+        server: key.server,
+        locality: key.locality,
+        attempts: saturating_u32(totals.attempts),
+        failures: saturating_u32(totals.failures),
+        response_time: totals.mean_response_time() as Nanos,
+        window: totals.window,
         load: Vec::new(),
     };
-    unpack(sums).into_iter().map(|(key, row)| digest(key, row)).collect()
+    from_message(message).into_iter().map(report).collect()
+}
+
+/// Merged reports for one member.
+#[derive(Clone, Debug, PartialEq)]
+pub struct MergedReports {
+    /// Sums of all other members' reports.
+    pub totals: ReportTotals,
+    /// Number of members that reported.
+    pub reporters: u32,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Route {
+    receiver: MemberId,
+    reporter: MemberId,
 }
 
-/// Everybody's sums since each was last told of the others.
+/// Reports of each member that the others have not been sent yet.
 #[derive(Debug, Default)]
 pub struct ReportMerger {
-    /// By receiver and sender: what the one has not been told of the other.
-    open: BTreeMap<(MemberId, MemberId), BTreeMap<Key, Row>>,
+    unsent: BTreeMap<Route, Rows>,
 }
 
 impl ReportMerger {
-    pub fn add(&mut self, from: MemberId, sums: &ReportTotals, members: &[MemberId]) {
-        let rows = unpack(sums);
-        self.open.retain(|(to, of), _| members.contains(to) && members.contains(of));
-        for &to in members.iter().filter(|&&to| to != from) {
-            let open = self.open.entry((to, from)).or_default();
+    /// Takes a member's reports. `members`: all that are to be sent merged reports; what is kept of others is dropped.
+    pub fn add(&mut self, reporter: MemberId, totals: &ReportTotals, members: &[MemberId]) {
+        let rows = from_message(totals);
+        self.unsent.retain(|route, _| members.contains(&route.receiver) && members.contains(&route.reporter));
+        for &receiver in members.iter().filter(|&&receiver| receiver != reporter) {
+            let unsent = self.unsent.entry(Route { receiver, reporter }).or_default();
             for (key, row) in &rows {
-                open.entry(*key).or_default().add(row);
+                unsent.entry(*key).or_default().add(row);
             }
         }
     }
 
-    /// What `to` is told of all others, once, and of how many.
-    pub fn take(&mut self, to: MemberId) -> (ReportTotals, u32) {
-        let senders: Vec<MemberId> =
-            self.open.range((to, 0)..=(to, MemberId::MAX)).map(|(key, _)| key.1).collect();
-        let mut merged: BTreeMap<Key, Row> = BTreeMap::new();
-        for from in &senders {
-            for (key, row) in self.open.remove(&(to, *from)).unwrap_or_default() {
+    /// What the others have reported since this was last called for the receiver.
+    pub fn take(&mut self, receiver: MemberId) -> MergedReports {
+        let first = Route { receiver, reporter: 0 };
+        let last = Route { receiver, reporter: MemberId::MAX };
+        let routes: Vec<Route> = self.unsent.range(first..=last).map(|(route, _)| *route).collect();
+        let mut merged = Rows::new();
+        for route in &routes {
+            for (key, row) in self.unsent.remove(route).unwrap_or_default() {
                 merged.entry(key).or_default().add(&row);
             }
         }
-        (pack(&merged), senders.len() as u32)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn digest(server: u32, tries: u32, lost: u32, answer_time: Nanos) -> EndpointReport {
-        EndpointReport {
-            server,
-            locality: 1,
-            attempts: tries,
-            failures: lost,
-            response_time: answer_time,
-            window: 1_000 * MILLI,
-            load: Vec::new(),
-        }
-    }
-
-    #[test]
-    fn each_is_told_of_the_others_and_never_of_itself() {
-        let mut merger = ReportMerger::default();
-        merger.add(0, &told([digest(7, 10, 2, 4_000_000)].iter()), &[0, 1, 2]);
-        merger.add(1, &told([digest(7, 30, 0, 8_000_000), digest(8, 1, 1, 0)].iter()), &[0, 1, 2]);
-        assert_eq!(digests(&merger.take(0).0), vec![digest(7, 30, 0, 8_000_000), digest(8, 1, 1, 0)]);
-        assert_eq!(digests(&merger.take(1).0), vec![digest(7, 10, 2, 4_000_000)]);
-        let (sums, senders) = merger.take(2);
-        assert_eq!((digests(&sums)[0].attempts, digests(&sums)[0].failures, senders), (40, 2, 2));
-        assert_eq!(digests(&merger.take(2).0), vec![], "told once");
-    }
-
-    #[test]
-    fn a_message_is_bounded_and_keeps_losses() {
-        let many: Vec<EndpointReport> =
-            (0..6000).map(|server| digest(server, 5, u32::from(server == 5999), 0)).collect();
-        let sums = told(many.iter());
-        assert_eq!((sums.servers.len(), sums.omitted_rows), (MAX_ROWS, 6000 - MAX_ROWS as u32));
-        assert_eq!(sums.servers[0], 5999);
-    }
-
-    #[test]
-    fn columns_of_unequal_length_are_read_as_far_as_all_go() {
-        let sums = ReportTotals {
-            servers: vec![1, 2],
-            localities: vec![0, 0],
-            attempts: vec![3],
-            ..ReportTotals::default()
-        };
-        assert_eq!(digests(&sums), vec![]);
+        MergedReports { totals: to_message(&merged), reporters: routes.len() as u32 }
     }
 }
--- a/crates/group/src/storage.rs
+++ b/crates/group/src/storage.rs
@@ -1,64 +1,69 @@
-//! The file that a member keeps: batches of records, each a frame of `shalereel_journal`.
+//! The log file of a member: batches of records, each a frame of `shalereel_journal`.
 
 use prost::Message;
 use shalereel_journal::{bodies, JournalError};
 
 use crate::wire::{Entry, RecordBatch, RecordKind, Snapshot, StoredRecord, Vote};
 
-/// Before the first batch: what file this is, and of which version.
+/// The first bytes of the file: kind and version.
 pub const LOG_FILE_HEAD: &shalereel_journal::Head = b"shlrgrp1";
 
-/// What a file said.
+/// What a member's file contains.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredLog {
+    /// Number of starts so far.
     pub start_count: u64,
+    /// Current term and vote.
     pub vote: Vote,
+    /// In place of the entries up to its index.
     pub snapshot: Snapshot,
+    /// Entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// Bytes that were whole; what follows is to be cut away.
+    /// Bytes of complete batches; what follows is a torn write, to be truncated.
     pub complete_bytes: usize,
 }
 
-/// One batch as a body; batches may be put one after another and are one then.
+/// One batch as the body of a frame. Concatenated bodies are one batch.
 pub fn encode(records: &[StoredRecord]) -> Vec<u8> {
     RecordBatch { records: records.to_vec() }.encode_to_vec()
 }
 
-pub fn record(kept: RecordKind) -> StoredRecord {
-    StoredRecord { kind: Some(kept) }
-}
-
 impl StoredLog {
+    /// Reads a file.
+    ///
+    /// # Errors
+    ///
+    /// The bytes are of another kind of file, or damaged in a way that no crash during a write explains.
+    pub fn read(bytes: &[u8]) -> Result<Self, JournalError> {
+        let mut found = StoredLog { complete_bytes: LOG_FILE_HEAD.len(), ..StoredLog::default() };
+        for (body, end) in bodies(bytes, LOG_FILE_HEAD)? {
+            // Its checksum is right, so what cannot be decoded was written by a later version.
+            let batch =
+                RecordBatch::decode(body).map_err(|_| JournalError::Damaged { at: found.complete_bytes })?;
+            batch.records.into_iter().for_each(|record| found.apply(record));
+            found.complete_bytes = end;
+        }
+        Ok(found)
+    }
+
     fn apply(&mut self, record: StoredRecord) {
         match record.kind {
-            Some(RecordKind::StartCount(boot)) => self.start_count = boot,
+            Some(RecordKind::StartCount(start_count)) => self.start_count = start_count,
             Some(RecordKind::Vote(vote)) => self.vote = vote,
             Some(RecordKind::Entry(entry)) => {
                 self.entries.retain(|old| old.index < entry.index);
                 self.entries.push(entry);
             }
-            Some(RecordKind::Snapshot(base)) => {
-                let agrees = self
-                    .entries
-                    .iter()
-                    .any(|e| e.index == base.last_included_index && e.term == base.last_included_term);
-                self.entries.retain(|old| agrees && old.index > base.last_included_index);
-                self.snapshot = base;
-            }
+            Some(RecordKind::Snapshot(snapshot)) => self.apply_snapshot(snapshot),
             None => {}
         }
     }
 
-    /// Reads a file. Errors: no such file, or damage that no crash in the middle of a write explains.
-    pub fn read(bytes: &[u8]) -> Result<Self, JournalError> {
-        let mut found = StoredLog { complete_bytes: LOG_FILE_HEAD.len(), ..StoredLog::default() };
-        for (body, end) in bodies(bytes, LOG_FILE_HEAD)? {
-            // What has its checksum and cannot be read was written by a later version.
-            let batch =
-                RecordBatch::decode(body).map_err(|_| JournalError::Damaged { at: found.complete_bytes })?;
-            batch.records.into_iter().for_each(|record| found.apply(record));
-            found.complete_bytes = end;
-        }
-        Ok(found)
+    /// Entries after the snapshot stay only where the log agrees with it.
+    fn apply_snapshot(&mut self, snapshot: Snapshot) {
+        let (index, term) = (snapshot.last_included_index, snapshot.last_included_term);
+        let agrees = self.entries.iter().any(|entry| entry.index == index && entry.term == term);
+        self.entries.retain(|old| agrees && old.index > index);
+        self.snapshot = snapshot;
     }
 }
--- a/crates/group/src/timing.rs
+++ b/crates/group/src/timing.rs
@@ -1,131 +1,139 @@
-//! How long members wait for one another. Decisions, free of I/O and clock; all are ratios to told figures.
+//! How long members wait for one another. All spans are in nanoseconds and follow from a few settings.
 
 use shalereel::interface::Nanos;
 
-/// What a group is told of time.
+/// Settings of time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimingSettings {
-    /// A follower that heard nothing for so long, and up to twice that, asks for votes.
+    /// A follower that heard no leader for this span, and up to twice of it, stands for election.
     pub election_timeout: Nanos,
-    /// Two clocks differ by at most this part of any span.
+    /// Any two clocks differ by at most this part of a span.
     pub max_clock_drift: f64,
-    /// A forwarder may use a range's line for so long after it asked.
+    /// A forwarder may use a route for this span after its request.
     pub tenure: Nanos,
-    /// What a forwarder sent takes effect within this span, or not at all.
+    /// What a forwarder has sent takes effect within this span or never.
     pub max_in_flight: Nanos,
-    /// Entries of the log in one message at most.
+    /// Log entries in one message at most.
     pub max_batch_entries: usize,
 }
 
-/// Spans that follow from what was told.
+/// Spans derived from [`TimingSettings`].
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     settings: TimingSettings,
 }
 
-/// Heartbeats of a leader in the least election timeout: a few may be lost.
+/// Some heartbeats may be lost before a follower stands for election.
 const HEARTBEATS_PER_ELECTION_TIMEOUT: Nanos = 5;
-/// Unanswered entries are sent again after so many heartbeats.
+/// Unacknowledged entries are sent again after this many heartbeats.
 const RETRANSMIT_HEARTBEATS: Nanos = 3;
-/// Renewals in a lease.
 const RENEWALS_PER_LEASE: Nanos = 4;
-/// Probes in an election timeout, and how much of a probe's period a direct answer may take.
 const PROBES_PER_ELECTION_TIMEOUT: Nanos = 2;
+/// A direct acknowledgement may take this fraction of a probe period; the rest is for indirect probes.
 const DIRECT_ACK_DIVISOR: Nanos = 3;
-/// Members asked to probe in one's stead.
-pub const INDIRECT_PROBES: usize = 3;
-/// A suspect may refute for so many periods, times the logarithm of the group's size.
+/// Probe periods that a suspect has to refute, per binary logarithm of the group's size.
 const SUSPICION_PERIODS: f64 = 3.0;
-/// A rumour goes along with so many messages, times the same.
+/// Messages that carry an update, per binary logarithm of the group's size.
 const GOSSIP_TRANSMISSION_FACTOR: f64 = 3.0;
-/// Rumours on one message.
-pub const MAX_UPDATES_PER_MESSAGE: usize = 8;
-/// A member that came back is given its duties after so many election timeouts without a break.
+/// A member that came back is assigned duties after this many election timeouts without a break.
 const STABLE_ELECTION_TIMEOUTS: Nanos = 3;
-/// Entries of the log before it is made into a snapshot.
-pub const SNAPSHOT_EVERY_ENTRIES: u64 = 512;
-/// A command not committed in so many election timeouts is given up and said so.
+/// A command that is not committed after this many election timeouts is given up.
 const COMMAND_ELECTION_TIMEOUTS: Nanos = 10;
 
 impl Timing {
-    pub fn new(told: TimingSettings) -> Self {
-        Timing { settings: told }
+    /// The spans that follow from these settings.
+    pub fn new(settings: TimingSettings) -> Self {
+        Timing { settings }
     }
 
+    /// The least election timeout.
     pub fn election_timeout(&self) -> Nanos {
         self.settings.election_timeout
     }
 
-    /// A draw from 0 to 1 between once and twice the election timeout.
+    /// Between once and twice the election timeout, by a random draw from 0 to 1.
     pub fn randomized_election_timeout(&self, draw: f64) -> Nanos {
         self.settings.election_timeout + (self.settings.election_timeout as f64 * draw) as Nanos
     }
 
+    /// From one heartbeat of a leader to the next.
     pub fn heartbeat_interval(&self) -> Nanos {
         self.settings.election_timeout / HEARTBEATS_PER_ELECTION_TIMEOUT
     }
 
+    /// After which unacknowledged messages are sent again.
     pub fn retransmit_interval(&self) -> Nanos {
         RETRANSMIT_HEARTBEATS * self.heartbeat_interval()
     }
 
-    /// How long a member may go on renewing forwarders after it asked the leader.
+    /// How long a member may grant routes after it requested a lease of the leader.
     pub fn lease_duration(&self) -> Nanos {
         self.settings.election_timeout
     }
 
+    /// From one request for a lease to the next.
     pub fn lease_renewal_interval(&self) -> Nanos {
         self.lease_duration() / RENEWALS_PER_LEASE
     }
 
+    /// How long a forwarder may use a route after its request.
     pub fn tenure(&self) -> Nanos {
         self.settings.tenure
     }
 
+    /// Log entries in one message at most; 1 or more.
     pub fn max_batch_entries(&self) -> usize {
         self.settings.max_batch_entries.max(1)
     }
 
+    /// After which a command that is not committed is given up.
     pub fn command_timeout(&self) -> Nanos {
         COMMAND_ELECTION_TIMEOUTS * self.settings.election_timeout
     }
 
-    /// A span on any other clock is over once this much has passed on one's own.
+    /// The longest that a span of any other clock lasts by one's own.
     pub fn upper_bound(&self, span: Nanos) -> Nanos {
-        (span as f64 * (1.0 + self.settings.max_clock_drift) / (1.0 - self.settings.max_clock_drift)).ceil()
-            as Nanos
+        let drift = self.settings.max_clock_drift;
+        (span as f64 * (1.0 + drift) / (1.0 - drift)).ceil() as Nanos
     }
 
-    /// A span on any other clock is not over before this much has passed on one's own.
+    /// The shortest that a span of any other clock lasts by one's own.
     pub fn lower_bound(&self, span: Nanos) -> Nanos {
-        (span as f64 * (1.0 - self.settings.max_clock_drift) / (1.0 + self.settings.max_clock_drift)) as Nanos
+        let drift = self.settings.max_clock_drift;
+        (span as f64 * (1.0 - drift) / (1.0 + drift)) as Nanos
     }
 
-    /// From the last renewal of a forwarder until what it sent has taken effect.
+    /// From a grant to a forwarder until all that it sent by it has taken effect.
     pub fn route_lapse(&self) -> Nanos {
         self.upper_bound(self.settings.tenure + self.settings.max_in_flight)
     }
 
+    /// Within which all that a forwarder has sent has taken effect.
     pub fn in_flight_span(&self) -> Nanos {
         self.upper_bound(self.settings.max_in_flight)
     }
 
+    /// From one probe of a member to the next.
     pub fn probe_period(&self) -> Nanos {
         self.settings.election_timeout / PROBES_PER_ELECTION_TIMEOUT
     }
 
+    /// After which an unacknowledged probe is tried through other members.
     pub fn direct_ack_timeout(&self) -> Nanos {
         self.probe_period() / DIRECT_ACK_DIVISOR
     }
 
+    /// How long a suspect may refute, in a group of this many members.
     pub fn suspicion_timeout(&self, members: usize) -> Nanos {
         (SUSPICION_PERIODS * ((members + 1) as f64).log2() * self.probe_period() as f64) as Nanos
     }
 
+    /// Messages that carry an update, in a group of this many members.
     pub fn gossip_transmissions(&self, members: usize) -> u32 {
         (GOSSIP_TRANSMISSION_FACTOR * ((members + 1) as f64).log2()).ceil() as u32
     }
 
+    /// How long a member must be alive without a break before it is assigned duties.
     pub fn stable_span(&self) -> Nanos {
         STABLE_ELECTION_TIMEOUTS * self.settings.election_timeout
     }
--- a/crates/group/src/wire/storage.rs
+++ b/crates/group/src/wire/storage.rs
@@ -48,3 +48,9 @@
     #[prost(uint32, optional, tag = "2")]
     pub voted_for: Option<MemberId>,
 }
+
+impl From<RecordKind> for StoredRecord {
+    fn from(kind: RecordKind) -> Self {
+        StoredRecord { kind: Some(kind) }
+    }
+}
--- a/crates/group/tests/members.rs
+++ b/crates/group/tests/members.rs
@@ -1,4 +1,4 @@
-//! Failure detection against the bounds of the paper, and a follower that is far behind.
+//! Failure detection against the bounds of the SWIM paper, and a follower that is far behind.
 
 use std::collections::BTreeMap;
 
@@ -6,11 +6,11 @@
 use shalereel_group::wire::{CommandPayload, Envelope, MemberAddress, MemberStatus, OperatorOrder};
 use shalereel_group::{Action, Group, GroupConfig, MemberRole, Membership, Timing, TimingSettings};
 
-const MILLI: u64 = 1_000_000;
-const TOLD: TimingSettings = TimingSettings {
-    election_timeout: 1_000 * MILLI,
+const MILLISECOND: u64 = 1_000_000;
+const SETTINGS: TimingSettings = TimingSettings {
+    election_timeout: 1_000 * MILLISECOND,
     max_clock_drift: 0.01,
-    tenure: 1_000 * MILLI,
+    tenure: 1_000 * MILLISECOND,
     max_in_flight: 0,
     max_batch_entries: 64,
 };
@@ -18,22 +18,28 @@
 struct Crowd {
     members: BTreeMap<u32, Membership>,
     rng: Rand64,
-    lost: f64,
+    loss: f64,
     now: u64,
 }
 
 impl Crowd {
-    fn new(size: u32, lost: f64, seed: u64) -> Self {
-        let seeds: Vec<(u32, String)> = (0..size).map(|number| (number, format!("at-{number}"))).collect();
-        let member = |number: u32| {
-            (number, Membership::new(number, &format!("at-{number}"), 1, &seeds, Timing::new(TOLD), seed))
+    fn new(size: u32, loss: f64, seed: u64) -> Self {
+        let seeds: Vec<(u32, String)> = (0..size).map(|id| (id, format!("at-{id}"))).collect();
+        let member = |id: u32| {
+            let timing = Timing::new(SETTINGS);
+            (id, Membership::new(id, &format!("at-{id}"), 1, &seeds, timing, seed))
         };
-        Crowd { members: (0..size).map(member).collect(), rng: Rand64::new(seed.into()), lost, now: MILLI }
+        Crowd {
+            members: (0..size).map(member).collect(),
+            rng: Rand64::new(seed.into()),
+            loss,
+            now: MILLISECOND,
+        }
     }
 
-    /// One millisecond; gives who was held for suspect or dead by anybody.
+    /// One millisecond; returns the members that anybody sees differently by then.
     fn pass(&mut self) -> Vec<(u32, MemberStatus)> {
-        self.now += MILLI;
+        self.now += MILLISECOND;
         let mut mail = Vec::new();
         for (&from, member) in &mut self.members {
             if member.next_deadline() <= self.now {
@@ -42,7 +48,7 @@
             mail.extend(member.take_messages().into_iter().map(|(to, gossip)| (from, to, gossip)));
         }
         while let Some((from, to, gossip)) = mail.pop() {
-            if self.rng.rand_float() < self.lost {
+            if self.rng.rand_float() < self.loss {
                 continue;
             }
             if let Some(member) = self.members.get_mut(&to) {
@@ -55,33 +61,35 @@
     }
 }
 
+/// Probe periods from a member's death to the first suspicion.
+fn periods_to_suspicion(size: u32, seed: u64) -> f64 {
+    let period = SETTINGS.election_timeout / 2;
+    let mut crowd = Crowd::new(size, 0.0, seed);
+    (0..3_000 + 37 * seed).for_each(|_| drop(crowd.pass()));
+    crowd.members.remove(&1);
+    let killed = crowd.now;
+    while !crowd.pass().contains(&(1, MemberStatus::Suspect)) {
+        assert!(crowd.now < killed + 20 * period);
+    }
+    (crowd.now - killed) as f64 / period as f64
+}
+
 /// The paper: with many members the first detection takes e / (e - 1) periods on average. The few of a group choose
 /// in turns, and each of them probes, so that it is no longer.
 #[test]
-fn a_death_is_detected_within_the_bounds_and_loss_kills_nobody() {
-    let period = TOLD.election_timeout / 2;
+fn dead_member_is_suspected_in_time_and_loss_declares_nobody_dead() {
     for size in [3, 5, 9] {
-        let mut sum = 0;
-        for seed in 0..40 {
-            let mut crowd = Crowd::new(size, 0.0, seed);
-            (0..3_000 + 37 * seed).for_each(|_| drop(crowd.pass()));
-            crowd.members.remove(&1);
-            let killed = crowd.now;
-            while !crowd.pass().contains(&(1, MemberStatus::Suspect)) {
-                assert!(crowd.now < killed + 20 * period);
-            }
-            sum += crowd.now - killed;
-        }
-        let periods = sum as f64 / 40.0 / period as f64;
+        let periods = (0..40).map(|seed| periods_to_suspicion(size, seed)).sum::<f64>() / 40.0;
         eprintln!("{size} members: the first suspects after {periods:.2} periods on average");
         // A probe runs for a period before its subject is suspected.
         assert!(periods < 1.0 + 1.58 + 0.2, "{size}: {periods}");
         let mut crowd = Crowd::new(size, 0.1, 7);
-        let (mut suspected, mut dead) = (0, 0);
+        let mut suspected = 0;
+        let mut dead = 0;
         for _ in 0..200_000 {
-            for (_, standing) in crowd.pass() {
-                suspected += u32::from(standing == MemberStatus::Suspect);
-                dead += u32::from(standing == MemberStatus::Dead);
+            for (_, status) in crowd.pass() {
+                suspected += u32::from(status == MemberStatus::Suspect);
+                dead += u32::from(status == MemberStatus::Dead);
             }
         }
         eprintln!("{size} members, a tenth lost, 400 periods: {suspected} suspicions, {dead} held for dead");
@@ -89,71 +97,83 @@
     }
 }
 
-#[test]
-fn one_that_is_a_thousand_entries_behind_takes_over_what_stands() {
-    let seat = |number| MemberAddress { id: number, address: format!("at-{number}") };
-    let mut groups: Vec<Group> = (0..3)
-        .map(|me| {
-            let config = GroupConfig {
-                id: me,
-                address: format!("at-{me}"),
-                name: "behind".into(),
-                initial_voters: (0..3).map(seat).collect(),
-                joining: false,
-                timing: TOLD,
-                seed: 3,
-                duties: Vec::new(),
-                injected_fault: None,
-            };
-            Group::new(config, 0, None)
-        })
-        .collect();
-    let (mut now, mut ordered) = (0, 0);
-    let mut mail: Vec<Envelope> = Vec::new();
-    let mut pass = |groups: &mut Vec<Group>, now: u64, cut: bool| {
-        for (at, group) in groups.iter_mut().enumerate() {
-            for effect in group.poll(now) {
-                match effect {
-                    Action::Send { to, envelope, .. } if !(cut && (to == 2 || at == 2)) => {
-                        mail.push(envelope)
+/// A group of three whose messages arrive at once and whose writes are done at once.
+struct Cluster {
+    groups: Vec<Group>,
+    mail: Vec<Envelope>,
+    now: u64,
+    /// Member 2 is cut off.
+    cut: bool,
+}
+
+impl Cluster {
+    fn new() -> Self {
+        let address = |id| MemberAddress { id, address: format!("at-{id}") };
+        let config = |id| GroupConfig {
+            id,
+            address: format!("at-{id}"),
+            name: "behind".into(),
+            initial_voters: (0..3).map(address).collect(),
+            joining: false,
+            timing: SETTINGS,
+            seed: 3,
+            duties: Vec::new(),
+            injected_fault: None,
+        };
+        let groups = (0..3).map(|id| Group::new(config(id), 0, None)).collect();
+        Cluster { groups, mail: Vec::new(), now: 0, cut: true }
+    }
+
+    /// One millisecond.
+    fn pass(&mut self) {
+        for (from, group) in self.groups.iter_mut().enumerate() {
+            for action in group.poll(self.now) {
+                match action {
+                    Action::Send { to, envelope, .. } if !(self.cut && (to == 2 || from == 2)) => {
+                        self.mail.push(envelope)
                     }
-                    Action::Store(writing) => group.handle_write_done(now, writing.sequence),
+                    Action::Store(write) => group.handle_write_done(self.now, write.sequence),
                     _ => {}
                 }
             }
         }
-        for envelope in mail.drain(..) {
-            groups[envelope.to as usize].handle_message(now, envelope);
+        for envelope in self.mail.drain(..) {
+            self.groups[envelope.to as usize].handle_message(self.now, envelope);
         }
-    };
-    while !groups.iter().any(|group| group.is_leader()) {
-        now += MILLI;
-        pass(&mut groups, now, true);
-        assert!(now < 20_000 * MILLI);
     }
-    let leader = groups.iter().position(|group| group.is_leader()).unwrap();
-    while groups[leader].log_status().3 < 1_200 {
-        now += MILLI;
+
+    fn applied(&self, id: usize) -> u64 {
+        self.groups[id].log_status().last_applied
+    }
+}
+
+#[test]
+fn follower_a_thousand_entries_behind_installs_a_snapshot() {
+    let mut cluster = Cluster::new();
+    while !cluster.groups.iter().any(|group| group.is_leader()) {
+        cluster.now += MILLISECOND;
+        cluster.pass();
+        assert!(cluster.now < 20_000 * MILLISECOND);
+    }
+    let leader = cluster.groups.iter().position(|group| group.is_leader()).unwrap();
+    let mut ordered = 0;
+    while cluster.applied(leader) < 1_200 {
+        cluster.now += MILLISECOND;
         ordered += 1;
-        groups[leader].submit_order(
-            now,
-            0,
-            CommandPayload::OperatorOrder(OperatorOrder {
-                server: ordered,
-                locality: 0,
-                weight_cap_millionths: Some(500_000),
-            }),
-        );
-        pass(&mut groups, now, true);
-        assert!(now < 60_000 * MILLI);
+        let order = OperatorOrder { server: ordered, locality: 0, weight_cap_millionths: Some(500_000) };
+        cluster.groups[leader].submit_order(cluster.now, 0, CommandPayload::OperatorOrder(order));
+        cluster.pass();
+        assert!(cluster.now < 60_000 * MILLISECOND);
     }
-    assert_eq!((groups[2].log_status().3, groups[2].role()), (0, MemberRole::NoLeader));
-    let healed = now;
-    while groups[2].log_status().3 < groups[leader].log_status().3 {
-        now += MILLI;
-        pass(&mut groups, now, false);
-        assert!(now < healed + 20_000 * MILLI, "{:?}", groups[2].log_status());
+    assert_eq!((cluster.applied(2), cluster.groups[2].role()), (0, MemberRole::NoLeader));
+    cluster.cut = false;
+    let healed = cluster.now;
+    while cluster.applied(2) < cluster.applied(leader) {
+        cluster.now += MILLISECOND;
+        cluster.pass();
+        assert!(cluster.now < healed + 20_000 * MILLISECOND, "{:?}", cluster.groups[2].log_status());
     }
-    assert_eq!(groups[2].state_machine(), groups[leader].state_machine());
-    assert!(groups[2].log_status().4 >= 512, "by a snapshot: {:?}", groups[2].log_status());
+    assert_eq!(cluster.groups[2].state_machine(), cluster.groups[leader].state_machine());
+    let status = cluster.groups[2].log_status();
+    assert!(status.snapshot_index >= 512, "by a snapshot: {status:?}");
 }
--- a/crates/standins/src/forwarders.rs
+++ b/crates/standins/src/forwarders.rs
@@ -8,8 +8,8 @@
 use oorandom::Rand64;
 use prost::Message as _;
 use shalereel::interface::{Nanos, RetryPolicy};
-use shalereel_group::wire::{epoch_of_version, HeldRange, RangesRequest, RangesResponse, RANGES_STREAM_PATH};
-use shalereel_group::{LeaseClient, RangeRoute};
+use shalereel_group::wire::{epoch_of_version, RangesRequest, RangesResponse, RANGES_STREAM_PATH};
+use shalereel_group::{LeaseClient, RangeRoute, RouteTenure};
 use shalereel_reactor::{now, TimerId, Token, SECOND};
 use shalereel_rpc::{Code, ConnId, Hub, Input, Status, StreamId};
 use shalereel_sasp::{Body, Frames, Group, LbFlags, Member, MemberState, Message, ReturnCode, WeightEntry};
@@ -493,12 +493,16 @@
         };
         let Some(((conn, ..), stream)) = forwarder.link.zip(forwarder.hold) else { return };
         let time = now();
-        let (seen, holds) = forwarder.tenant.request(time);
-        let holds = holds.into_iter().map(|(range, epoch)| HeldRange { range, epoch }).collect();
+        let request = forwarder.tenant.request(time);
         self.hub.send(
             conn,
             stream,
-            &RangesRequest { sent_at: time, last_response_read: seen, held: holds }.encode_to_vec(),
+            &RangesRequest {
+                sent_at: time,
+                last_response_read: request.last_response_read,
+                held: request.held,
+            }
+            .encode_to_vec(),
         );
         forwarder.held += 1;
         let wait = if forwarder.tenure > 0 { forwarder.tenure / 4 } else { self.plan.redial.0 };
@@ -516,9 +520,10 @@
                 lines.push(RangeRoute { range: line.range, owner: line.owner, epoch: line.epoch });
             }
         }
-        let asked = (answer.request_sent_at > 0).then_some((answer.request_sent_at, answer.tenure));
+        let tenure = RouteTenure { requested_at: answer.request_sent_at, duration: answer.tenure };
+        let tenure = (answer.request_sent_at > 0).then_some(tenure);
         let lines = (!answer.routes_omitted).then_some(&lines[..]);
-        if forwarder.tenant.handle_response(answer.sequence, asked, lines) {
+        if forwarder.tenant.handle_response(answer.sequence, tenure, lines) {
             self.ask_ranges(id);
         }
     }
--- a/crates/xds-supervisor/src/shared.rs
+++ b/crates/xds-supervisor/src/shared.rs
@@ -11,7 +11,7 @@
     RangesRequest, RangesResponse,
 };
 use shalereel_group::{
-    Action as GroupAction, AppliedChange, Group, GroupConfig, LogWrite, MemberRole, RangeRoute,
+    Action as GroupAction, AppliedChange, Group, GroupConfig, LogWrite, MemberRole, RangeRoute, RouteRequest,
     ServerAvailability, StoredLog,
 };
 use shalereel_rpc::{Code, Status};
@@ -152,14 +152,14 @@
         roster: &Roster,
     ) -> Result<(), Status> {
         let ask = RangesRequest::decode(message).map_err(|error| unreadable("RangesAsk", &error))?;
-        let holds: Vec<(u32, u64)> = ask.held.iter().map(|held| (held.range, held.epoch)).collect();
-        let (number, lines) = self.group.handle_range_request(now, peer, ask.last_response_read, &holds);
-        let silent = lines.is_none();
-        let lines = told(&lines.unwrap_or_default(), roster);
+        let request = RouteRequest { last_response_read: ask.last_response_read, held: ask.held };
+        let response = self.group.handle_range_request(now, peer, &request);
+        let silent = response.routes.is_none();
+        let lines = told(&response.routes.unwrap_or_default(), roster);
         let (asked, tenure, ranges) = (ask.sent_at, self.group.tenure(), self.ranges);
         let message = RangesResponse {
             request_sent_at: asked,
-            sequence: number,
+            sequence: response.sequence,
             tenure,
             routes_omitted: silent,
             routes: lines,
@@ -184,12 +184,12 @@
 
     fn say_standing(&mut self, roster: &Roster) {
         for peer in self.tenants.clone() {
-            let (number, lines) = self.group.current_routes();
-            let lines = told(&lines, roster);
+            let response = self.group.current_routes();
+            let lines = told(&response.routes.unwrap_or_default(), roster);
             let (tenure, ranges) = (self.group.tenure(), self.ranges);
             let message = RangesResponse {
                 request_sent_at: 0,
-                sequence: number,
+                sequence: response.sequence,
                 tenure,
                 routes_omitted: false,
                 routes: lines,
@@ -236,7 +236,7 @@
 
     /// How things stand, for operators.
     pub fn standing(&self, now: Nanos) -> serde_json::Value {
-        let (term, last, commit, applied, base) = self.group.log_status();
+        let log = self.group.log_status();
         let seats = self.group.configuration();
         let (state, leader) = match self.group.role() {
             MemberRole::Leader => ("leads", Some(self.group.id())),
@@ -279,8 +279,8 @@
             })
         });
         json!({
-            "me": self.group.id(), "state": state, "leader": leader, "term": term,
-            "log": { "last": last, "committed": commit, "carried_out": applied, "begins": base,
+            "me": self.group.id(), "state": state, "leader": leader, "term": log.term,
+            "log": { "last": log.last_index, "committed": log.commit_index, "carried_out": log.last_applied, "begins": log.snapshot_index,
                      "checksum": duties.history_checksum() },
             "localities": self.localities, "may_lease": self.group.may_grant_ranges(now), "epoch": self.epoch(),
             "told": { "messages": self.told.0, "bytes": self.told.1 },
@@ -337,7 +337,7 @@
                     followed.orders = Some(self.orders());
                     leaving = true;
                 }
-                GroupAction::Log(text) => self.wanted.push(Wanted::Remark(text)),
+                GroupAction::Log(event) => self.wanted.push(Wanted::Remark(event.to_string())),
             }
         }
         if leaving {
