--- a/crates/group/src/group.rs
+++ b/crates/group/src/group.rs
@@ -83,13 +83,11 @@
         let (id, seed) = (config.id, config.seed);
         let raft = Raft::new(id, now, stored, timing, seed, config.injected_fault);
         let start_count = raft.start_count();
-        let seeds: Vec<(MemberId, String)> =
-            config.initial_voters.iter().map(|voter| (voter.id, voter.address.clone())).collect();
         let mut group = Group {
             timing,
             group_hash: u64::from(crc32c::crc32c(config.name.as_bytes())),
             raft,
-            membership: Membership::new(id, &config.address, start_count, &seeds, timing, seed),
+            membership: Membership::new(id, &config.address, start_count, &config.seeds(), timing, seed),
             state_machine: state_machine.unwrap_or_default(),
             last_applied,
             lease: Lease::default(),
--- a/crates/group/src/group/config.rs
+++ b/crates/group/src/group/config.rs
@@ -28,6 +28,11 @@
 }
 
 impl GroupConfig {
+    /// Members that are known from the start, with their addresses.
+    pub(super) fn seeds(&self) -> Vec<(MemberId, String)> {
+        self.initial_voters.iter().map(|voter| (voter.id, voter.address.clone())).collect()
+    }
+
     /// The configuration that the log begins with.
     pub(super) fn initial_configuration(&self) -> Configuration {
         if self.joining {
--- a/crates/group/src/group/log_event.rs
+++ b/crates/group/src/group/log_event.rs
@@ -78,7 +78,7 @@
         MemberRole::Leader => write!(f, "leads the group in term {term}"),
         MemberRole::Follower(leader) => write!(f, "follows controller {leader} in term {term}"),
         MemberRole::NoLeader => {
-            f.write_str("no leader is known: tables and local rules go on, orders and range moves wait")
+            f.write_str("no leader: tables and local rules go on, orders and range moves wait")
         }
         MemberRole::StorageFailed => f.write_str("no longer takes part in the group: its log failed"),
     }
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -3,6 +3,8 @@
 //!
 //! The group is optional: what a supervisor does for its own proxies needs none of it.
 
+#![deny(missing_docs)]
+
 mod fault;
 mod group;
 mod leases;
--- a/crates/group/tests/stored.rs
+++ b/crates/group/tests/stored.rs
@@ -57,13 +57,13 @@
     for entry in &found.entries {
         read += &format!("{} {}", command(entry), literals(entry));
     }
-    for (&duty, held) in state.duties() {
-        let name = DutyKey::from(duty);
-        read += &format!("duty {} {} {}", name.kind, name.position, literals(held));
+    for (&duty, assignment) in state.duties() {
+        let key = DutyKey::from(duty);
+        read += &format!("duty {} {} {}", key.kind, key.position, literals(assignment));
     }
     state.orders().iter().for_each(|order| read += &format!("order {}", literals(&order)));
     state.ranges().iter().for_each(|range| read += &format!("range {}", literals(&range)));
-    state.membership_changes().iter().for_each(|seat| read += &format!("member {}", literals(&seat)));
+    state.membership_changes().iter().for_each(|change| read += &format!("member {}", literals(&change)));
     let known: Vec<u64> = (0..2_000).filter(|&request| state.has_applied(request)).collect();
     read += &format!("requests {}history {}\n", literals(&known), state.history_checksum());
     assert_eq!(read, include_str!("stored/snapshot.txt"));
--- a/crates/group/tests/wire_compatibility.rs
+++ b/crates/group/tests/wire_compatibility.rs
@@ -11,7 +11,7 @@
 };
 
 /// One encoded message and its name in the file of expected bytes.
-pub struct Encoded {
+struct Encoded {
     name: String,
     bytes: Vec<u8>,
     /// Decoded and encoded again.
@@ -85,138 +85,130 @@
     Command { request_id: 0x0002_0001_0000_0007, payload: Some(payload) }
 }
 
-fn bodies() -> Vec<(&'static str, Body)> {
-    let (standings, probes) = (
-        [MemberStatus::Alive, MemberStatus::Suspect, MemberStatus::Dead, MemberStatus::Left],
-        [("ping", ProbeKind::Ping), ("ack", ProbeKind::Ack), ("indirect ping", ProbeKind::PingRequest)],
-    );
-    let update = |number: u32, standing: MemberStatus| GossipUpdate {
-        member: number,
-        address: format!("10.0.0.{number}:7000"),
-        incarnation: 0x10000 + u64::from(number),
-        status: standing as i32,
-    };
-    let gossip = |probe: ProbeKind| {
-        let updates = (1..).zip(standings).map(|(number, standing)| update(number, standing)).collect();
-        let address = "10.0.0.9:7000".into();
-        Body::Gossip(Gossip {
-            kind: probe as i32,
-            sequence: 31,
-            target: 32,
-            updates,
-            sender_address: address,
-        })
+fn gossip(kind: ProbeKind) -> Body {
+    let statuses = [MemberStatus::Alive, MemberStatus::Suspect, MemberStatus::Dead, MemberStatus::Left];
+    let update = |(member, status): (u32, MemberStatus)| GossipUpdate {
+        member,
+        address: format!("10.0.0.{member}:7000"),
+        incarnation: 0x10000 + u64::from(member),
+        status: status as i32,
     };
-    let sums = ReportTotals {
-        servers: vec![41, 42],
-        localities: vec![43, 44],
-        attempts: vec![450, 460],
-        failures: vec![47, 48],
-        mean_response_time_us: vec![4_900, 5_000],
-        window_ms: vec![1_000, 2_000],
-        omitted_rows: 51,
-    };
-    let first = Entry { index: 52, term: 53, command: None, configuration: None };
-    let with_command =
-        Entry { index: 54, term: 53, command: Some(command(commands()[0].1.clone())), configuration: None };
-    let with_members = Entry { index: 55, term: 53, command: None, configuration: Some(configuration()) };
-    let append = AppendEntries {
+    Body::Gossip(Gossip {
+        kind: kind as i32,
+        sequence: 31,
+        target: 32,
+        updates: (1..).zip(statuses).map(update).collect(),
+        sender_address: "10.0.0.9:7000".into(),
+    })
+}
+
+fn request_vote(pre_vote: bool) -> Body {
+    Body::RequestVote(RequestVote { term: 71, last_log_index: 72, last_log_term: 70, pre_vote })
+}
+
+fn append_response(success: bool) -> Body {
+    Body::AppendResponse(AppendResponse { term: 74, success, index: 75, heartbeat_round: 76 })
+}
+
+fn append_entries() -> Body {
+    let no_op = Entry { index: 52, term: 53, command: None, configuration: None };
+    let with_command = Some(command(commands()[0].1.clone()));
+    let with_command = Entry { index: 54, command: with_command, ..no_op.clone() };
+    let with_configuration = Entry { index: 55, configuration: Some(configuration()), ..no_op.clone() };
+    Body::AppendEntries(AppendEntries {
         term: 53,
         prev_log_index: 51,
         prev_log_term: 50,
-        entries: vec![first, with_command, with_members],
+        entries: vec![no_op, with_command, with_configuration],
         leader_commit: 49,
         heartbeat_round: 56,
-    };
-    let snapshot = Snapshot {
+    })
+}
+
+fn install_snapshot() -> Body {
+    Body::InstallSnapshot(Snapshot {
         term: 61,
         last_included_index: 62,
         last_included_term: 60,
         configuration: Some(configuration()),
         state: vec![0, 1, 254, 255],
         heartbeat_round: 63,
-    };
-    let mut bodies: Vec<(&str, Body)> = probes.map(|(name, probe)| (name, gossip(probe))).into();
-    bodies.extend([
-        (
-            "ask",
-            Body::RequestVote(RequestVote {
-                term: 71,
-                last_log_index: 72,
-                last_log_term: 70,
-                pre_vote: false,
-            }),
-        ),
-        (
-            "ask before",
-            Body::RequestVote(RequestVote {
-                term: 71,
-                last_log_index: 72,
-                last_log_term: 70,
-                pre_vote: true,
-            }),
-        ),
+    })
+}
+
+fn totals() -> ReportTotals {
+    ReportTotals {
+        servers: vec![41, 42],
+        localities: vec![43, 44],
+        attempts: vec![450, 460],
+        failures: vec![47, 48],
+        mean_response_time_us: vec![4_900, 5_000],
+        window_ms: vec![1_000, 2_000],
+        omitted_rows: 51,
+    }
+}
+
+/// Bodies of messages between members, with their names in the file.
+fn bodies() -> Vec<(&'static str, Body)> {
+    let reports = PeerReports { epoch: 83, totals: Some(totals()), reporters: 84 };
+    let mut bodies = vec![
+        ("ping", gossip(ProbeKind::Ping)),
+        ("ack", gossip(ProbeKind::Ack)),
+        ("indirect ping", gossip(ProbeKind::PingRequest)),
+        ("ask", request_vote(false)),
+        ("ask before", request_vote(true)),
         ("voted", Body::VoteResponse(VoteResponse { term: 73, pre_vote: false, granted: true })),
         ("voted before", Body::VoteResponse(VoteResponse { term: 73, pre_vote: true, granted: false })),
-        ("append", Body::AppendEntries(append)),
-        (
-            "appended",
-            Body::AppendResponse(AppendResponse { term: 74, success: true, index: 75, heartbeat_round: 76 }),
-        ),
-        (
-            "not appended",
-            Body::AppendResponse(AppendResponse { term: 74, success: false, index: 75, heartbeat_round: 76 }),
-        ),
-        ("snapshot", Body::InstallSnapshot(snapshot)),
+        ("append", append_entries()),
+        ("appended", append_response(true)),
+        ("not appended", append_response(false)),
+        ("snapshot", install_snapshot()),
         ("renew", Body::LeaseRequest(LeaseRequest { sent_at: 81 })),
         ("renewed", Body::LeaseGrant(LeaseGrant { request_sent_at: 81, commit_index: 82 })),
-        ("sums", Body::ReportTotals(sums.clone())),
-        ("others", Body::PeerReports(PeerReports { epoch: 83, totals: Some(sums), reporters: 84 })),
-    ]);
+        ("sums", Body::ReportTotals(totals())),
+        ("others", Body::PeerReports(reports)),
+    ];
     let propose = |(name, payload)| (name, Body::Proposal(Proposal { command: Some(command(payload)) }));
     bodies.extend(commands().into_iter().map(propose));
     bodies
 }
 
 /// One message of each kind.
-pub fn messages() -> Vec<Encoded> {
+fn messages() -> Vec<Encoded> {
     let envelope = |(name, body)| {
         let envelope = Envelope { from: 1, to: 2, group_hash: 0x8a9b_acbd, body: Some(body) };
         encoded(&format!("members: {name}"), &envelope)
     };
     let mut found: Vec<Encoded> = bodies().into_iter().map(envelope).collect();
-    let holds = vec![HeldRange { range: 91, epoch: 92 }, HeldRange { range: 93, epoch: 94 }];
-    let lines = vec![
+    let held = vec![HeldRange { range: 91, epoch: 92 }, HeldRange { range: 93, epoch: 94 }];
+    let routes = vec![
         AddressedRoute { range: 95, owner: 96, epoch: 97, address: "10.0.1.1:8000".into() },
         AddressedRoute { range: 98, owner: 99, epoch: 100, address: "10.0.1.2:8000".into() },
     ];
-    let answer = |asked, silent, lines| RangesResponse {
-        request_sent_at: asked,
+    let answer = |request_sent_at, routes_omitted, routes| RangesResponse {
+        request_sent_at,
         sequence: 104,
         tenure: 1_000_000_000,
-        routes_omitted: silent,
-        routes: lines,
+        routes_omitted,
+        routes,
         range_count: 105,
     };
-    found.push(encoded(
-        "ranges: question",
-        &RangesRequest { sent_at: 101, last_response_read: 102, held: holds },
-    ));
-    found.push(encoded("ranges: answer", &answer(101, false, lines.clone())));
-    found.push(encoded("ranges: what stands", &answer(0, false, lines)));
+    found.push(encoded("ranges: question", &RangesRequest { sent_at: 101, last_response_read: 102, held }));
+    found.push(encoded("ranges: answer", &answer(101, false, routes.clone())));
+    found.push(encoded("ranges: what stands", &answer(0, false, routes)));
     found.push(encoded("ranges: without a lease", &answer(101, true, Vec::new())));
     found.push(encoded("control: state", &ControlRequest { command: None }));
     for (name, payload) in commands() {
-        let order = Some(Command { request_id: 0, payload: Some(payload) });
-        found.push(encoded(&format!("control: {name}"), &ControlRequest { command: order }));
+        let command = Some(Command { request_id: 0, payload: Some(payload) });
+        found.push(encoded(&format!("control: {name}"), &ControlRequest { command }));
     }
-    let told = "{\"order\":7}".to_owned();
-    found.push(encoded("control: answer", &ControlResponse { json: told }));
+    let json = "{\"order\":7}".to_owned();
+    found.push(encoded("control: answer", &ControlResponse { json }));
     found
 }
 
 /// One line a message: its name, a colon, its bytes in hexadecimal digits.
-pub fn render(messages: &[Encoded]) -> String {
+fn render(messages: &[Encoded]) -> String {
     let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
     messages.iter().map(|message| format!("{}: {}\n", message.name, hex(&message.bytes))).collect()
 }
