--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -10,8 +10,11 @@
     let mut mailboxes = Mailboxes::default();
     for (interval, response_time) in response_times.into_iter().enumerate() {
         mailboxes.now = START + interval as u64 * 10 * SECOND;
-        let time = 50.0 * response_time as f64;
-        fleet.handle(Message::Observed { attempts: 50.0, failures: 0.0, time, window: 0.0 }, &mut mailboxes);
+        let response_time = 50.0 * response_time as f64;
+        fleet.handle(
+            Message::Observed { attempts: 50.0, failures: 0.0, response_time, window: 0.0 },
+            &mut mailboxes,
+        );
         for operation in 0..2 {
             fleet.handle(Message::Demand { operation, total: 25.0, failures: 0.0 }, &mut mailboxes);
         }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -87,8 +87,8 @@
         let now = mailboxes.now;
         match message {
             Message::Restored { snapshot, age } => self.restore(&snapshot, age, now),
-            Message::Observed { attempts, failures, time, window } => {
-                self.record_report(attempts, failures, time, window, now)
+            Message::Observed { attempts, failures, response_time, window } => {
+                self.record_report(attempts, failures, response_time, window, now)
             }
             Message::Demand { operation, total, failures } => {
                 self.retries.record_demand(operation, total, failures, now);
@@ -100,19 +100,19 @@
                 self.statuses.insert(status.endpoint.server, status);
                 self.pending_statuses = self.pending_statuses.saturating_sub(1);
                 if self.pending_statuses == 0 {
-                    self.decide(mailboxes);
+                    self.conclude_evaluation(mailboxes);
                 }
             }
             _ => {}
         }
     }
 
-    /// Adds the sums of one server's report; `time` is the time of all responses, and `window` what it covers, ns.
-    fn record_report(&mut self, attempts: f64, failures: f64, time: f64, window: f64, now: Nanos) {
+    /// Adds a report on one server: the time of all responses together and the window that it covers are in ns.
+    fn record_report(&mut self, attempts: f64, failures: f64, response_time: f64, window: f64, now: Nanos) {
         self.slow_start.record_report(self.reports.last, now);
         self.reports.record(window, now);
         self.new_responses += attempts - failures;
-        self.recent_outcomes.add(now, self.report_interval, attempts, failures, time);
+        self.recent_outcomes.add(now, self.report_interval, attempts, failures, response_time);
         self.outcomes.add(now, attempts, failures);
     }
 
@@ -121,11 +121,11 @@
         let subsets = &self.subset_servers;
         self.weights.retain(|server, _| subsets.is_empty() || subsets.contains(server));
         let total_weight: f64 = self.weights.values().sum();
-        let statistics = self.statistics();
+        let statistics = self.take_statistics();
         let kinds = self.response_times_by_kind();
         self.pending_statuses = servers.len();
         if servers.is_empty() {
-            self.decide(mailboxes);
+            self.conclude_evaluation(mailboxes);
         }
         for server in servers {
             let weight = self.weights.get(&server);
@@ -137,8 +137,8 @@
         }
     }
 
-    /// What all servers compare themselves with.
-    fn statistics(&mut self) -> FleetStatistics {
+    /// What all servers compare themselves with; counts responses anew.
+    fn take_statistics(&mut self) -> FleetStatistics {
         let responses = std::mem::take(&mut self.new_responses);
         let ready = || self.statuses.values().filter(|status| status.is_ready());
         FleetStatistics {
@@ -166,7 +166,7 @@
     }
 
     /// Applies all rules to the statuses of this evaluation, and tells servers and channel what came of it.
-    fn decide(&mut self, mailboxes: &mut Mailboxes) {
+    fn conclude_evaluation(&mut self, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
         let ejected = servers_to_eject(&self.statuses);
         let failure_rate = self.outcomes.failure_rate(now);
--- a/src/isolation.rs
+++ b/src/isolation.rs
@@ -24,8 +24,8 @@
 /// Isolates proxies while connections are hard to get.
 #[derive(Debug, Default)]
 pub(crate) struct Isolation {
-    /// Until when proxies are isolated; 0: they are not.
-    pub(crate) until: Nanos,
+    /// Until when proxies are isolated, where they are.
+    pub(crate) until: Option<Nanos>,
     /// For how long they were last isolated.
     pub(crate) duration: Nanos,
 }
@@ -33,7 +33,7 @@
 impl Isolation {
     /// Whether proxies are isolated.
     pub(crate) fn is_active(&self) -> bool {
-        self.until > 0
+        self.until.is_some()
     }
 
     /// Begins, extends or ends isolation; nothing changes before its time is over.
@@ -50,17 +50,17 @@
         statuses: &BTreeMap<ServerId, ServerStatus>,
         mailboxes: &mut Mailboxes,
     ) {
-        if mailboxes.now < self.until {
+        if self.until.is_some_and(|until| mailboxes.now < until) {
             return;
         }
         let lateness = recent.mean_response_time() / overload_response_time;
         let min_share = MIN_FAILING_SHARE.max(lateness / MAX_LATENESS_RATIO);
         if failure_rate > GENERAL_FAILURE_RATE && failing_share(statuses) > min_share {
             self.duration = (2 * self.duration).max(BASE_ISOLATION_TIME);
-            self.until = mailboxes.now + self.duration;
+            self.until = Some(mailboxes.now + self.duration);
             mailboxes.log("proxies isolated on subsets: connections fail".into());
         } else if self.is_active() {
-            self.until = 0;
+            self.until = None;
             mailboxes.log("proxies back on the shared table".into());
         }
     }
--- a/src/isolation/tests.rs
+++ b/src/isolation/tests.rs
@@ -17,5 +17,5 @@
     let recent = outcomes.read(START, fleet.report_interval);
     let mut isolation = Isolation::default();
     isolation.update(0.5, &recent, fleet.overload_response_time, &fleet.statuses, &mut Mailboxes::at(START));
-    assert_eq!(isolation.until > START, isolated);
+    assert_eq!(isolation.until.is_some_and(|until| until > START), isolated);
 }
--- a/src/message.rs
+++ b/src/message.rs
@@ -53,8 +53,8 @@
     // To the fleet.
     /// Requests of an operation, and those that got no response.
     Demand { operation: usize, total: f64, failures: f64 },
-    /// What a report said, in sum: attempts, failures, time of all responses and the window, ns.
-    Observed { attempts: f64, failures: f64, time: f64, window: f64 },
+    /// What a report on one server said, in sum; the time of all responses together and the window are in ns.
+    Observed { attempts: f64, failures: f64, response_time: f64, window: f64 },
     /// A server's answer to `Evaluate`.
     Status(ServerStatus),
     /// Everything is to be evaluated; the servers that are known.
--- a/src/retries/tests.rs
+++ b/src/retries/tests.rs
@@ -41,5 +41,5 @@
     controller.decide(START + SECOND, events);
     controller.decide(START + SECOND + 1, Vec::new());
     let fleet = &controller.fleet;
-    assert_eq!((fleet.isolation.until == 0, fleet.retries.general_failure), (spared, !spared));
+    assert_eq!((!fleet.isolation.is_active(), fleet.retries.general_failure), (spared, !spared));
 }
--- a/src/server.rs
+++ b/src/server.rs
@@ -123,17 +123,17 @@
         let failures = f64::from(report.failures.min(report.attempts));
         let responses = attempts - failures;
         self.outcomes.add(now, attempts, failures);
-        let mut time = 0.0;
+        let mut response_time = 0.0;
         if responses > 0.0 && report.response_time > 0 {
-            time = report.response_time as f64 * responses;
-            self.response_times.add(now, responses, time);
+            response_time = report.response_time as f64 * responses;
+            self.response_times.add(now, responses, response_time);
         }
         if responses > 0.0 {
             self.responsiveness.record_response(now);
         }
         self.ejection.last_report_good = responses > failures;
         let window = report.window as f64;
-        mailboxes.send(Component::Fleet, Message::Observed { attempts, failures, time, window });
+        mailboxes.send(Component::Fleet, Message::Observed { attempts, failures, response_time, window });
     }
 
     /// Compares it with the fleet, follows its ejection, and gives its status.
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -74,6 +74,19 @@
     pub(crate) now: Nanos,
 }
 
+/// Weight of a table in which each warming server stands with its limit: its share there is its limit over the weight of
+/// all ready servers, so that ejections and reduced weights of others don't raise it. `ready_weight` is the listed weight
+/// of all ready servers over the success rate, since failed attempts come again.
+fn total_weight(warm_weight: f64, warming: &[&ServerStatus], ready_weight: f64) -> f64 {
+    let limits = warming.iter().filter_map(|status| status.slow_start_limit).sum::<f64>();
+    let limited_share = limits / ready_weight.max(f64::MIN_POSITIVE);
+    if warm_weight > 0.0 {
+        warm_weight / (1.0 - limited_share)
+    } else {
+        f64::MAX
+    }
+}
+
 /// Decides on the weights of servers that warm up.
 #[derive(Debug, Default)]
 pub(crate) struct SlowStartGuard {
@@ -115,10 +128,8 @@
         }
     }
 
-    /// Weights of all ready servers that are not ejected.
-    ///
-    /// The share of a warming server never exceeds what it would be if all ready servers had their full weight, less
-    /// the part by which failed attempts come again.
+    /// Weights of all ready servers that are not ejected, warming ones limited to their share of [`total_weight`], or to
+    /// 0 while they must wait.
     pub(crate) fn weights(&mut self, inputs: &WeightInputs) -> BTreeMap<ServerId, f64> {
         let ready = inputs.statuses.values().filter(|status| status.is_ready());
         let ready_weight = ready.map(|status| status.listed_weight).sum::<f64>() / inputs.success_rate;
@@ -130,20 +141,17 @@
             .filter(|status| included(status))
             .partition(|status| status.slow_start_limit.is_some());
         let warm_weight: f64 = warm.iter().map(|status| weight_in_table(status)).sum();
-        let limits = warming.iter().filter_map(|status| status.slow_start_limit).sum::<f64>();
-        let limited_share = limits / ready_weight.max(f64::MIN_POSITIVE);
-        let total_weight = if warm_weight > 0.0 { warm_weight / (1.0 - limited_share) } else { f64::MAX };
-        let waits = self.must_wait(&warm, ready_weight, inputs) && warm_weight > 0.0;
+        let total_weight = total_weight(warm_weight, &warming, ready_weight);
+        let must_wait = self.must_wait(&warm, ready_weight, inputs) && warm_weight > 0.0;
         let limit = |status: &ServerStatus| match status.slow_start_limit {
-            _ if waits => 0.0,
+            _ if must_wait => 0.0,
             Some(limit) => limit / ready_weight * total_weight,
             None => f64::MAX,
         };
-        let mut weights: BTreeMap<ServerId, f64> =
-            warm.iter().map(|status| (status.endpoint.server, weight_in_table(status))).collect();
-        weights.extend(
-            warming.iter().map(|status| (status.endpoint.server, weight_in_table(status).min(limit(status)))),
-        );
+        let limited = |status: &ServerStatus| weight_in_table(status).min(limit(status));
+        let mut weights = BTreeMap::new();
+        weights.extend(warm.iter().map(|status| (status.endpoint.server, weight_in_table(status))));
+        weights.extend(warming.iter().map(|status| (status.endpoint.server, limited(status))));
         weights
     }
 
@@ -157,13 +165,12 @@
         // Weight that the list removes shows an overload before any report does.
         let usual_weight = self.usual_weight.read(now, USUAL_WEIGHT_TIME_CONSTANT);
         self.usual_weight.sum = usual_weight.max(ready_weight * success_rate);
-        let warm_share = warm.iter().map(|status| status.listed_weight).sum::<f64>() / self.usual_weight.sum;
+        let warm_weight = warm.iter().map(|status| status.listed_weight).sum::<f64>();
+        let warm_share = warm_weight / self.usual_weight.sum;
         let common = MAX_FAILURE_RISE * median(warm.iter().map(|status| status.error_rate).collect());
         let failure_rate = common.min(1.0 - success_rate);
-        failure_rate
-            >= self.avoidance_failure_rate
-                * warm_share
-                * self.caution_now(warm_share, inputs.last_report, now)
+        let caution = self.caution_now(warm_share, inputs.last_report, now);
+        failure_rate >= self.avoidance_failure_rate * warm_share * caution
     }
 
     /// Share of the failure rate at which warming servers wait: 1 with regular reports, 0 before the first one.
--- a/src/slow_start/tests.rs
+++ b/src/slow_start/tests.rs
@@ -64,7 +64,7 @@
     fleet.slow_start.report_interval = SECOND;
     fleet.reports.last = last_report;
     for now in [START, START + gap_s * SECOND] {
-        let observed = Message::Observed { attempts: 9.0, failures: 2.0, time: 0.0, window: 0.0 };
+        let observed = Message::Observed { attempts: 9.0, failures: 2.0, response_time: 0.0, window: 0.0 };
         fleet.handle(observed, &mut Mailboxes::at(now));
     }
     fleet.update_weights(&BTreeSet::new(), 0.75, START + gap_s * SECOND);
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -107,7 +107,7 @@
             usual_weight: self.slow_start.usual_weight.read(now, USUAL_WEIGHT_TIME_CONSTANT),
             peak_load: self.admission.peak_load,
             load_limit: self.admission.load_limit,
-            isolation_left: self.isolation.until.saturating_sub(now),
+            isolation_left: self.isolation.until.map_or(0, |until| until.saturating_sub(now)),
             isolation_time: self.isolation.duration,
         }
     }
@@ -127,7 +127,7 @@
         self.admission.load_limit = snapshot.load_limit;
         self.isolation.duration = snapshot.isolation_time;
         if snapshot.isolation_left > age {
-            self.isolation.until = now + snapshot.isolation_left - age;
+            self.isolation.until = Some(now + snapshot.isolation_left - age);
         }
     }
 }
