--- /dev/null
+++ b/src/channel/assignment.rs
@@ -0,0 +1,137 @@
+//! Assignments of tables to proxies that joined or are to change theirs: the earliest deadline first, then those without a
+//! table, then those with the most requests.
+
+use std::collections::BTreeSet;
+
+use super::capacity_shares::{urgent_share, ASSIGNMENT_CAPACITY_SHARE};
+use super::sent::TableSize;
+use super::Channel;
+use crate::interface::*;
+use crate::message::Mailboxes;
+use crate::proxies::Proxy;
+use crate::tables::FULL_TABLE;
+
+#[cfg(test)]
+mod tests;
+
+/// Which assignments are sent.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum AssignmentScope {
+    /// Those that a rule depends on.
+    Urgent,
+    /// All, within a share of the channel's capacity.
+    All { capacity_share: f64 },
+}
+
+/// An assignment that waits.
+struct Assignment {
+    proxy: ProxyId,
+    table: TableId,
+    /// 0 where only urgent ones have one.
+    deadline: Nanos,
+    /// Lines of its message.
+    lines: f64,
+}
+
+impl Channel {
+    /// Assigns tables to proxies, as many as the channel takes.
+    pub(super) fn assign_tables(&mut self, scope: AssignmentScope, mailboxes: &mut Mailboxes) {
+        let now = mailboxes.now;
+        let waiting = self.waiting_assignments(scope, now);
+        let queued = self.pacing.update_queue(now);
+        let max_lines = self.max_assignment_lines(scope, queued);
+        let takes_one = scope != AssignmentScope::Urgent && self.takes_one_assignment(queued, now);
+        let forecast = self.pacing.forecast(now);
+        let mut lines = 0.0;
+        let mut recipients = BTreeSet::new();
+        for assignment in waiting {
+            if lines + assignment.lines > max_lines && !(takes_one && recipients.is_empty()) {
+                break;
+            }
+            let Assignment { proxy, table, deadline, .. } = assignment;
+            mailboxes.actions.push(Action::AssignTable { proxy, table, operations: 0 });
+            lines += assignment.lines;
+            recipients.insert(proxy);
+            if let Some(proxy) = self.proxies.by_id.get_mut(&proxy) {
+                proxy.assigned_table = Some(table);
+            }
+            if scope == AssignmentScope::Urgent {
+                self.deadlines.record(1, deadline, forecast.arrival(lines));
+            }
+        }
+        if !recipients.is_empty() {
+            self.assignment_quota -= lines;
+            self.pacing.record_sent(lines, recipients, mailboxes);
+        }
+    }
+
+    /// Assignments that wait, in the order in which they go.
+    fn waiting_assignments(&self, scope: AssignmentScope, now: Nanos) -> Vec<Assignment> {
+        let sizes = self.table_sizes();
+        let move_deadline = match scope {
+            AssignmentScope::Urgent => self.full_table_deadline(now),
+            AssignmentScope::All { .. } => 0,
+        };
+        let deadline = |proxy: &Proxy| match (scope, proxy.assigned_table) {
+            (AssignmentScope::All { .. }, _) => 0,
+            (AssignmentScope::Urgent, None) => self.newly_joined_deadline(proxy),
+            (AssignmentScope::Urgent, Some(_)) => move_deadline,
+        };
+        let mut waiting: Vec<(Assignment, &Proxy)> = Vec::new();
+        for (&id, proxy) in &self.proxies.by_id {
+            let table = proxy.intended_table;
+            let is_due = scope != AssignmentScope::Urgent || self.is_urgent_assignment(proxy);
+            if proxy.assigned_table == Some(table) || !is_due {
+                continue;
+            }
+            let Some(size) = sizes.get(&table) else { continue };
+            let lines = self.assignment_lines(proxy, size);
+            waiting.push((Assignment { proxy: id, table, deadline: deadline(proxy), lines }, proxy));
+        }
+        waiting.sort_by(|(a, proxy_a), (b, proxy_b)| {
+            let by_deadline = a.deadline.cmp(&b.deadline);
+            let by_table = proxy_a.assigned_table.cmp(&proxy_b.assigned_table);
+            let by_requests = proxy_b.requests.sum.total_cmp(&proxy_a.requests.sum);
+            by_deadline.then(by_table).then(by_requests)
+        });
+        waiting.into_iter().map(|(assignment, _)| assignment).collect()
+    }
+
+    /// Whether a rule depends on the assignment of a stand-in: the proxy may hold anything, or it uses the full table,
+    /// whose urgent changes it gets in this way.
+    fn is_urgent_assignment(&self, proxy: &Proxy) -> bool {
+        let may_hold_unready = proxy.assigned_table.is_none() && !self.unready_since.is_empty();
+        let leaves_full_table = proxy.assigned_table == Some(FULL_TABLE) && !self.isolated;
+        proxy.intended_table != FULL_TABLE && (may_hold_unready || leaves_full_table)
+    }
+
+    /// By when users of the full table must have its urgent changes.
+    fn full_table_deadline(&self, now: Nanos) -> Nanos {
+        let urgent = self.urgent_lines_by_table(now);
+        urgent.get(&FULL_TABLE).map_or(now + self.drain_grace, |urgent| urgent.deadline)
+    }
+
+    fn assignment_lines(&self, proxy: &Proxy, size: &TableSize) -> f64 {
+        let readmissions = if proxy.holds_foreign_state { size.readmissions } else { 0.0 };
+        self.pacing.message_overhead + size.lines + readmissions
+    }
+
+    /// Lines that assignments may put behind those in the queue.
+    fn max_assignment_lines(&self, scope: AssignmentScope, queued: f64) -> f64 {
+        let capacity = self.pacing.capacity_lines;
+        match scope {
+            AssignmentScope::Urgent => capacity * urgent_share(&self.pacing) - queued,
+            AssignmentScope::All { capacity_share } => {
+                (capacity * capacity_share).min(self.pacing.queue_target()) - queued
+            }
+        }
+    }
+
+    /// Whether one assignment goes however long it is: nothing is queued, or a message has to show whether the channel
+    /// is slow or proxies are gone.
+    fn takes_one_assignment(&self, queued: f64, now: Nanos) -> bool {
+        let probes =
+            self.pacing.is_probe_due(now) && self.pacing.capacity_lines * ASSIGNMENT_CAPACITY_SHARE > queued;
+        self.pacing.queued_lines == 0.0 || probes
+    }
+}
--- /dev/null
+++ b/src/channel/changes.rs
@@ -0,0 +1,166 @@
+//! Which lines of the tables differ from what was sent, and their priority.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::Channel;
+use crate::interface::*;
+use crate::tables::{TableLine, EXCLUSIONS, FULL_TABLE};
+
+#[cfg(test)]
+mod tests;
+
+/// A weight is sent again when it has changed by more than this share of what was sent.
+pub(crate) const MIN_WEIGHT_CHANGE: f64 = 0.1;
+/// A table with fewer usable servers gets more at once.
+const MIN_USABLE_SERVERS: usize = 2;
+
+/// How soon a change is sent; the first goes first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum Priority {
+    /// A rule depends on it: a server drains, was removed or warms up, or a table lacks servers.
+    Urgent,
+    /// Servers that leave a table, and those that join a subset while proxies are not isolated.
+    Elevated,
+    /// Changes that only spread the load better.
+    Ordinary,
+}
+
+/// Who gets a change.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum Audience {
+    /// All users of the table.
+    All,
+    /// It was sent before: only the proxies that joined since.
+    NewlyJoined,
+}
+
+/// A line that differs from what was sent.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Change {
+    pub(crate) line: TableLine,
+    pub(crate) weight: f64,
+    pub(crate) priority: Priority,
+    /// Orders changes of one priority, the largest first.
+    pub(crate) weight_change: f64,
+    pub(crate) audience: Audience,
+}
+
+impl Change {
+    pub(super) fn is_urgent(&self) -> bool {
+        self.priority == Priority::Urgent
+    }
+}
+
+/// Servers that a table has and should have.
+#[derive(Clone, Copy, Debug, Default)]
+struct UsableServers {
+    count: usize,
+    weight: f64,
+}
+
+/// What lines are compared by.
+struct Comparison<'a> {
+    channel: &'a Channel,
+    exclusions_are_due: bool,
+    usable: BTreeMap<TableId, UsableServers>,
+    /// Subsets are replenished before they have next to nothing left: the channel is not overloaded.
+    replenishes_early: bool,
+}
+
+impl Channel {
+    /// Lines that differ enough from what was sent: by priority, then by how much weight they move.
+    pub(crate) fn differing_lines(&self, now: Nanos) -> Vec<Change> {
+        let comparison = Comparison {
+            channel: self,
+            exclusions_are_due: self.exclusions_are_due(now),
+            usable: self.usable_servers(),
+            replenishes_early: self.isolated || self.has_no_recent_overload(now),
+        };
+        let lines = comparison.lines().into_iter();
+        let mut changes: Vec<Change> = lines.filter_map(|line| comparison.change(line)).collect();
+        changes.sort_by(|a, b| a.priority.cmp(&b.priority).then(b.weight_change.total_cmp(&a.weight_change)));
+        changes
+    }
+
+    /// What a table should say of a server; in [`EXCLUSIONS`] 1 excludes it.
+    fn desired_line(&self, line: TableLine) -> f64 {
+        let desired = self.desired_weights.get(&line.server).copied().unwrap_or_default();
+        match line.table {
+            FULL_TABLE => desired.weight,
+            EXCLUSIONS if desired.urgent && desired.weight == 0.0 => 1.0,
+            EXCLUSIONS => 0.0,
+            _ => self.subsets.desired_weight(line, &desired),
+        }
+    }
+
+    fn usable_servers(&self) -> BTreeMap<TableId, UsableServers> {
+        let mut usable: BTreeMap<TableId, UsableServers> = BTreeMap::new();
+        for (&line, &sent) in self.sent.weights.iter().filter(|(_, sent)| **sent > 0.0) {
+            let desired = self.desired_line(line);
+            let table = usable.entry(line.table).or_default();
+            table.count += usize::from(desired > 0.0);
+            table.weight += sent.min(desired);
+        }
+        usable
+    }
+}
+
+impl Comparison<'_> {
+    /// All lines that may differ.
+    fn lines(&self) -> BTreeSet<TableLine> {
+        let channel = self.channel;
+        let mut lines: BTreeSet<TableLine> =
+            channel.sent.weights.keys().chain(&channel.subsets.endpoints).copied().collect();
+        let in_table = |table| move |server: &ServerId| TableLine { table, server: *server };
+        lines.extend(channel.desired_weights.keys().map(in_table(FULL_TABLE)));
+        if self.exclusions_are_due {
+            let excluded = channel.desired_weights.iter().filter(|(_, desired)| desired.must_exclude);
+            lines.extend(excluded.map(|(server, _)| server).map(in_table(EXCLUSIONS)));
+        }
+        lines
+    }
+
+    /// The change that a line needs.
+    fn change(&self, line: TableLine) -> Option<Change> {
+        let channel = self.channel;
+        let sent = channel.sent.weights.get(&line).copied().unwrap_or_default();
+        let weight = channel.desired_line(line);
+        let repeats = line.table == EXCLUSIONS && sent > 0.0 && weight > 0.0;
+        let weight_change = (weight - sent).abs();
+        let differs = weight_change > MIN_WEIGHT_CHANGE * sent;
+        if !differs || (repeats && !self.exclusions_are_due) {
+            return None;
+        }
+        let desired = channel.desired_weights.get(&line.server).copied().unwrap_or_default();
+        // Draining servers go first, out of tables before they are excluded: users of a table exclude what it has.
+        let weight_change =
+            if desired.must_exclude { f64::MAX / (1.0 + f64::from(line.table)) } else { weight_change };
+        let priority = self.priority(line, sent, weight, desired.urgent);
+        let audience = if repeats { Audience::NewlyJoined } else { Audience::All };
+        Some(Change { line, weight, priority, weight_change, audience })
+    }
+
+    fn priority(&self, line: TableLine, sent: f64, weight: f64, server_is_urgent: bool) -> Priority {
+        let joins_subset = sent == 0.0 && weight > 0.0 && line.table > FULL_TABLE;
+        let is_needed = self.lacks_servers(line.table)
+            || (self.replenishes_early && self.lacks_weight(line.table) && !server_is_urgent);
+        let excludes = line.table == EXCLUSIONS && weight > sent;
+        let reduces_urgently = server_is_urgent && weight < sent;
+        if reduces_urgently || (joins_subset && is_needed) || excludes {
+            Priority::Urgent
+        } else if weight > 0.0 && (self.channel.isolated || !joins_subset) {
+            Priority::Ordinary
+        } else {
+            Priority::Elevated
+        }
+    }
+
+    fn lacks_servers(&self, table: TableId) -> bool {
+        self.usable.get(&table).is_none_or(|usable| usable.count < MIN_USABLE_SERVERS)
+    }
+
+    fn lacks_weight(&self, table: TableId) -> bool {
+        let weight = self.usable.get(&table).map_or(0.0, |usable| usable.weight);
+        self.channel.subsets.is_too_light(table, weight)
+    }
+}
--- /dev/null
+++ b/src/channel/changes/tests.rs
@@ -0,0 +1,19 @@
+use rstest::rstest;
+
+use super::*;
+use crate::message::DesiredWeight;
+use crate::testing::*;
+
+#[rstest]
+#[case::by_a_twentieth(1.05, false)]
+#[case::by_a_fifth(1.2, true)]
+fn weight_is_sent_again_when_it_changed_by_more_than_a_tenth(
+    config: ControllerConfig,
+    #[case] weight: f64,
+    #[case] differs: bool,
+) {
+    let mut channel = running(&config).channel;
+    let desired = DesiredWeight { weight, ..channel.desired_weights[&1] };
+    channel.desired_weights.insert(1, desired);
+    assert_eq!(!channel.differing_lines(START).is_empty(), differs);
+}
--- /dev/null
+++ b/src/channel/exclusions.rs
@@ -0,0 +1,29 @@
+//! When proxies without an assigned table are sent the servers that they must not send to.
+
+use super::Channel;
+use crate::interface::*;
+use crate::proxies::Proxy;
+use crate::subsets::stand_in_servers;
+
+#[cfg(test)]
+mod tests;
+
+/// Share of the drain grace since it joined after which a proxy without a table is sent the exclusions.
+const EXCLUSION_DELAY_GRACE_SHARE: f64 = 0.25;
+
+impl Channel {
+    /// Whether proxies without a table are to be sent the exclusions. A table serves as well, and is waited for until it
+    /// can no longer be there in time; exclusions are sent only where a stand-in takes no fewer lines or there is none.
+    pub(super) fn exclusions_are_due(&self, now: Nanos) -> bool {
+        let excluded = self.desired_weights.values().filter(|desired| desired.must_exclude).count();
+        let stand_in = stand_in_servers(&self.desired_weights);
+        if stand_in > 0 && excluded > stand_in {
+            return false;
+        }
+        let queueing = (self.pacing.queued_lines / self.pacing.learned_lines_per_ns()) as Nanos;
+        let sent_by = now + self.drain_grace.min(queueing);
+        let delay = (EXCLUSION_DELAY_GRACE_SHARE * self.drain_grace as f64) as Nanos;
+        let is_due = |proxy: &Proxy| proxy.assigned_table.is_none() && sent_by >= proxy.joined_at + delay;
+        self.proxies.by_id.values().any(is_due)
+    }
+}
--- /dev/null
+++ b/src/channel/obligations.rs
@@ -0,0 +1,113 @@
+//! What proxies must have been sent by when: removals of servers that are not ready, and tables for newly joined proxies,
+//! whatever these hold. The choice of tables and the order of assignments go by it.
+
+use std::collections::BTreeMap;
+
+use super::sent::{TableSize, FIXED_TABLE_LINES};
+use super::Channel;
+use crate::deadlines::Obligation;
+use crate::interface::*;
+use crate::proxies::Proxy;
+use crate::subsets::stand_in_servers;
+use crate::tables::{EXCLUSIONS, FULL_TABLE};
+
+/// As many more proxies are expected to join as did within this share of the drain grace.
+const RECENT_JOINS_GRACE_SHARE: f64 = 0.25;
+
+/// Urgent changes of a table.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct UrgentLines {
+    pub(super) lines: f64,
+    /// The earliest deadline among them.
+    pub(super) deadline: Nanos,
+}
+
+impl Channel {
+    /// By when no proxy may send to a server any more that is not ready.
+    pub(super) fn removal_deadline(&self, server: ServerId, now: Nanos) -> Nanos {
+        self.unready_since.get(&server).copied().unwrap_or(now) + self.drain_grace
+    }
+
+    /// By when a newly joined proxy must have left the servers that are not ready, whatever it holds.
+    pub(super) fn newly_joined_deadline(&self, proxy: &Proxy) -> Nanos {
+        let first = self.unready_since.values().min().copied().unwrap_or(Nanos::MAX / 2);
+        proxy.joined_at.max(first) + self.drain_grace
+    }
+
+    /// Urgent changes, by table.
+    pub(super) fn urgent_lines_by_table(&self, now: Nanos) -> BTreeMap<TableId, UrgentLines> {
+        let mut urgent: BTreeMap<TableId, UrgentLines> = BTreeMap::new();
+        for change in self.differing_lines(now) {
+            if !change.is_urgent() || change.line.table == EXCLUSIONS {
+                continue;
+            }
+            let deadline = self.removal_deadline(change.line.server, now);
+            let table = urgent.entry(change.line.table).or_insert(UrgentLines { lines: 0.0, deadline });
+            table.lines += 1.0;
+            table.deadline = table.deadline.min(deadline);
+        }
+        urgent
+    }
+
+    /// Obligations of the urgent changes to the users of each table.
+    pub(super) fn update_obligations(&self, urgent: &BTreeMap<TableId, UrgentLines>) -> Vec<Obligation> {
+        let users_by_table = self.proxies.users_by_table();
+        let obligation = |(table, urgent): (&TableId, &UrgentLines)| {
+            let users = users_by_table.get(table).copied().unwrap_or_default();
+            Obligation { deadline: urgent.deadline, lines: users * (self.message_cost() + urgent.lines) }
+        };
+        urgent.iter().map(obligation).collect()
+    }
+
+    /// Obligations to newly joined proxies if they get the tables that are intended for them now, and to those that are
+    /// expected to join.
+    pub(super) fn newly_joined_obligations(&self, now: Nanos) -> Vec<Obligation> {
+        if self.unready_since.is_empty() {
+            return Vec::new();
+        }
+        let full_table = self.table_sizes().get(&FULL_TABLE).copied().unwrap_or_default();
+        let obligation = |proxy: &Proxy| Obligation {
+            deadline: self.newly_joined_deadline(proxy),
+            lines: self.first_message_lines(proxy, full_table),
+        };
+        let mut obligations: Vec<Obligation> = self.proxies.newly_joined().map(obligation).collect();
+        let since = now.saturating_sub((RECENT_JOINS_GRACE_SHARE * self.drain_grace as f64) as Nanos);
+        let recent = self.proxies.newly_joined().filter(|proxy| proxy.joined_at >= since).count();
+        let elsewhere = self.proxy_count.saturating_sub(self.proxies.by_id.len());
+        let expected = Obligation {
+            deadline: now + self.drain_grace,
+            lines: self.pacing.message_overhead + full_table.lines + full_table.readmissions,
+        };
+        obligations.extend(std::iter::repeat_n(expected, recent.min(elsewhere)));
+        obligations
+    }
+
+    /// Lines of the message that assigns a proxy its first table.
+    fn first_message_lines(&self, proxy: &Proxy, full_table: TableSize) -> f64 {
+        let on_subset = proxy.intended_table != FULL_TABLE;
+        let table = if on_subset {
+            self.stand_in_message_lines()
+        } else {
+            self.pacing.message_overhead + full_table.lines
+        };
+        table + if proxy.holds_foreign_state && !on_subset { full_table.readmissions } else { 0.0 }
+    }
+
+    /// Lines of a message that assigns a stand-in.
+    pub(super) fn stand_in_message_lines(&self) -> f64 {
+        self.pacing.message_overhead
+            + FIXED_TABLE_LINES
+            + self.admission_limits.len() as f64
+            + stand_in_servers(&self.desired_weights) as f64
+    }
+
+    /// Cost of a message that updates a table beside its changes, in lines: its overhead and the mark.
+    pub(super) fn message_cost(&self) -> f64 {
+        self.pacing.message_overhead + 1.0
+    }
+
+    /// Lines that an assignment of each table takes.
+    pub(super) fn table_sizes(&self) -> BTreeMap<TableId, TableSize> {
+        self.sent.table_sizes(self.admission_limits.len(), &self.desired_weights)
+    }
+}
--- /dev/null
+++ b/src/channel/sent.rs
@@ -0,0 +1,113 @@
+//! What was sent to proxies: the weights of all tables, and the admission limits. The channel's rules compare it with what
+//! is desired, and write through it.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::interface::*;
+use crate::message::{AdmissionLimit, DesiredWeight, Mailboxes};
+use crate::tables::{DesiredWeights, TableLine, EXCLUSIONS, FULL_TABLE};
+
+/// Lines of a table beside its servers and admission limits, the mark that requests acknowledgement among them.
+pub(super) const FIXED_TABLE_LINES: f64 = 2.0;
+
+/// An admission limit for the users of a table.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct TableLimit {
+    pub(super) table: TableId,
+    pub(super) limit: AdmissionLimit,
+}
+
+/// Lines of an assignment of a table.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct TableSize {
+    /// Lines of the table itself.
+    pub(super) lines: f64,
+    /// Further lines for a proxy with foreign state: servers that it may exclude since before they started again.
+    pub(super) readmissions: f64,
+}
+
+/// What was sent to proxies.
+#[derive(Debug, Default)]
+pub(crate) struct SentState {
+    /// Weights by line. Those of [`EXCLUSIONS`] are 0 for a server that may be sent to again.
+    pub(crate) weights: BTreeMap<TableLine, f64>,
+    /// Limits by table and operation.
+    admission_limits: BTreeMap<(TableId, usize), AdmissionLimit>,
+}
+
+impl SentState {
+    /// Sends a weight to the users of a table.
+    pub(super) fn send_weight(&mut self, line: TableLine, weight: f64, mailboxes: &mut Mailboxes) {
+        let TableLine { table, server } = line;
+        mailboxes.actions.push(match table {
+            EXCLUSIONS => Action::Exclude { server, on: weight > 0.0 },
+            _ => Action::SetWeight { table, server, weight },
+        });
+        if weight > 0.0 || table == FULL_TABLE || table == EXCLUSIONS {
+            self.weights.insert(line, weight);
+        } else {
+            self.weights.remove(&line);
+        }
+    }
+
+    /// Sends an admission limit to the users of a table.
+    pub(super) fn send_limit(&mut self, TableLimit { table, limit }: TableLimit, mailboxes: &mut Mailboxes) {
+        mailboxes.actions.push(Action::LimitAdmission {
+            table: Some(table),
+            operations: 1 << limit.operation,
+            limit: limit.limit,
+            retry_policy: limit.retry_policy,
+        });
+        self.admission_limits.insert((table, limit.operation), limit);
+    }
+
+    /// Limits that differ from those sent, for each of the tables.
+    pub(super) fn differing_limits(
+        &self,
+        tables: BTreeSet<TableId>,
+        limits: &[AdmissionLimit],
+    ) -> Vec<TableLimit> {
+        let all =
+            tables.into_iter().flat_map(|table| limits.iter().map(move |&limit| TableLimit { table, limit }));
+        let sent = |new: &TableLimit| self.admission_limits.get(&(new.table, new.limit.operation));
+        all.filter(|new| sent(new) != Some(&new.limit)).collect()
+    }
+
+    /// Lines that an assignment of each table takes.
+    pub(super) fn table_sizes(
+        &self,
+        admission_limits: usize,
+        desired: &DesiredWeights,
+    ) -> BTreeMap<TableId, TableSize> {
+        let empty = TableSize { lines: FIXED_TABLE_LINES + admission_limits as f64, readmissions: 0.0 };
+        let has_restarted =
+            |server| desired.get(server).is_some_and(|desired: &DesiredWeight| desired.restarted);
+        let mut sizes: BTreeMap<TableId, TableSize> = BTreeMap::new();
+        for TableLine { table, server } in self.lines_in_use() {
+            let size = sizes.entry(*table).or_insert(empty);
+            size.lines += 1.0;
+            size.readmissions += f64::from(u8::from(has_restarted(server)));
+        }
+        sizes
+    }
+
+    fn lines_in_use(&self) -> impl Iterator<Item = &TableLine> {
+        self.weights.iter().filter(|(_, &weight)| weight > 0.0).map(|(line, _)| line)
+    }
+
+    /// Has all exclusions differ from what was sent: a newly joined proxy has none of them.
+    pub(super) fn repeat_exclusions(&mut self) {
+        let exclusions = self.weights.range_mut(TableLine::first_of(EXCLUSIONS)..);
+        exclusions.for_each(|(_, weight)| *weight /= 2.0);
+    }
+
+    /// Whether a table has a server.
+    pub(super) fn is_in_a_table(&self, server: ServerId) -> bool {
+        self.lines_in_use().any(|line| line.server == server && line.table != EXCLUSIONS)
+    }
+
+    /// Forgets a server that no table has.
+    pub(super) fn forget_server(&mut self, server: ServerId) {
+        self.weights.retain(|line, _| line.server != server);
+    }
+}
--- /dev/null
+++ b/src/channel/updates.rs
@@ -0,0 +1,222 @@
+//! Updates of the tables that proxies use: which changes go now, within the channel's limits. What is left out goes later.
+//!
+//! Guards the channel against anything that changes many lines at once: a mass restart, a wrong list, noise. Draining and
+//! removed servers must be left, and servers that warm up kept from a full share, whatever else waits. Where much changes
+//! for good reasons, tables lag behind by seconds.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::batch::Batch;
+use super::capacity_shares::{ordinary_share, urgent_share, ASSIGNMENT_CAPACITY_SHARE};
+use super::changes::{Audience, Change, Priority};
+use super::sent::TableLimit;
+use super::Channel;
+use crate::interface::*;
+use crate::message::{Mailboxes, SECOND};
+use crate::tables::{EXCLUSIONS, FULL_TABLE};
+
+#[cfg(test)]
+mod tests;
+
+/// Least time between two batches of deferrable changes.
+const MIN_BATCH_INTERVAL: Nanos = SECOND;
+/// Most of the channel that the overhead of deferrable messages may take. Where there are many proxies changes gather for
+/// longer, since a message costs as much however little it says.
+const MAX_OVERHEAD_SHARE: f64 = 0.4;
+/// Share of what the limit on messages allows now that deferrable changes may use; the rest is for urgent ones.
+const ORDINARY_MESSAGE_SHARE: f64 = 0.3;
+/// Lines of table assignments that may go, for each line of changes, before the next deferrable changes.
+const ASSIGNMENT_LINES_PER_LINE: f64 = 3.0;
+/// The same at most, as a share of what the channel sends within a drain grace: no table is worse than an old one.
+const MAX_ASSIGNMENT_GRACE_SHARE: f64 = 0.125;
+
+/// What the channel takes in this flush; each figure is in lines.
+struct Allowance {
+    /// Deferrable changes may go.
+    takes_deferrable: bool,
+    /// More is queued than deferrable changes may stand behind.
+    queue_is_long: bool,
+    urgent_lines: f64,
+    limit_lines: f64,
+    ordinary_lines: f64,
+}
+
+impl Channel {
+    /// Sends as many of the changes, and of the differing admission limits, as the channel takes; returns whether all
+    /// urgent ones of them were sent.
+    pub(super) fn send_updates(&mut self, mut changes: Vec<Change>, mailboxes: &mut Mailboxes) -> bool {
+        let now = mailboxes.now;
+        let is_leaving_full_table = self.is_leaving_full_table();
+        changes.retain(|change| !(is_leaving_full_table && change.line.table == FULL_TABLE));
+        let urgent = changes.iter().filter(|change| change.is_urgent()).count();
+        let mut batch = Batch::new(&self.proxies, self.message_cost());
+        let allowance = self.allowance(&batch, now);
+        if (urgent == 0 && !allowance.takes_deferrable) || self.reaches_message_limit(urgent) {
+            return urgent == 0;
+        }
+        let tables = self.tables_worth_updating(&changes, &batch, &allowance);
+        if allowance.queue_is_long && self.may_gather(&changes, &batch, now) {
+            return false;
+        }
+        changes.retain(|change| fits(change, &tables, &allowance, &mut batch));
+        let limits = self.fitting_limits(&allowance, &mut batch);
+        let urgent_sent = changes.iter().filter(|change| change.is_urgent()).count();
+        let all_urgent_sent = urgent_sent == urgent;
+        if changes.is_empty() && limits.is_empty() {
+            return all_urgent_sent;
+        }
+        if urgent_sent < changes.len() || !limits.is_empty() {
+            self.deferrable_sent_at = now;
+        }
+        self.record_deadlines(&changes, &batch, now);
+        self.write(&changes, limits, mailboxes);
+        self.record_batch(&batch, mailboxes);
+        if all_urgent_sent && batch.has_lines_of(EXCLUSIONS) {
+            let unassigned = self.proxies.by_id.values_mut().filter(|proxy| proxy.assigned_table.is_none());
+            unassigned.for_each(|proxy| proxy.has_exclusions = true);
+        }
+        all_urgent_sent
+    }
+
+    /// Determines what the channel takes now.
+    fn allowance(&mut self, batch: &Batch, now: Nanos) -> Allowance {
+        let overhead = self.message_cost() * self.proxies.by_id.len() as f64;
+        let interval = self.batch_interval(overhead);
+        let queued = self.pacing.update_queue(now);
+        let lines = |capacity_share: f64| capacity_share * self.pacing.capacity_lines - queued;
+        let limit_lines = lines(ASSIGNMENT_CAPACITY_SHARE);
+        let interval_is_over =
+            now.saturating_sub(self.deferrable_sent_at) >= interval || self.deferrable_sent_at == 0;
+        // What would only wait in the queue waits here, and gathers: it arrives no later, in fewer messages.
+        let queue_is_long = queued > self.pacing.queue_target() && !self.pacing.is_probe_due(now);
+        let assignments_go_first =
+            batch.has_unassigned_proxies() && self.assignment_quota > 0.0 && limit_lines > 0.0;
+        Allowance {
+            takes_deferrable: interval_is_over && !queue_is_long && !assignments_go_first,
+            queue_is_long,
+            urgent_lines: lines(urgent_share(&self.pacing)),
+            limit_lines,
+            ordinary_lines: lines(self.ordinary_share(overhead, interval, now)),
+        }
+    }
+
+    /// Time between two batches of deferrable changes, where the overhead of one message to each proxy is
+    /// `overhead_lines`.
+    fn batch_interval(&self, overhead_lines: f64) -> Nanos {
+        let by_overhead = overhead_lines / MAX_OVERHEAD_SHARE / self.pacing.configured_lines_per_ns;
+        MIN_BATCH_INTERVAL.max(by_overhead as Nanos)
+    }
+
+    /// Share of the capacity that deferrable changes may fill: no more than is sent until the next batch, since what is
+    /// urgent would stand behind it.
+    fn ordinary_share(&self, overhead_lines: f64, interval: Nanos, now: Nanos) -> f64 {
+        let until_next = if self.has_no_recent_overload(now) {
+            self.pacing.learned_lines_per_ns() * interval as f64
+        } else {
+            0.0
+        };
+        let sent_by_then = (self.pacing.queue_target() + until_next) / self.pacing.capacity_lines;
+        ordinary_share(&self.pacing, overhead_lines).min(sent_by_then)
+    }
+
+    /// Whether another message would exceed what the limit on messages allows now.
+    fn reaches_message_limit(&self, urgent: usize) -> bool {
+        let share = if urgent > 0 { 1.0 } else { ORDINARY_MESSAGE_SHARE };
+        let limit = self.pacing.half_message_limit * share;
+        self.pacing.recent_messages + 1.0 > limit.max(1.0)
+    }
+
+    /// Tables with urgent changes for which as many lines fit as their messages' overhead: smaller pieces are not worth
+    /// it.
+    fn tables_worth_updating(
+        &self,
+        changes: &[Change],
+        batch: &Batch,
+        allowance: &Allowance,
+    ) -> BTreeSet<TableId> {
+        let mut urgent_lines: BTreeMap<TableId, f64> = BTreeMap::new();
+        for change in changes.iter().filter(|change| change.is_urgent()) {
+            *urgent_lines.entry(change.line.table).or_default() += 1.0;
+        }
+        let cost = self.message_cost();
+        let is_worth_it = |(&table, &lines): (&TableId, &f64)| {
+            allowance.urgent_lines >= batch.users(table) * (cost + cost.min(lines))
+        };
+        let worth_it = urgent_lines.iter().filter(|&entry| is_worth_it(entry));
+        let mut tables: BTreeSet<TableId> = worth_it.map(|(&table, _)| table).collect();
+        let full_table_waits = urgent_lines.contains_key(&FULL_TABLE) && !tables.contains(&FULL_TABLE);
+        if self.is_leaving_full_table() || full_table_waits {
+            // Users of a table that still has a server would have to exclude it too.
+            tables.remove(&EXCLUSIONS);
+        }
+        tables
+    }
+
+    /// Differing admission limits that the batch takes.
+    fn fitting_limits(&self, allowance: &Allowance, batch: &mut Batch) -> Vec<TableLimit> {
+        if !allowance.takes_deferrable {
+            return Vec::new();
+        }
+        let tables = self.proxies.used_or_intended_tables();
+        let mut limits = self.sent.differing_limits(tables, &self.admission_limits);
+        limits.retain(|limit| batch.try_add(limit.table, Audience::All, allowance.limit_lines));
+        limits
+    }
+
+    /// Records whether removals that are sent now arrive in time.
+    fn record_deadlines(&mut self, changes: &[Change], batch: &Batch, now: Nanos) {
+        let arrival = self.pacing.forecast(now).arrival(batch.cost());
+        let mut deadlines: BTreeMap<TableId, Nanos> = BTreeMap::new();
+        for change in changes.iter().filter(|change| change.line.table != EXCLUSIONS) {
+            if let Some(since) = self.unready_since.get(&change.line.server) {
+                let deadline = deadlines.entry(change.line.table).or_insert(Nanos::MAX);
+                *deadline = (*deadline).min(since + self.drain_grace);
+            }
+        }
+        for (table, deadline) in deadlines {
+            self.deadlines.record(batch.users(table) as usize, deadline, arrival);
+        }
+    }
+
+    fn write(&mut self, changes: &[Change], limits: Vec<TableLimit>, mailboxes: &mut Mailboxes) {
+        for change in changes {
+            self.sent.send_weight(change.line, change.weight, mailboxes);
+        }
+        for limit in limits {
+            self.sent.send_limit(limit, mailboxes);
+        }
+    }
+
+    /// Records a batch that proxies receive, and gives table assignments their turn after it.
+    fn record_batch(&mut self, batch: &Batch, mailboxes: &mut Mailboxes) {
+        let recipients = batch.recipients(&self.proxies);
+        if recipients.is_empty() {
+            return;
+        }
+        let max_quota =
+            MAX_ASSIGNMENT_GRACE_SHARE * self.drain_grace as f64 * self.pacing.configured_lines_per_ns;
+        self.assignment_quota = (ASSIGNMENT_LINES_PER_LINE * batch.cost()).min(max_quota);
+        self.pacing.record_sent(batch.cost(), recipients, mailboxes);
+    }
+}
+
+/// Adds a change to the batch if it may go now. Ordinary ones wait while there are proxies without a table beside those
+/// that have one.
+fn fits(
+    change: &Change,
+    worth_updating: &BTreeSet<TableId>,
+    allowance: &Allowance,
+    batch: &mut Batch,
+) -> bool {
+    let table = change.line.table;
+    if change.is_urgent() {
+        return worth_updating.contains(&table)
+            && batch.try_add(table, change.audience, allowance.urgent_lines);
+    }
+    let waits_for_assignments = change.priority == Priority::Ordinary
+        && batch.has_unassigned_proxies()
+        && batch.has_assigned_proxies();
+    allowance.takes_deferrable
+        && !waits_for_assignments
+        && batch.try_add(table, Audience::All, allowance.ordinary_lines)
+}
--- /dev/null
+++ b/src/channel/updates/tests.rs
@@ -0,0 +1,126 @@
+use rstest::rstest;
+
+use super::*;
+use crate::testing::*;
+use crate::Controller;
+
+#[rstest]
+#[case::ordinary(Readiness::Ready, false)]
+#[case::draining(Readiness::Draining, true)]
+fn only_urgent_changes_are_sent_before_the_next_batch(
+    config: ControllerConfig,
+    #[case] readiness: Readiness,
+    #[case] is_urgent: bool,
+) {
+    let mut controller = running(&config);
+    let sends =
+        |actions: Vec<Action>| actions.iter().any(|a| matches!(a, Action::SetWeight { server: 1, .. }));
+    let events = changed([Endpoint { readiness, weight: 3.0, ..endpoint(1) }]);
+    assert_eq!(sends(controller.decide(START + SECOND / 10, events)), is_urgent);
+    assert_eq!(sends(controller.decide(START + 2 * SECOND, vec![])), !is_urgent);
+}
+
+#[rstest]
+fn messages_stay_within_their_limit(mut config: ControllerConfig) {
+    (config.message_limit, config.message_limit_window) = (4, 10 * SECOND);
+    let mut controller = running(&config);
+    let sends_message = |tenth: u64, controller: &mut Controller| {
+        let server = if tenth.is_multiple_of(2) { draining(1) } else { endpoint(1) };
+        let actions = controller.decide(START + tenth * SECOND / 10, changed([server]));
+        actions.iter().any(|action| matches!(action, Action::Exclude { .. } | Action::SetWeight { .. }))
+    };
+    let messages = (1..60).filter(|&tenth| sends_message(tenth, &mut controller)).count();
+    assert!((1..4).contains(&messages), "{messages}");
+}
+
+#[rstest]
+fn changes_gather_longer_where_overhead_would_fill_the_channel(config: ControllerConfig) {
+    // 300 proxies, 6 lines of overhead each, at 1,000 lines a second: 1.8 s of the channel for overhead alone.
+    // The grace is long enough for all of them on the full table.
+    let config =
+        ControllerConfig { channel_capacity: 9_000.0, proxy_count: 300, drain_grace: 10 * SECOND, ..config };
+    let mut controller = Controller::new(&config);
+    let mut events = vec![listed([endpoint(1), endpoint(2)])];
+    events.extend((0..300).map(joined));
+    let updates_full_table = |actions: &[Action]| {
+        actions.iter().any(|action| matches!(action, Action::SetWeight { table: FULL_TABLE, .. }))
+    };
+    // Lines of tables that no proxy uses yet cost nothing.
+    assert!(updates_full_table(&controller.decide(START, events)));
+    let warm = |id: u64| Endpoint { started_at: START - 20 * SECOND, ..endpoint(id as ServerId) };
+    for second in 1..10 {
+        // A new warm server each second; nothing is queued.
+        controller.channel.pacing.queued_lines = 0.0;
+        let now = START + second * SECOND;
+        let actions = decide_acknowledged(&mut controller, now, changed([warm(2 + second)]));
+        assert_eq!(updates_full_table(&actions), second % 5 == 0, "after {second} s");
+    }
+}
+
+/// Number of proxies on each table.
+fn users(controller: &Controller) -> BTreeMap<TableId, usize> {
+    let mut users = BTreeMap::new();
+    for table in controller.channel.proxies.by_id.values().filter_map(|proxy| proxy.assigned_table) {
+        *users.entry(table).or_default() += 1;
+    }
+    users
+}
+
+/// Number of servers on each table.
+fn servers(controller: &Controller) -> BTreeMap<TableId, usize> {
+    let mut servers = BTreeMap::new();
+    for (line, _) in controller.channel.sent.weights.iter().filter(|(_, weight)| **weight > 0.0) {
+        *servers.entry(line.table).or_default() += 1;
+    }
+    servers
+}
+
+/// Lines that actions put into the channel, counted as the wire does: a table takes 9 beside its servers, an update 6
+/// beside its changes. `users` are those before the actions, `servers` those after them.
+fn wire_lines(
+    actions: &[Action],
+    users: &BTreeMap<TableId, usize>,
+    servers: &BTreeMap<TableId, usize>,
+) -> usize {
+    let mut changes: BTreeMap<TableId, usize> = BTreeMap::new();
+    let mut assigned = 0;
+    for action in actions {
+        match action {
+            Action::AssignTable { table, .. } => {
+                assigned += servers.get(table).copied().unwrap_or_default() + 9
+            }
+            Action::SetWeight { table, .. } | Action::LimitAdmission { table: Some(table), .. } => {
+                *changes.entry(*table).or_default() += 1;
+            }
+            _ => {}
+        }
+    }
+    let update =
+        |(table, lines): (&TableId, &usize)| users.get(table).copied().unwrap_or_default() * (lines + 6);
+    assigned + changes.iter().map(update).sum::<usize>()
+}
+
+#[rstest]
+#[case::drained_at_once(Readiness::Draining, 0)]
+#[case::restarted_at_once(Readiness::Ready, START)]
+fn many_changes_are_sent_in_pieces_within_the_channels_capacity(
+    config: ControllerConfig,
+    #[case] readiness: Readiness,
+    #[case] started_at: Nanos,
+) {
+    let mut controller = large(config, 400, 100);
+    let proxies = controller.channel.proxies.by_id.values_mut();
+    proxies.for_each(|proxy| proxy.assigned_table = Some(FULL_TABLE));
+    let mut events = changed((1..=200).map(|id| Endpoint { readiness, started_at, ..endpoint(id) }));
+    let (mut queued, mut sent) = (400.0 * 12.0 * ASSIGNMENT_CAPACITY_SHARE, 0);
+    for tenth in 1..200 {
+        queued = f64::max(queued - 320.0, 0.0);
+        let users_before = users(&controller);
+        let now = START + tenth * SECOND / 10;
+        let actions = decide_acknowledged(&mut controller, now, std::mem::take(&mut events));
+        queued += wire_lines(&actions, &users_before, &servers(&controller)) as f64;
+        assert!(queued <= 4_800.0, "{queued}");
+        sent += actions.iter().filter(|action| matches!(action, Action::SetWeight { .. })).count();
+    }
+    assert!(sent >= 200, "{sent}");
+}
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::channel::{Channel, WEIGHT_STEP};
+use crate::channel::{Channel, MIN_WEIGHT_CHANGE};
 use crate::interface::*;
 use crate::message::*;
 use crate::state::*;
@@ -655,7 +655,7 @@
             budget = (budget - asked * amount).max(0.0);
             all_in &= amount >= 1.0;
             let gate = &mut self.gates[demand.operation];
-            if (gate.limit - amount).abs() > WEIGHT_STEP / 2.0 || amount >= 1.0 {
+            if (gate.limit - amount).abs() > MIN_WEIGHT_CHANGE / 2.0 || amount >= 1.0 {
                 gate.limit = amount;
             }
         }
@@ -780,7 +780,7 @@
         servers.retain(|id, server| {
             let unlisted = !registry.listed.contains(id);
             let long = mailboxes.now.saturating_sub(server.since.max(server.heard)) > GONE_KEPT;
-            if unlisted && long && channel.let_go(*id) {
+            if unlisted && long && channel.forget_server(*id) {
                 fleet.standings.remove(id);
                 return false;
             }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,7 +1,7 @@
 use rstest::rstest;
 
 use super::*;
-use crate::channel::WHOLE;
+use crate::tables::{TableLine, FULL_TABLE};
 use crate::testing::*;
 
 fn thresholds() -> Thresholds {
@@ -457,7 +457,7 @@
         Event::Joined { proxy: 0, locality: 0, rate: 10.0, is_new: true },
     ];
     let lines = brain.decide(START, events).into_iter().filter_map(|order| match order {
-        Action::SetWeight { table: WHOLE, server, weight } => Some((server, weight)),
+        Action::SetWeight { table: FULL_TABLE, server, weight } => Some((server, weight)),
         _ => None,
     });
     lines.collect()
@@ -499,16 +499,16 @@
     let mut brain = Controller::new(&config);
     brain
         .decide(START, vec![Event::Endpoints(WatchEvent::Full(vec![endpoint(1), endpoint(2), endpoint(3)]))]);
-    brain.channel.told.insert((WHOLE, 3), 1.0);
+    brain.channel.sent.weights.insert(TableLine { table: FULL_TABLE, server: 3 }, 1.0);
     let gone = |server| Endpoint { readiness: Readiness::Removed, ..endpoint(server) };
     brain.decide(START + 1, vec![Event::Endpoints(WatchEvent::Delta(vec![gone(2), gone(3)]))]);
-    brain.channel.told.insert((WHOLE, 3), 1.0);
+    brain.channel.sent.weights.insert(TableLine { table: FULL_TABLE, server: 3 }, 1.0);
     brain.decide(START + GONE_KEPT, Vec::new());
     assert_eq!(brain.servers.len(), 3);
-    brain.channel.told.insert((WHOLE, 3), 1.0);
+    brain.channel.sent.weights.insert(TableLine { table: FULL_TABLE, server: 3 }, 1.0);
     brain.decide(START + GONE_KEPT + 2, Vec::new());
     assert_eq!(brain.servers.keys().copied().collect::<Vec<_>>(), [1, 3]);
-    assert!(!brain.channel.wants.contains_key(&2) && !brain.fleet.standings.contains_key(&2));
+    assert!(!brain.channel.desired_weights.contains_key(&2) && !brain.fleet.standings.contains_key(&2));
     brain.decide(START + GONE_KEPT + 3, vec![Event::Endpoints(WatchEvent::Delta(vec![endpoint(2)]))]);
     assert!(brain.servers.contains_key(&2), "listed again it is known again");
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,9 +6,11 @@
 pub mod interface;
 mod message;
 mod pacing;
+mod proxies;
 mod state;
 mod statistics;
 mod subsets;
+mod tables;
 #[cfg(test)]
 mod testing;
 
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -1,197 +1,317 @@
-//! Small tables: each of few servers, shared by some of the proxies. They keep connections few where these are hard to
-//! get, and messages short where the channel cannot carry whole tables in time.
+//! Subsets: tables of few servers, each shared by some of the proxies. They keep connections few where these are hard to
+//! establish (isolation), and messages short where the channel cannot carry full tables in time (stand-ins). The channel
+//! decides when subsets are used; which servers stand on which, and which proxy gets which, is decided here.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::channel::{Channel, Member, WHOLE};
 use crate::interface::*;
+use crate::message::DesiredWeight;
+use crate::proxies::{Proxies, Proxy};
+use crate::tables::{DesiredWeights, TableLine, FULL_TABLE};
 
-/// Where proxies are kept apart, so many at least share so many servers at least, and a table has at least so many
-/// times a server's mean weight.
-const GROUP_PROXIES: usize = 2;
-const GROUP_SERVERS: usize = 6;
-const LEAST_CHOICE: f64 = 3.0;
-/// Servers on a table that stands in where whole ones would be late: enough to spread the work, few enough that a
-/// message costs little more than its head.
+#[cfg(test)]
+mod tests;
+
+/// Isolation: at least so many proxies share a subset.
+const MIN_ISOLATED_PROXIES: usize = 2;
+/// Isolation: at least so many servers stand on a subset.
+const MIN_ISOLATED_SERVERS: usize = 6;
+/// Isolation: least weight of a subset, in multiples of a server's mean weight.
+const MIN_ISOLATED_MEAN_WEIGHTS: f64 = 3.0;
+/// Servers on a stand-in: enough to spread the load, few enough that a message costs little more than its overhead.
 const STAND_IN_SERVERS: usize = 8;
-/// Numbers of two deals in turn, so that proxies on tables of the last one keep these until they have moved.
-const DEAL_NUMBERS: TableId = 1 << 14;
-
-impl Channel {
-    /// Servers that stay in and are warm, with their weights.
-    pub(crate) fn sound(&self) -> Vec<(ServerId, f64)> {
-        let sound = self.wants.iter().filter(|(_, want)| want.weight > 0.0 && !want.urgent);
-        sound.map(|(&server, want)| (server, want.weight)).collect()
-    }
-
-    /// The same, locality by locality.
-    fn sound_by_locality(&self) -> Vec<(ServerId, f64)> {
-        let mut sound = self.sound();
-        sound.sort_by_key(|(server, _)| (self.wants[server].locality, *server));
-        sound
-    }
-
-    /// Deals sound servers to small groups of proxies, each with a table, by the traffic that each brings;
-    /// or brings all back to the whole table. Our window of the servers, all in one order, goes by our number
-    /// and our part of the proxies, so supervisors need not agree.
-    pub(crate) fn split(&mut self, apart: bool) {
-        self.apart = apart;
-        self.members.values_mut().for_each(|member| member.table = WHOLE);
-        let sound = self.sound();
-        let count = sound.len() as f64;
-        let ours = (count * self.members.len() as f64 / self.proxies.max(1.0)).ceil().min(count) as usize;
-        let first = (count * self.supervisor / self.supervisors.max(1.0)) as usize;
-        let window: Vec<(ServerId, f64)> = sound.into_iter().cycle().skip(first).take(ours).collect();
-        let groups = (self.members.len() / GROUP_PROXIES).min(ours / GROUP_SERVERS);
-        let rates: f64 = self.members.values().map(|member| member.came.sum).sum();
-        if !apart || groups < 2 || rates <= 0.0 {
-            // Small tables that there are stand until the last proxy has left them.
-            return;
-        }
-        self.begin_deal();
-        self.dealt_apart = true;
-        let weights: f64 = window.iter().map(|(_, weight)| weight).sum();
-        let first_table = self.deal_from + 1;
-        let (mut to, mut ends) = (0.0, BTreeMap::new());
-        for member in self.members.values_mut() {
-            let part = member.came.sum / rates;
-            member.table = first_table + ((to + part / 2.0) * groups as f64) as TableId;
-            to += part;
-            ends.insert(member.table, to);
-            *self.sizes.entry(member.table).or_default() += part * weights;
-        }
-        // A small group still gets some choice.
-        let least = LEAST_CHOICE * weights / window.len() as f64;
-        self.sizes.values_mut().for_each(|size| *size = size.max(least));
-        self.deal(&window, &ends);
-    }
-
-    /// Puts each server on the table within whose part of all the weight its middle lies.
-    fn deal(&mut self, servers: &[(ServerId, f64)], ends: &BTreeMap<TableId, f64>) {
-        let weights: f64 = servers.iter().map(|(_, weight)| weight).sum();
-        let mut at = 0.0;
-        for &(server, weight) in servers {
-            let middle = (at + weight / 2.0) / weights;
-            at += weight;
-            let table = ends.iter().find(|(_, &end)| end >= middle).map(|(&table, _)| table);
-            self.parts.extend(table.map(|table| (table, server)));
+/// Table numbers of one assignment. Two assignments have them in turn: proxies on subsets of the last one keep these
+/// until they have moved.
+const NUMBERS_PER_ASSIGNMENT: TableId = 1 << 14;
+/// Share of its weight that a server that is warming up has in a subset, which may have lost half of its own.
+pub(crate) const WARMING_UP_SHARE: f64 = 0.5;
+
+/// What the current subsets are for.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) enum Purpose {
+    /// They stand in for the full table.
+    #[default]
+    StandIn,
+    /// They isolate groups of proxies on few servers of this supervisor's own window.
+    Isolation,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct WeightedServer {
+    server: ServerId,
+    weight: f64,
+}
+
+/// The subsets of this supervisor's proxies.
+#[derive(Debug, Default)]
+pub(crate) struct Subsets {
+    /// Lines of all subsets, those of the last assignment too while they are in use.
+    pub(crate) endpoints: BTreeSet<TableLine>,
+    /// Weight that each subset of the current assignment should have.
+    pub(crate) target_weights: BTreeMap<TableId, f64>,
+    /// Subsets with so much warm weight that a server that is warming up gets a small share.
+    pub(crate) well_supplied: BTreeSet<TableId>,
+    /// Servers that were known when subsets were assigned or replenished.
+    known_servers: BTreeSet<ServerId>,
+    purpose: Purpose,
+    /// Table numbers of the current assignment follow this one.
+    base_number: TableId,
+    supervisor_index: f64,
+    supervisor_count: f64,
+    /// Proxies that all supervisors have together.
+    proxy_count: f64,
+}
+
+/// Whether a server is in service and warm.
+fn is_stable(desired: &DesiredWeight) -> bool {
+    desired.weight > 0.0 && !desired.urgent
+}
+
+/// Servers that are in service and warm, by number.
+fn stable_servers(desired: &DesiredWeights) -> Vec<WeightedServer> {
+    let stable = desired.iter().filter(|(_, desired)| is_stable(desired));
+    stable.map(|(&server, desired)| WeightedServer { server, weight: desired.weight }).collect()
+}
+
+/// The same, by locality.
+fn stable_servers_by_locality(desired: &DesiredWeights) -> Vec<WeightedServer> {
+    let mut servers = stable_servers(desired);
+    servers.sort_by_key(|stable| (desired[&stable.server].locality, stable.server));
+    servers
+}
+
+/// Servers that a stand-in would have now; 0 where there can be none.
+pub(crate) fn stand_in_servers(desired: &DesiredWeights) -> usize {
+    desired.values().filter(|desired| is_stable(desired)).count().min(STAND_IN_SERVERS)
+}
+
+/// Weight below which a subset is replenished.
+fn min_weight(target: f64) -> f64 {
+    target / 2.0
+}
+
+/// The subset with the least load; of equals the one with the lowest number.
+fn least_loaded(loads: &BTreeMap<TableId, f64>) -> Option<TableId> {
+    loads.iter().min_by(|a, b| a.1.total_cmp(b.1).then(a.0.cmp(b.0))).map(|(&table, _)| table)
+}
+
+impl Subsets {
+    /// None yet.
+    pub(crate) fn new(config: &ControllerConfig) -> Self {
+        Subsets {
+            supervisor_index: config.supervisor_index.into(),
+            supervisor_count: config.supervisor_count.into(),
+            proxy_count: config.proxy_count.into(),
+            ..Subsets::default()
         }
     }
 
-    /// Tables of the last deal are kept for those who are on them yet, older ones are dropped.
-    fn begin_deal(&mut self) {
-        let used: BTreeSet<TableId> = self.members.values().filter_map(|member| member.bound).collect();
-        self.parts.retain(|(table, _)| used.contains(table));
-        self.sizes.clear();
-        let first =
-            |from: TableId| self.parts.iter().any(|part| part.0 > from && part.0 <= from + DEAL_NUMBERS);
-        self.deal_from = if first(0) { DEAL_NUMBERS } else { 0 };
-        let taken = self.deal_from..=self.deal_from + DEAL_NUMBERS;
-        self.parts.retain(|(table, _)| !(*table > WHOLE && taken.contains(table)));
-        self.dealt = self.wants.keys().copied().collect();
+    /// Servers that stand on any subset.
+    pub(crate) fn servers(&self) -> BTreeSet<ServerId> {
+        self.endpoints.iter().map(|line| line.server).collect()
+    }
+
+    /// Forgets a server.
+    pub(crate) fn forget_server(&mut self, server: ServerId) {
+        self.known_servers.remove(&server);
+        self.endpoints.retain(|line| line.server != server);
+    }
+
+    /// The weight that a subset should have for a server. Servers that are warming up get a part of theirs, and none
+    /// while the subset lacks warm weight, where their share would be large.
+    pub(crate) fn desired_weight(&self, line: TableLine, desired: &DesiredWeight) -> f64 {
+        if !self.endpoints.contains(&line) {
+            0.0
+        } else if !desired.urgent {
+            desired.weight
+        } else if self.well_supplied.contains(&line.table) {
+            desired.weight * WARMING_UP_SHARE
+        } else {
+            0.0
+        }
     }
 
-    /// Servers that a table of few would have now.
-    pub(crate) fn stand_in_servers(&self) -> usize {
-        let sound = self.wants.values().filter(|want| want.weight > 0.0 && !want.urgent).count();
-        sound.min(STAND_IN_SERVERS)
+    /// Whether a table is a subset of the current assignment that lacks servers, with so much weight.
+    pub(crate) fn is_too_light(&self, table: TableId, weight: f64) -> bool {
+        self.target_weights.get(&table).is_some_and(|target| weight < min_weight(*target))
     }
 
-    /// Deals all sound servers to tables that stand in for whole ones, unless some are there already.
-    pub(crate) fn deal_stand_ins(&mut self) {
-        let in_use = |member: &Member| self.sizes.contains_key(&member.table);
-        if !self.dealt_apart && !self.sizes.is_empty() && self.members.values().any(in_use) {
+    /// Assigns groups of proxies, formed by the requests that come to each, subsets of this supervisor's window of the
+    /// stable servers. With too few proxies or servers there are no groups, and all keep the full table.
+    pub(crate) fn isolate(&mut self, proxies: &mut Proxies, desired: &DesiredWeights) {
+        let window = self.own_window(proxies.by_id.len(), desired);
+        let by_proxies = proxies.by_id.len() / MIN_ISOLATED_PROXIES;
+        let groups = by_proxies.min(window.len() / MIN_ISOLATED_SERVERS);
+        let requests: f64 = proxies.by_id.values().map(|proxy| proxy.requests.sum).sum();
+        if groups < 2 || requests <= 0.0 {
             return;
         }
-        let sound = self.sound_by_locality();
-        let groups = (sound.len() / STAND_IN_SERVERS).max(1);
-        self.begin_deal();
-        self.dealt_apart = false;
-        let first_table = self.deal_from + 1;
-        // In turns, so that no table loses all at once with a locality or with servers that follow each other.
-        for (at, (server, weight)) in sound.into_iter().enumerate() {
-            let table = first_table + (at % groups) as TableId;
-            self.parts.insert((table, server));
-            *self.sizes.entry(table).or_default() += weight;
+        self.begin_assignment(proxies, desired);
+        self.purpose = Purpose::Isolation;
+        let weight: f64 = window.iter().map(|stable| stable.weight).sum();
+        let first_table = self.base_number + 1;
+        let mut upper_bounds = BTreeMap::new();
+        let mut lower_bound = 0.0;
+        for proxy in proxies.by_id.values_mut() {
+            let share = proxy.requests.sum / requests;
+            let group = ((lower_bound + share / 2.0) * groups as f64) as TableId;
+            proxy.intended_table = first_table + group;
+            lower_bound += share;
+            upper_bounds.insert(proxy.intended_table, lower_bound);
+            *self.target_weights.entry(proxy.intended_table).or_default() += share * weight;
         }
+        let min_weight = MIN_ISOLATED_MEAN_WEIGHTS * weight / window.len() as f64;
+        self.target_weights.values_mut().for_each(|target| *target = target.max(min_weight));
+        self.distribute(&window, &upper_bounds);
     }
 
-    /// What comes to the proxies of each small table, for its size.
-    fn loads(&self) -> BTreeMap<TableId, f64> {
-        let mut loads: BTreeMap<TableId, f64> = self.sizes.keys().map(|&table| (table, 0.0)).collect();
-        for member in self.members.values() {
-            if let Some(load) = loads.get_mut(&member.table) {
-                *load += member.came.sum;
-            }
+    /// This supervisor's window of the stable servers, in the order of their numbers. It goes by the supervisor's
+    /// number and its share of all proxies, so that supervisors need not agree.
+    fn own_window(&self, proxies: usize, desired: &DesiredWeights) -> Vec<WeightedServer> {
+        let servers = stable_servers(desired);
+        let count = servers.len() as f64;
+        let length = (count * proxies as f64 / self.proxy_count.max(1.0)).ceil().min(count) as usize;
+        let first = (count * self.supervisor_index / self.supervisor_count.max(1.0)) as usize;
+        servers.into_iter().cycle().skip(first).take(length).collect()
+    }
+
+    /// Puts each server on the subset within whose share of all weight its middle lies. Shares are given by their upper
+    /// bounds, 0 to 1.
+    fn distribute(&mut self, servers: &[WeightedServer], upper_bounds: &BTreeMap<TableId, f64>) {
+        let total: f64 = servers.iter().map(|stable| stable.weight).sum();
+        let mut before = 0.0;
+        for &WeightedServer { server, weight } in servers {
+            let middle = (before + weight / 2.0) / total;
+            before += weight;
+            let subset = upper_bounds.iter().find(|(_, &bound)| bound >= middle);
+            self.endpoints.extend(subset.map(|(&table, _)| TableLine { table, server }));
         }
-        loads.iter_mut().for_each(|(table, load)| *load /= self.sizes[table].max(f64::MIN_POSITIVE));
-        loads
     }
 
-    /// The small table to which least comes for its size.
-    pub(crate) fn lightest(&self) -> Option<TableId> {
-        let loads = self.loads();
-        loads.into_iter().min_by(|a, b| a.1.total_cmp(&b.1).then(a.0.cmp(&b.0))).map(|(table, _)| table)
+    /// Begins a new assignment. Subsets of the last one are kept while proxies use them, older ones are dropped.
+    fn begin_assignment(&mut self, proxies: &Proxies, desired: &DesiredWeights) {
+        let used = proxies.assigned_tables();
+        self.endpoints.retain(|line| used.contains(&line.table));
+        self.target_weights.clear();
+        let first_numbers = 1..=NUMBERS_PER_ASSIGNMENT;
+        let first_in_use = self.endpoints.iter().any(|line| first_numbers.contains(&line.table));
+        self.base_number = if first_in_use { NUMBERS_PER_ASSIGNMENT } else { 0 };
+        let taken = self.base_number..=self.base_number + NUMBERS_PER_ASSIGNMENT;
+        self.endpoints.retain(|line| !(line.table > FULL_TABLE && taken.contains(&line.table)));
+        self.known_servers = desired.keys().copied().collect();
     }
 
-    /// Has these proxies go by tables that stand in, each by the one to which least comes.
-    pub(crate) fn put_on_stand_ins(&mut self, proxies: &[ProxyId]) {
-        self.deal_stand_ins();
-        let mut loads = self.loads();
-        for proxy in proxies {
-            let lightest = loads.iter().min_by(|a, b| a.1.total_cmp(b.1).then(a.0.cmp(b.0)));
-            let Some(table) = lightest.map(|(&table, _)| table) else { return };
-            if let Some(member) = self.members.get_mut(proxy) {
-                member.table = table;
-                // One that brings next to nothing counts too.
-                let load = member.came.sum.max(1.0) / self.sizes[&table].max(f64::MIN_POSITIVE);
+    /// Has proxies use stand-ins, each the one with the least load.
+    pub(crate) fn move_to_stand_ins(
+        &mut self,
+        ids: &[ProxyId],
+        proxies: &mut Proxies,
+        desired: &DesiredWeights,
+    ) {
+        self.ensure_stand_ins(proxies, desired);
+        let mut loads = self.loads(proxies);
+        for id in ids {
+            let Some(table) = least_loaded(&loads) else { return };
+            if let Some(proxy) = proxies.by_id.get_mut(id) {
+                proxy.intended_table = table;
+                // A proxy with next to no requests counts too.
+                let target = self.target_weights[&table].max(f64::MIN_POSITIVE);
+                let load = proxy.requests.sum.max(1.0) / target;
                 loads.entry(table).and_modify(|sum| *sum += load);
             }
         }
     }
 
-    /// A small table that has lost half of its warm weight gets more of the sound servers; others stay as dealt.
-    /// A server first listed since goes, cold or not, to a table of the supervisor its number falls to.
-    pub(crate) fn refill(&mut self) {
-        let sound = self.sound();
-        let dealt_apart = self.dealt_apart;
-        let ours = |server: ServerId| {
-            !dealt_apart || f64::from(server) % self.supervisors.max(1.0) == self.supervisor
-        };
-        let fresh = self.wants.keys().filter(|server| ours(**server) && !self.dealt.contains(server));
-        for (&server, at) in fresh.zip(self.sizes.keys().cycle().skip(self.dealt.len())) {
-            self.parts.insert((*at, server));
+    /// Puts all stable servers on stand-ins, unless some are in use already.
+    fn ensure_stand_ins(&mut self, proxies: &Proxies, desired: &DesiredWeights) {
+        let in_use = |proxy: &Proxy| self.target_weights.contains_key(&proxy.intended_table);
+        let are_stand_ins = self.purpose == Purpose::StandIn && !self.target_weights.is_empty();
+        if are_stand_ins && proxies.by_id.values().any(in_use) {
+            return;
+        }
+        let servers = stable_servers_by_locality(desired);
+        let subsets = (servers.len() / STAND_IN_SERVERS).max(1);
+        self.begin_assignment(proxies, desired);
+        self.purpose = Purpose::StandIn;
+        let first_table = self.base_number + 1;
+        // In turns, so that no subset loses all at once with a locality or with servers of neighbouring numbers.
+        for (position, WeightedServer { server, weight }) in servers.into_iter().enumerate() {
+            let table = first_table + (position % subsets) as TableId;
+            self.endpoints.insert(TableLine { table, server });
+            *self.target_weights.entry(table).or_default() += weight;
+        }
+    }
+
+    /// Requests that come to the proxies of each subset, for its target weight.
+    fn loads(&self, proxies: &Proxies) -> BTreeMap<TableId, f64> {
+        let mut loads: BTreeMap<TableId, f64> =
+            self.target_weights.keys().map(|&table| (table, 0.0)).collect();
+        for proxy in proxies.by_id.values() {
+            if let Some(load) = loads.get_mut(&proxy.intended_table) {
+                *load += proxy.requests.sum;
+            }
         }
-        self.dealt.extend(self.wants.keys());
-        let first_table = self.deal_from;
-        self.strong.clear();
-        for (&table, size) in &self.sizes {
-            let warm =
-                |&(_, server): &(TableId, ServerId)| self.wants.get(&server).filter(|want| !want.urgent);
-            let lines = self.parts.range((table, 0)..(table + 1, 0));
-            let mut sum: f64 = lines.filter_map(warm).map(|want| want.weight).sum();
-            if sum >= size / 2.0 {
-                self.strong.insert(table);
+        loads.iter_mut().for_each(|(table, load)| *load /= self.target_weights[table].max(f64::MIN_POSITIVE));
+        loads
+    }
+
+    /// The subset with the least load.
+    pub(crate) fn least_loaded(&self, proxies: &Proxies) -> Option<TableId> {
+        least_loaded(&self.loads(proxies))
+    }
+
+    /// Adds newly listed servers, and more stable ones to each subset that has lost half of its warm weight; others stay
+    /// as assigned.
+    pub(crate) fn replenish(&mut self, desired: &DesiredWeights) {
+        self.add_new_servers(desired);
+        let stable = stable_servers(desired);
+        self.well_supplied.clear();
+        for (&table, target) in &self.target_weights {
+            let warm = |line: &TableLine| desired.get(&line.server).filter(|desired| !desired.urgent);
+            let lines = self.endpoints.range(TableLine::all_of(table));
+            let mut weight: f64 = lines.filter_map(warm).map(|desired| desired.weight).sum();
+            if weight >= min_weight(*target) {
+                self.well_supplied.insert(table);
                 continue;
             }
-            let at = usize::from(table - first_table);
-            for (server, weight) in self.refill_order(&sound, at) {
-                if sum < *size && self.parts.insert((table, server)) {
-                    sum += weight;
+            let position = usize::from(table - self.base_number);
+            for candidate in self.replenishing_order(&stable, position) {
+                let line = TableLine { table, server: candidate.server };
+                if weight < *target && self.endpoints.insert(line) {
+                    weight += candidate.weight;
                 }
             }
         }
     }
 
-    /// The order in which a table takes more servers. Tables that keep proxies apart take neighbours, so that each
-    /// server meets few proxies; those that stand in take none that follow each other before all others.
-    fn refill_order(&self, sound: &[(ServerId, f64)], at: usize) -> Vec<(ServerId, f64)> {
-        let tables = self.sizes.len();
-        if self.dealt_apart {
-            let first = sound.len() * at / (tables + 1);
-            sound.iter().cycle().skip(first).take(sound.len()).copied().collect()
-        } else {
-            sound.iter().skip(at % tables).step_by(tables).chain(sound).copied().collect()
+    /// Puts each server that was listed since, warm or not, on one subset. Of isolating subsets it is one of the
+    /// supervisor to which the server's number falls.
+    fn add_new_servers(&mut self, desired: &DesiredWeights) {
+        let isolating = self.purpose == Purpose::Isolation;
+        let is_ours = |server: ServerId| {
+            !isolating || f64::from(server) % self.supervisor_count.max(1.0) == self.supervisor_index
+        };
+        let new = desired.keys().filter(|server| is_ours(**server) && !self.known_servers.contains(server));
+        let tables = self.target_weights.keys().cycle().skip(self.known_servers.len());
+        for (&server, &table) in new.zip(tables) {
+            self.endpoints.insert(TableLine { table, server });
+        }
+        self.known_servers.extend(desired.keys());
+    }
+
+    /// The order in which the subset at a position takes more servers. Isolating ones take neighbours, so that each
+    /// server meets few proxies; stand-ins take none of neighbouring numbers before all others.
+    fn replenishing_order(&self, servers: &[WeightedServer], position: usize) -> Vec<WeightedServer> {
+        let subsets = self.target_weights.len();
+        match self.purpose {
+            Purpose::Isolation => {
+                let first = servers.len() * position / (subsets + 1);
+                servers.iter().cycle().skip(first).take(servers.len()).copied().collect()
+            }
+            Purpose::StandIn => {
+                let every_nth = servers.iter().skip(position % subsets).step_by(subsets);
+                every_nth.chain(servers).copied().collect()
+            }
         }
     }
 }
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -82,3 +82,38 @@
     brain.decide(START, vec![listed((1..5).map(endpoint)), joined(1)]);
     brain
 }
+
+/// Events of an endpoint list that changes.
+pub(crate) fn changed(endpoints: impl IntoIterator<Item = Endpoint>) -> Vec<Event> {
+    vec![Event::Endpoints(WatchEvent::Delta(endpoints.into_iter().collect()))]
+}
+
+/// A server that drains.
+pub(crate) fn draining(server: ServerId) -> Endpoint {
+    Endpoint { readiness: Readiness::Draining, ..endpoint(server) }
+}
+
+/// A large deployment: so many servers and proxies, and a channel that holds a dozen full tables.
+pub(crate) fn large(mut config: ControllerConfig, servers: u32, proxies: ProxyId) -> Controller {
+    config.channel_capacity = f64::from(servers) * 12.0;
+    config.lines_per_s = f64::from(servers) * 8.0;
+    let mut controller = Controller::new(&config);
+    controller.decide(START, vec![listed((1..=servers).map(endpoint))]);
+    controller.decide(START + 1, (0..proxies).map(joined).collect());
+    controller
+}
+
+/// Decides after all that was sent before has been acknowledged.
+pub(crate) fn decide_acknowledged(
+    controller: &mut Controller,
+    now: Nanos,
+    events: Vec<Event>,
+) -> Vec<Action> {
+    controller.channel.pacing.pending_marks.clear();
+    controller.decide(now, events)
+}
+
+/// Number of actions that assign a table.
+pub(crate) fn assignments(actions: &[Action]) -> usize {
+    actions.iter().filter(|action| matches!(action, Action::AssignTable { .. })).count()
+}
