--- a/src/channel.rs
+++ b/src/channel.rs
@@ -22,7 +22,7 @@
 
 mod assignment;
 mod batch;
-pub(crate) mod capacity_shares;
+mod capacity_shares;
 mod changes;
 mod exclusions;
 mod gathering;
@@ -120,6 +120,7 @@
         mailboxes.send(Component::Fleet, Message::SubsetServers(servers));
     }
 
+    /// Enters a proxy. While proxies are isolated it is to use the subset with the least load.
     fn join(&mut self, proxy: ProxyId, rate: f64, is_new: bool, now: Nanos) {
         let subset = if self.isolated { self.subsets.least_loaded(&self.proxies) } else { None };
         self.proxies.join(proxy, rate, is_new, subset.unwrap_or(FULL_TABLE), now);
--- a/src/channel/capacity_shares.rs
+++ b/src/channel/capacity_shares.rs
@@ -6,7 +6,7 @@
 /// Least share for deferrable changes.
 pub(super) const ORDINARY_CAPACITY_SHARE: f64 = 0.3;
 /// Share for table assignments and admission limits.
-pub(crate) const ASSIGNMENT_CAPACITY_SHARE: f64 = 0.5;
+pub(super) const ASSIGNMENT_CAPACITY_SHARE: f64 = 0.5;
 /// Share for urgent changes and assignments.
 const URGENT_CAPACITY_SHARE: f64 = 0.8;
 
--- a/src/channel/changes.rs
+++ b/src/channel/changes.rs
@@ -16,7 +16,7 @@
 
 /// How soon a change is sent; the first goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Priority {
+pub(super) enum Priority {
     /// A rule depends on it: a server drains, was removed or warms up, or a table lacks servers.
     Urgent,
     /// Servers that leave a table, and those that join a subset while proxies are not isolated.
@@ -27,7 +27,7 @@
 
 /// Who gets a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Audience {
+pub(super) enum Audience {
     /// All users of the table.
     All,
     /// It was sent before: only the proxies that joined since.
@@ -36,13 +36,13 @@
 
 /// A line that differs from what was sent.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Change {
-    pub(crate) line: TableLine,
-    pub(crate) weight: f64,
-    pub(crate) priority: Priority,
+pub(super) struct Change {
+    pub(super) line: TableLine,
+    pub(super) weight: f64,
+    pub(super) priority: Priority,
     /// Orders changes of one priority, the largest first.
-    pub(crate) weight_change: f64,
-    pub(crate) audience: Audience,
+    pub(super) weight_change: f64,
+    pub(super) audience: Audience,
 }
 
 impl Change {
@@ -69,7 +69,7 @@
 
 impl Channel {
     /// Lines that differ enough from what was sent: by priority, then by how much weight they move.
-    pub(crate) fn differing_lines(&self, now: Nanos) -> Vec<Change> {
+    pub(super) fn differing_lines(&self, now: Nanos) -> Vec<Change> {
         let comparison = Comparison {
             channel: self,
             exclusions_are_due: self.exclusions_are_due(now),
--- a/src/channel/updates.rs
+++ b/src/channel/updates.rs
@@ -37,7 +37,7 @@
     /// More is queued than deferrable changes may stand behind.
     queue_is_long: bool,
     urgent_lines: f64,
-    limit_lines: f64,
+    admission_limit_lines: f64,
     ordinary_lines: f64,
 }
 
@@ -84,18 +84,18 @@
         let interval = self.batch_interval(overhead);
         let queued = self.pacing.update_queue(now);
         let lines = |capacity_share: f64| capacity_share * self.pacing.capacity_lines - queued;
-        let limit_lines = lines(ASSIGNMENT_CAPACITY_SHARE);
+        let admission_limit_lines = lines(ASSIGNMENT_CAPACITY_SHARE);
         let interval_is_over =
             now.saturating_sub(self.deferrable_sent_at) >= interval || self.deferrable_sent_at == 0;
         // What would only wait in the queue waits here, and gathers: it arrives no later, in fewer messages.
         let queue_is_long = queued > self.pacing.queue_target() && !self.pacing.is_probe_due(now);
         let assignments_go_first =
-            batch.has_unassigned_proxies() && self.assignment_quota > 0.0 && limit_lines > 0.0;
+            batch.has_unassigned_proxies() && self.assignment_quota > 0.0 && admission_limit_lines > 0.0;
         Allowance {
             takes_deferrable: interval_is_over && !queue_is_long && !assignments_go_first,
             queue_is_long,
             urgent_lines: lines(urgent_share(&self.pacing)),
-            limit_lines,
+            admission_limit_lines,
             ordinary_lines: lines(self.ordinary_share(overhead, interval, now)),
         }
     }
@@ -122,8 +122,7 @@
     /// Whether another message would exceed what the limit on messages allows now.
     fn reaches_message_limit(&self, urgent: usize) -> bool {
         let share = if urgent > 0 { 1.0 } else { ORDINARY_MESSAGE_SHARE };
-        let limit = self.pacing.half_message_limit * share;
-        self.pacing.recent_messages + 1.0 > limit.max(1.0)
+        self.pacing.message_limit.is_reached(share)
     }
 
     /// Tables with urgent changes for which as many lines fit as their messages' overhead: smaller pieces are not worth
@@ -159,7 +158,7 @@
         }
         let tables = self.proxies.used_or_intended_tables();
         let mut limits = self.sent.differing_limits(tables, &self.admission_limits);
-        limits.retain(|limit| batch.try_add(limit.table, Audience::All, allowance.limit_lines));
+        limits.retain(|limit| batch.try_add(limit.table, Audience::All, allowance.admission_limit_lines));
         limits
     }
 
--- a/src/deadlines.rs
+++ b/src/deadlines.rs
@@ -3,6 +3,9 @@
 
 use crate::interface::Nanos;
 
+#[cfg(test)]
+mod tests;
+
 /// Nanoseconds in a millisecond.
 const NANOS_PER_MS: Nanos = 1_000_000;
 
@@ -83,7 +86,7 @@
         *self = DeadlineStatistics { logged_at: Some(now), ..DeadlineStatistics::default() };
         let max_lateness_ms = max_lateness / NANOS_PER_MS;
         Some(format!(
-            "deadlines missed: {missed} proxies are told late, {met} in time, {pending} yet to be told; the worst by {max_lateness_ms} ms"
+            "deadlines missed: {missed} proxies notified late, {met} in time, {pending} not yet notified; latest by {max_lateness_ms} ms"
         ))
     }
 }
--- /dev/null
+++ b/src/deadlines/tests.rs
@@ -0,0 +1,34 @@
+use rstest::rstest;
+
+use super::*;
+
+const SECOND: Nanos = 1_000_000_000;
+
+/// A channel of 100 lines a second with 50 lines in its queue.
+fn forecast() -> DeliveryForecast {
+    DeliveryForecast { now: 0, queued_lines: 50.0, lines_per_ns: 100.0 / SECOND as f64, transit: SECOND }
+}
+
+#[rstest]
+#[case::both_in_time(4, 0)]
+#[case::the_later_one_is_late(3, SECOND / 2)]
+fn obligations_are_met_by_the_earliest_deadline_first(#[case] deadline_s: u64, #[case] lateness: Nanos) {
+    let first = Obligation { deadline: 5 * SECOND / 2, lines: 100.0 };
+    let second = Obligation { deadline: deadline_s * SECOND, lines: 100.0 };
+    assert_eq!(forecast().max_lateness(&mut [second, first]), lateness);
+    assert_eq!(forecast().meets_all(&mut [second, first]), lateness == 0);
+}
+
+/// Guards against a change of the line that operators search the log for.
+#[rstest]
+fn missed_deadlines_are_logged_once_in_an_interval() {
+    let mut statistics = DeadlineStatistics::default();
+    statistics.record(3, 10 * SECOND, 9 * SECOND);
+    assert_eq!(statistics.log_line(0, 10 * SECOND, SECOND), None, "all in time");
+    statistics.record(21, 10 * SECOND, 10 * SECOND + SECOND / 4);
+    let line = "deadlines missed: 21 proxies notified late, 3 in time, 7 not yet notified; latest by 250 ms";
+    assert_eq!(statistics.log_line(7, 10 * SECOND, SECOND).as_deref(), Some(line));
+    statistics.record(1, 10 * SECOND, 11 * SECOND);
+    assert_eq!(statistics.log_line(0, 10 * SECOND + SECOND / 2, SECOND), None);
+    assert!(statistics.log_line(0, 11 * SECOND, SECOND).is_some());
+}
--- a/src/pacing.rs
+++ b/src/pacing.rs
@@ -8,6 +8,13 @@
 use crate::interface::*;
 use crate::message::{tick_interval, Mailboxes, SECOND};
 
+use learned_rate::{LearnedRate, Observation, MAX_SLOWDOWN};
+pub(crate) use marks::PendingMark;
+use message_limit::MessageLimit;
+
+mod learned_rate;
+mod marks;
+mod message_limit;
 #[cfg(test)]
 mod tests;
 
@@ -15,39 +22,6 @@
 const QUEUE_TARGET_TRANSITS: f64 = 2.0;
 /// The same as a share of what can be delivered within a drain grace: what is due next must not stand behind it.
 const QUEUE_TARGET_GRACE_SHARE: f64 = 0.25;
-/// Longest time by which the channel is taken to be slower than configured, in multiples of the configured time. What is
-/// unacknowledged for longer than a full channel then takes counts as lost.
-const MAX_SLOWDOWN: f64 = 12.0;
-/// Share by which an acknowledgement out of time moves the learned slowdown towards what it shows.
-const SLOWDOWN_GAIN: f64 = 0.5;
-/// With fewer messages, half of them may be late by the proxies' own doing.
-const MIN_MESSAGES_TO_LEARN: usize = 4;
-
-/// The messages of one flush that await acknowledgement of the same serial.
-#[derive(Clone, Debug)]
-pub(crate) struct PendingMark {
-    pub(crate) sent_at: Nanos,
-    /// Lines of all its messages.
-    pub(crate) lines: f64,
-    /// Lines in the queue then, its own among them.
-    pub(crate) queued_lines: f64,
-    pub(crate) messages: usize,
-    /// Proxies that have not acknowledged it.
-    pub(crate) awaiting: BTreeSet<ProxyId>,
-    /// By when most should have arrived.
-    pub(crate) due: Nanos,
-}
-
-impl PendingMark {
-    /// Lines that are not known to have left the channel.
-    fn unacknowledged_lines(&self) -> f64 {
-        self.lines * self.awaiting.len() as f64 / self.messages as f64
-    }
-
-    fn is_late(&self, now: Nanos) -> bool {
-        now > self.due && 2 * self.awaiting.len() > self.messages
-    }
-}
 
 /// Figures of the channel, and the estimate of its queue. Rates are in lines per nanosecond.
 #[derive(Debug, Default)]
@@ -68,13 +42,8 @@
     pub(crate) last_serial: u16,
     /// Marks that await acknowledgement, by serial.
     pub(crate) pending_marks: BTreeMap<u64, PendingMark>,
-    /// Messages written of late, as of `updated_at`.
-    pub(crate) recent_messages: f64,
-    /// Half of the limit on messages: it may be written at once, the other half over the limit's window.
-    pub(crate) half_message_limit: f64,
-    pub(crate) message_limit_window: Nanos,
-    /// Time by which messages take longer than at the configured rate, in multiples of that time.
-    slowdown: f64,
+    pub(crate) message_limit: MessageLimit,
+    learned_rate: LearnedRate,
     last_sent_at: Nanos,
 }
 
@@ -87,11 +56,7 @@
             message_overhead: config.message_overhead,
             mean_transit: config.mean_transit,
             worst_transit: config.worst_transit,
-            half_message_limit: match config.message_limit {
-                0 => f64::INFINITY,
-                limit => f64::from(limit) / 2.0,
-            },
-            message_limit_window: config.message_limit_window.max(1),
+            message_limit: MessageLimit::new(config.message_limit, config.message_limit_window),
             ..Pacing::default()
         };
         let by_transit = QUEUE_TARGET_TRANSITS * config.worst_transit as f64 * pacing.configured_lines_per_ns;
@@ -114,12 +79,12 @@
 
     /// The rate that acknowledgements show, at most the configured one.
     pub(crate) fn learned_lines_per_ns(&self) -> f64 {
-        self.configured_lines_per_ns / (1.0 + self.slowdown)
+        self.learned_rate.scale(self.configured_lines_per_ns)
     }
 
     /// Lines in the queue behind which deferrable ones may be put, at the learned rate.
     pub(crate) fn queue_target(&self) -> f64 {
-        self.configured_queue_target / (1.0 + self.slowdown)
+        self.learned_rate.scale(self.configured_queue_target)
     }
 
     /// When the channel delivers what is sent now; [`Pacing::update_queue`] has brought the estimate up to date.
@@ -163,7 +128,7 @@
             due,
         };
         self.pending_marks.insert(self.last_serial.into(), mark);
-        self.recent_messages += 1.0;
+        self.message_limit.record_message();
         mailboxes.actions.push(Action::RequestAck { serial: self.last_serial, everyone: false });
     }
 
@@ -177,9 +142,8 @@
     pub(crate) fn update_queue(&mut self, now: Nanos) -> f64 {
         let elapsed = now.saturating_sub(self.updated_at) as f64;
         self.updated_at = now;
-        let written_since = self.half_message_limit * elapsed / self.message_limit_window as f64;
-        self.recent_messages = (self.recent_messages - written_since).max(0.0);
-        self.drop_lost_marks(now);
+        self.message_limit.advance(elapsed);
+        self.drop_settled_marks(now);
         // What is unacknowledged, less what is in transit, is still queued.
         let in_transit = if self.has_late_mark(now) { 0.0 } else { self.lines_in_transit() };
         let unacknowledged =
@@ -189,8 +153,9 @@
         self.queued_lines
     }
 
-    /// Drops marks that all have acknowledged, and those that count as lost.
-    fn drop_lost_marks(&mut self, now: Nanos) {
+    /// Drops marks that all have acknowledged, and those that count as lost: a full channel would have emptied since
+    /// even at the greatest slowdown.
+    fn drop_settled_marks(&mut self, now: Nanos) {
         let lines_per_ns = self.configured_lines_per_ns;
         let max_lines = MAX_SLOWDOWN * self.capacity_lines;
         self.pending_marks.retain(|_, mark| {
@@ -214,26 +179,16 @@
         self.configured_lines_per_ns * self.mean_transit as f64
     }
 
-    /// Learns the channel's slowdown when half of a mark's messages are acknowledged. A proxy that is late though it
+    /// Learns the channel's rate when half of a mark's messages are acknowledged. A proxy that is late though it
     /// acknowledged a later mark before tells nothing of the channel: its mark is dropped by then.
-    fn learn_slowdown(&mut self, serial: u64, now: Nanos) {
-        let Some(mark) = self.pending_marks.get(&serial) else { return };
-        if mark.awaiting.len() != mark.messages / 2 || mark.messages < MIN_MESSAGES_TO_LEARN {
-            return;
-        }
+    fn learn_rate(&mut self, serial: u64, now: Nanos) {
+        let Some(mark) = self.pending_marks.get(&serial).filter(|mark| mark.shows_rate()) else { return };
         let lines = (mark.queued_lines - mark.unacknowledged_lines()).max(self.message_overhead);
-        let configured_time = lines / self.configured_lines_per_ns;
-        let expected_time = configured_time * (1.0 + self.slowdown);
-        let time = now.saturating_sub(mark.sent_at + self.mean_transit) as f64;
-        let jitter = self.worst_transit.saturating_sub(self.mean_transit) as f64;
-        let slowdown = if time > expected_time + jitter {
-            (time - jitter) / configured_time - 1.0
-        } else if time < expected_time - jitter {
-            time / configured_time - 1.0
-        } else {
-            return;
-        };
-        self.slowdown += SLOWDOWN_GAIN * (slowdown.clamp(0.0, MAX_SLOWDOWN) - self.slowdown);
+        self.learned_rate.learn(Observation {
+            configured_time: lines / self.configured_lines_per_ns,
+            time: now.saturating_sub(mark.sent_at + self.mean_transit) as f64,
+            jitter: self.worst_transit.saturating_sub(self.mean_transit) as f64,
+        });
     }
 
     /// A proxy has applied what was marked with `serial`. Messages leave the channel in order: all marks before have
@@ -242,7 +197,7 @@
         let Some(mark) = self.pending_marks.get_mut(&serial) else { return };
         let sent_at = mark.sent_at;
         if mark.awaiting.remove(&proxy) {
-            self.learn_slowdown(serial, now);
+            self.learn_rate(serial, now);
         }
         self.pending_marks.retain(|_, mark| mark.sent_at >= sent_at);
     }
