--- a/src/admission.rs
+++ b/src/admission.rs
@@ -3,7 +3,7 @@
 //!
 //! Guards against any lack of capacity: late responses are worth next to nothing and cost as much as others.
 
-use crate::channel::WEIGHT_STEP;
+use crate::channel::MIN_WEIGHT_CHANGE;
 use crate::interface::*;
 use crate::message::*;
 use crate::retries::GENERAL_FAILURE_RATE;
@@ -23,7 +23,7 @@
 /// Least share of an operation that is admitted.
 const MIN_ADMITTED_SHARE: f64 = 0.1;
 /// A limit is left as it is where it would move by less.
-const MIN_LIMIT_CHANGE: f64 = WEIGHT_STEP / 2.0;
+const MIN_LIMIT_CHANGE: f64 = MIN_WEIGHT_CHANGE / 2.0;
 
 /// Mean response time from which the fleet counts as overloaded, ns: most of the value is still kept at it.
 pub(crate) fn overload_response_time(config: &ControllerConfig) -> f64 {
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -144,7 +144,7 @@
         servers.retain(|&id, server| {
             let inactive_for = mailboxes.now.saturating_sub(server.last_active());
             let forgettable = !endpoints.contains(id) && inactive_for > REMOVED_SERVER_RETENTION;
-            if !forgettable || !channel.let_go(id) {
+            if !forgettable || !channel.forget_server(id) {
                 return true;
             }
             fleet.statuses.remove(&id);
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,7 +1,7 @@
 use rstest::rstest;
 
 use super::*;
-use crate::channel::WHOLE;
+use crate::tables::{TableLine, FULL_TABLE};
 use crate::testing::*;
 
 #[rstest]
@@ -40,17 +40,19 @@
     let mut controller = Controller::new(&config);
     let list = WatchEvent::Full(vec![endpoint(1), endpoint(2), endpoint(3)]);
     controller.decide(START, vec![Event::Endpoints(list)]);
-    controller.channel.told.insert((WHOLE, 3), 1.0);
+    controller.channel.sent.weights.insert(TableLine { table: FULL_TABLE, server: 3 }, 1.0);
     let removed = |server| Endpoint { readiness: Readiness::Removed, ..endpoint(server) };
     let change = WatchEvent::Delta(vec![removed(2), removed(3)]);
     controller.decide(START + 1, vec![Event::Endpoints(change)]);
-    controller.channel.told.insert((WHOLE, 3), 1.0);
+    controller.channel.sent.weights.insert(TableLine { table: FULL_TABLE, server: 3 }, 1.0);
     controller.decide(START + REMOVED_SERVER_RETENTION, Vec::new());
     assert_eq!(controller.servers.len(), 3);
-    controller.channel.told.insert((WHOLE, 3), 1.0);
+    controller.channel.sent.weights.insert(TableLine { table: FULL_TABLE, server: 3 }, 1.0);
     controller.decide(START + REMOVED_SERVER_RETENTION + 2, Vec::new());
     assert_eq!(controller.servers.keys().copied().collect::<Vec<_>>(), [1, 3]);
-    assert!(!controller.channel.wants.contains_key(&2) && !controller.fleet.statuses.contains_key(&2));
+    assert!(
+        !controller.channel.desired_weights.contains_key(&2) && !controller.fleet.statuses.contains_key(&2)
+    );
     let listed_again = Event::Endpoints(WatchEvent::Delta(vec![endpoint(2)]));
     controller.decide(START + REMOVED_SERVER_RETENTION + 3, vec![listed_again]);
     assert!(controller.servers.contains_key(&2), "listed again it is known again");
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,12 +15,14 @@
 mod isolation;
 mod message;
 mod pacing;
+mod proxies;
 mod retries;
 mod server;
 mod slow_start;
 mod snapshot;
 mod statistics;
 mod subsets;
+mod tables;
 #[cfg(test)]
 mod testing;
 
--- a/src/snapshot/tests.rs
+++ b/src/snapshot/tests.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 
 use super::*;
-use crate::channel::WHOLE;
+use crate::tables::FULL_TABLE;
 use crate::testing::*;
 use crate::Controller;
 
@@ -39,7 +39,7 @@
         Event::Joined { proxy: 0, locality: 0, rate: 10.0, is_new: true },
     ];
     let weights = controller.decide(START, events).into_iter().filter_map(|action| match action {
-        Action::SetWeight { table: WHOLE, server, weight } => Some((server, weight)),
+        Action::SetWeight { table: FULL_TABLE, server, weight } => Some((server, weight)),
         _ => None,
     });
     weights.collect()
