--- a/crates/group/src/raft/configuration.rs
+++ b/crates/group/src/raft/configuration.rs
@@ -5,7 +5,7 @@
 use shalereel::interface::Nanos;
 use thiserror::Error;
 
-use super::replication::Occasion;
+use super::replication::SendTrigger;
 use super::role::{FollowerProgress, Role};
 use super::Raft;
 use crate::wire::{Configuration, LogIndex, MemberAddress, MemberId};
@@ -48,7 +48,7 @@
         }
         let index = self.append(None, Some(wanted));
         self.track_configured_followers();
-        self.send_to_followers(now, Occasion::Entries);
+        self.send_to_followers(now, SendTrigger::NewEntries);
         Ok(index)
     }
 
--- a/crates/group/src/raft/replication.rs
+++ b/crates/group/src/raft/replication.rs
@@ -10,13 +10,13 @@
     Snapshot,
 };
 
-/// Why a leader sends to a follower.
+/// What makes a leader send to a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Occasion {
+pub(super) enum SendTrigger {
     /// A message is sent in any case.
     Heartbeat,
     /// A message is sent only where the follower lacks entries and none are in flight to it.
-    Entries,
+    NewEntries,
 }
 
 impl Raft {
@@ -38,7 +38,7 @@
             return None;
         }
         let index = self.append(Some(command), None);
-        self.send_to_followers(now, Occasion::Entries);
+        self.send_to_followers(now, SendTrigger::NewEntries);
         Some(index)
     }
 
@@ -58,28 +58,28 @@
         let Role::Leader(leader) = &mut self.role else { return };
         leader.next_heartbeat_at = now + interval;
         leader.begin_round(now);
-        self.send_to_followers(now, Occasion::Heartbeat);
+        self.send_to_followers(now, SendTrigger::Heartbeat);
         // For a sole voter nobody else's acknowledgement does this.
         self.advance_commit(now);
     }
 
-    pub(super) fn send_to_followers(&mut self, now: Nanos, occasion: Occasion) {
+    pub(super) fn send_to_followers(&mut self, now: Nanos, trigger: SendTrigger) {
         let Role::Leader(leader) = &self.role else { return };
         let followers: Vec<MemberId> = leader.followers.keys().copied().collect();
         for to in followers {
-            self.send_to_follower(now, to, occasion);
+            self.send_to_follower(now, to, trigger);
         }
     }
 
     /// Sends what a follower lacks, unless that is in flight to it already.
-    fn send_to_follower(&mut self, now: Nanos, to: MemberId, occasion: Occasion) {
+    fn send_to_follower(&mut self, now: Nanos, to: MemberId, trigger: SendTrigger) {
         let retransmit_interval = self.timing.retransmit_interval();
         let Role::Leader(leader) = &mut self.role else { return };
         let heartbeat_round = leader.heartbeat_round;
         let Some(follower) = leader.followers.get_mut(&to) else { return };
         let none_in_flight = follower.in_flight_since.is_none_or(|since| now >= since + retransmit_interval);
         let send_entries = none_in_flight && follower.next_index <= self.log.last_index();
-        if occasion == Occasion::Entries && !send_entries {
+        if trigger == SendTrigger::NewEntries && !send_entries {
             return;
         }
         if none_in_flight && follower.next_index <= self.log.snapshot_index() {
@@ -134,7 +134,7 @@
 
     fn commit_up_to(&mut self, now: Nanos, index: LogIndex) {
         self.commit_index = index;
-        self.send_to_followers(now, Occasion::Heartbeat);
+        self.send_to_followers(now, SendTrigger::Heartbeat);
         let removed = !self.log.configuration().is_voter(self.id);
         if removed && self.log.configuration_index() <= index {
             self.become_follower(now, self.term, None);
@@ -231,6 +231,6 @@
             follower.next_index = next_index;
             follower.in_flight_since = None;
         }
-        self.send_to_follower(now, from, Occasion::Entries);
+        self.send_to_follower(now, from, SendTrigger::NewEntries);
     }
 }
