--- a/src/controller.rs
+++ b/src/controller.rs
@@ -24,10 +24,10 @@
 /// Decides for one supervisor which weights, limits and exclusions its proxies are sent.
 #[derive(Debug)]
 pub struct Controller {
-    pub(crate) mailboxes: Mailboxes,
-    pub(crate) endpoints: EndpointList,
-    pub(crate) servers: BTreeMap<ServerId, Server>,
-    pub(crate) server_config: ServerConfig,
+    mailboxes: Mailboxes,
+    endpoints: EndpointList,
+    servers: BTreeMap<ServerId, Server>,
+    server_config: ServerConfig,
     pub(crate) fleet: Fleet,
     pub(crate) channel: Channel,
     tick_interval: Nanos,
--- a/src/ejection.rs
+++ b/src/ejection.rs
@@ -72,8 +72,9 @@
         }
     }
 
-    /// Whether responses are missing. `state_since`: since when it is listed, or back from an ejection.
-    fn is_unresponsive(&self, state_since: Nanos, fleet: &FleetStatistics, now: Nanos) -> bool {
+    /// Whether too many responses are missing, and a report with one could have come by now. `state_since`: since when
+    /// the server is listed, or back from an ejection.
+    pub(crate) fn is_unresponsive(&self, state_since: Nanos, fleet: &FleetStatistics, now: Nanos) -> bool {
         let silent_for = now.saturating_sub(self.last_response.max(state_since)) as f64;
         self.missing_responses > fleet.unresponsive_after && silent_for > fleet.max_report_gap
     }
@@ -81,14 +82,13 @@
 
 /// Why a server is an outlier, if it is one. While failures are general, errors and slowness are no fault of its own.
 pub(crate) fn detect_fault(
-    responsiveness: &Responsiveness,
-    state_since: Nanos,
+    unresponsive: bool,
     score: &HealthScore,
     health: &mut HealthState,
     fleet: &FleetStatistics,
     now: Nanos,
 ) -> Option<Fault> {
-    if responsiveness.is_unresponsive(state_since, fleet, now) {
+    if unresponsive {
         return Some(Fault::Unresponsive);
     }
     if fleet.general_failure {
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -10,9 +10,9 @@
 
 /// Token of the timer after which a failed watch is opened again.
 pub(crate) const WATCH_RETRY_TIMER: u64 = 2;
-/// The first backoff is the poll interval shifted right by this many bits, a sixteenth of it...
+/// The first backoff is the poll interval shifted right by this many bits: a sixteenth of it.
 const FIRST_BACKOFF_SHIFT: u32 = 4;
-/// ... and doubles with each failure in a row up to the whole poll interval.
+/// The backoff doubles this many times at most, to the full poll interval.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 /// A listed weight beyond this or its inverse says nothing of capacity and counts as 1.
 const MAX_LISTED_WEIGHT: f64 = 1e6;
--- a/src/server.rs
+++ b/src/server.rs
@@ -152,8 +152,8 @@
         let error_rate = self.outcomes.failure_rate(now);
         let response_time = self.response_times.mean(now, fleet.kind_response_time);
         let score = HealthScore::new(error_rate, response_time, &fleet);
-        let fault =
-            detect_fault(&self.responsiveness, self.state_since, &score, &mut self.health, &fleet, now);
+        let unresponsive = self.responsiveness.is_unresponsive(self.state_since, &fleet, now);
+        let fault = detect_fault(unresponsive, &score, &mut self.health, &fleet, now);
         let missing_responses = self.responsiveness.missing_responses;
         if self.ejection.update(fault, missing_responses, elapsed, now) {
             self.return_from_ejection(now);
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -25,8 +25,8 @@
 const REPORT_GAP_CAUTION_TIME: Nanos = 20 * SECOND;
 /// A gap is longer than this many report intervals.
 const REPORT_GAP_INTERVALS: Nanos = 2;
-/// Share of the usual failure rate at which warming servers then wait.
-pub(crate) const CAUTION: f64 = 0.4;
+/// Share of the failure rate at which warming servers otherwise wait that is enough then.
+pub(crate) const CAUTIOUS_FAILURE_SHARE: f64 = 0.4;
 /// With less than this share of the usual ready weight warm, the warm servers are about to be overloaded.
 const MIN_WARM_SHARE: f64 = 0.4;
 /// Time constant of the weight that is usually ready.
@@ -100,8 +100,8 @@
     pub(crate) avoidance_failure_rate: f64,
     /// Until when reports count as incomplete after a gap.
     pub(crate) cautious_until: Nanos,
-    /// Share of the failure rate at which servers wait meanwhile, 0 to 1.
-    pub(crate) caution: f64,
+    /// Share of the failure rate that is enough meanwhile, 0 to 1.
+    pub(crate) cautious_failure_share: f64,
 }
 
 impl SlowStartGuard {
@@ -112,7 +112,7 @@
             report_interval: config.report_interval,
             overload_delay: config.overload_delay,
             avoidance_failure_rate: AVOIDANCE_PROBABILITY.powf(1.0 / failures_to_avoid) * wait_factor,
-            caution: CAUTION,
+            cautious_failure_share: CAUTIOUS_FAILURE_SHARE,
             ..SlowStartGuard::default()
         }
     }
@@ -124,7 +124,7 @@
         if gap > max_gap {
             let overload_unseen = last_report > 0 && gap > max_gap + self.overload_delay;
             self.cautious_until = now + REPORT_GAP_CAUTION_TIME;
-            self.caution = if overload_unseen { 0.0 } else { CAUTION };
+            self.cautious_failure_share = if overload_unseen { 0.0 } else { CAUTIOUS_FAILURE_SHARE };
         }
     }
 
@@ -169,19 +169,20 @@
         let warm_share = warm_weight / self.usual_weight.sum;
         let common = MAX_FAILURE_RISE * median(warm.iter().map(|status| status.error_rate).collect());
         let failure_rate = common.min(1.0 - success_rate);
-        let caution = self.caution_now(warm_share, inputs.last_report, now);
-        failure_rate >= self.avoidance_failure_rate * warm_share * caution
+        let failure_share = self.failure_share(warm_share, inputs.last_report, now);
+        failure_rate >= self.avoidance_failure_rate * warm_share * failure_share
     }
 
-    /// Share of the failure rate at which warming servers wait: 1 with regular reports, 0 before the first one.
-    fn caution_now(&self, warm_share: f64, last_report: Nanos, now: Nanos) -> f64 {
+    /// Share of [`Self::avoidance_failure_rate`] at which warming servers wait: 1 with regular reports, 0 before the first
+    /// one.
+    fn failure_share(&self, warm_share: f64, last_report: Nanos, now: Nanos) -> f64 {
         if last_report == 0 {
             return 0.0;
         }
         let gap = now.saturating_sub(last_report) > REPORT_GAP_INTERVALS * self.report_interval;
         let cautious = gap || now < self.cautious_until || warm_share < MIN_WARM_SHARE;
         if cautious {
-            self.caution
+            self.cautious_failure_share
         } else {
             1.0
         }
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -41,7 +41,7 @@
     failures / (attempts + PRIOR_ATTEMPTS)
 }
 
-/// Attempts and those of them that failed.
+/// Recent attempts, or requests, and those of them that failed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AttemptSums {
     pub(crate) attempts: DecayingSum,
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -7,7 +7,7 @@
 use crate::interface::*;
 use crate::message::*;
 use crate::server::{Server, ServerConfig};
-use crate::slow_start::{SlowStart, SlowStartGuard, CAUTION};
+use crate::slow_start::{SlowStart, SlowStartGuard, CAUTIOUS_FAILURE_SHARE};
 use crate::Controller;
 
 /// When tests begin.
@@ -152,7 +152,7 @@
     fleet.slow_start = SlowStartGuard {
         report_interval,
         avoidance_failure_rate: 0.4,
-        caution: CAUTION,
+        cautious_failure_share: CAUTIOUS_FAILURE_SHARE,
         ..SlowStartGuard::default()
     };
     fleet
