--- a/src/channel.rs
+++ b/src/channel.rs
@@ -1,6 +1,6 @@
-//! The channel: one first-in-first-out queue of limited rate and capacity from this supervisor to all its proxies. It
-//! knows the proxies, what each table should say, what was sent and what was acknowledged, and decides at each flush what
-//! is sent to whom. The controller hands it messages and flushes it once a batch.
+//! The channel: one first-in-first-out queue of limited rate and capacity from this supervisor to all its
+//! proxies. It knows the proxies, what each table should say, what was sent and what was acknowledged, and
+//! decides at each flush what is sent to whom. The controller hands it messages and flushes it once a batch.
 //!
 //! Each rule stands in a module of its own; all that a flush puts into the queue stands before what follows.
 
@@ -15,7 +15,7 @@
 use crate::tables::{DesiredWeights, FULL_TABLE};
 
 use assignment::AssignmentScope;
-use capacity_shares::{ASSIGNMENT_CAPACITY_SHARE, ORDINARY_CAPACITY_SHARE};
+use capacity_shares::{ASSIGNMENT_CAPACITY_SHARE, DEFERRABLE_CAPACITY_SHARE};
 pub(crate) use changes::MIN_WEIGHT_CHANGE;
 use changes::{Audience, Priority};
 use sent::SentState;
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Isolates proxies on subsets or brings them back to the full table. Subsets in use stand until the last proxy has
-    /// left them.
+    /// Isolates proxies on subsets or brings them back to the full table. Subsets in use stand until the last
+    /// proxy has left them.
     fn set_isolated(&mut self, isolated: bool, mailboxes: &mut Mailboxes) {
         if isolated != self.isolated {
             self.isolated = isolated;
@@ -139,8 +139,8 @@
         true
     }
 
-    /// Sends what the channel takes. What has a deadline goes first, the earliest deadline in front; table assignments
-    /// and deferrable changes share the rest.
+    /// Sends what the channel takes. What has a deadline goes first, the earliest deadline in front; table
+    /// assignments and deferrable changes share the rest.
     fn flush(&mut self, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
         self.pacing.update_queue(now);
@@ -159,7 +159,7 @@
         }
         all_urgent_sent &= self.send_updates(self.differing_lines(now), mailboxes);
         let capacity_share =
-            if all_urgent_sent { ASSIGNMENT_CAPACITY_SHARE } else { ORDINARY_CAPACITY_SHARE };
+            if all_urgent_sent { ASSIGNMENT_CAPACITY_SHARE } else { DEFERRABLE_CAPACITY_SHARE };
         self.assign_tables(AssignmentScope::All { capacity_share }, mailboxes);
         self.log_deadlines(mailboxes);
     }
@@ -169,7 +169,8 @@
         let newly_joined = self.proxies.newly_joined();
         let assignments = newly_joined.map(|proxy| self.newly_joined_deadline(proxy)).min();
         let updates = self.unready_since.values().map(|since| since + self.drain_grace).min();
-        // `None`, where no proxy has newly joined, is before any deadline: proxies that move to stand-ins go first.
+        // `None`, where no proxy has newly joined, is before any deadline: proxies that move to stand-ins go
+        // first.
         assignments < updates
     }
 
--- a/src/channel/assignment.rs
+++ b/src/channel/assignment.rs
@@ -1,5 +1,5 @@
-//! Assignments of tables to proxies that joined or are to change theirs: the earliest deadline first, then those without a
-//! table, then those with the most requests.
+//! Assignments of tables to proxies that joined or are to change theirs: the earliest deadline first, then
+//! those without a table, then those with the most requests.
 
 use std::collections::BTreeSet;
 
@@ -27,8 +27,8 @@
 struct Assignment {
     proxy: ProxyId,
     table: TableId,
-    /// 0 where only urgent ones have one.
-    deadline: Nanos,
+    /// Urgent ones have one.
+    deadline: Option<Nanos>,
     /// Lines of its message.
     lines: f64,
 }
@@ -55,7 +55,7 @@
             if let Some(proxy) = self.proxies.by_id.get_mut(&proxy) {
                 proxy.assigned_table = Some(table);
             }
-            if scope == AssignmentScope::Urgent {
+            if let Some(deadline) = deadline {
                 self.deadlines.record(1, deadline, forecast.arrival(lines));
             }
         }
@@ -68,14 +68,14 @@
     /// Assignments that wait, in the order in which they go.
     fn waiting_assignments(&self, scope: AssignmentScope, now: Nanos) -> Vec<Assignment> {
         let sizes = self.table_sizes();
-        let move_deadline = match scope {
-            AssignmentScope::Urgent => self.full_table_deadline(now),
-            AssignmentScope::All { .. } => 0,
+        let full_table_deadline = match scope {
+            AssignmentScope::Urgent => Some(self.full_table_deadline(now)),
+            AssignmentScope::All { .. } => None,
         };
         let deadline = |proxy: &Proxy| match (scope, proxy.assigned_table) {
-            (AssignmentScope::All { .. }, _) => 0,
-            (AssignmentScope::Urgent, None) => self.newly_joined_deadline(proxy),
-            (AssignmentScope::Urgent, Some(_)) => move_deadline,
+            (AssignmentScope::All { .. }, _) => None,
+            (AssignmentScope::Urgent, None) => Some(self.newly_joined_deadline(proxy)),
+            (AssignmentScope::Urgent, Some(_)) => full_table_deadline,
         };
         let mut waiting: Vec<(Assignment, &Proxy)> = Vec::new();
         for (&id, proxy) in &self.proxies.by_id {
@@ -97,8 +97,8 @@
         waiting.into_iter().map(|(assignment, _)| assignment).collect()
     }
 
-    /// Whether a rule depends on the assignment of a stand-in: the proxy may hold anything, or it uses the full table,
-    /// whose urgent changes it gets in this way.
+    /// Whether a rule depends on the assignment of a stand-in: the proxy may hold anything, or it uses the
+    /// full table, whose urgent changes it gets in this way.
     fn is_urgent_assignment(&self, proxy: &Proxy) -> bool {
         let may_hold_unready = proxy.assigned_table.is_none() && !self.unready_since.is_empty();
         let leaves_full_table = proxy.assigned_table == Some(FULL_TABLE) && !self.isolated;
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Whether one assignment goes however long it is: nothing is queued, or a message has to show whether the channel
-    /// is slow or proxies are gone.
+    /// Whether one assignment goes however long it is: nothing is queued, or a message has to show whether
+    /// the channel is slow or proxies are gone.
     fn takes_one_assignment(&self, queued: f64, now: Nanos) -> bool {
         let probes =
             self.pacing.is_probe_due(now) && self.pacing.capacity_lines * ASSIGNMENT_CAPACITY_SHARE > queued;
--- a/src/channel/batch.rs
+++ b/src/channel/batch.rs
@@ -58,8 +58,8 @@
         self.users_by_table.len() > usize::from(self.has_unassigned_proxies())
     }
 
-    /// Adds a line to the messages of a table's users if the batch's cost stays within `max_cost`; returns whether it was
-    /// added. After the first that does not fit nothing is added.
+    /// Adds a line to the messages of a table's users if the batch's cost stays within `max_cost`; returns
+    /// whether it was added. After the first that does not fit nothing is added.
     pub(super) fn try_add(&mut self, table: TableId, audience: Audience, max_cost: f64) -> bool {
         let readers = match audience {
             Audience::All => self.users(table),
--- a/src/channel/capacity_shares.rs
+++ b/src/channel/capacity_shares.rs
@@ -1,24 +1,24 @@
-//! Which share of the channel's capacity each kind of traffic may fill, so that what is urgent finds some left. Updates and
-//! table assignments go by it.
+//! Which share of the channel's capacity each kind of traffic may fill, so that what is urgent finds some
+//! left. Updates and table assignments go by it.
 
 use crate::pacing::Pacing;
 
 /// Least share for deferrable changes.
-pub(super) const ORDINARY_CAPACITY_SHARE: f64 = 0.3;
+pub(super) const DEFERRABLE_CAPACITY_SHARE: f64 = 0.3;
 /// Share for table assignments and admission limits.
 pub(super) const ASSIGNMENT_CAPACITY_SHARE: f64 = 0.5;
 /// Share for urgent changes and assignments.
 const URGENT_CAPACITY_SHARE: f64 = 0.8;
 
-/// Share of the capacity that what is urgent may fill. Lines in transit count too: they queue up where the channel has
-/// just become slow.
+/// Share of the capacity that what is urgent may fill. Lines in transit count too: they queue up where the
+/// channel has just become slow.
 pub(super) fn urgent_share(pacing: &Pacing) -> f64 {
     (URGENT_CAPACITY_SHARE - pacing.lines_in_transit() / pacing.capacity_lines).max(ASSIGNMENT_CAPACITY_SHARE)
 }
 
 /// Share of the capacity that deferrable changes may fill, where the overhead of one message to each proxy is
 /// `overhead_lines`: what is urgent may need as many lines as its overhead.
-pub(super) fn ordinary_share(pacing: &Pacing, overhead_lines: f64) -> f64 {
+pub(super) fn deferrable_share(pacing: &Pacing, overhead_lines: f64) -> f64 {
     let share = URGENT_CAPACITY_SHARE - 2.0 * overhead_lines / pacing.capacity_lines;
-    share.clamp(ORDINARY_CAPACITY_SHARE, ASSIGNMENT_CAPACITY_SHARE)
+    share.clamp(DEFERRABLE_CAPACITY_SHARE, ASSIGNMENT_CAPACITY_SHARE)
 }
--- a/src/channel/changes.rs
+++ b/src/channel/changes.rs
@@ -132,7 +132,8 @@
             return None;
         }
         let desired = channel.desired_weights.get(&line.server).copied().unwrap_or_default();
-        // Draining servers go first, out of tables before they are excluded: users of a table exclude what it has.
+        // Draining servers go first, out of tables before they are excluded: users of a table exclude what it
+        // has.
         let weight_change =
             if desired.must_exclude { f64::MAX / (1.0 + f64::from(line.table)) } else { weight_change };
         let priority = self.priority(line, sent, weight, desired.urgent);
--- a/src/channel/exclusions.rs
+++ b/src/channel/exclusions.rs
@@ -12,8 +12,9 @@
 const EXCLUSION_DELAY_GRACE_SHARE: f64 = 0.25;
 
 impl Channel {
-    /// Whether proxies without a table are to be sent the exclusions. A table serves as well, and is waited for until it
-    /// can no longer be there in time; exclusions are sent only where a stand-in takes no fewer lines or there is none.
+    /// Whether proxies without a table are to be sent the exclusions. A table serves as well, and is waited
+    /// for until it can no longer be there in time; exclusions are sent only where a stand-in takes no fewer
+    /// lines or there is none.
     pub(super) fn exclusions_are_due(&self, now: Nanos) -> bool {
         let excluded = self.desired_weights.values().filter(|desired| desired.must_exclude).count();
         let stand_in = stand_in_servers(&self.desired_weights);
--- a/src/channel/exclusions/tests.rs
+++ b/src/channel/exclusions/tests.rs
@@ -74,7 +74,8 @@
     assert!(!actions.iter().any(|action| matches!(action, Action::Exclude { .. })));
 }
 
-/// Guards against exclusions that users of a table receive too, since it still has the server, and that go unrecorded.
+/// Guards against exclusions that users of a table receive too, since it still has the server, and that go
+/// unrecorded.
 #[rstest]
 fn server_leaves_the_tables_before_it_is_excluded(mut config: ControllerConfig) {
     (config.proxy_count, config.channel_capacity, config.drain_grace) = (100, 2_000.0, SECOND / 10);
--- a/src/channel/gathering.rs
+++ b/src/channel/gathering.rs
@@ -1,4 +1,5 @@
-//! Whether urgent changes may wait and gather outside a long queue: they arrive no later, and in fewer messages.
+//! Whether urgent changes may wait and gather outside a long queue: they arrive no later, and in fewer
+//! messages.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +12,8 @@
 const GATHERING_MARGIN_GRACE_SHARE: f64 = 0.25;
 
 impl Channel {
-    /// Whether the urgent ones of the changes may wait: all of them would still arrive well before they are due.
+    /// Whether the urgent ones of the changes may wait: all of them would still arrive well before they are
+    /// due.
     pub(super) fn may_gather(&self, changes: &[Change], batch: &Batch, now: Nanos) -> bool {
         let urgent = || changes.iter().filter(|change| change.is_urgent());
         // A table that lacks servers gets more at once.
--- a/src/channel/obligations.rs
+++ b/src/channel/obligations.rs
@@ -1,5 +1,5 @@
-//! What proxies must have been sent by when: removals of servers that are not ready, and tables for newly joined proxies,
-//! whatever these hold. The choice of tables and the order of assignments go by it.
+//! What proxies must have been sent by when: removals of servers that are not ready, and tables for newly
+//! joined proxies, whatever these hold. The choice of tables and the order of assignments go by it.
 
 use std::collections::BTreeMap;
 
@@ -59,8 +59,8 @@
         urgent.iter().map(obligation).collect()
     }
 
-    /// Obligations to newly joined proxies if they get the tables that are intended for them now, and to those that are
-    /// expected to join.
+    /// Obligations to newly joined proxies if they get the tables that are intended for them now, and to
+    /// those that are expected to join.
     pub(super) fn newly_joined_obligations(&self, now: Nanos) -> Vec<Obligation> {
         if self.unready_since.is_empty() {
             return Vec::new();
--- a/src/channel/sent.rs
+++ b/src/channel/sent.rs
@@ -1,5 +1,5 @@
-//! What was sent to proxies: the weights of all tables, and the admission limits. The channel's rules compare it with what
-//! is desired, and write through it.
+//! What was sent to proxies: the weights of all tables, and the admission limits. The channel's rules compare
+//! it with what is desired, and write through it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,8 @@
 use crate::message::{AdmissionLimit, DesiredWeight, Mailboxes};
 use crate::tables::{DesiredWeights, TableLine, EXCLUSIONS, FULL_TABLE};
 
-/// Lines of a table beside its servers and admission limits, the mark that requests acknowledgement among them.
+/// Lines of a table beside its servers and admission limits, the mark that requests acknowledgement among
+/// them.
 pub(super) const FIXED_TABLE_LINES: f64 = 2.0;
 
 /// An admission limit for the users of a table.
@@ -22,7 +23,8 @@
 pub(super) struct TableSize {
     /// Lines of the table itself.
     pub(super) lines: f64,
-    /// Further lines for a proxy with foreign state: servers that it may exclude since before they started again.
+    /// Further lines for a proxy with foreign state: servers that it may exclude since before they started
+    /// again.
     pub(super) readmissions: f64,
 }
 
--- a/src/channel/table_choice.rs
+++ b/src/channel/table_choice.rs
@@ -1,6 +1,7 @@
-//! Which proxies use the full table and which a stand-in. Guards drains, and what newly joined proxies hold, against a
-//! channel that cannot carry full tables and their changes to all in time: then the newly joined, and if need be all, use
-//! stand-ins, whose messages are short. A stand-in spreads the load less well, so it is left when the channel keeps up.
+//! Which proxies use the full table and which a stand-in. Guards drains, and what newly joined proxies hold,
+//! against a channel that cannot carry full tables and their changes to all in time: then the newly joined,
+//! and if need be all, use stand-ins, whose messages are short. A stand-in spreads the load less well, so it
+//! is left when the channel keeps up.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +18,8 @@
 
 /// Stand-ins are used for so many drain graces after the channel could last not carry full tables in time.
 const OVERLOAD_HOLD_GRACES: Nanos = 4;
-/// Share of what the channel sends within a drain grace that moving all users of the full table to stand-ins may take.
+/// Share of what the channel sends within a drain grace that moving all users of the full table to stand-ins
+/// may take.
 const MOVE_CAPACITY_SHARE: f64 = 0.8;
 
 impl Channel {
@@ -50,8 +52,8 @@
         self.subsets.move_to_stand_ins(proxies, &mut self.proxies, &self.desired_weights);
     }
 
-    /// Whether moving users of the full table to stand-ins takes fewer lines than its changes, and these are late even
-    /// where newly joined proxies get stand-ins.
+    /// Whether moving users of the full table to stand-ins takes fewer lines than its changes, and these are
+    /// late even where newly joined proxies get stand-ins.
     fn should_leave_full_table(
         &self,
         urgent: &BTreeMap<TableId, UrgentLines>,
@@ -66,14 +68,16 @@
         changes + self.message_cost() > stand_in && !self.pacing.forecast(now).meets_all(&mut obligations)
     }
 
-    /// Number of proxies that may use the full table: so many could be moved to stand-ins within a drain grace.
+    /// Number of proxies that may use the full table: so many could be moved to stand-ins within a drain
+    /// grace.
     fn max_full_table_users(&self) -> usize {
         let deliverable = self.pacing.deliverable_lines(self.drain_grace);
         let sending = deliverable - self.pacing.configured_queue_target;
         (MOVE_CAPACITY_SHARE * sending.max(0.0) / self.stand_in_message_lines()) as usize
     }
 
-    /// Intends stand-ins for waiting proxies that the full table may not have, those with the fewest requests first.
+    /// Intends stand-ins for waiting proxies that the full table may not have, those with the fewest requests
+    /// first.
     fn limit_full_table(&mut self) {
         let max = self.max_full_table_users();
         let count = self.proxies.count_for_full_table();
@@ -106,7 +110,8 @@
         self.overloaded_at.is_none_or(|at| now.saturating_sub(at) > hold)
     }
 
-    /// Brings proxies back to the full table after a while without overload, those with the most requests first.
+    /// Brings proxies back to the full table after a while without overload, those with the most requests
+    /// first.
     fn restore_full_table(&mut self, now: Nanos, nothing_is_urgent: bool) {
         let has_newly_joined = self.proxies.newly_joined().next().is_some();
         if !self.has_no_recent_overload(now) || !nothing_is_urgent || has_newly_joined {
--- a/src/channel/unused_tables.rs
+++ b/src/channel/unused_tables.rs
@@ -1,5 +1,5 @@
-//! Updates of tables that no proxy uses: they cost the channel nothing, and a proxy that is assigned one gets it up to
-//! date.
+//! Updates of tables that no proxy uses: they cost the channel nothing, and a proxy that is assigned one gets
+//! it up to date.
 
 use std::collections::BTreeSet;
 
--- a/src/channel/updates.rs
+++ b/src/channel/updates.rs
@@ -1,13 +1,14 @@
-//! Updates of the tables that proxies use: which changes go now, within the channel's limits. What is left out goes later.
+//! Updates of the tables that proxies use: which changes go now, within the channel's limits. What is left
+//! out goes later.
 //!
-//! Guards the channel against anything that changes many lines at once: a mass restart, a wrong list, noise. Draining and
-//! removed servers must be left, and servers that warm up kept from a full share, whatever else waits. Where much changes
-//! for good reasons, tables lag behind by seconds.
+//! Guards the channel against anything that changes many lines at once: a mass restart, a wrong list, noise.
+//! Draining and removed servers must be left, and servers that warm up kept from a full share, whatever else
+//! waits. Where much changes for good reasons, tables lag behind by seconds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::batch::Batch;
-use super::capacity_shares::{ordinary_share, urgent_share, ASSIGNMENT_CAPACITY_SHARE};
+use super::capacity_shares::{deferrable_share, urgent_share, ASSIGNMENT_CAPACITY_SHARE};
 use super::changes::{Audience, Change, Priority};
 use super::sent::TableLimit;
 use super::Channel;
@@ -20,14 +21,16 @@
 
 /// Least time between two batches of deferrable changes.
 const MIN_BATCH_INTERVAL: Nanos = SECOND;
-/// Most of the channel that the overhead of deferrable messages may take. Where there are many proxies changes gather for
-/// longer, since a message costs as much however little it says.
+/// Most of the channel that the overhead of deferrable messages may take. Where there are many proxies
+/// changes gather for longer, since a message costs as much however little it says.
 const MAX_OVERHEAD_SHARE: f64 = 0.4;
-/// Share of what the limit on messages allows now that deferrable changes may use; the rest is for urgent ones.
-const ORDINARY_MESSAGE_SHARE: f64 = 0.3;
+/// Share of what the limit on messages allows now that deferrable changes may use; the rest is for urgent
+/// ones.
+const DEFERRABLE_MESSAGE_SHARE: f64 = 0.3;
 /// Lines of table assignments that may go, for each line of changes, before the next deferrable changes.
 const ASSIGNMENT_LINES_PER_LINE: f64 = 3.0;
-/// The same at most, as a share of what the channel sends within a drain grace: no table is worse than an old one.
+/// The same at most, as a share of what the channel sends within a drain grace: no table is worse than an old
+/// one.
 const MAX_ASSIGNMENT_GRACE_SHARE: f64 = 0.125;
 
 /// What the channel takes in this flush; each figure is in lines.
@@ -38,12 +41,12 @@
     queue_is_long: bool,
     urgent_lines: f64,
     admission_limit_lines: f64,
-    ordinary_lines: f64,
+    deferrable_lines: f64,
 }
 
 impl Channel {
-    /// Sends as many of the changes, and of the differing admission limits, as the channel takes; returns whether all
-    /// urgent ones of them were sent.
+    /// Sends as many of the changes, and of the differing admission limits, as the channel takes; returns
+    /// whether all urgent ones of them were sent.
     pub(super) fn send_updates(&mut self, mut changes: Vec<Change>, mailboxes: &mut Mailboxes) -> bool {
         let now = mailboxes.now;
         let is_leaving_full_table = self.is_leaving_full_table();
@@ -96,7 +99,7 @@
             queue_is_long,
             urgent_lines: lines(urgent_share(&self.pacing)),
             admission_limit_lines,
-            ordinary_lines: lines(self.ordinary_share(overhead, interval, now)),
+            deferrable_lines: lines(self.deferrable_share_until_next_batch(overhead, interval, now)),
         }
     }
 
@@ -107,26 +110,26 @@
         MIN_BATCH_INTERVAL.max(by_overhead as Nanos)
     }
 
-    /// Share of the capacity that deferrable changes may fill: no more than is sent until the next batch, since what is
-    /// urgent would stand behind it.
-    fn ordinary_share(&self, overhead_lines: f64, interval: Nanos, now: Nanos) -> f64 {
+    /// Share of the capacity that deferrable changes may fill: no more than is sent until the next batch,
+    /// since what is urgent would stand behind it.
+    fn deferrable_share_until_next_batch(&self, overhead_lines: f64, interval: Nanos, now: Nanos) -> f64 {
         let until_next = if self.has_no_recent_overload(now) {
             self.pacing.learned_lines_per_ns() * interval as f64
         } else {
             0.0
         };
         let sent_by_then = (self.pacing.queue_target() + until_next) / self.pacing.capacity_lines;
-        ordinary_share(&self.pacing, overhead_lines).min(sent_by_then)
+        deferrable_share(&self.pacing, overhead_lines).min(sent_by_then)
     }
 
     /// Whether another message would exceed what the limit on messages allows now.
     fn reaches_message_limit(&self, urgent: usize) -> bool {
-        let share = if urgent > 0 { 1.0 } else { ORDINARY_MESSAGE_SHARE };
+        let share = if urgent > 0 { 1.0 } else { DEFERRABLE_MESSAGE_SHARE };
         self.pacing.message_limit.is_reached(share)
     }
 
-    /// Tables with urgent changes for which as many lines fit as their messages' overhead: smaller pieces are not worth
-    /// it.
+    /// Tables with urgent changes for which as many lines fit as their messages' overhead: smaller pieces are
+    /// not worth it.
     fn tables_worth_updating(
         &self,
         changes: &[Change],
@@ -199,8 +202,8 @@
     }
 }
 
-/// Adds a change to the batch if it may go now. Ordinary ones wait while there are proxies without a table beside those
-/// that have one.
+/// Adds a change to the batch if it may go now. Ordinary ones wait while there are proxies without a table
+/// beside those that have one.
 fn fits(
     change: &Change,
     worth_updating: &BTreeSet<TableId>,
@@ -217,5 +220,5 @@
         && batch.has_assigned_proxies();
     allowance.takes_deferrable
         && !waits_for_assignments
-        && batch.try_add(table, Audience::All, allowance.ordinary_lines)
+        && batch.try_add(table, Audience::All, allowance.deferrable_lines)
 }
--- a/src/channel/updates/tests.rs
+++ b/src/channel/updates/tests.rs
@@ -35,8 +35,8 @@
 
 #[rstest]
 fn changes_gather_longer_where_overhead_would_fill_the_channel(config: ControllerConfig) {
-    // 300 proxies, 6 lines of overhead each, at 1,000 lines a second: 1.8 s of the channel for overhead alone.
-    // The grace is long enough for all of them on the full table.
+    // 300 proxies, 6 lines of overhead each, at 1,000 lines a second: 1.8 s of the channel for overhead
+    // alone. The grace is long enough for all of them on the full table.
     let config =
         ControllerConfig { channel_capacity: 9_000.0, proxy_count: 300, drain_grace: 10 * SECOND, ..config };
     let mut controller = Controller::new(&config);
@@ -75,8 +75,8 @@
     servers
 }
 
-/// Lines that actions put into the channel, counted as the wire does: a table takes 9 beside its servers, an update 6
-/// beside its changes. `users` are those before the actions, `servers` those after them.
+/// Lines that actions put into the channel, counted as the wire does: a table takes 9 beside its servers, an
+/// update 6 beside its changes. `users` are those before the actions, `servers` those after them.
 fn wire_lines(
     actions: &[Action],
     users: &BTreeMap<TableId, usize>,
--- a/src/deadlines.rs
+++ b/src/deadlines.rs
@@ -1,5 +1,5 @@
-//! Obligations with deadlines, whether the channel can still meet them (earliest deadline first), and the account of
-//! met and missed deadlines for the log. Used by the channel and its pacing.
+//! Obligations with deadlines, whether the channel can still meet them (earliest deadline first), and the
+//! account of met and missed deadlines for the log. Used by the channel and its pacing.
 
 use crate::interface::Nanos;
 
@@ -34,8 +34,8 @@
         self.now + sending as Nanos + self.transit
     }
 
-    /// The longest time by which one of the obligations is late if the earliest deadlines go first; 0 if all are
-    /// met. No order of sending has a lower one.
+    /// The longest time by which one of the obligations is late if the earliest deadlines go first; 0 if all
+    /// are met. No order of sending has a lower one.
     pub(crate) fn max_lateness(&self, obligations: &mut [Obligation]) -> Nanos {
         obligations.sort_by_key(|obligation| obligation.deadline);
         let mut lines = 0.0;
@@ -75,8 +75,8 @@
         }
     }
 
-    /// The line for the log if deadlines were missed, at most once in `interval`; `pending` proxies are yet to be
-    /// notified.
+    /// The line for the log if deadlines were missed, at most once in `interval`; `pending` proxies are yet
+    /// to be notified.
     pub(crate) fn log_line(&mut self, pending: usize, now: Nanos, interval: Nanos) -> Option<String> {
         let logged_lately = self.logged_at.is_some_and(|at| now.saturating_sub(at) < interval);
         if self.missed == 0 || logged_lately {
--- a/src/pacing.rs
+++ b/src/pacing.rs
@@ -1,6 +1,6 @@
-//! Pacing of the supervisor's one channel: an estimate of the lines in its queue, from what was sent and what proxies
-//! acknowledged, the rate learned from late acknowledgements, and the limit on messages. The channel asks it before it
-//! sends and records with it what was sent.
+//! Pacing of the supervisor's one channel: an estimate of the lines in its queue, from what was sent and what
+//! proxies acknowledged, the rate learned from late acknowledgements, and the limit on messages. The channel
+//! asks it before it sends and records with it what was sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,9 +18,11 @@
 #[cfg(test)]
 mod tests;
 
-/// The queue that deferrable lines may stand behind, in multiples of what the channel sends within the longest transit.
+/// The queue that deferrable lines may stand behind, in multiples of what the channel sends within the
+/// longest transit.
 const QUEUE_TARGET_TRANSITS: f64 = 2.0;
-/// The same as a share of what can be delivered within a drain grace: what is due next must not stand behind it.
+/// The same as a share of what can be delivered within a drain grace: what is due next must not stand behind
+/// it.
 const QUEUE_TARGET_GRACE_SHARE: f64 = 0.25;
 
 /// Figures of the channel, and the estimate of its queue. Rates are in lines per nanosecond.
@@ -87,7 +89,8 @@
         self.learned_rate.scale(self.configured_queue_target)
     }
 
-    /// When the channel delivers what is sent now; [`Pacing::update_queue`] has brought the estimate up to date.
+    /// When the channel delivers what is sent now; [`Pacing::update_queue`] has brought the estimate up to
+    /// date.
     pub(crate) fn forecast(&self, now: Nanos) -> DeliveryForecast {
         DeliveryForecast {
             now,
@@ -97,8 +100,8 @@
         }
     }
 
-    /// Records what was sent and requests acknowledgement. All actions of one flush are one message to a proxy, with one
-    /// mark.
+    /// Records what was sent and requests acknowledgement. All actions of one flush are one message to a
+    /// proxy, with one mark.
     pub(crate) fn record_sent(
         &mut self,
         lines: f64,
@@ -153,8 +156,8 @@
         self.queued_lines
     }
 
-    /// Drops marks that all have acknowledged, and those that count as lost: a full channel would have emptied since
-    /// even at the greatest slowdown.
+    /// Drops marks that all have acknowledged, and those that count as lost: a full channel would have
+    /// emptied since even at the greatest slowdown.
     fn drop_settled_marks(&mut self, now: Nanos) {
         let lines_per_ns = self.configured_lines_per_ns;
         let max_lines = MAX_SLOWDOWN * self.capacity_lines;
@@ -168,8 +171,9 @@
         self.pending_marks.values().any(|mark| mark.is_late(now))
     }
 
-    /// Whether a message should go although the queue seems long: acknowledgements are late and nothing was sent for the
-    /// worst transit. Only another message shows whether the channel is slow or the proxies are gone.
+    /// Whether a message should go although the queue seems long: acknowledgements are late and nothing was
+    /// sent for the worst transit. Only another message shows whether the channel is slow or the proxies are
+    /// gone.
     pub(crate) fn is_probe_due(&self, now: Nanos) -> bool {
         self.has_late_mark(now) && now.saturating_sub(self.last_sent_at) >= self.worst_transit
     }
@@ -179,8 +183,8 @@
         self.configured_lines_per_ns * self.mean_transit as f64
     }
 
-    /// Learns the channel's rate when half of a mark's messages are acknowledged. A proxy that is late though it
-    /// acknowledged a later mark before tells nothing of the channel: its mark is dropped by then.
+    /// Learns the channel's rate when half of a mark's messages are acknowledged. A proxy that is late though
+    /// it acknowledged a later mark before tells nothing of the channel: its mark is dropped by then.
     fn learn_rate(&mut self, serial: u64, now: Nanos) {
         let Some(mark) = self.pending_marks.get(&serial).filter(|mark| mark.shows_rate()) else { return };
         let lines = (mark.queued_lines - mark.unacknowledged_lines()).max(self.message_overhead);
@@ -191,8 +195,8 @@
         });
     }
 
-    /// A proxy has applied what was marked with `serial`. Messages leave the channel in order: all marks before have
-    /// left it too.
+    /// A proxy has applied what was marked with `serial`. Messages leave the channel in order: all marks
+    /// before have left it too.
     pub(crate) fn acknowledge(&mut self, proxy: ProxyId, serial: u64, now: Nanos) {
         let Some(mark) = self.pending_marks.get_mut(&serial) else { return };
         let sent_at = mark.sent_at;
--- a/src/pacing/learned_rate.rs
+++ b/src/pacing/learned_rate.rs
@@ -1,6 +1,8 @@
-//! The rate of the channel that acknowledgements show: at most the configured one. Pacing has it learn from marks.
+//! The rate of the channel that acknowledgements show: at most the configured one. Pacing has it learn from
+//! marks.
 
-/// Longest time by which the channel is taken to be slower than configured, in multiples of the configured time.
+/// Longest time by which the channel is taken to be slower than configured, in multiples of the configured
+/// time.
 pub(super) const MAX_SLOWDOWN: f64 = 12.0;
 /// Share by which an acknowledgement out of time moves the learned slowdown towards what it shows.
 const SLOWDOWN_GAIN: f64 = 0.5;
--- a/src/pacing/message_limit.rs
+++ b/src/pacing/message_limit.rs
@@ -2,7 +2,8 @@
 
 use crate::interface::*;
 
-/// Messages written of late, and their limit. Half of the limit may be written at once, the other half over its window.
+/// Messages written of late, and their limit. Half of the limit may be written at once, the other half over
+/// its window.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MessageLimit {
     /// Half of the limit; infinite where there is none.
--- a/src/pacing/tests.rs
+++ b/src/pacing/tests.rs
@@ -53,8 +53,8 @@
     assert_eq!(awaiting(&pacing), [0]);
 }
 
-/// Guards against a channel at a tenth of its rate that is taken for idle: what would be in transit at the configured
-/// rate is still queued, which shows once most acknowledgements are late.
+/// Guards against a channel at a tenth of its rate that is taken for idle: what would be in transit at the
+/// configured rate is still queued, which shows once most acknowledgements are late.
 #[rstest]
 #[case::in_time(0, 6_000.0 - 2_000.0 - 200.0)]
 #[case::late(2, 6_000.0)]
--- a/src/proxies.rs
+++ b/src/proxies.rs
@@ -1,5 +1,5 @@
-//! The proxies that are connected to this supervisor and what each of them holds. The channel keeps it; nothing is
-//! decided here.
+//! The proxies that are connected to this supervisor and what each of them holds. The channel keeps it;
+//! nothing is decided here.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -1,6 +1,7 @@
-//! Subsets: tables of few servers, each shared by some of the proxies. They keep connections few where these are hard to
-//! establish (isolation), and messages short where the channel cannot carry full tables in time (stand-ins). The channel
-//! decides when subsets are used; which servers stand on which, and which proxy gets which, is decided here.
+//! Subsets: tables of few servers, each shared by some of the proxies. They keep connections few where these
+//! are hard to establish (isolation), and messages short where the channel cannot carry full tables in time
+//! (stand-ins). The channel decides when subsets are used; which servers stand on which, and which proxy gets
+//! which, is decided here.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,15 +18,15 @@
 #[cfg(test)]
 mod tests;
 
-/// Table numbers of one assignment. Two assignments have them in turn: proxies on subsets of the last one keep these
-/// until they have moved.
+/// Table numbers of one assignment. Two assignments have them in turn: proxies on subsets of the last one
+/// keep these until they have moved.
 const NUMBERS_PER_ASSIGNMENT: TableId = 1 << 14;
 /// Share of its weight that a server that is warming up has in a subset, which may have lost half of its own.
 pub(crate) const WARMING_UP_SHARE: f64 = 0.5;
 
 /// What the current subsets are for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Purpose {
+enum Purpose {
     /// They stand in for the full table.
     #[default]
     StandIn,
@@ -33,6 +34,7 @@
     Isolation,
 }
 
+/// A server and the weight that it should have.
 #[derive(Clone, Copy, Debug)]
 struct WeightedServer {
     server: ServerId,
@@ -76,7 +78,7 @@
 }
 
 impl Subsets {
-    /// None yet.
+    /// No subsets yet.
     pub(crate) fn new(config: &ControllerConfig) -> Self {
         Subsets {
             supervisor_index: config.supervisor_index.into(),
@@ -97,8 +99,8 @@
         self.endpoints.retain(|line| line.server != server);
     }
 
-    /// The weight that a subset should have for a server. Servers that are warming up get a part of theirs, and none
-    /// while the subset lacks warm weight, where their share would be large.
+    /// The weight that a subset should have for a server. Servers that are warming up get a part of theirs,
+    /// and none while the subset lacks warm weight, where their share would be large.
     pub(crate) fn desired_weight(&self, line: TableLine, desired: &DesiredWeight) -> f64 {
         if !self.endpoints.contains(&line) {
             0.0
@@ -111,7 +113,8 @@
         }
     }
 
-    /// Begins a new assignment. Subsets of the last one are kept while proxies use them, older ones are dropped.
+    /// Begins a new assignment. Subsets of the last one are kept while proxies use them, older ones are
+    /// dropped.
     fn begin_assignment(&mut self, proxies: &Proxies, desired: &DesiredWeights) {
         let used = proxies.assigned_tables();
         self.endpoints.retain(|line| used.contains(&line.table));
--- a/src/subsets/isolation.rs
+++ b/src/subsets/isolation.rs
@@ -15,8 +15,9 @@
 const MIN_WEIGHT_IN_MEANS: f64 = 3.0;
 
 impl Subsets {
-    /// Assigns groups of proxies, formed by the requests that come to each, subsets of this supervisor's window of the
-    /// stable servers. With too few proxies or servers there are no groups, and all keep the full table.
+    /// Assigns groups of proxies, formed by the requests that come to each, subsets of this supervisor's
+    /// window of the stable servers. With too few proxies or servers there are no groups, and all keep the
+    /// full table.
     pub(crate) fn isolate(&mut self, proxies: &mut Proxies, desired: &DesiredWeights) {
         let window = self.own_window(proxies.by_id.len(), desired);
         let by_proxies = proxies.by_id.len() / MIN_PROXIES_PER_SUBSET;
@@ -44,8 +45,8 @@
         self.distribute(&window, &upper_bounds);
     }
 
-    /// This supervisor's window of the stable servers, in the order of their numbers. It goes by the supervisor's
-    /// number and its share of all proxies, so that supervisors need not agree.
+    /// This supervisor's window of the stable servers, in the order of their numbers. It goes by the
+    /// supervisor's number and its share of all proxies, so that supervisors need not agree.
     fn own_window(&self, proxies: usize, desired: &DesiredWeights) -> Vec<WeightedServer> {
         let servers = stable_servers(desired);
         let count = servers.len() as f64;
@@ -54,8 +55,8 @@
         servers.into_iter().cycle().skip(first).take(length).collect()
     }
 
-    /// Puts each server on the subset within whose share of all weight its middle lies. Shares are given by their upper
-    /// bounds, 0 to 1.
+    /// Puts each server on the subset within whose share of all weight its middle lies. Shares are given by
+    /// their upper bounds, 0 to 1.
     fn distribute(&mut self, servers: &[WeightedServer], upper_bounds: &BTreeMap<TableId, f64>) {
         let total: f64 = servers.iter().map(|stable| stable.weight).sum();
         let mut before = 0.0;
--- a/src/subsets/replenishment.rs
+++ b/src/subsets/replenishment.rs
@@ -15,8 +15,8 @@
         self.target_weights.get(&table).is_some_and(|target| weight < min_weight(*target))
     }
 
-    /// Adds newly listed servers, and more stable ones to each subset that has lost half of its warm weight; others stay
-    /// as assigned.
+    /// Adds newly listed servers, and more stable ones to each subset that has lost half of its warm weight;
+    /// others stay as assigned.
     pub(crate) fn replenish(&mut self, desired: &DesiredWeights) {
         self.add_new_servers(desired);
         let stable = stable_servers(desired);
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Puts each server that was listed since, warm or not, on one subset. Of isolating subsets it is one of the
-    /// supervisor to which the server's number falls.
+    /// Puts each server that was listed since, warm or not, on one subset. Of isolating subsets it is one of
+    /// the supervisor to which the server's number falls.
     fn add_new_servers(&mut self, desired: &DesiredWeights) {
         let isolating = self.purpose == Purpose::Isolation;
         let is_ours = |server: ServerId| {
@@ -54,8 +54,8 @@
         self.known_servers.extend(desired.keys());
     }
 
-    /// The order in which the subset at a position takes more servers. Isolating ones take neighbours, so that each
-    /// server meets few proxies; stand-ins take none of neighbouring numbers before all others.
+    /// The order in which the subset at a position takes more servers. Isolating ones take neighbours, so
+    /// that each server meets few proxies; stand-ins take none of neighbouring numbers before all others.
     fn replenishing_order(&self, servers: &[WeightedServer], position: usize) -> Vec<WeightedServer> {
         let subsets = self.target_weights.len();
         match self.purpose {
--- a/src/subsets/stand_ins.rs
+++ b/src/subsets/stand_ins.rs
@@ -5,7 +5,8 @@
 use crate::proxies::{Proxies, Proxy};
 use crate::tables::{DesiredWeights, TableLine};
 
-/// Servers on a stand-in: enough to spread the load, few enough that a message costs little more than its overhead.
+/// Servers on a stand-in: enough to spread the load, few enough that a message costs little more than its
+/// overhead.
 const STAND_IN_SERVERS: usize = 8;
 
 /// Servers that a stand-in would have now; 0 where there can be none.
@@ -54,7 +55,8 @@
         self.begin_assignment(proxies, desired);
         self.purpose = Purpose::StandIn;
         let first_table = self.base_number + 1;
-        // In turns, so that no subset loses all at once with a locality or with servers of neighbouring numbers.
+        // In turns, so that no subset loses all at once with a locality or with servers of neighbouring
+        // numbers.
         for (position, WeightedServer { server, weight }) in servers.into_iter().enumerate() {
             let table = first_table + (position % subsets) as TableId;
             self.endpoints.insert(TableLine { table, server });
--- a/src/tables.rs
+++ b/src/tables.rs
@@ -1,5 +1,5 @@
-//! Numbers and lines of the tables that proxies are assigned. Used by the channel and by the subsets; nothing is decided
-//! here.
+//! Numbers and lines of the tables that proxies are assigned. Used by the channel and by the subsets; nothing
+//! is decided here.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -9,7 +9,8 @@
 
 /// The table of all servers; subsets have the numbers after it.
 pub(crate) const FULL_TABLE: TableId = 0;
-/// Servers that proxies without an assigned table must not send to, whatever they hold, are kept as lines of this table.
+/// Servers that proxies without an assigned table must not send to, whatever they hold, are kept as lines of
+/// this table.
 pub(crate) const EXCLUSIONS: TableId = TableId::MAX;
 
 /// A server's line in a table. Lines are ordered by table, then by server.
