--- a/crates/cli/src/measure_command.rs
+++ b/crates/cli/src/measure_command.rs
@@ -11,7 +11,7 @@
 use anyhow::{bail, Context, Result};
 use hdrhistogram::Histogram;
 use shalereel_reactor::{now, Nanos, MILLI, SECOND};
-use shalereel_rpc::{Bounds, ConnId, Hub, Input, Status, StreamId};
+use shalereel_rpc::{ConnId, ConnectionLimits, Hub, Input, Status, StreamId};
 use shalereel_sasp::{Body, Group as SaspGroup, LbFlags, Member, Message, ReturnCode};
 use shalereel_standins::Ready;
 use shalereel_store::Check;
@@ -20,8 +20,13 @@
     Response, Row, ServerFacts, Serving, Subscribing, Variant, ADS, DELTA_ADS, LRS,
 };
 
-const BOUNDS: Bounds =
-    Bounds { message: 16 << 20, calls: 64, unread: 64 << 20, silence: PATIENCE, retry: PATIENCE / 100 };
+const BOUNDS: ConnectionLimits = ConnectionLimits {
+    max_message_bytes: 16 << 20,
+    max_concurrent_calls: 64,
+    max_unsent_bytes: 64 << 20,
+    user_timeout: PATIENCE,
+    retry_delay: PATIENCE / 100,
+};
 const OPERATIONS: [&str; 3] = ["box-view", "box-add", "order-place"];
 /// Nothing takes so long unless it hangs.
 const PATIENCE: Nanos = 60 * SECOND;
@@ -314,7 +319,7 @@
                 (self.watched, self.resume) = (None, *resume);
                 for (conn, _) in self.clients.iter_mut().filter_map(|client| client.link.take()) {
                     self.links.remove(&conn);
-                    self.hub.close(conn, false);
+                    self.hub.close(conn);
                 }
                 self.clients.iter_mut().for_each(|client| client.held = 0);
             }
@@ -365,10 +370,10 @@
             Input::Closed { conn, .. } => {
                 if let Some(at) = self.links.remove(&conn) {
                     (self.clients[at].link, self.clients[at].held) = (None, 0);
-                    self.hub.set(now() + 2 * MILLI, at);
+                    self.hub.set_timer(now() + 2 * MILLI, at);
                 }
             }
-            Input::Due(at) if self.clients[at].link.is_none() => self.dial(at)?,
+            Input::Timer(at) if self.clients[at].link.is_none() => self.dial(at)?,
             _ => {}
         }
         Ok(())
@@ -629,7 +634,7 @@
     while now() < end {
         for &(conn, stream) in &streams {
             // Flow control holds back what the supervisor does not take.
-            if group.hub.unread(conn, stream) == 0 {
+            if group.hub.unsent_call_bytes(conn, stream) == 0 {
                 group.hub.send(conn, stream, &message);
                 sent += 1;
             }
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -301,7 +301,7 @@
     let questions = "{\"t\":\"probe\"}\n".repeat(4096);
     let ended = (0..2048).any(|_| deaf.stream.write_all(questions.as_bytes()).is_err());
     assert!(ended, "it may ask on and on without reading an answer");
-    node.logged("bytes wait unread");
+    node.logged("bytes left unread by the peer");
     Peer::proxy(&node, 1, true).holds(1, &["s0", "s1", "s2"]);
 }
 
--- a/crates/fault-scenarios/src/control.rs
+++ b/crates/fault-scenarios/src/control.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use shalereel_group::wire::{Act, Command, ControlAnswer, ControlAsk, Order, Release, CONTROL};
 use shalereel_reactor::{now, Nanos, SECOND};
-use shalereel_rpc::{Bounds, Code, Hub, Input, Status};
+use shalereel_rpc::{Code, ConnectionLimits, Hub, Input, Status};
 use shalereel_xds_supervisor::admin::{AdminAnswer, AdminAsk, Back, List, Question, ADMIN};
 
 /// An order that is not agreed on is given up by the supervisor before this.
@@ -63,8 +63,13 @@
 
 /// One message there and one back.
 fn unary(at: SocketAddr, path: &str, question: &[u8]) -> Result<Vec<u8>> {
-    let bounds =
-        Bounds { message: 16 << 20, calls: 4, unread: 1 << 20, silence: PATIENCE, retry: PATIENCE / 100 };
+    let bounds = ConnectionLimits {
+        max_message_bytes: 16 << 20,
+        max_concurrent_calls: 4,
+        max_unsent_bytes: 1 << 20,
+        user_timeout: PATIENCE,
+        retry_delay: PATIENCE / 100,
+    };
     let mut hub: Hub<(), ()> = Hub::new(bounds)?;
     let conn = hub.dial(at).with_context(|| at.to_string())?;
     let stream = hub.call(conn, path, None).context("no stream")?;
@@ -79,8 +84,8 @@
                 Input::Ended { status, .. } if status.code == Code::Ok => {
                     return told.take().ok_or_else(|| anyhow!("{at} answered nothing"));
                 }
-                Input::Ended { status, .. } => bail!("{}", status.text),
-                Input::Closed { why, .. } => bail!("{at}: {why}"),
+                Input::Ended { status, .. } => bail!("{}", status.message),
+                Input::Closed { reason, .. } => bail!("{at}: {reason}"),
                 _ => {}
             }
         }
--- a/crates/platform-supervisor/src/runtime.rs
+++ b/crates/platform-supervisor/src/runtime.rs
@@ -8,7 +8,7 @@
 
 use shalereel::interface::Nanos;
 use shalereel_reactor::{now, reload_signals, stop_signals};
-use shalereel_rpc::{Bounds, ConnId, Hub, Input};
+use shalereel_rpc::{ConnId, ConnectionLimits, Hub, Input};
 use thiserror::Error;
 
 use crate::clocks::Clocks;
@@ -87,18 +87,18 @@
     reload: UnixStream,
 ) -> Result<PlatformHub, RunError> {
     let limits = Limits::new(&config.controller, config.resources);
-    let mut hub: PlatformHub = Hub::new(Bounds {
-        message: limits.max_message_bytes(),
-        calls: 0,
-        unread: limits.max_unread_bytes(),
-        silence: limits.proxy_silence_timeout(),
-        retry: limits.kernel_retry_delay(),
+    let mut hub: PlatformHub = Hub::new(ConnectionLimits {
+        max_message_bytes: limits.max_message_bytes(),
+        max_concurrent_calls: 0,
+        max_unsent_bytes: limits.max_unread_bytes(),
+        user_timeout: limits.proxy_silence_timeout(),
+        retry_delay: limits.kernel_retry_delay(),
     })?;
     hub.stop_on(stop)?;
     hub.reload_on(reload)?;
-    hub.hold_at_most(limits.max_client_connections());
+    hub.limit_connections(limits.max_client_connections());
     let address = config.listen;
-    hub.listen_given(address, ()).map_err(|source| RunError::Listen {
+    hub.listen_plain_any_address(address, ()).map_err(|source| RunError::Listen {
         path: config_path.into(),
         address,
         source,
@@ -118,9 +118,9 @@
         match input {
             Input::Opened { conn, .. } => supervisor.opened(conn, now()),
             Input::Bytes { conn, bytes } => supervisor.received(conn, &bytes, clocks()),
-            Input::Closed { conn, why } => supervisor.closed(conn, &why, now()),
+            Input::Closed { conn, reason } => supervisor.closed(conn, &reason.to_string(), now()),
             Input::Reload => reload_config(config_path, 0, supervisor, hub),
-            Input::Due(attempts) => reload_config(config_path, attempts, supervisor, hub),
+            Input::Timer(attempts) => reload_config(config_path, attempts, supervisor, hub),
             Input::Stop => flow = Flow::Stop,
             _ => {}
         }
@@ -169,7 +169,7 @@
                 tracing::warn!(%error, "config reload failed, the previous config stays in force");
             }
             if let Some(at) = supervisor.limits().config_reread_at(now(), attempts) {
-                hub.set(at, attempts + 1);
+                hub.set_timer(at, attempts + 1);
             }
         }
     }
@@ -184,10 +184,11 @@
         for command in commands {
             match command {
                 Command::Write(connection, bytes) => hub.write_shared(connection, bytes),
-                Command::Close { connection, reset } => hub.close(connection, reset),
+                Command::Close { connection, reset: true } => hub.reset(connection),
+                Command::Close { connection, reset: false } => hub.close(connection),
                 Command::Log(line) => tracing::info!("{line}"),
                 Command::Dial(target) => {
-                    let result = hub.dial_given(target.address());
+                    let result = hub.dial_plain_any_address(target.address());
                     supervisor.dialled(target, result, now());
                 }
             }
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,8 +1,8 @@
-//! Readiness, timers and sockets on `epoll`, without a runtime. Addresses outside loopback are rejected, except by
-//! the functions whose name says `any_address`.
+//! Readiness, timers and sockets on `epoll`, without a runtime. Addresses outside loopback are rejected,
+//! except by the functions whose name says `any_address`.
 //!
-//! A [`Reactor`] says which tokens are ready. The owner of a token is polled as a whole when its socket is ready or
-//! its waker was called, so a socket keeps no waker of its own.
+//! A [`Reactor`] says which tokens are ready. The owner of a token is polled as a whole when its socket is
+//! ready or its waker was called, so a socket keeps no waker of its own.
 
 #![deny(missing_docs)]
 
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -45,7 +45,8 @@
     }
 }
 
-/// Edge-triggered `epoll`, and the tokens whose wakers were called. Wakers must be called on the thread that waits.
+/// Edge-triggered `epoll`, and the tokens whose wakers were called. Wakers must be called on the thread that
+/// waits.
 #[derive(Debug)]
 pub struct Reactor {
     epoll: OwnedFd,
@@ -62,8 +63,8 @@
         Ok(Reactor { epoll: epoll::create(CreateFlags::CLOEXEC)?, woken: Arc::default(), last_token: 0 })
     }
 
-    /// Watches a descriptor for input, output and hang-up until it is closed. Only edges are reported: read and write
-    /// until it would block.
+    /// Watches a descriptor for input, output and hang-up until it is closed. Only edges are reported: read
+    /// and write until it would block.
     ///
     /// # Errors
     /// Those of `epoll_ctl`.
@@ -79,8 +80,8 @@
         Waker::from(Arc::new(TokenWaker { token, woken: self.woken.clone() }))
     }
 
-    /// Waits until a source is ready, a waker was called, or the time has come, whichever is first. Returns each token
-    /// once, in ascending order.
+    /// Waits until a source is ready, a waker was called, or the time has come, whichever is first. Returns
+    /// each token once, in ascending order.
     ///
     /// # Errors
     /// Those of `epoll_wait`, except an interruption.
--- a/crates/reactor/src/socket.rs
+++ b/crates/reactor/src/socket.rs
@@ -26,7 +26,8 @@
     }
 }
 
-/// Whether the kernel lacks memory or buffers for a call. It must be repeated after a delay: no readiness follows.
+/// Whether the kernel lacks memory or buffers for a call. It must be repeated after a delay: no readiness
+/// follows.
 pub fn is_transient(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
     matches!(errno, Some(Errno::NOBUFS | Errno::NOMEM))
@@ -76,8 +77,8 @@
         Ok(Socket { stream, read_budget: MAX_READ_BYTES_PER_TURN, is_connecting: false })
     }
 
-    /// A stream whose connection is being made. Until it is, Linux answers reads and writes with EAGAIN; POSIX also
-    /// allows ENOTCONN, which is no end: readiness follows.
+    /// A stream whose connection is being made. Until it is, Linux answers reads and writes with EAGAIN;
+    /// POSIX also allows ENOTCONN, which is no end: readiness follows.
     ///
     /// # Errors
     /// The options of the stream cannot be set.
--- a/crates/reactor/tests/reactor.rs
+++ b/crates/reactor/tests/reactor.rs
@@ -48,8 +48,9 @@
     }
 }
 
-/// Guards against taking ENOTCONN of a connection that is being made for its end. Which error a socket gives before
-/// that is the system's choice; one that was never connected gives ENOTCONN on Linux too, so the order is forced here.
+/// Guards against taking ENOTCONN of a connection that is being made for its end. Which error a socket gives
+/// before that is the system's choice; one that was never connected gives ENOTCONN on Linux too, so the order
+/// is forced here.
 #[test]
 fn socket_that_is_being_connected_has_not_ended() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- /dev/null
+++ b/crates/rpc/src/connection/call.rs
@@ -0,0 +1,340 @@
+//! One gRPC call on an HTTP/2 stream, either side: receiving, sending, and how it ends.
+
+use std::collections::VecDeque;
+use std::future::Future;
+use std::pin::Pin;
+use std::task::{ready, Context, Poll};
+
+use bytes::Bytes;
+use h2::client::{ResponseFuture, SendRequest};
+use h2::server::SendResponse;
+use h2::{Reason, RecvStream, SendStream};
+use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode};
+use shalereel_reactor::Nanos;
+
+use super::{ConnectionEvent, StreamId};
+use crate::{Code, Framer, Status};
+
+/// What is received next.
+enum ReceiveState {
+    /// Client side: the request was not sent yet.
+    RequestPending(Request<()>),
+    /// Client side: the headers of the response.
+    ResponseHeaders(ResponseFuture),
+    Messages(RecvStream),
+    /// Client side: the status.
+    Trailers(RecvStream),
+    /// Server side: the peer sends no more.
+    HalfClosed,
+}
+
+/// What receiving has led to.
+enum Received {
+    /// Nothing more for now.
+    Pending,
+    /// The state has changed.
+    Progress,
+    /// The call has ended.
+    Ended(Status),
+}
+
+pub(super) struct Call {
+    receive: ReceiveState,
+    framer: Framer,
+    /// Where messages are sent, once the headers are.
+    send_stream: Option<SendStream<Bytes>>,
+    unsent: VecDeque<Bytes>,
+    unsent_bytes: usize,
+    /// What ends the sending side after the unsent bytes: the status (server), or that no more comes
+    /// (client).
+    finish: Option<Status>,
+    /// Server side: the handle that accepted the call.
+    respond: Option<SendResponse<Bytes>>,
+}
+
+impl Call {
+    fn new(receive: ReceiveState, max_message_bytes: usize) -> Self {
+        Call {
+            receive,
+            framer: Framer::new(max_message_bytes),
+            send_stream: None,
+            unsent: VecDeque::new(),
+            unsent_bytes: 0,
+            finish: None,
+            respond: None,
+        }
+    }
+
+    /// Client side.
+    pub fn outgoing(request: Request<()>, max_message_bytes: usize) -> Self {
+        Call::new(ReceiveState::RequestPending(request), max_message_bytes)
+    }
+
+    /// Server side: sends the headers of the response. A request that is not gRPC gets an HTTP error, and an
+    /// event without path.
+    pub fn accept(
+        stream: StreamId,
+        request: Request<RecvStream>,
+        mut respond: SendResponse<Bytes>,
+        max_message_bytes: usize,
+    ) -> (Call, ConnectionEvent) {
+        let (head, body) = request.into_parts();
+        let content_type = head.headers.get("content-type").map_or(&b""[..], HeaderValue::as_bytes);
+        let is_grpc = head.method == Method::POST && content_type.starts_with(b"application/grpc");
+        let mut response = Response::new(());
+        if is_grpc {
+            let content_type = HeaderValue::from_static("application/grpc");
+            response.headers_mut().insert("content-type", content_type);
+        } else {
+            *response.status_mut() = StatusCode::UNSUPPORTED_MEDIA_TYPE;
+        }
+        let mut call = Call::new(ReceiveState::Messages(body), max_message_bytes);
+        match respond.send_response(response, !is_grpc) {
+            Ok(send_stream) if is_grpc => {
+                call.send_stream = Some(send_stream);
+                call.respond = Some(respond);
+            }
+            _ => call.receive = ReceiveState::HalfClosed,
+        }
+        let path = if is_grpc { head.uri.path().to_owned() } else { String::new() };
+        (call, ConnectionEvent::Call { stream, path, timeout: grpc_timeout(&head.headers) })
+    }
+
+    pub fn send(&mut self, framed: Bytes) {
+        self.unsent_bytes += framed.len();
+        self.unsent.push_back(framed);
+    }
+
+    pub fn unsent_bytes(&self) -> usize {
+        self.unsent_bytes
+    }
+
+    pub fn finish(&mut self, status: Status) {
+        self.finish.get_or_insert(status);
+    }
+
+    pub fn cancel(&mut self) {
+        self.reset(Reason::CANCEL);
+    }
+
+    fn reset(&mut self, reason: Reason) {
+        if let Some(send_stream) = &mut self.send_stream {
+            send_stream.send_reset(reason);
+        }
+    }
+
+    fn is_server(&self) -> bool {
+        self.respond.is_some()
+    }
+
+    /// Client side: sends the request, once the connection takes it.
+    pub fn poll_request(
+        &mut self,
+        cx: &mut Context<'_>,
+        requests: &mut SendRequest<Bytes>,
+    ) -> Poll<Result<(), h2::Error>> {
+        let ReceiveState::RequestPending(request) = &mut self.receive else { return Poll::Ready(Ok(())) };
+        if let Err(error) = ready!(requests.poll_ready(cx)) {
+            return Poll::Ready(Err(error));
+        }
+        match requests.send_request(std::mem::take(request), false) {
+            Ok((response, send_stream)) => {
+                self.receive = ReceiveState::ResponseHeaders(response);
+                self.send_stream = Some(send_stream);
+                Poll::Ready(Ok(()))
+            }
+            Err(error) => Poll::Ready(Err(error)),
+        }
+    }
+
+    /// Receives as much as there is; the status where the call has ended.
+    pub fn poll_receive(
+        &mut self,
+        cx: &mut Context<'_>,
+        stream: StreamId,
+        events: &mut Vec<ConnectionEvent>,
+    ) -> Option<Status> {
+        loop {
+            let received = match &mut self.receive {
+                ReceiveState::RequestPending(_) => Received::Pending,
+                ReceiveState::ResponseHeaders(_) => self.receive_headers(cx),
+                ReceiveState::Messages(_) => self.receive_messages(cx, stream, events),
+                ReceiveState::Trailers(body) => receive_trailers(cx, body),
+                ReceiveState::HalfClosed => self.receive_reset(cx),
+            };
+            match received {
+                Received::Pending => return None,
+                Received::Progress => {}
+                Received::Ended(status) => return Some(status),
+            }
+        }
+    }
+
+    fn receive_headers(&mut self, cx: &mut Context<'_>) -> Received {
+        let ReceiveState::ResponseHeaders(response) = &mut self.receive else { return Received::Progress };
+        let response = match Pin::new(response).poll(cx) {
+            Poll::Pending => return Received::Pending,
+            Poll::Ready(Err(error)) => return Received::Ended(status_of(&error)),
+            Poll::Ready(Ok(response)) => response,
+        };
+        let (head, body) = response.into_parts();
+        if head.status != StatusCode::OK {
+            return Received::Ended(Status::new(Code::Unknown, format!("HTTP status {}", head.status)));
+        }
+        if let Some(status) = Status::read(&head.headers) {
+            return Received::Ended(status);
+        }
+        self.receive = ReceiveState::Messages(body);
+        Received::Progress
+    }
+
+    fn receive_messages(
+        &mut self,
+        cx: &mut Context<'_>,
+        stream: StreamId,
+        events: &mut Vec<ConnectionEvent>,
+    ) -> Received {
+        let ReceiveState::Messages(body) = &mut self.receive else { return Received::Progress };
+        match body.poll_data(cx) {
+            Poll::Pending => Received::Pending,
+            Poll::Ready(Some(Ok(piece))) => {
+                let _ = body.flow_control().release_capacity(piece.len());
+                self.framer.push(&piece);
+                loop {
+                    match self.framer.take() {
+                        Ok(Some(message)) => events.push(ConnectionEvent::Message { stream, message }),
+                        Ok(None) => return Received::Progress,
+                        Err(error) => return Received::Ended(self.reject(error.into())),
+                    }
+                }
+            }
+            Poll::Ready(Some(Err(error))) => Received::Ended(status_of(&error)),
+            Poll::Ready(None) => self.end_messages(stream, events),
+        }
+    }
+
+    /// The peer sends no more messages.
+    fn end_messages(&mut self, stream: StreamId, events: &mut Vec<ConnectionEvent>) -> Received {
+        if let Err(error) = self.framer.finish() {
+            return Received::Ended(self.reject(error.into()));
+        }
+        let ended = std::mem::replace(&mut self.receive, ReceiveState::HalfClosed);
+        if self.is_server() {
+            events.push(ConnectionEvent::HalfClosed { stream });
+        } else if let ReceiveState::Messages(body) = ended {
+            self.receive = ReceiveState::Trailers(body);
+        }
+        Received::Progress
+    }
+
+    /// A server notices at its sending side that the peer has cancelled.
+    fn receive_reset(&mut self, cx: &mut Context<'_>) -> Received {
+        let is_server = self.is_server();
+        let Some(send_stream) = self.send_stream.as_mut().filter(|_| is_server) else {
+            return Received::Pending;
+        };
+        match send_stream.poll_reset(cx) {
+            Poll::Ready(Ok(_)) => Received::Ended(Status::new(Code::Cancelled, "reset by the peer")),
+            Poll::Ready(Err(error)) => Received::Ended(status_of(&error)),
+            Poll::Pending => Received::Pending,
+        }
+    }
+
+    /// The peer has violated the framing: it is sent the status, and the call ends.
+    fn reject(&mut self, status: Status) -> Status {
+        match (&mut self.send_stream, self.respond.is_some()) {
+            (Some(send_stream), true) => drop(send_stream.send_trailers(status.trailers())),
+            _ => self.reset(Reason::PROTOCOL_ERROR),
+        }
+        status
+    }
+
+    /// Sends what the peer's window admits; the status where that ends the call.
+    pub fn poll_send(&mut self, cx: &mut Context<'_>, max_unsent_bytes: usize) -> Option<Status> {
+        self.send_stream.as_ref()?;
+        if let Err(error) = self.send_unsent(cx) {
+            return Some(status_of(&error));
+        }
+        if self.unsent_bytes > max_unsent_bytes {
+            self.reset(Reason::ENHANCE_YOUR_CALM);
+            let message = format!("{max_unsent_bytes} bytes wait unread");
+            return Some(Status::new(Code::ResourceExhausted, message));
+        }
+        if !self.unsent.is_empty() {
+            return None;
+        }
+        let status = self.finish.take()?;
+        let is_server = self.is_server();
+        let send_stream = self.send_stream.as_mut()?;
+        if is_server {
+            // Where the peer still sends, h2 resets the call once this is written.
+            let _ = send_stream.send_trailers(status.trailers());
+            return Some(status);
+        }
+        let _ = send_stream.send_data(Bytes::new(), true);
+        None
+    }
+
+    fn send_unsent(&mut self, cx: &mut Context<'_>) -> Result<(), h2::Error> {
+        let Some(send_stream) = &mut self.send_stream else { return Ok(()) };
+        while let Some(front) = self.unsent.front_mut() {
+            if front.is_empty() {
+                self.unsent.pop_front();
+                continue;
+            }
+            send_stream.reserve_capacity(front.len());
+            if send_stream.capacity() == 0 {
+                match send_stream.poll_capacity(cx) {
+                    Poll::Ready(Some(Ok(_))) if send_stream.capacity() > 0 => {}
+                    Poll::Ready(Some(Err(error))) => return Err(error),
+                    _ => break,
+                }
+            }
+            let piece = front.split_to(send_stream.capacity().min(front.len()));
+            self.unsent_bytes -= piece.len();
+            send_stream.send_data(piece, false)?;
+        }
+        Ok(())
+    }
+}
+
+fn receive_trailers(cx: &mut Context<'_>, body: &mut RecvStream) -> Received {
+    match body.poll_trailers(cx) {
+        Poll::Pending => Received::Pending,
+        Poll::Ready(Err(error)) => Received::Ended(status_of(&error)),
+        Poll::Ready(Ok(trailers)) => {
+            let status = trailers.as_ref().and_then(Status::read);
+            let missing = || Status::new(Code::Unknown, "ended without a status");
+            Received::Ended(status.unwrap_or_else(missing))
+        }
+    }
+}
+
+/// The status of a call that HTTP/2 has ended, as gRPC over HTTP/2 maps its error codes.
+pub(super) fn status_of(error: &h2::Error) -> Status {
+    let code = match error.reason() {
+        Some(Reason::CANCEL) => Code::Cancelled,
+        Some(Reason::REFUSED_STREAM) => Code::Unavailable,
+        Some(Reason::ENHANCE_YOUR_CALM) => Code::ResourceExhausted,
+        Some(Reason::INADEQUATE_SECURITY) => Code::PermissionDenied,
+        Some(_) => Code::Internal,
+        None => Code::Unavailable,
+    };
+    Status::new(code, error.to_string())
+}
+
+fn grpc_timeout(headers: &HeaderMap) -> Option<Nanos> {
+    let text = headers.get("grpc-timeout")?.to_str().ok()?;
+    let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
+    let number: Nanos = number.parse().ok()?;
+    let nanos_per_unit = match unit {
+        "H" => 3_600_000_000_000,
+        "M" => 60_000_000_000,
+        "S" => 1_000_000_000,
+        "m" => 1_000_000,
+        "u" => 1_000,
+        "n" => 1,
+        _ => return None,
+    };
+    Some(number.saturating_mul(nanos_per_unit))
+}
--- /dev/null
+++ b/crates/rpc/src/hub/connections.rs
@@ -0,0 +1,280 @@
+//! Connections of the hub: dialling, sending, polling and closing them.
+
+use std::io;
+use std::net::SocketAddr;
+use std::task::{Context, Poll};
+use std::time::Duration;
+
+use bytes::Bytes;
+use shalereel_reactor::{dial, dial_any_address, Nanos, Socket};
+
+use super::plain::PlainConnection;
+use super::{ConnId, Hub, Input};
+use crate::connection::{CloseReason, Connection, ConnectionEvent, ConnectionLimits, StreamId};
+use crate::Status;
+
+/// What is spoken on a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Protocol {
+    Grpc,
+    /// A protocol that the caller encodes and decodes.
+    Plain,
+}
+
+enum Transport {
+    Grpc {
+        connection: Box<Connection>,
+        /// Another handle on the socket, which `connection` owns, to close it.
+        socket: Socket,
+    },
+    Plain(PlainConnection),
+}
+
+impl Transport {
+    fn plain(socket: Socket, _: ConnectionLimits) -> io::Result<Self> {
+        Ok(Transport::Plain(PlainConnection::new(socket)))
+    }
+
+    fn grpc_client(socket: Socket, limits: ConnectionLimits) -> io::Result<Self> {
+        let handle = socket.try_clone()?;
+        Ok(Transport::Grpc { connection: Box::new(Connection::client(socket, limits)), socket: handle })
+    }
+
+    fn grpc_server(socket: Socket, limits: ConnectionLimits) -> io::Result<Self> {
+        let handle = socket.try_clone()?;
+        Ok(Transport::Grpc { connection: Box::new(Connection::server(socket, limits)), socket: handle })
+    }
+}
+
+pub(super) struct OpenConnection {
+    transport: Transport,
+    is_paused: bool,
+}
+
+impl OpenConnection {
+    fn plain(&self) -> Option<&PlainConnection> {
+        match &self.transport {
+            Transport::Plain(plain) => Some(plain),
+            Transport::Grpc { .. } => None,
+        }
+    }
+
+    fn plain_mut(&mut self) -> Option<&mut PlainConnection> {
+        match &mut self.transport {
+            Transport::Plain(plain) => Some(plain),
+            Transport::Grpc { .. } => None,
+        }
+    }
+
+    fn socket(&self) -> &Socket {
+        match &self.transport {
+            Transport::Plain(plain) => &plain.socket,
+            Transport::Grpc { socket, .. } => socket,
+        }
+    }
+}
+
+impl<L, K> Input<L, K> {
+    fn from_event(conn: ConnId, event: ConnectionEvent) -> Self {
+        match event {
+            ConnectionEvent::Call { stream, path, timeout } => Input::Call { conn, stream, path, timeout },
+            ConnectionEvent::Message { stream, message } => Input::Message { conn, stream, message },
+            ConnectionEvent::HalfClosed { stream } => Input::HalfClosed { conn, stream },
+            ConnectionEvent::Ended { stream, status } => Input::Ended { conn, stream, status },
+        }
+    }
+}
+
+impl<L: Clone, K> Hub<L, K> {
+    /// Starts a gRPC connection to a loopback address. One that is refused comes as [`Input::Closed`].
+    ///
+    /// # Errors
+    /// The address is not loopback, or there is no descriptor.
+    pub fn dial(&mut self, address: SocketAddr) -> io::Result<ConnId> {
+        self.add(dial(address)?, Transport::grpc_client)
+    }
+
+    /// The same for another protocol.
+    ///
+    /// # Errors
+    /// The address is not loopback, or there is no descriptor.
+    pub fn dial_plain(&mut self, address: SocketAddr) -> io::Result<ConnId> {
+        self.add(dial(address)?, Transport::plain)
+    }
+
+    /// The same to an address that the platform has assigned, loopback or not.
+    ///
+    /// # Errors
+    /// There is no descriptor, or no route.
+    pub fn dial_plain_any_address(&mut self, address: SocketAddr) -> io::Result<ConnId> {
+        self.add(dial_any_address(address)?, Transport::plain)
+    }
+
+    pub(super) fn add_accepted(&mut self, socket: Socket, protocol: Protocol) -> io::Result<ConnId> {
+        match protocol {
+            Protocol::Plain => self.add(socket, Transport::plain),
+            Protocol::Grpc => self.add(socket, Transport::grpc_server),
+        }
+    }
+
+    fn add(
+        &mut self,
+        socket: Socket,
+        transport: fn(Socket, ConnectionLimits) -> io::Result<Transport>,
+    ) -> io::Result<ConnId> {
+        socket.set_user_timeout(Duration::from_nanos(self.limits.user_timeout))?;
+        let conn = ConnId(self.reactor.add(&socket)?);
+        let transport = transport(socket, self.limits)?;
+        self.connections.insert(conn, OpenConnection { transport, is_paused: false });
+        self.touched.insert(conn);
+        Ok(conn)
+    }
+
+    /// The gRPC connection, to be polled before the next wait.
+    fn touch_grpc(&mut self, conn: ConnId) -> Option<&mut Connection> {
+        match &mut self.connections.get_mut(&conn)?.transport {
+            Transport::Grpc { connection, .. } => {
+                self.touched.insert(conn);
+                Some(connection)
+            }
+            Transport::Plain(_) => None,
+        }
+    }
+
+    /// Sends bytes on a plain connection; ignored where it has ended.
+    pub fn write(&mut self, conn: ConnId, bytes: &[u8]) {
+        self.write_shared(conn, Bytes::copy_from_slice(bytes));
+    }
+
+    /// The same with bytes that other connections may share.
+    pub fn write_shared(&mut self, conn: ConnId, bytes: Bytes) {
+        if let Some(plain) = self.connections.get_mut(&conn).and_then(OpenConnection::plain_mut) {
+            plain.send(bytes);
+            self.touched.insert(conn);
+        }
+    }
+
+    /// Bytes of a plain connection that the peer has not taken yet.
+    pub fn unsent_plain_bytes(&self, conn: ConnId) -> usize {
+        let plain = self.connections.get(&conn).and_then(OpenConnection::plain);
+        plain.map_or(0, PlainConnection::unsent_bytes)
+    }
+
+    /// Bytes of a call that the peer has not taken yet.
+    pub fn unsent_call_bytes(&self, conn: ConnId, stream: StreamId) -> usize {
+        match self.connections.get(&conn).map(|open| &open.transport) {
+            Some(Transport::Grpc { connection, .. }) => connection.unsent_bytes(stream),
+            _ => 0,
+        }
+    }
+
+    /// See [`Connection::call`]; none where the connection has ended.
+    pub fn call(&mut self, conn: ConnId, path: &str, timeout: Option<Nanos>) -> Option<StreamId> {
+        self.touch_grpc(conn).map(|connection| connection.call(path, timeout))
+    }
+
+    /// See [`Connection::send`].
+    pub fn send(&mut self, conn: ConnId, stream: StreamId, message: &[u8]) {
+        if let Some(connection) = self.touch_grpc(conn) {
+            connection.send(stream, message);
+        }
+    }
+
+    /// See [`Connection::send_framed`].
+    pub fn send_framed(&mut self, conn: ConnId, stream: StreamId, framed: Bytes) {
+        if let Some(connection) = self.touch_grpc(conn) {
+            connection.send_framed(stream, framed);
+        }
+    }
+
+    /// See [`Connection::finish`].
+    pub fn finish(&mut self, conn: ConnId, stream: StreamId, status: Status) {
+        if let Some(connection) = self.touch_grpc(conn) {
+            connection.finish(stream, status);
+        }
+    }
+
+    /// See [`Connection::cancel`].
+    pub fn cancel(&mut self, conn: ConnId, stream: StreamId) {
+        if let Some(connection) = self.touch_grpc(conn) {
+            connection.cancel(stream);
+        }
+    }
+
+    /// Closes a connection at once; what was written is sent as far as the kernel takes it. No
+    /// [`Input::Closed`] follows.
+    pub fn close(&mut self, conn: ConnId) {
+        let Some(mut open) = self.connections.remove(&conn) else { return };
+        if let Some(plain) = open.plain_mut() {
+            let _ = plain.write(&mut Context::from_waker(&self.reactor.waker(conn.0)));
+        }
+        let _ = open.socket().shutdown();
+    }
+
+    /// Closes a connection at once with a TCP reset. No [`Input::Closed`] follows.
+    pub fn reset(&mut self, conn: ConnId) {
+        if let Some(open) = self.connections.remove(&conn) {
+            let _ = open.socket().reset_at_close();
+        }
+    }
+
+    /// Writes what the kernel takes of what waits on plain connections, before a process ends.
+    pub fn flush(&mut self) {
+        for conn in std::mem::take(&mut self.touched) {
+            let waker = self.reactor.waker(conn.0);
+            if let Some(plain) = self.connections.get_mut(&conn).and_then(OpenConnection::plain_mut) {
+                // A peer that has gone needs no answer.
+                let _ = plain.write(&mut Context::from_waker(&waker));
+            }
+        }
+    }
+
+    /// While paused, nothing is read from a connection nor written to it.
+    pub fn set_paused(&mut self, conn: ConnId, paused: bool) {
+        if let Some(open) = self.connections.get_mut(&conn) {
+            open.is_paused = paused;
+            self.touched.insert(conn);
+        }
+    }
+
+    /// Receives and sends as much as possible on a connection.
+    pub(super) fn poll(&mut self, conn: ConnId) {
+        let Some(open) = self.connections.get_mut(&conn).filter(|open| !open.is_paused) else { return };
+        let waker = self.reactor.waker(conn.0);
+        let mut cx = Context::from_waker(&waker);
+        let closed = match &mut open.transport {
+            Transport::Grpc { connection, .. } => {
+                let mut events = Vec::new();
+                let closed = connection.poll(&mut cx, &mut events);
+                self.ready.extend(events.into_iter().map(|event| Input::from_event(conn, event)));
+                closed
+            }
+            Transport::Plain(plain) => {
+                let mut received = Vec::new();
+                let closed = plain.poll(&mut cx, &mut received, self.limits.max_unsent_bytes);
+                self.ready.extend(received.into_iter().map(|bytes| Input::Bytes { conn, bytes }));
+                if plain.take_refused() {
+                    self.retries.connections.insert(conn);
+                    self.retries.schedule(self.limits.retry_delay);
+                }
+                closed
+            }
+        };
+        if let Poll::Ready(reason) = closed {
+            self.ended(conn, reason);
+        }
+    }
+
+    /// A connection has ended. A half-closed one stays until what was read from it is answered.
+    fn ended(&mut self, conn: ConnId, reason: CloseReason) {
+        let plain = self.connections.get(&conn).and_then(OpenConnection::plain);
+        if plain.is_some_and(|plain| plain.is_half_closed) {
+            if !self.half_closed.insert(conn) {
+                return;
+            }
+        } else {
+            self.connections.remove(&conn);
+        }
+        self.ready.push_back(Input::Closed { conn, reason });
+    }
+}
--- /dev/null
+++ b/crates/rpc/src/hub/plain.rs
@@ -0,0 +1,106 @@
+//! A connection of a protocol that is not gRPC: bytes in, bytes out.
+
+use std::collections::VecDeque;
+use std::io;
+use std::pin::Pin;
+use std::task::{Context, Poll};
+
+use bytes::{Buf, Bytes};
+use shalereel_reactor::{is_transient, Socket};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+
+use crate::connection::CloseReason;
+
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+
+pub(super) struct PlainConnection {
+    pub socket: Socket,
+    /// Bytes to send; where many peers are sent the same they share it.
+    unsent: VecDeque<Bytes>,
+    /// The peer has ended its side in order.
+    pub is_half_closed: bool,
+    /// The kernel has refused a read or a write for lack of resources.
+    was_refused: bool,
+}
+
+impl PlainConnection {
+    pub fn new(socket: Socket) -> Self {
+        PlainConnection { socket, unsent: VecDeque::new(), is_half_closed: false, was_refused: false }
+    }
+
+    pub fn send(&mut self, bytes: Bytes) {
+        self.unsent.push_back(bytes);
+    }
+
+    pub fn unsent_bytes(&self) -> usize {
+        self.unsent.iter().map(Bytes::len).sum()
+    }
+
+    /// Whether the kernel has refused a read or a write since the last call of this.
+    pub fn take_refused(&mut self) -> bool {
+        std::mem::take(&mut self.was_refused)
+    }
+
+    /// Writes as much as the kernel takes.
+    pub fn write(&mut self, cx: &mut Context<'_>) -> io::Result<()> {
+        while let Some(first) = self.unsent.front_mut() {
+            match Pin::new(&mut self.socket).poll_write(cx, first) {
+                Poll::Ready(Ok(count)) => first.advance(count),
+                Poll::Ready(Err(error)) if is_transient(&error) => {
+                    self.was_refused = true;
+                    break;
+                }
+                Poll::Ready(Err(error)) => return Err(error),
+                Poll::Pending => break,
+            }
+            if first.is_empty() {
+                self.unsent.pop_front();
+            }
+        }
+        if self.unsent.is_empty() {
+            // Returns the memory of a long queue.
+            self.unsent = VecDeque::new();
+        }
+        Ok(())
+    }
+
+    /// Writes what the kernel takes and adds what has come to `received`; ready once the connection has
+    /// ended.
+    pub fn poll(
+        &mut self,
+        cx: &mut Context<'_>,
+        received: &mut Vec<Bytes>,
+        max_unsent_bytes: usize,
+    ) -> Poll<CloseReason> {
+        if let Err(error) = self.write(cx) {
+            return Poll::Ready(error.into());
+        }
+        let unsent_bytes = self.unsent_bytes();
+        if unsent_bytes > max_unsent_bytes {
+            // The peer does not read: nothing of it may linger in the kernel.
+            let _ = self.socket.reset_at_close();
+            return Poll::Ready(CloseReason::Unread(unsent_bytes));
+        }
+        self.read(cx, received)
+    }
+
+    fn read(&mut self, cx: &mut Context<'_>, received: &mut Vec<Bytes>) -> Poll<CloseReason> {
+        loop {
+            let mut bytes = [0; READ_BUFFER_BYTES];
+            let mut buffer = ReadBuf::new(&mut bytes);
+            match Pin::new(&mut self.socket).poll_read(cx, &mut buffer) {
+                Poll::Ready(Ok(())) if buffer.filled().is_empty() => {
+                    self.is_half_closed = true;
+                    return Poll::Ready(CloseReason::ClosedByPeer);
+                }
+                Poll::Ready(Ok(())) => received.push(Bytes::copy_from_slice(buffer.filled())),
+                Poll::Ready(Err(error)) if is_transient(&error) => {
+                    self.was_refused = true;
+                    return Poll::Pending;
+                }
+                Poll::Ready(Err(error)) => return Poll::Ready(error.into()),
+                Poll::Pending => return Poll::Pending,
+            }
+        }
+    }
+}
--- a/crates/rpc/src/status.rs
+++ b/crates/rpc/src/status.rs
@@ -1,21 +1,35 @@
+//! How a call ends: gRPC's codes, and the trailers that carry them.
+
 use std::fmt;
 
-use http::{HeaderMap, HeaderValue};
+use http::{HeaderMap, HeaderName, HeaderValue};
 
-/// The codes of gRPC that this program gives or tells apart; others are `Unknown`.
+/// The codes of gRPC that this program gives or distinguishes; others are read as `Unknown`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Code {
+    /// The call succeeded.
     Ok = 0,
+    /// The caller gave it up.
     Cancelled = 1,
+    /// Any other error.
     Unknown = 2,
+    /// The request is invalid, whatever the state of the server.
     InvalidArgument = 3,
+    /// It did not end in time.
     DeadlineExceeded = 4,
+    /// What was requested does not exist.
     NotFound = 5,
+    /// The caller may not do this.
     PermissionDenied = 7,
+    /// A limit was exceeded.
     ResourceExhausted = 8,
+    /// The server is not in the state that the request needs.
     FailedPrecondition = 9,
+    /// The server does not know the method.
     Unimplemented = 12,
+    /// An invariant was violated.
     Internal = 13,
+    /// The server cannot be reached now.
     Unavailable = 14,
 }
 
@@ -42,72 +56,68 @@
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
+    /// gRPC's code.
     pub code: Code,
-    pub text: String,
+    /// Message for people.
+    pub message: String,
 }
 
 impl Status {
-    pub const OK: Status = Status { code: Code::Ok, text: String::new() };
+    /// The call succeeded.
+    pub const OK: Status = Status { code: Code::Ok, message: String::new() };
 
-    pub fn new(code: Code, text: impl Into<String>) -> Self {
-        Status { code, text: text.into() }
+    /// A status with a message.
+    pub fn new(code: Code, message: impl Into<String>) -> Self {
+        Status { code, message: message.into() }
     }
 
-    /// The trailers that carry it; the text percent-encoded as the gRPC protocol page asks.
+    /// The trailers that carry it, with the message percent-encoded as gRPC over HTTP/2 requires.
     pub(crate) fn trailers(&self) -> HeaderMap {
         let mut trailers = HeaderMap::new();
         trailers.insert("grpc-status", HeaderValue::from(self.code as u16));
-        if !self.text.is_empty() {
-            let mut text = String::new();
-            for byte in self.text.bytes() {
-                match byte {
-                    b' '..=b'~' if byte != b'%' => text.push(byte.into()),
-                    other => text.push_str(&format!("%{other:02X}")),
-                }
-            }
-            trailers.extend(
-                HeaderValue::from_str(&text)
-                    .ok()
-                    .map(|text| (http::HeaderName::from_static("grpc-message"), text)),
-            );
+        if !self.message.is_empty() {
+            let message = HeaderValue::from_str(&percent_encoded(&self.message)).ok();
+            trailers.extend(message.map(|message| (HeaderName::from_static("grpc-message"), message)));
         }
         trailers
     }
 
-    /// Nothing where the block has no status: then trailers are still to come.
-    pub(crate) fn read(block: &HeaderMap) -> Option<Status> {
-        let code = block.get("grpc-status")?.to_str().ok()?.parse().ok()?;
-        let text = block.get("grpc-message").map_or(&b""[..], HeaderValue::as_bytes);
-        Some(Status { code: Code::read(code), text: percent_decoded(text) })
+    /// The status in a block of headers; none: trailers will follow.
+    pub(crate) fn read(headers: &HeaderMap) -> Option<Status> {
+        let code = headers.get("grpc-status")?.to_str().ok()?.parse().ok()?;
+        let message = headers.get("grpc-message").map_or(&b""[..], HeaderValue::as_bytes);
+        Some(Status { code: Code::read(code), message: percent_decoded(message) })
+    }
+}
+
+fn percent_encoded(text: &str) -> String {
+    let mut encoded = String::new();
+    for byte in text.bytes() {
+        match byte {
+            b' '..=b'~' if byte != b'%' => encoded.push(byte.into()),
+            other => encoded.push_str(&format!("%{other:02X}")),
+        }
     }
+    encoded
 }
 
 fn percent_decoded(text: &[u8]) -> String {
-    let mut out = Vec::with_capacity(text.len());
-    let mut at = 0;
-    while at < text.len() {
-        let hex = (text[at] == b'%').then(|| text.get(at + 1..at + 3)).flatten();
-        let byte = hex.and_then(|hex| u8::from_str_radix(std::str::from_utf8(hex).ok()?, 16).ok());
-        out.push(byte.unwrap_or(text[at]));
-        at += if byte.is_some() { 3 } else { 1 };
+    let mut decoded = Vec::with_capacity(text.len());
+    let mut index = 0;
+    while index < text.len() {
+        let digits = (text[index] == b'%').then(|| text.get(index + 1..index + 3)).flatten();
+        let byte = digits.and_then(|digits| u8::from_str_radix(std::str::from_utf8(digits).ok()?, 16).ok());
+        decoded.push(byte.unwrap_or(text[index]));
+        index += if byte.is_some() { 3 } else { 1 };
     }
-    String::from_utf8_lossy(&out).into_owned()
+    String::from_utf8_lossy(&decoded).into_owned()
 }
 
 impl fmt::Display for Status {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: {}", self.code, self.text)
+        write!(f, "{:?}: {}", self.code, self.message)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_text_of_any_letters_comes_back() {
-        let status = Status::new(Code::NotFound, "no table \"æ\" 100%\n");
-        assert_eq!(Status::read(&status.trailers()), Some(status));
-        assert_eq!(Status::read(&HeaderMap::new()), None);
-    }
-}
+mod tests;
--- a/crates/rpc/tests/wire.rs
+++ b/crates/rpc/tests/wire.rs
@@ -1,22 +1,28 @@
-//! Bytes on a real socket: hand-assembled frames against our server, floods, and our client against our server.
+//! gRPC on real sockets: hand-assembled frames against the server, floods, and the client against the server.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
 use shalereel_reactor::{now, SECOND};
-use shalereel_rpc::{Bounds, Code, Hub, Input, Status};
+use shalereel_rpc::{Code, ConnectionLimits, Hub, Input, Status};
 
-const BOUNDS: Bounds = Bounds { message: 1024, calls: 8, unread: 4096, silence: SECOND, retry: SECOND / 20 };
+const LIMITS: ConnectionLimits = ConnectionLimits {
+    max_message_bytes: 1024,
+    max_concurrent_calls: 8,
+    max_unsent_bytes: 4096,
+    user_timeout: SECOND,
+    retry_delay: SECOND / 20,
+};
 type Inputs = Vec<Input<(), ()>>;
 
 fn hub() -> (Hub<(), ()>, std::net::SocketAddr) {
-    let mut hub = Hub::new(BOUNDS).unwrap();
+    let mut hub = Hub::new(LIMITS).unwrap();
     let (_, address) = hub.listen("127.0.0.1:0".parse().unwrap(), ()).unwrap();
     (hub, address)
 }
 
-/// Turns the hub until `done` is satisfied by something that came; 10 s at most.
+/// Waits until `done` finds what it looks for in an input; 10 s at most.
 fn until<T>(hub: &mut Hub<(), ()>, mut done: impl FnMut(&mut Hub<(), ()>, &Input<(), ()>) -> Option<T>) -> T {
     let end = now() + 10 * SECOND;
     while now() < end {
@@ -31,7 +37,7 @@
 }
 
 /// An HTTP/2 frame: 24-bit length, type, flags, 31-bit stream (RFC 9113, section 4.1).
-fn h2(kind: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
+fn http2_frame(kind: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
     let mut out = (payload.len() as u32).to_be_bytes()[1..].to_vec();
     out.extend([kind, flags]);
     out.extend(stream.to_be_bytes());
@@ -39,8 +45,8 @@
     out
 }
 
-/// A header as a literal without indexing, names and values in plain letters (RFC 7541, section 6.2.2).
-fn literal(name: &str, value: &str) -> Vec<u8> {
+/// A header as a literal without indexing or Huffman coding (RFC 7541, section 6.2.2).
+fn literal_header(name: &str, value: &str) -> Vec<u8> {
     let mut out = vec![0, name.len() as u8];
     out.extend(name.as_bytes());
     out.push(value.len() as u8);
@@ -48,21 +54,21 @@
     out
 }
 
-fn greeting() -> Vec<u8> {
-    [b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_vec(), h2(4, 0, 0, &[])].concat()
+fn preface() -> Vec<u8> {
+    [b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_vec(), http2_frame(4, 0, 0, &[])].concat()
 }
 
-fn ask(stream: u32) -> Vec<u8> {
+fn request_headers(stream: u32) -> Vec<u8> {
     let headers = [
-        literal(":method", "POST"),
-        literal(":scheme", "http"),
-        literal(":path", "/some.Service/Call"),
-        literal(":authority", "x"),
-        literal("content-type", "application/grpc"),
-        literal("te", "trailers"),
-        literal("grpc-timeout", "250m"),
+        literal_header(":method", "POST"),
+        literal_header(":scheme", "http"),
+        literal_header(":path", "/some.Service/Call"),
+        literal_header(":authority", "x"),
+        literal_header("content-type", "application/grpc"),
+        literal_header("te", "trailers"),
+        literal_header("grpc-timeout", "250m"),
     ];
-    h2(1, 4, stream, &headers.concat())
+    http2_frame(1, 4, stream, &headers.concat())
 }
 
 #[test]
@@ -70,8 +76,8 @@
     let (mut hub, address) = hub();
     let mut peer = TcpStream::connect(address).unwrap();
     peer.set_nonblocking(true).unwrap();
-    let data = h2(0, 1, 1, &[0, 0, 0, 0, 2, b'h', b'i']);
-    peer.write_all(&[greeting(), ask(1), data].concat()).unwrap();
+    let data = http2_frame(0, 1, 1, &[0, 0, 0, 0, 2, b'h', b'i']);
+    peer.write_all(&[preface(), request_headers(1), data].concat()).unwrap();
     let (conn, stream) = until(&mut hub, |_, input| match input {
         Input::Call { conn, stream, path, timeout } => {
             assert_eq!((path.as_str(), *timeout), ("/some.Service/Call", Some(SECOND / 4)));
@@ -83,35 +89,37 @@
     hub.finish(conn, stream, Status::OK);
     let mut got = Vec::new();
     let end = now() + 10 * SECOND;
-    let wanted = h2(0, 0, 1, &[0, 0, 0, 0, 3, b'y', b'e', b's']);
+    let expected = http2_frame(0, 0, 1, &[0, 0, 0, 0, 3, b'y', b'e', b's']);
     // The status travels in a block of headers that ends the stream.
     let trailers = |got: &[u8]| got.windows(9).any(|head| head[3] == 1 && head[4] == 5 && head[8] == 1);
-    while !(got.windows(wanted.len()).any(|part| part == wanted) && trailers(&got)) && now() < end {
+    while !(got.windows(expected.len()).any(|part| part == expected) && trailers(&got)) && now() < end {
         hub.wait(Some(now() + SECOND / 100)).unwrap();
         let _ = peer.read_to_end(&mut got);
     }
-    assert!(got.windows(wanted.len()).any(|part| part == wanted), "the message, framed, is on the wire");
+    assert!(got.windows(expected.len()).any(|part| part == expected), "the message, framed, is on the wire");
     assert!(trailers(&got));
 }
 
 #[test]
-fn nonsense_and_floods_cost_their_own_connection_only() {
+fn malformed_input_and_floods_end_only_their_own_connection() {
     let (mut hub, address) = hub();
-    let sound = hub.dial(address).unwrap();
-    let call = hub.call(sound, "/a/b", None).unwrap();
+    let healthy = hub.dial(address).unwrap();
+    let call = hub.call(healthy, "/a/b", None).unwrap();
     let (conn, stream) = until(&mut hub, |_, input| match input {
         Input::Call { conn, stream, .. } => Some((*conn, *stream)),
         _ => None,
     });
     let resets: Vec<u8> = (0..2000)
-        .flat_map(|at| [ask(2 * at + 1), h2(3, 0, 2 * at + 1, &8_u32.to_be_bytes())].concat())
+        .flat_map(|at| {
+            [request_headers(2 * at + 1), http2_frame(3, 0, 2 * at + 1, &8_u32.to_be_bytes())].concat()
+        })
         .collect();
-    let oversized = [greeting(), vec![0xff; 9], vec![0; 70000]].concat();
+    let oversized = [preface(), vec![0xff; 9], vec![0; 70000]].concat();
     let bad: [Vec<u8>; 4] = [
         b"GET / HTTP/1.1\r\n\r\n".to_vec(),
         oversized,
-        [greeting(), resets].concat(),
-        [greeting(), h2(4, 0, 0, &[0; 5])].concat(),
+        [preface(), resets].concat(),
+        [preface(), http2_frame(4, 0, 0, &[0; 5])].concat(),
     ];
     for bytes in bad {
         let mut peer = TcpStream::connect(address).unwrap();
@@ -119,7 +127,7 @@
         let _ = peer.write_all(&bytes);
         until(&mut hub, |_, input| match input {
             Input::Closed { conn: closed, .. } => {
-                assert!(*closed != conn && *closed != sound);
+                assert!(*closed != conn && *closed != healthy);
                 Some(())
             }
             _ => None,
@@ -136,7 +144,7 @@
 }
 
 #[test]
-fn a_message_over_the_limit_ends_its_call_with_a_status() {
+fn message_over_the_limit_ends_its_call_with_a_status() {
     let (mut hub, address) = hub();
     let conn = hub.dial(address).unwrap();
     let (large, small) =
@@ -161,7 +169,7 @@
 }
 
 #[test]
-fn a_peer_that_reads_nothing_is_bounded() {
+fn call_ends_when_the_peer_does_not_read() {
     let (mut hub, address) = hub();
     let conn = hub.dial(address).unwrap();
     let call = hub.call(conn, "/a/b", None).unwrap();
@@ -169,15 +177,15 @@
         Input::Call { conn, stream, .. } => Some((*conn, *stream)),
         _ => None,
     });
-    hub.pause(conn, true);
-    // More than the windows of HTTP/2 and the bound on what waits together.
+    hub.set_paused(conn, true);
+    // More than the windows of HTTP/2 and the limit on unsent bytes together.
     (0..4000).for_each(|_| hub.send(far, stream, &[0; 1000]));
     let status = until(&mut hub, |_, input| match input {
         Input::Ended { conn, status, .. } if *conn == far => Some(status.clone()),
         _ => None,
     });
     assert_eq!(status.code, Code::ResourceExhausted);
-    hub.pause(conn, false);
+    hub.set_paused(conn, false);
     let status = until(&mut hub, |_, input| match input {
         Input::Ended { conn: at, stream, status } if *at == conn && *stream == call => Some(status.clone()),
         _ => None,
--- a/crates/standins/src/callers.rs
+++ b/crates/standins/src/callers.rs
@@ -49,7 +49,7 @@
     let (plan, rest): (CallersPlan, _) = read_plan(&mut hub)?;
     say_ready(&Ready { addresses: Vec::new() })?;
     let start = now();
-    hub.set(start, Key::Arrive);
+    hub.set_timer(start, Key::Arrive);
     let mut callers = Callers {
         trace: Trace::new(&plan.trace)?,
         chance: Rand64::new(plan.seed.into()),
@@ -80,9 +80,9 @@
 impl Callers {
     fn take(&mut self, input: Input<(), Key>) -> Result<bool> {
         match input {
-            Input::Due(Key::Arrive) => self.arrive(),
-            Input::Due(Key::Again(number)) => self.attempt(number),
-            Input::Due(Key::Late(number)) => {
+            Input::Timer(Key::Arrive) => self.arrive(),
+            Input::Timer(Key::Again(number)) => self.attempt(number),
+            Input::Timer(Key::Late(number)) => {
                 if let Some((conn, stream)) = self.asked.get_mut(&number).and_then(|asked| asked.call.take())
                 {
                     self.hub.cancel(conn, stream);
@@ -95,7 +95,7 @@
                     self.answered(number, &status);
                 }
             }
-            Input::Closed { conn, why } => {
+            Input::Closed { conn, reason } => {
                 self.conns.retain(|_, of| *of != conn);
                 let open: Vec<u64> = self
                     .by_call
@@ -104,11 +104,11 @@
                     .collect();
                 self.by_call.retain(|(of, _), _| *of != conn);
                 for number in open {
-                    self.answered(number, &Status::new(Code::Unavailable, why.as_str()));
+                    self.answered(number, &Status::new(Code::Unavailable, reason.to_string()));
                 }
             }
             Input::Line(line) => self.command(&line)?,
-            Input::NoMoreLines | Input::Stop => return Ok(false),
+            Input::EndOfLines | Input::Stop => return Ok(false),
             _ => {}
         }
         Ok(true)
@@ -136,7 +136,7 @@
             self.ask(time);
         }
         if !self.quits {
-            self.hub.set(self.next, Key::Arrive);
+            self.hub.set_timer(self.next, Key::Arrive);
         }
     }
 
@@ -165,7 +165,7 @@
             operation: operation as u32,
             ..Invocation::default()
         };
-        let timer = self.hub.set(time + timeout, Key::Late(self.last));
+        let timer = self.hub.set_timer(time + timeout, Key::Late(self.last));
         self.asked.insert(self.last, Asked { inv, forwarder, asked: time, call: None, timer });
         self.attempt(self.last);
     }
@@ -213,12 +213,12 @@
             return self.over(number, outcome);
         }
         asked.inv.attempt += 1;
-        self.hub.set(now() + self.plan.backoff, Key::Again(number));
+        self.hub.set_timer(now() + self.plan.backoff, Key::Again(number));
     }
 
     fn over(&mut self, number: u64, outcome: Outcome) {
         let Some(asked) = self.asked.remove(&number) else { return };
-        self.hub.unset(asked.timer);
+        self.hub.cancel_timer(asked.timer);
         self.trace.put(&Seen::Done {
             asked: asked.asked,
             at: now(),
--- a/crates/standins/src/forwarders.rs
+++ b/crates/standins/src/forwarders.rs
@@ -287,7 +287,7 @@
             Input::Opened { conn, at } => {
                 if let Some(forwarder) = self.forwarders.get_mut(&at) {
                     forwarder.callers.insert(conn);
-                    self.hub.pause(conn, forwarder.stalled);
+                    self.hub.set_paused(conn, forwarder.stalled);
                 }
             }
             Input::Call { conn, stream, .. } => {
@@ -321,18 +321,18 @@
                     self.weights(id, &bytes);
                 }
             }
-            Input::HalfClosed { .. } | Input::Nudged | Input::Reload => {}
+            Input::HalfClosed { .. } | Input::Woken | Input::Reload => {}
             Input::Ended { conn, stream, status } => self.ended(conn, stream, &status),
-            Input::Closed { conn, why } => self.closed(conn, &why),
-            Input::Due(Key::Redial(forwarder)) => self.dial(forwarder),
-            Input::Due(Key::Report(forwarder, generation)) => self.report(forwarder, generation),
-            Input::Due(Key::Send(forwarder, conn, message)) => {
+            Input::Closed { conn, reason } => self.closed(conn, &reason.to_string()),
+            Input::Timer(Key::Redial(forwarder)) => self.dial(forwarder),
+            Input::Timer(Key::Report(forwarder, generation)) => self.report(forwarder, generation),
+            Input::Timer(Key::Send(forwarder, conn, message)) => {
                 let link = self.forwarders.get(&forwarder).and_then(|forwarder| forwarder.link);
                 if let Some((_, _, load)) = link.filter(|link| link.0 == conn) {
                     self.hub.send(conn, load, &message);
                 }
             }
-            Input::Due(Key::TryOver(trial)) => {
+            Input::Timer(Key::TryOver(trial)) => {
                 if let Some(held) = self.trials.get(&trial) {
                     if let Some((conn, stream)) = held.at {
                         self.hub.cancel(conn, stream);
@@ -341,22 +341,22 @@
                     self.tried(trial, Err((Status::new(Code::DeadlineExceeded, "no answer in time"), false)));
                 }
             }
-            Input::Due(Key::Ranges(forwarder, generation)) => {
+            Input::Timer(Key::Ranges(forwarder, generation)) => {
                 let current = self.forwarders.get(&forwarder).is_some_and(|f| f.held == generation);
                 if current {
                     self.ask_ranges(forwarder);
                 }
             }
-            Input::Due(Key::Late(id, conn, update)) => {
+            Input::Timer(Key::Late(id, conn, update)) => {
                 let link = self.forwarders.get(&id).and_then(|forwarder| forwarder.link);
                 if let Some((_, stream, _)) = link.filter(|link| link.0 == conn) {
                     self.lines(id, conn, stream, &update, 0);
                 }
             }
-            Input::Due(Key::Again(id)) => self.ask_again(id),
-            Input::Due(Key::Odd) => self.be_odd(),
+            Input::Timer(Key::Again(id)) => self.ask_again(id),
+            Input::Timer(Key::Odd) => self.be_odd(),
             Input::Line(line) => self.command(serde_json::from_str(&line)?),
-            Input::NoMoreLines | Input::Stop => return Ok(false),
+            Input::EndOfLines | Input::Stop => return Ok(false),
         }
         Ok(true)
     }
@@ -387,7 +387,7 @@
         for (id, body) in [state, register].into_iter().enumerate() {
             self.hub.write(conn, &Message { id: id as u32, body }.encode());
         }
-        self.hub.pause(conn, forwarder.stalled);
+        self.hub.set_paused(conn, forwarder.stalled);
     }
 
     fn weights(&mut self, id: u32, bytes: &[u8]) {
@@ -482,7 +482,7 @@
         }
         let report = LoadReport { node: Some(forwarder.list.node.clone()), clusters: Vec::new() };
         self.hub.send(conn, load, &report.encode());
-        self.hub.pause(conn, forwarder.stalled);
+        self.hub.set_paused(conn, forwarder.stalled);
         self.ask_ranges(id);
     }
 
@@ -498,7 +498,7 @@
         self.hub.send(conn, stream, &RangesAsk { asked: time, seen, holds }.encode_to_vec());
         forwarder.held += 1;
         let wait = if forwarder.tenure > 0 { forwarder.tenure / 4 } else { self.plan.redial.0 };
-        self.hub.set(time + wait, Key::Ranges(id, forwarder.held));
+        self.hub.set_timer(time + wait, Key::Ranges(id, forwarder.held));
     }
 
     fn ranges(&mut self, id: u32, message: &[u8]) {
@@ -525,7 +525,7 @@
         let wait = least + (self.chance.rand_float() * most.saturating_sub(least) as f64) as Nanos;
         if let Some(forwarder) = self.forwarders.get_mut(&id) {
             forwarder.supervisor = (forwarder.supervisor + 1) % self.plan.supervisors.len().max(1);
-            self.hub.set(now() + wait, Key::Redial(id));
+            self.hub.set_timer(now() + wait, Key::Redial(id));
         }
     }
 
@@ -541,7 +541,7 @@
             // The next supervisor's first weights replace what is held.
             forwarder.tables.iter_mut().for_each(|table| table.told.clear());
         }
-        self.hub.close(conn, false);
+        self.hub.close(conn);
         self.redial(id);
     }
 
@@ -553,7 +553,7 @@
                 forwarder.interval = answer.interval.max(SECOND / 100);
                 self.last += 1;
                 forwarder.generation = self.last;
-                self.hub.set(now() + forwarder.interval, Key::Report(id, forwarder.generation));
+                self.hub.set_timer(now() + forwarder.interval, Key::Report(id, forwarder.generation));
                 if !std::mem::replace(&mut forwarder.up, true) {
                     let supervisor = forwarder.supervisor as u32;
                     self.trace.put(&Seen::Joined { at: now(), forwarder: id, supervisor });
@@ -583,7 +583,7 @@
             drawn if drawn < 1.0 => {}
             drawn if drawn < 2.0 => {
                 let at = now() + (delay as f64 * self.chance.rand_float()) as Nanos;
-                self.hub.set(at, Key::Late(id, conn, Box::new(update)));
+                self.hub.set_timer(at, Key::Late(id, conn, Box::new(update)));
             }
             drawn if drawn < 2.5 => {
                 self.lines(id, conn, stream, &update, bytes);
@@ -614,7 +614,7 @@
         let (table, delta) = match delta {
             Ok(read) => read,
             Err(status) => {
-                let answer = forwarder.list.turn_down(update, status.text);
+                let answer = forwarder.list.turn_down(update, status.message);
                 return self.hub.send(conn, stream, &answer);
             }
         };
@@ -637,7 +637,7 @@
 
     fn remind(&mut self, id: u32, due: Option<Nanos>) {
         if let Some(due) = due {
-            self.hub.set(due, Key::Again(id));
+            self.hub.set_timer(due, Key::Again(id));
         }
     }
 
@@ -753,7 +753,7 @@
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
         let answer = match result {
             Ok(()) => forwarder.list.accept(update),
-            Err(status) => forwarder.list.turn_down(update, status.text),
+            Err(status) => forwarder.list.turn_down(update, status.message),
         };
         self.hub.send(conn, stream, &answer);
         self.look_for_lines(id);
@@ -839,7 +839,7 @@
         for address in unused {
             if let Some(conn) = forwarder.conns.remove(&address) {
                 self.servers.remove(&conn);
-                self.hub.close(conn, false);
+                self.hub.close(conn);
             }
         }
     }
@@ -858,7 +858,7 @@
         let Some(forwarder) = self.forwarders.get_mut(&id).filter(|f| f.generation == generation) else {
             return;
         };
-        self.hub.set(now() + forwarder.interval, Key::Report(id, generation));
+        self.hub.set_timer(now() + forwarder.interval, Key::Report(id, generation));
         let Some((conn, _, load)) = forwarder.link.filter(|_| !forwarder.stalled) else { return };
         let interval = now().saturating_sub(std::mem::replace(&mut forwarder.reported, now()));
         let mut clusters = Vec::new();
@@ -903,7 +903,7 @@
         }
         let message = LoadReport { node: None, clusters }.encode();
         if self.late > 0 {
-            self.hub.set(now() + self.late, Key::Send(id, conn, message));
+            self.hub.set_timer(now() + self.late, Key::Send(id, conn, message));
         } else {
             self.hub.send(conn, load, &message);
         }
@@ -1027,7 +1027,7 @@
         let server = self.ids.get(&address).copied().unwrap_or(u32::MAX);
         let (inv, further) = (trial.inv.inv, trial.inv.further);
         self.trace.put(&Seen::Tried { at: now(), forwarder: id, server, inv, further });
-        trial.timer = Some(self.hub.set(until, Key::TryOver(number)));
+        trial.timer = Some(self.hub.set_timer(until, Key::TryOver(number)));
         // Across a cut nothing passes: the try ends by its time alone.
         let far = self.zones.get(&address).is_some_and(|zone| {
             *zone != forwarder.plan.zone
@@ -1117,7 +1117,7 @@
 
     fn settle(&mut self, trial: &Trial) {
         if let Some(timer) = trial.timer {
-            self.hub.unset(timer);
+            self.hub.cancel_timer(timer);
         }
         if let Some(forwarder) = self.forwarders.get_mut(&trial.forwarder) {
             if let Some(open) = forwarder.open.get_mut(&trial.address) {
@@ -1195,7 +1195,7 @@
             return;
         }
         self.oddity += 1;
-        self.hub.set(now() + SECOND / 1000, Key::Odd);
+        self.hub.set_timer(now() + SECOND / 1000, Key::Odd);
         let operation = self.plan.operations[0].name.clone();
         let own = |servers: Vec<Member>| {
             let groups = vec![(Self::odd_group("odd", &operation), servers)];
@@ -1244,7 +1244,7 @@
             let body = match kind {
                 Odd::Asks => Body::GetWeights { groups: vec![Self::odd_group("odd", &operation)] },
                 Odd::ReadsNothing => {
-                    self.hub.pause(conn, true);
+                    self.hub.set_paused(conn, true);
                     continue;
                 }
                 Odd::Dies => {
@@ -1253,7 +1253,7 @@
                         self.hub.write(conn, &Message { id: 1, body: own(Vec::new()) }.encode()[..20]);
                     } else if time % 20 == 10 {
                         self.odd.remove(&conn);
-                        self.hub.close(conn, true);
+                        self.hub.reset(conn);
                     }
                     continue;
                 }
@@ -1286,11 +1286,11 @@
             .chain(forwarder.conns.values().copied())
             .chain(forwarder.callers.iter().copied())
             .collect();
-        self.hub.unlisten(forwarder.listener);
+        self.hub.stop_listening(forwarder.listener);
         for conn in conns {
             self.links.remove(&conn);
             self.servers.remove(&conn);
-            self.hub.close(conn, true);
+            self.hub.reset(conn);
             self.by_call.retain(|(of, _), _| *of != conn);
             self.by_caller.retain(|(of, _), _| *of != conn);
             self.calls.retain(|(of, _), _| *of != conn);
@@ -1314,8 +1314,8 @@
             .into_iter()
             .chain(forwarder.conns.values().copied())
             .chain(forwarder.callers.iter().copied());
-        conns.collect::<Vec<_>>().into_iter().for_each(|conn| self.hub.pause(conn, on));
-        self.hub.pause_listener(forwarder.listener, on);
+        conns.collect::<Vec<_>>().into_iter().for_each(|conn| self.hub.set_paused(conn, on));
+        self.hub.set_listener_paused(forwarder.listener, on);
     }
 
     fn command(&mut self, command: Command) {
@@ -1338,7 +1338,7 @@
                     self.trace.put(&Seen::Reachable { at: now(), forwarder: id, on: !on });
                     let link = self.forwarders.get(&id).and_then(|forwarder| forwarder.link);
                     if let Some((conn, ..)) = link {
-                        self.hub.pause(conn, on);
+                        self.hub.set_paused(conn, on);
                     }
                 }
             }
@@ -1355,9 +1355,9 @@
             Command::OddBalancers { on } => {
                 self.oddity = u32::from(on);
                 if on {
-                    self.hub.set(now(), Key::Odd);
+                    self.hub.set_timer(now(), Key::Odd);
                 } else {
-                    std::mem::take(&mut self.odd).into_keys().for_each(|conn| self.hub.close(conn, true));
+                    std::mem::take(&mut self.odd).into_keys().for_each(|conn| self.hub.reset(conn));
                 }
             }
             Command::ReportGhost { on } => self.ghost = on,
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -22,11 +22,16 @@
 use anyhow::{bail, Context, Result};
 use serde::de::DeserializeOwned;
 use shalereel_reactor::SECOND;
-use shalereel_rpc::{Bounds, Hub, Input};
+use shalereel_rpc::{ConnectionLimits, Hub, Input};
 
 /// What one connection among stand-ins may cost.
-const BOUNDS: Bounds =
-    Bounds { message: 4 << 20, calls: 10_000, unread: 16 << 20, silence: 20 * SECOND, retry: SECOND / 20 };
+const BOUNDS: ConnectionLimits = ConnectionLimits {
+    max_message_bytes: 4 << 20,
+    max_concurrent_calls: 10_000,
+    max_unsent_bytes: 16 << 20,
+    user_timeout: 20 * SECOND,
+    retry_delay: SECOND / 20,
+};
 
 /// Plays one stand-in until its input ends or it is told to stop.
 pub fn run(role: &str) -> Result<()> {
@@ -51,7 +56,7 @@
                     let plan = serde_json::from_str(&line).context("the plan cannot be read")?;
                     return Ok((plan, inputs.collect()));
                 }
-                Input::NoMoreLines => bail!("the input ended before a plan"),
+                Input::EndOfLines => bail!("the input ended before a plan"),
                 _ => {}
             }
         }
--- a/crates/standins/src/links.rs
+++ b/crates/standins/src/links.rs
@@ -45,7 +45,7 @@
                 }
                 Input::Closed { conn, .. } => links.over(conn),
                 Input::Line(line) => links.command(serde_json::from_str(&line)?),
-                Input::NoMoreLines | Input::Stop => return Ok(()),
+                Input::EndOfLines | Input::Stop => return Ok(()),
                 _ => {}
             }
         }
@@ -57,19 +57,19 @@
     fn opened(&mut self, conn: ConnId, pair: Pair) {
         let target = self.targets.get(&pair.1).copied();
         let Some(other) = target.and_then(|target| self.hub.dial_plain(target).ok()) else {
-            return self.hub.close(conn, true);
+            return self.hub.reset(conn);
         };
         self.ends.insert(conn, (other, pair));
         self.ends.insert(other, (conn, pair));
         let shut = self.cut.contains(&pair);
-        self.hub.pause(conn, shut);
-        self.hub.pause(other, shut);
+        self.hub.set_paused(conn, shut);
+        self.hub.set_paused(other, shut);
     }
 
     fn over(&mut self, conn: ConnId) {
         if let Some((other, _)) = self.ends.remove(&conn) {
             self.ends.remove(&other);
-            self.hub.close(other, true);
+            self.hub.reset(other);
         }
     }
 
@@ -81,7 +81,7 @@
             Command::CutLinks { pairs } => {
                 self.cut = pairs.into_iter().collect();
                 for (conn, (_, pair)) in &self.ends {
-                    self.hub.pause(*conn, self.cut.contains(pair));
+                    self.hub.set_paused(*conn, self.cut.contains(pair));
                 }
             }
             other => eprintln!("links cannot {other:?}"),
--- a/crates/standins/src/registry.rs
+++ b/crates/standins/src/registry.rs
@@ -58,11 +58,11 @@
                 Input::Ended { conn, stream, .. } => drop(registry.streams.remove(&(conn, stream))),
                 Input::Closed { conn, .. } => registry.streams.retain(|(of, _), _| *of != conn),
                 Input::Line(line) => registry.command(serde_json::from_str(&line)?),
-                Input::NoMoreLines | Input::Stop => return registry.trace.finish(),
+                Input::EndOfLines | Input::Stop => return registry.trace.finish(),
                 Input::Opened { .. }
                 | Input::Bytes { .. }
-                | Input::Due(())
-                | Input::Nudged
+                | Input::Timer(())
+                | Input::Woken
                 | Input::Reload => {}
             }
         }
@@ -152,11 +152,11 @@
                 self.say_all();
             }
             Command::Away { on } => {
-                self.hub.pause_listener(self.listener, on);
+                self.hub.set_listener_paused(self.listener, on);
                 if on {
                     let conns: std::collections::BTreeSet<ConnId> =
                         self.streams.keys().map(|key| key.0).collect();
-                    conns.into_iter().for_each(|conn| self.hub.close(conn, true));
+                    conns.into_iter().for_each(|conn| self.hub.reset(conn));
                     self.streams.clear();
                 }
             }
--- a/crates/standins/src/servers.rs
+++ b/crates/standins/src/servers.rs
@@ -130,19 +130,19 @@
             }
             Input::Ended { conn, stream, .. } => self.given_up(conn, stream),
             Input::Closed { conn, .. } => self.closed(conn),
-            Input::Due(Key::Done { server, job }) => self.done(server, job),
-            Input::Due(Key::Refuse(server)) => {
+            Input::Timer(Key::Done { server, job }) => self.done(server, job),
+            Input::Timer(Key::Refuse(server)) => {
                 if let Some(server) = self.servers.get_mut(&server) {
                     server.refuses = true;
                 }
             }
-            Input::Due(Key::Shaken(conn)) => self.hub.pause(conn, false),
+            Input::Timer(Key::Shaken(conn)) => self.hub.set_paused(conn, false),
             Input::Line(line) => self.command(serde_json::from_str(&line)?)?,
-            Input::NoMoreLines | Input::Stop => return Ok(false),
+            Input::EndOfLines | Input::Stop => return Ok(false),
             Input::Message { .. }
             | Input::HalfClosed { .. }
             | Input::Bytes { .. }
-            | Input::Nudged
+            | Input::Woken
             | Input::Reload => {}
         }
         Ok(true)
@@ -152,15 +152,15 @@
         let Some(server) = self.servers.get_mut(&at) else { return };
         let kind = &self.plan.kinds[usize::from(server.plan.kind)];
         if server.conns.len() as f64 >= f64::from(kind.connections) * server.squeeze {
-            return self.hub.close(conn, true);
+            return self.hub.reset(conn);
         }
         server.conns.insert(conn);
         self.owners.insert(conn, at);
         if server.silent {
-            self.hub.pause(conn, true);
+            self.hub.set_paused(conn, true);
         } else if server.handshake > 0 {
-            self.hub.pause(conn, true);
-            self.hub.set(now() + server.handshake, Key::Shaken(conn));
+            self.hub.set_paused(conn, true);
+            self.hub.set_timer(now() + server.handshake, Key::Shaken(conn));
         }
     }
 
@@ -174,7 +174,7 @@
             server.running.iter().filter(|(_, (job, _))| job.conn == conn).map(|(&job, _)| job).collect();
         for job in gone {
             if let Some((_, timer)) = server.running.remove(&job) {
-                self.hub.unset(timer);
+                self.hub.cancel_timer(timer);
             }
         }
         self.work(id);
@@ -191,7 +191,7 @@
         let of = |job: &Job| (job.conn, job.stream) == (conn, stream);
         let gone = server.running.iter().find(|(_, (job, _))| of(job)).map(|(&job, _)| job);
         if let Some((_, timer)) = gone.and_then(|job| server.running.remove(&job)) {
-            self.hub.unset(timer);
+            self.hub.cancel_timer(timer);
         }
         self.work(id);
     }
@@ -265,7 +265,7 @@
             // What it writes it writes first: an invocation given up later may have taken effect.
             self.take_effect(id, &job.inv);
             let span = (job.inv.work as f64 / pace) as Nanos;
-            let timer = self.hub.set(time + span, Key::Done { server: id, job: self.jobs });
+            let timer = self.hub.set_timer(time + span, Key::Done { server: id, job: self.jobs });
             if let Some(server) = self.servers.get_mut(&id) {
                 server.running.insert(self.jobs, (job, timer));
             }
@@ -325,14 +325,14 @@
     fn down(&mut self, id: u32) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         if let Some(listener) = server.listener.take() {
-            self.hub.unlisten(listener);
+            self.hub.stop_listening(listener);
         }
         server.queue.clear();
         for (_, timer) in std::mem::take(&mut server.running).into_values() {
-            self.hub.unset(timer);
+            self.hub.cancel_timer(timer);
         }
         for conn in std::mem::take(&mut server.conns) {
-            self.hub.close(conn, true);
+            self.hub.reset(conn);
             self.owners.remove(&conn);
             self.calls.retain(|(of, _)| *of != conn);
         }
@@ -373,7 +373,7 @@
                 for id in &servers {
                     let Some(server) = self.servers.get_mut(id) else { continue };
                     server.silent = on;
-                    server.conns.iter().for_each(|&conn| self.hub.pause(conn, on));
+                    server.conns.iter().for_each(|&conn| self.hub.set_paused(conn, on));
                 }
                 self.come_to(&servers, on);
             }
@@ -386,7 +386,7 @@
             Command::Misreport { servers, on } => self.each(&servers, |server| server.misreports = on),
             Command::Drain { servers, grace } => {
                 for &id in &servers {
-                    self.hub.set(now() + grace, Key::Refuse(id));
+                    self.hub.set_timer(now() + grace, Key::Refuse(id));
                 }
             }
             Command::Squeeze { servers, part } => self.each(&servers, |server| server.squeeze = part),
--- a/crates/xds-supervisor/src/daemon.rs
+++ b/crates/xds-supervisor/src/daemon.rs
@@ -174,7 +174,7 @@
         again: BTreeMap::new(),
         deployment,
     };
-    let nudge = daemon.hub.nudges()?;
+    let nudge = daemon.hub.wake_stream()?;
     daemon.share(nudge.try_clone()?)?;
     daemon.recall(nudge.try_clone()?);
     daemon.reminisce(nudge);
@@ -326,8 +326,8 @@
         }
         let (hub, peers, balancers) = (&self.hub, &self.peers, &self.balancers);
         let blocked = |peer: Peer| match peers.get(&peer) {
-            Some(&(conn, stream)) => hub.unread(conn, stream) > 0,
-            None => balancers.get(&peer).is_some_and(|&conn| hub.unwritten(conn) > 0),
+            Some(&(conn, stream)) => hub.unsent_call_bytes(conn, stream) > 0,
+            None => balancers.get(&peer).is_some_and(|&conn| hub.unsent_plain_bytes(conn) > 0),
         };
         for effect in self.core.turn(now(), blocked) {
             self.carry_out(effect);
@@ -365,15 +365,15 @@
                 self.hub.finish(conn, stream, Status::OK);
             }
             Input::Ended { conn, stream, status } => self.over(conn, stream, &status.to_string()),
-            Input::Closed { conn, why } => self.closed(conn, &why),
-            Input::Due(Key::Dial) => self.dial(),
-            Input::Due(Key::Keep) => self.keep(),
-            Input::Due(Key::ProbeLate(conn)) => {
+            Input::Closed { conn, reason } => self.closed(conn, &reason.to_string()),
+            Input::Timer(Key::Dial) => self.dial(),
+            Input::Timer(Key::Keep) => self.keep(),
+            Input::Timer(Key::ProbeLate(conn)) => {
                 if let Some(&(server, _)) = self.probes.get(&conn) {
                     self.probe_over(conn, server, HealthCheckOutcome::TimedOut);
                 }
             }
-            Input::Nudged => self.nudged(),
+            Input::Woken => self.nudged(),
             // Not asked for: its file is read once.
             Input::Reload => {}
             Input::Stop => self.stopping = true,
@@ -389,7 +389,7 @@
                 }
             }
             Input::Opened { conn, at: Front::Admin } => drop(self.operators.insert(conn)),
-            Input::Opened { .. } | Input::Line(_) | Input::NoMoreLines => {}
+            Input::Opened { .. } | Input::Line(_) | Input::EndOfLines => {}
         }
     }
 
@@ -438,7 +438,7 @@
                 self.core.ended(peer);
             }
             Some(Call::List) => {
-                self.hub.close(conn, false);
+                self.hub.close(conn);
                 self.registry_lost(why);
             }
             Some(Call::Probe(server)) => self.probe_over(conn, server, HealthCheckOutcome::Errored),
@@ -499,7 +499,7 @@
         }
         if let Some(&(conn, stream)) = self.members.get(&to) {
             // One that stands still is not told all that it missed.
-            if self.hub.unread(conn, stream) < self.patience.connection().message {
+            if self.hub.unsent_call_bytes(conn, stream) < self.patience.connection().max_message_bytes {
                 self.hub.send(conn, stream, message);
             }
         }
@@ -508,7 +508,7 @@
     fn member_lost(&mut self, member: u32) {
         if let Some((conn, stream)) = self.members.remove(&member) {
             self.calls.remove(&(conn, stream));
-            self.hub.close(conn, false);
+            self.hub.close(conn);
         }
     }
 
@@ -571,12 +571,12 @@
                 tracing::warn!(peer, %status, "a stream is ended");
                 if let Some(conn) = self.balancers.remove(&peer) {
                     self.advised.remove(&conn);
-                    self.hub.close(conn, false);
+                    self.hub.close(conn);
                 }
                 if let Some((conn, stream)) = self.peers.remove(&peer) {
                     self.calls.remove(&(conn, stream));
                     // One that reads nothing would never see a status.
-                    if self.hub.unread(conn, stream) > 0 {
+                    if self.hub.unsent_call_bytes(conn, stream) > 0 {
                         self.hub.cancel(conn, stream);
                     } else {
                         self.hub.finish(conn, stream, status);
@@ -586,7 +586,7 @@
             Effect::Listen(on) => {
                 self.listening = on;
                 if let Some(conn) = self.registry.take() {
-                    self.hub.close(conn, false);
+                    self.hub.close(conn);
                     self.calls.retain(|(of, _), _| *of != conn);
                 }
                 if on {
@@ -595,7 +595,7 @@
             }
             Effect::AskList => {
                 if let Some(conn) = self.registry.take() {
-                    self.hub.close(conn, false);
+                    self.hub.close(conn);
                     self.calls.retain(|(of, _), _| *of != conn);
                 }
                 self.dial();
@@ -606,7 +606,7 @@
             Effect::Remember => {
                 // Off the publishing path: what follows from the list leaves first.
                 if !std::mem::replace(&mut self.to_keep, true) {
-                    self.hub.set(self.patience.keep_by(now()), Key::Keep);
+                    self.hub.set_timer(self.patience.keep_by(now()), Key::Keep);
                 }
             }
         }
@@ -638,7 +638,7 @@
         tracing::warn!(why, "the registry's stream is lost");
         self.core.list_failed();
         if !self.deployment.facts.polls_endpoints {
-            self.hub.set(self.patience.list_again(now()), Key::Dial);
+            self.hub.set_timer(self.patience.list_again(now()), Key::Dial);
         }
     }
 
@@ -662,14 +662,14 @@
             }
             Err(status) => {
                 tracing::warn!(%status, version = update.version, "the list is turned down");
-                self.list.turn_down(&update, status.text)
+                self.list.turn_down(&update, status.message)
             }
         };
         self.hub.send(conn, stream, &answer);
         if !self.listening {
             // Asked for once.
             self.calls.remove(&(conn, stream));
-            self.hub.close(conn, false);
+            self.hub.close(conn);
             self.registry = None;
         }
     }
@@ -686,13 +686,13 @@
         };
         self.calls.insert((conn, stream), Call::Probe(server));
         self.probes.insert(conn, (server, now()));
-        self.hub.set(self.patience.probed_by(now()), Key::ProbeLate(conn));
+        self.hub.set_timer(self.patience.probed_by(now()), Key::ProbeLate(conn));
     }
 
     fn probe_over(&mut self, conn: ConnId, server: ServerId, ending: HealthCheckOutcome) {
         if let Some((_, begun)) = self.probes.remove(&conn) {
             self.calls.retain(|(of, _), _| *of != conn);
-            self.hub.close(conn, false);
+            self.hub.close(conn);
             self.core.probed(server, ending, now() - begun);
         }
     }
--- a/crates/xds-supervisor/src/patience.rs
+++ b/crates/xds-supervisor/src/patience.rs
@@ -91,10 +91,14 @@
     }
 
     /// What one connection may cost.
-    pub fn connection(&self) -> shalereel_rpc::Bounds {
-        let (message, calls) = (MESSAGE, CALLS);
-        let (silence, retry) = (self.answer_by(0), REFUSED_AGAIN);
-        shalereel_rpc::Bounds { message, calls, unread: UNREAD * MESSAGE, silence, retry }
+    pub fn connection(&self) -> shalereel_rpc::ConnectionLimits {
+        shalereel_rpc::ConnectionLimits {
+            max_message_bytes: MESSAGE,
+            max_concurrent_calls: CALLS,
+            max_unsent_bytes: UNREAD * MESSAGE,
+            user_timeout: self.answer_by(0),
+            retry_delay: REFUSED_AGAIN,
+        }
     }
 
     /// What one balancer of the second front may cost.
@@ -120,6 +124,6 @@
             (patience.list_again(1000), patience.keep_by(1000), patience.probed_by(1000)),
             (1040, 1010, 1040)
         );
-        assert_eq!((patience.connection().silence, patience.balancer().interval), (600, 1));
+        assert_eq!((patience.connection().user_timeout, patience.balancer().interval), (600, 1));
     }
 }
--- a/crates/xds-supervisor/tests/core.rs
+++ b/crates/xds-supervisor/tests/core.rs
@@ -728,7 +728,7 @@
 
     fn ask(world: &mut World, question: Question) -> Result<serde_json::Value, String> {
         let message = AdminAsk { question: Some(question) }.encode_to_vec();
-        let answer = world.core.admin(world.now, &message).map_err(|status| status.text)?;
+        let answer = world.core.admin(world.now, &message).map_err(|status| status.message)?;
         Ok(serde_json::from_str(&AdminAnswer::decode(&answer[..]).unwrap().told).unwrap())
     }
 
