--- a/crates/guard/src/guard.rs
+++ b/crates/guard/src/guard.rs
@@ -12,8 +12,8 @@
 const WORSE_RATIO: f64 = 1.05;
 /// Attempts to mend a wrong table line by line.
 const MAX_REPAIRS: usize = 3;
-/// A refused table is inspected again so many times within the patience.
-const INSPECTIONS_PER_PATIENCE: Nanos = 32;
+/// A refused table is inspected again so many times within `max_refusal_time`.
+const INSPECTIONS_PER_MAX_REFUSAL_TIME: Nanos = 32;
 
 /// Why some lines are refused.
 #[derive(Clone, Debug, PartialEq)]
@@ -54,7 +54,7 @@
 
     /// When a refused table is inspected again, ns, if nothing changes before: the pool changes by time alone.
     pub fn next_inspection(&self, now: Nanos) -> Option<Nanos> {
-        self.refusing_since.map(|_| now + self.limits.patience / INSPECTIONS_PER_PATIENCE)
+        self.refusing_since.map(|_| now + self.limits.max_refusal_time / INSPECTIONS_PER_MAX_REFUSAL_TIME)
     }
 
     /// Whether a table is to be withheld from proxies, which have something better: one without a usable line is, while a
@@ -65,10 +65,10 @@
 
     /// Judges a table that is about to replace another one.
     ///
-    /// What the table before has as much of, with the withdrawals that keep a rule, is not held against the new one: the
+    /// What the table before has as much of, with the removals that keep a rule, is not held against the new one: the
     /// pool has changed, and the controller follows it piece by piece. Other findings are taken back line by line: the line
     /// concerned, or, where too few servers would be left, each line that takes a ready server out. If the rest is still
-    /// wrong, nothing but withdrawals that keep a rule is published. A wrong table is published all the same where the one
+    /// wrong, nothing but removals that keep a rule is published. A wrong table is published all the same where the one
     /// before is worse by now.
     pub fn judge(&mut self, now: Nanos, pool: &Pool, before: &Lines, after: &Lines) -> Decision {
         let drained = usable_but_unavailable(pool, after);
@@ -105,13 +105,13 @@
 
     /// Ratios are waived where they alone have been refused for too long.
     fn may_waive(&self, now: Nanos, since: Nanos, findings: &[Finding]) -> bool {
-        let refused_too_long = now.saturating_sub(since) >= self.limits.patience;
+        let refused_too_long = now.saturating_sub(since) >= self.limits.max_refusal_time;
         refused_too_long && !findings.iter().any(|finding| finding.rule.is_mandatory())
     }
 
     fn is_report_due(&self, now: Nanos, since: Nanos) -> bool {
         let first = self.reported_at == 0 || since == now;
-        first || now.saturating_sub(self.reported_at) >= self.limits.patience
+        first || now.saturating_sub(self.reported_at) >= self.limits.max_refusal_time
     }
 
     /// The new table with the lines of findings taken back to the fallback's; the fallback where that does not help.
@@ -154,7 +154,7 @@
     lines
 }
 
-/// The table before, with the withdrawals of the next one that keep a rule: those of unavailable servers and of servers in
+/// The table before, with the removals of the next one that keep a rule: those of unavailable servers and of servers in
 /// slow start.
 fn fallback(pool: &Pool, before: &Lines, next: &Lines) -> Lines {
     let mut fallback = before.clone();
--- a/crates/guard/src/limits.rs
+++ b/crates/guard/src/limits.rs
@@ -5,7 +5,7 @@
 use crate::pool::Server;
 
 /// Rounds of reports until a ratio is waived: what a table did shows within one, and after two nothing is on its way.
-const PATIENCE_ROUNDS: Nanos = 2;
+const MAX_REFUSAL_ROUNDS: Nanos = 2;
 /// Part of the drain grace that the controller has to take a server out; the guard's own change needs the rest to arrive.
 const DRAIN_CHECK_GRACE_DIVISOR: Nanos = 2;
 
@@ -19,7 +19,7 @@
     /// Most load of a server in slow start, in ratio to its capacity.
     pub(crate) overload_ratio: f64,
     /// Time between reports of a refusal that lasts, and until ratios are waived, ns.
-    pub(crate) patience: Nanos,
+    pub(crate) max_refusal_time: Nanos,
     /// Time until lines of a server that is draining or was removed are inspected again, ns.
     pub(crate) drain_check_delay: Nanos,
 }
@@ -31,7 +31,7 @@
             slow_start_capacity: config.slow_start_capacity,
             slow_start_duration: config.slow_start_duration,
             overload_ratio: config.overload_ratio,
-            patience: PATIENCE_ROUNDS * (config.report_interval + config.worst_transit),
+            max_refusal_time: MAX_REFUSAL_ROUNDS * (config.report_interval + config.worst_transit),
             drain_check_delay: config.drain_grace / DRAIN_CHECK_GRACE_DIVISOR,
         }
     }
--- a/crates/guard/src/tests.rs
+++ b/crates/guard/src/tests.rs
@@ -12,7 +12,7 @@
         slow_start_capacity: 0.25,
         slow_start_duration: 8 * SECOND,
         overload_ratio: 2.5,
-        patience: 4 * SECOND,
+        max_refusal_time: 4 * SECOND,
         drain_check_delay: SECOND,
     }
 }
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn withdrawals_of_unavailable_servers_are_published_while_the_rest_is_refused() {
+fn removals_of_unavailable_servers_are_published_while_the_rest_is_refused() {
     // Server 1 drains; the same table gives all weight to server 5 and takes server 2 out.
     let pool = pool(&[1], &[]);
     let (out, refused) = judged(&pool, &all(), &but(&[(1, 0.0), (2, 0.0), (5, 1e6)]));
@@ -153,13 +153,13 @@
 fn refusals_are_reported_now_and_then_and_ratios_are_waived_but_mandatory_rules_never() {
     let (pool, mut guard) = (pool(&[], &[]), Guard::new(limits()));
     let few = table(&[(1, 1.0), (2, 1.0), (3, 1.0)]);
-    let patience = 4 * SECOND;
+    let max_refusal_time = 4 * SECOND;
     let first = guard.judge(SECOND, &pool, &all(), &few);
     assert_eq!((first.refusals.len(), first.reverted.len()), (1, 9));
     let next = guard.judge(2 * SECOND, &pool, &all(), &few);
     assert_eq!((next.refusals.len(), next.reverted.len()), (0, 9));
     assert!(guard.next_inspection(2 * SECOND).is_some());
-    let waiving = guard.judge(SECOND + patience, &pool, &all(), &few);
+    let waiving = guard.judge(SECOND + max_refusal_time, &pool, &all(), &few);
     assert_eq!((waiving.reverted.len(), waiving.waived[0].rule), (0, Rule::TooFewServers));
     // A mandatory rule is never waived; it is reported again.
     let mut guard = Guard::new(limits());
--- a/crates/platform-supervisor/src/supervisor/controller_runs.rs
+++ b/crates/platform-supervisor/src/supervisor/controller_runs.rs
@@ -4,8 +4,8 @@
 use std::fmt::Debug;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use shalereel::brain::Controller;
 use shalereel::interface::{Action, ControllerConfig, Event, Nanos, WatchEvent};
+use shalereel::Controller;
 use shalereel_reactor::Timers;
 use thiserror::Error;
 
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -5,8 +5,8 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 use anyhow::{Context, Result};
-use shalereel::brain::Controller;
 use shalereel::interface::{Event, Nanos};
+use shalereel::Controller;
 use shalereel_simulator_codec::{
     decode_batch, decode_settings, encode_action, encode_failure, encode_reply, InstanceId, Message, Reply,
 };
--- a/crates/simulator-adapter/tests/hostile.rs
+++ b/crates/simulator-adapter/tests/hostile.rs
@@ -4,10 +4,10 @@
 
 use oorandom::Rand32;
 use rstest::rstest;
-use shalereel::brain::Controller;
 use shalereel::interface::{
     Action, Endpoint, EndpointReport, Event, HealthCheckOutcome, Readiness, WatchEvent,
 };
+use shalereel::Controller;
 use shalereel_simulator_codec::{decode_batch, decode_settings};
 
 const SETTINGS: &str = include_str!("profile.json");
--- a/crates/simulator-codec/src/lib.rs
+++ b/crates/simulator-codec/src/lib.rs
@@ -18,7 +18,7 @@
 
 use shalereel::interface::Nanos;
 
-/// Number by which the simulator tells instances of the controller apart.
+/// Number by which the simulator distinguishes instances of the controller.
 pub type InstanceId = u32;
 
 const NANOS_PER_MS: f64 = 1e6;
--- a/crates/store/src/replica.rs
+++ b/crates/store/src/replica.rs
@@ -39,7 +39,7 @@
     /// No delta of this stream was applied yet: another supervisor's numbers may be lower.
     new_stream: bool,
     /// Servers that deltas which were not applied removed or drained, with the version that did.
-    withdrawn: BTreeMap<ServerId, VersionNumber>,
+    removed_or_draining: BTreeMap<ServerId, VersionNumber>,
     resync_at: Option<Nanos>,
     backoff: ResyncBackoff,
 }
@@ -54,7 +54,7 @@
             last_verified: 0,
             newest_seen: 0,
             new_stream: true,
-            withdrawn: BTreeMap::new(),
+            removed_or_draining: BTreeMap::new(),
             resync_at: None,
             backoff,
         }
@@ -62,8 +62,9 @@
 
     /// Lines that new requests may go by.
     pub fn usable_lines(&self) -> impl Iterator<Item = (ServerId, &Line)> {
-        let usable =
-            |(server, line): &(&ServerId, &Line)| !line.draining && !self.withdrawn.contains_key(*server);
+        let usable = |(server, line): &(&ServerId, &Line)| {
+            !line.draining && !self.removed_or_draining.contains_key(*server)
+        };
         self.lines.iter().filter(usable).map(|(&server, line)| (server, line))
     }
 
@@ -117,9 +118,9 @@
         self.verified = Some(check);
         self.last_verified = check.number;
         if std::mem::take(&mut self.new_stream) {
-            self.withdrawn.clear();
+            self.removed_or_draining.clear();
         }
-        self.withdrawn.retain(|_, by| *by > check.number);
+        self.removed_or_draining.retain(|_, by| *by > check.number);
         if check.number >= self.newest_seen {
             self.resync_at = None;
             self.backoff.reset();
@@ -180,7 +181,7 @@
     fn reject(&mut self, now: Nanos, delta: &Delta) {
         let drained = delta.changed.iter().filter(|(_, line)| line.draining).map(|(server, _)| server);
         let taken_out = delta.removed.iter().chain(drained);
-        self.withdrawn.extend(taken_out.map(|&server| (server, delta.check.number)));
+        self.removed_or_draining.extend(taken_out.map(|&server| (server, delta.check.number)));
         if self.resync_at.is_none() {
             self.resync_at = Some(self.backoff.next(now));
         }
--- a/crates/xds/src/assignment.rs
+++ b/crates/xds/src/assignment.rs
@@ -31,7 +31,7 @@
 const WEIGHT_UNIT: f64 = 10_000.0;
 const MILLION: f64 = 1e6;
 
-/// Health of an endpoint, as far as it is told apart here.
+/// Health of an endpoint, as far as it is distinguished here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Health {
     /// It takes requests.
--- a/crates/xds/src/load_report.rs
+++ b/crates/xds/src/load_report.rs
@@ -65,13 +65,14 @@
     pub clusters: Vec<ClusterLoad>,
 }
 
-fn encode_duration(span: Nanos) -> Duration {
-    Duration { seconds: (span / 1_000_000_000) as i64, nanos: (span % 1_000_000_000) as i32 }
+fn encode_duration(duration: Nanos) -> Duration {
+    Duration { seconds: (duration / 1_000_000_000) as i64, nanos: (duration % 1_000_000_000) as i32 }
 }
 
-fn decode_duration(span: Option<&Duration>) -> Nanos {
-    let whole = |span: &Duration| (span.seconds.max(0) as Nanos).saturating_mul(1_000_000_000);
-    span.map_or(0, |span| whole(span).saturating_add(span.nanos.max(0) as Nanos))
+fn decode_duration(duration: Option<&Duration>) -> Nanos {
+    let seconds_in_ns =
+        |duration: &Duration| (duration.seconds.max(0) as Nanos).saturating_mul(1_000_000_000);
+    duration.map_or(0, |duration| seconds_in_ns(duration).saturating_add(duration.nanos.max(0) as Nanos))
 }
 
 impl EndpointLoad {
--- a/crates/xds/src/server_stream.rs
+++ b/crates/xds/src/server_stream.rs
@@ -9,7 +9,7 @@
 
 use crate::{decoded, types, NodeInfo, Response, Variant};
 
-/// Unacknowledged responses of one type that are told apart; older ones count as never acknowledged.
+/// Unacknowledged responses of one type that are distinguished; older ones count as never acknowledged.
 const MAX_UNACKNOWLEDGED: usize = 1024;
 /// Names that one stream may subscribe to.
 const MAX_NAMES: usize = 4096;
