--- a/crates/platform-supervisor/src/limits.rs
+++ b/crates/platform-supervisor/src/limits.rs
@@ -130,7 +130,7 @@
         MAX_UNREAD_BYTES
     }
 
-    /// How long a proxy may owe acknowledgements, or a peer's kernel TCP's, before it is taken for gone.
+    /// How long a proxy may owe acknowledgements before it is taken for gone; also the user timeout of TCP.
     pub fn proxy_silence_timeout(&self) -> Nanos {
         PROXY_SILENCE_FACTOR * (self.max_round_trip + self.channel_drain_time)
     }
--- a/crates/platform-supervisor/tests/common/mod.rs
+++ b/crates/platform-supervisor/tests/common/mod.rs
@@ -5,6 +5,7 @@
 #![allow(dead_code)]
 
 use serde_json::{json, Value};
+use shalereel_platform_supervisor::{Clocks, EndpointList, ServerRegistry};
 
 /// Nanoseconds per millisecond.
 pub const MS: u64 = 1_000_000;
@@ -33,6 +34,20 @@
     json!({"version": version, "full": false, "servers": entries})
 }
 
+/// A registry that knows the zone and kind of [`list_entry`], and no server.
+pub fn empty_registry() -> ServerRegistry {
+    ServerRegistry::new(vec!["north".into()], vec!["big".into()])
+}
+
+/// A registry with servers s1, s2 and so on, whose identifiers are 1, 2 and so on.
+pub fn registry_of(servers: u32, started_ms: impl Fn(u32) -> f64) -> ServerRegistry {
+    let entry = |index| list_entry(index, "Ready", Cells(1), started_ms(index));
+    let list = EndpointList { version: 1, is_full: true, entries: (1..=servers).map(entry).collect() };
+    let mut registry = empty_registry();
+    registry.apply(list, Clocks { now: 1, unix_ms: 9e9 }, None);
+    registry
+}
+
 /// A list as a chunk of discovery's response.
 pub fn list_chunk(list: &Value) -> String {
     let line = format!("{list}\n");
--- a/crates/platform-supervisor/tests/proxy_tables.rs
+++ b/crates/platform-supervisor/tests/proxy_tables.rs
@@ -1,11 +1,14 @@
 //! The updates that proxies are sent for actions, against a plain model of what each proxy should have.
 
+mod common;
+
 use std::collections::{BTreeMap, BTreeSet};
 
+use common::registry_of;
 use proptest::prelude::*;
 use serde_json::Value;
 use shalereel::interface::{Action, ProxyId, RetryPolicy, ServerId, TableId};
-use shalereel_platform_supervisor::{Clocks, EndpointList, JoinKind, ProxyTables, ServerRegistry};
+use shalereel_platform_supervisor::{JoinKind, ProxyTables};
 
 const OPERATIONS: [&str; 2] = ["look", "buy"];
 const SERVERS: u32 = 5;
@@ -63,19 +66,6 @@
     }
 }
 
-fn registry() -> ServerRegistry {
-    let entries: Vec<Value> = (1..=SERVERS)
-        .map(|at| {
-            serde_json::json!({"id": format!("s{at}"), "addr": "127.0.0.1:1", "zone": "z", "kind": "k",
-            "cell": 0, "state": "Ready", "weight": 1.0, "started_ms": 5.0})
-        })
-        .collect();
-    let mut registry = ServerRegistry::new(vec!["z".into()], vec!["k".into()]);
-    let list = EndpointList { version: 1, is_full: true, entries };
-    registry.apply(list, Clocks { now: 1, unix_ms: 9e9 }, None);
-    registry
-}
-
 #[derive(Clone, Debug)]
 enum Step {
     Join { proxy: ProxyId, is_new: bool, excluded: BTreeSet<u32> },
@@ -175,7 +165,7 @@
 proptest! {
     #[test]
     fn updates_bring_each_proxy_to_what_the_actions_say(steps in proptest::collection::vec(step(), 1..40)) {
-        let (registry, operations) = (registry(), OPERATIONS.map(String::from));
+        let (registry, operations) = (registry_of(SERVERS, |_| 5.0), OPERATIONS.map(String::from));
         let mut tables = ProxyTables::new(OPERATIONS.len());
         let mut model = Model::default();
         let mut proxies: BTreeMap<ProxyId, Proxy> = BTreeMap::new();
@@ -209,7 +199,7 @@
 
 #[test]
 fn only_changes_are_sent_and_equal_updates_share_their_bytes() {
-    let (registry, operations) = (registry(), OPERATIONS.map(String::from));
+    let (registry, operations) = (registry_of(SERVERS, |_| 5.0), OPERATIONS.map(String::from));
     let mut tables = ProxyTables::new(OPERATIONS.len());
     (0..PROXIES).for_each(|proxy| tables.join(proxy, JoinKind::New));
     let set_weight = |server, weight| Action::SetWeight { table: 0, server, weight };
--- a/crates/platform-supervisor/tests/server_registry.rs
+++ b/crates/platform-supervisor/tests/server_registry.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{delta, list_entry, Cells, MS};
+use common::{delta, empty_registry, list_entry, Cells, MS};
 use rstest::rstest;
 use serde_json::{json, Value};
 use shalereel::interface::Action;
@@ -18,10 +18,6 @@
     serde_json::from_value(delta(version, entries)).unwrap()
 }
 
-fn registry() -> ServerRegistry {
-    ServerRegistry::new(vec!["north".into()], vec!["big".into()])
-}
-
 fn apply(tables: &mut ProxyTables, actions: &[Action], registry: &ServerRegistry) -> String {
     let updates = tables.apply(actions, registry, &["look".to_owned()]).unwrap();
     updates.into_iter().map(|update| String::from_utf8(update.bytes.to_vec()).unwrap()).collect()
@@ -31,7 +27,7 @@
 /// and a proxy still excludes its name.
 #[test]
 fn forgotten_server_that_is_listed_again_is_included_again() {
-    let mut registry = registry();
+    let mut registry = empty_registry();
     let clocks = |second: u64| Clocks { now: second * SECOND, unix_ms: 1e12 };
     registry.apply(list(1, vec![entry(0, "Ready"), entry(1, "Ready")]), clocks(10), None);
     let mut tables = ProxyTables::new(1);
@@ -61,7 +57,7 @@
 
 /// Age in seconds, at its listing, of a server that started `started_s` before.
 fn age_at_listing(steps_s: [f64; 2], started_s: f64, last_heard_second: Option<u64>) -> f64 {
-    let mut registry = registry();
+    let mut registry = empty_registry();
     registry.apply(list(1, vec![]), stepped(100, steps_s[0]), None);
     let now = stepped(200, steps_s[1]);
     let mut entry = entry(1, "Ready");
--- a/crates/platform-supervisor/tests/wire_bytes.rs
+++ b/crates/platform-supervisor/tests/wire_bytes.rs
@@ -1,7 +1,9 @@
 //! The exact bytes of every kind of line that a supervisor writes, and every field of each message that it
 //! reads.
 
-use serde_json::{json, Value};
+mod common;
+
+use common::registry_of;
 use shalereel::interface::{Action, Readiness, RetryPolicy};
 use shalereel_platform_supervisor::{
     decode_message, Acknowledgement, Clocks, DemandReportMessage, EndpointList, EndpointReportMessage,
@@ -10,20 +12,6 @@
 
 const PROXY: u16 = 4;
 
-/// Servers numbered from 1, named "s1" and so on; the first one has started again since it was not ready.
-fn registry(servers: u32) -> ServerRegistry {
-    let entries: Vec<Value> = (1..=servers)
-        .map(|at| {
-            json!({"id": format!("s{at}"), "addr": "127.0.0.1:1", "zone": "z", "kind": "k", "cell": 0,
-            "state": "Ready", "weight": 1.0, "started_ms": if at == 1 { 5.0 } else { 0.0 }})
-        })
-        .collect();
-    let mut registry = ServerRegistry::new(vec!["z".into()], vec!["k".into()]);
-    let list = EndpointList { version: 1, is_full: true, entries };
-    registry.apply(list, Clocks { now: 1, unix_ms: 9e9 }, None);
-    registry
-}
-
 fn weight(table: u16, server: u32, weight: f64) -> Action {
     Action::SetWeight { table, server, weight }
 }
@@ -46,7 +34,8 @@
 
 /// What one proxy reads after each batch of actions.
 fn updates(kind: JoinKind, servers: u32, batches: &[Vec<Action>]) -> Vec<String> {
-    let registry = registry(servers);
+    // The first server has started again since it was not ready.
+    let registry = registry_of(servers, |server| if server == 1 { 5.0 } else { 0.0 });
     let operations = ["look", "buy"].map(String::from);
     let mut tables = ProxyTables::new(operations.len());
     tables.join(PROXY, kind);
