--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -203,13 +203,18 @@
         self.admission.update(&inputs, &mut self.limits, mailboxes);
     }
 
-    fn update_isolation(&mut self, failure_rate: f64, recent: &OutcomeTotals, mailboxes: &mut Mailboxes) {
+    pub(crate) fn update_isolation(
+        &mut self,
+        failure_rate: f64,
+        recent: &OutcomeTotals,
+        mailboxes: &mut Mailboxes,
+    ) {
         let late = self.overload_response_time;
         self.isolation.update(failure_rate, recent, late, &self.statuses, mailboxes);
         mailboxes.send(Component::Channel, Message::Isolate(self.isolation.is_active()));
     }
 
-    fn update_retries(&mut self, failure_rate: f64, mailboxes: &mut Mailboxes) {
+    pub(crate) fn update_retries(&mut self, failure_rate: f64, mailboxes: &mut Mailboxes) {
         let isolated = self.isolation.is_active();
         self.retries.update(failure_rate, isolated, &mut self.limits, mailboxes);
         mailboxes.send(Component::Channel, Message::AdmissionLimits(self.limits.clone()));
--- a/src/isolation/tests.rs
+++ b/src/isolation/tests.rs
@@ -1,7 +1,6 @@
 use rstest::rstest;
 
 use super::*;
-use crate::statistics::RecentOutcomes;
 use crate::testing::*;
 
 #[rstest]
@@ -11,11 +10,11 @@
     #[case] response_time_s: f64,
     #[case] isolated: bool,
 ) {
-    let fleet = fleet((1..=10).map(|id| ServerStatus { error_rate: 0.5, ..status(id) }));
-    let mut outcomes = RecentOutcomes::default();
-    outcomes.add(START, fleet.report_interval, 90.0, 45.0, 45.0 * response_time_s * SECOND as f64);
-    let recent = outcomes.read(START, fleet.report_interval);
-    let mut isolation = Isolation::default();
-    isolation.update(0.5, &recent, fleet.overload_response_time, &fleet.statuses, &mut Mailboxes::at(START));
-    assert_eq!(isolation.until.is_some_and(|until| until > START), isolated);
+    let mut fleet = fleet((1..=10).map(|id| ServerStatus { error_rate: 0.5, ..status(id) }));
+    let mailboxes = &mut Mailboxes::at(START);
+    let response_time = 45.0 * response_time_s * SECOND as f64;
+    fleet.handle(Message::Observed { attempts: 90.0, failures: 45.0, response_time, window: 0.0 }, mailboxes);
+    let recent = fleet.recent_outcomes.read(START, fleet.report_interval);
+    fleet.update_isolation(0.5, &recent, mailboxes);
+    assert_eq!(fleet.isolation.until.is_some_and(|until| until > START), isolated);
 }
--- a/src/retries/tests.rs
+++ b/src/retries/tests.rs
@@ -6,16 +6,17 @@
 
 #[rstest]
 fn retries_stop_while_failures_are_general_and_resume_after() {
-    let mut limits = [AdmissionLimit { operation: 0, limit: 1.0, retry_policy: RetryPolicy::IfNotExecuted }];
-    let mut retries = Retries::default();
+    let mut fleet = fleet([]);
+    fleet.limits =
+        vec![AdmissionLimit { operation: 0, limit: 1.0, retry_policy: RetryPolicy::IfNotExecuted }];
     for (failure_rate, retry_policy) in [
         (0.15, RetryPolicy::IfNotExecuted),
         (0.3, RetryPolicy::Never),
         (0.15, RetryPolicy::Never),
         (0.05, RetryPolicy::IfNotExecuted),
     ] {
-        retries.update(failure_rate, false, &mut limits, &mut Mailboxes::default());
-        assert_eq!(limits[0].retry_policy, retry_policy);
+        fleet.update_retries(failure_rate, &mut Mailboxes::default());
+        assert_eq!(fleet.limits[0].retry_policy, retry_policy);
     }
 }
 
