--- a/src/controller.rs
+++ b/src/controller.rs
@@ -121,7 +121,7 @@
             match component {
                 Component::Endpoints => self.endpoints.handle(message, &mut self.mailboxes),
                 Component::Server(server) => self.deliver_to_server(server, message),
-                Component::Fleet => self.fleet.handle(message, &mut self.mailboxes),
+                Component::Fleet => self.deliver_to_fleet(message),
                 Component::Channel => self.channel.handle(message, &mut self.mailboxes),
             }
         }
@@ -132,8 +132,19 @@
         if let Message::Listed(endpoint) = message {
             self.servers.entry(id).or_insert_with(|| Server::new(endpoint, self.mailboxes.now));
         }
-        if let Some(server) = self.servers.get_mut(&id) {
-            server.handle(message, &self.server_config, &mut self.mailboxes);
+        let Some(server) = self.servers.get_mut(&id) else { return };
+        match message {
+            Message::RestoredServer { snapshot, age } => {
+                server.restore(&snapshot, age, self.server_config.feedback_delay, self.mailboxes.now)
+            }
+            message => server.handle(message, &self.server_config, &mut self.mailboxes),
+        }
+    }
+
+    fn deliver_to_fleet(&mut self, message: Message) {
+        match message {
+            Message::Restored { snapshot, age } => self.fleet.restore(&snapshot, age, self.mailboxes.now),
+            message => self.fleet.handle(message, &mut self.mailboxes),
         }
     }
 
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -86,7 +86,6 @@
     pub(crate) fn handle(&mut self, message: Message, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
         match message {
-            Message::Restored { snapshot, age } => self.restore(&snapshot, age, now),
             Message::Observed { attempts, failures, response_time, window } => {
                 self.record_report(attempts, failures, response_time, window, now)
             }
--- a/src/server.rs
+++ b/src/server.rs
@@ -83,9 +83,6 @@
                 }
                 self.state_since = now;
             }
-            Message::RestoredServer { snapshot, age } if self.responsiveness.last_response == 0 => {
-                self.restore(&snapshot, age, config.feedback_delay, now)
-            }
             Message::Report(report) => self.record_report(&report, mailboxes),
             Message::Evaluate(fleet) => {
                 let status = self.evaluate(fleet, config, now);
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -1,5 +1,5 @@
 //! What survives a restart, and what it weighs by its age: servers and fleet write their part of a [`Snapshot`] and
-//! begin from one.
+//! begin from one. Called by the controller.
 //!
 //! Guards callers against a controller that learns again, at their cost, which servers fail. Servers that recovered
 //! meanwhile return after [`MAX_EJECTION_TIME`] at the latest.
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Takes what was known of it `age` ago; `feedback_delay`, ns, is the longest time until reports show an action's
-    /// effect.
+    /// Takes what was known of it `age` ago, unless it has responded since; `feedback_delay`, ns, is the longest time
+    /// until reports show an action's effect.
     pub(crate) fn restore(
         &mut self,
         snapshot: &ServerSnapshot,
@@ -55,6 +55,9 @@
         feedback_delay: Nanos,
         now: Nanos,
     ) {
+        if self.responsiveness.last_response > 0 {
+            return;
+        }
         let restored = |sum: f64, time_constant: Nanos| DecayingSum {
             sum: sum * restored_share(age, time_constant),
             updated_at: now,
