--- a/crates/cli/tests/memory.rs
+++ b/crates/cli/tests/memory.rs
@@ -8,7 +8,7 @@
 
 use shalereel_snapshot::{SnapshotError, StoredSnapshot};
 use shalereel_xds::{AssignedEndpoint, Assignment, Health, ServerInfo};
-use shalereel_xds_supervisor::{Roster, MEMORY, TABLES};
+use shalereel_xds_supervisor::{EndpointList, MEMORY, TABLES};
 
 const DEPLOYMENT: &str = include_str!("../../../expect/deployment.toml");
 const BOUND: Duration = Duration::from_secs(20);
@@ -21,7 +21,7 @@
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("memory-{}-{number}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
-    let mut roster = Roster::new(&["hal-a".to_owned()]);
+    let mut endpoints = EndpointList::new(&["hal-a".to_owned()]);
     let row = |server: u32| AssignedEndpoint {
         address: ([127, 30, (server >> 8) as u8, server as u8], 80).into(),
         zone: "hal-a".into(),
@@ -30,8 +30,8 @@
         info: Some(ServerInfo { server, kind: 0, cell: 0, incarnation: 1, age: None }),
     };
     let list = Assignment { cluster: "fleet".into(), endpoints: (0..300).map(row).collect(), admitted: 1.0 };
-    roster.hear(1, &list, &mut Vec::new());
-    std::fs::write(folder.join("last-list.json"), roster.remember()).unwrap();
+    endpoints.apply_list(1, &list);
+    std::fs::write(folder.join("last-list.json"), endpoints.to_json()).unwrap();
     let file = folder.join("deployment.toml");
     // Written every 20 ms, so that many kills meet a write.
     let text = DEPLOYMENT
--- a/crates/routing-checks/src/fleet.rs
+++ b/crates/routing-checks/src/fleet.rs
@@ -8,7 +8,7 @@
 use shalereel_guard::{Availability, Limits, Server};
 use shalereel_store::{Provenance, RetentionLimits};
 use shalereel_xds::{AssignedEndpoint, Assignment, Health, ServerInfo};
-use shalereel_xds_supervisor::{Deployment, Facts, Planted, Roster, Tables};
+use shalereel_xds_supervisor::{Deployment, EndpointList, Facts, Planted, Tables};
 
 const SECOND: Nanos = 1_000_000_000;
 /// Batches of a run, and which of them sees the fleet change; four a second.
@@ -108,7 +108,7 @@
     let facts = &deployment.facts;
     let outranks = deployment.planted == Some(Planted::WayOutranks);
     let mut tables = Tables::new(facts, RetentionLimits::new(facts), outranks, !deployment.unguarded);
-    let mut roster = Roster::new(&deployment.localities);
+    let mut roster = EndpointList::new(&deployment.localities);
     let mut brain = Controller::new(facts);
     let mut bound: BTreeMap<ProxyId, TableId> = BTreeMap::new();
     let parts = BTreeMap::new();
@@ -118,7 +118,7 @@
         let mut events = Vec::new();
         if batch == 0 || batch == CHANGES {
             let list = listed(deployment, sizes, fleet, batch > 0);
-            events.push(Event::Endpoints(roster.hear(now, &list, &mut Vec::new())));
+            events.push(Event::Endpoints(roster.apply_list(now, &list).event));
         }
         if batch == 0 {
             events.extend((0..facts.locality_count).map(|locality| Event::Joined {
@@ -169,7 +169,7 @@
 }
 
 /// Planted faults of a supervisor's orders that show without traffic.
-fn bend(deployment: &Deployment, roster: &Roster, now: Nanos, order: Action) -> Action {
+fn bend(deployment: &Deployment, roster: &EndpointList, now: Nanos, order: Action) -> Action {
     match (deployment.planted, order) {
         (Some(Planted::ColdInFull), Action::SetWeight { table, server, .. })
             if roster.started_within(server, now, deployment.facts.slow_start_duration) =>
@@ -183,14 +183,20 @@
     }
 }
 
-fn seen(deployment: &Deployment, roster: &Roster, tables: &Tables, table: TableId, now: Nanos) -> Vec<Seen> {
+fn seen(
+    deployment: &Deployment,
+    roster: &EndpointList,
+    tables: &Tables,
+    table: TableId,
+    now: Nanos,
+) -> Vec<Seen> {
     let facts = &deployment.facts;
     let limits = Limits::new(facts);
     let place = |(server, known): (ServerId, Server)| {
         let line = tables.store.line(table, server);
         Some(Seen {
             server,
-            locality: roster.locality(&roster.place(server)?.zone)?,
+            locality: roster.locality(&roster.endpoint(server)?.zone)?,
             weight: line.map_or(0.0, |line| f64::from(line.weight)),
             draining: line.is_some_and(|line| line.draining),
             out: known.availability == Availability::Unavailable,
@@ -198,7 +204,10 @@
             listed: known.capacity,
         })
     };
-    roster.pool(now, facts.slow_start_duration, !facts.removal_is_advisory).filter_map(place).collect()
+    roster
+        .guard_servers(now, facts.slow_start_duration, !facts.removal_is_advisory)
+        .filter_map(place)
+        .collect()
 }
 
 fn listed(deployment: &Deployment, sizes: &[f64], fleet: Fleet, changed: bool) -> Assignment {
--- a/crates/xds-supervisor/src/admin.rs
+++ b/crates/xds-supervisor/src/admin.rs
@@ -154,7 +154,7 @@
                 let known = known.get(server);
                 json!({
                     "server": server, "line": line(told),
-                    "locality": facts.roster.place(*server).map(|place| place.zone.clone()),
+                    "locality": facts.roster.endpoint(*server).map(|place| place.zone.clone()),
                     "out": known.is_none_or(|known| known.0.availability == Availability::Unavailable),
                     "able": known.map_or(0.0, |known| known.1), "listed": known.map_or(0.0, |known| known.0.capacity),
                 })
--- a/crates/xds-supervisor/src/advice.rs
+++ b/crates/xds-supervisor/src/advice.rs
@@ -9,14 +9,14 @@
 use shalereel_sasp::{Advisor, Answer, Body, Bounds, Change, Frames, Group, Member, ReturnCode};
 
 use crate::core::Peer;
+use crate::endpoints::{EndpointList, MemberReport, Reporter};
 use crate::patience::MESSAGE;
-use crate::roster::{MemberWord, Roster};
 use crate::tables::Tables;
 
 /// What the tables hold for a joined balancer.
 pub struct View<'a> {
     pub tables: &'a Tables,
-    pub roster: &'a Roster,
+    pub roster: &'a EndpointList,
     pub operations: &'a [String],
     /// By operation; nothing where the balancer is on no table yet.
     pub bound: &'a BTreeMap<u16, TableId>,
@@ -42,7 +42,7 @@
         balancer: String,
     },
     /// A member said of itself, or a balancer of it, that it takes nothing new, or that it is there or gone.
-    Member(MemberWord),
+    Member(MemberReport),
     /// The weights as they stand have been taken.
     Taken,
     End(String),
@@ -141,9 +141,11 @@
         }
         Change::Left { .. } => None,
         Change::Member { member, there, quiesce, .. } => {
-            let itself = !advisor.speaks_for_balancer(peer);
+            let by_balancer = advisor.speaks_for_balancer(peer);
+            let reporter = if by_balancer { Reporter::Balancer } else { Reporter::Member };
             let zone = String::from_utf8_lossy(&member.label).into_owned();
-            Some(Outcome::Member(MemberWord { address: member.socket(), zone, itself, there, quiesce }))
+            let address = member.socket();
+            Some(Outcome::Member(MemberReport { address, zone, reporter, present: there, quiesced: quiesce }))
         }
     }
 }
--- a/crates/xds-supervisor/src/core.rs
+++ b/crates/xds-supervisor/src/core.rs
@@ -23,9 +23,9 @@
 use crate::advice::{Advice, Outcome, View};
 use crate::channel::{Channel, Departure};
 use crate::deployment::{Deployment, Planted};
+use crate::endpoints::{EndpointList, Reporter, ServerSummary, SkippedRow};
 use crate::patience::{Patience, Verdict};
 use crate::reports::Reports;
-use crate::roster::Roster;
 use crate::shared::{Shared, Wanted};
 use crate::tables::{Facts, Reach, Tables};
 
@@ -111,7 +111,7 @@
 
 fn render(
     tables: &mut Tables,
-    roster: &Roster,
+    roster: &EndpointList,
     operations: &[String],
     part: &Part,
     version: Version,
@@ -176,7 +176,7 @@
 }
 
 fn facts<'a>(
-    roster: &'a Roster,
+    roster: &'a EndpointList,
     deployment: &Deployment,
     parts: &'a BTreeMap<TableId, f64>,
     now: Nanos,
@@ -187,7 +187,7 @@
 
 fn view<'a>(
     tables: &'a Tables,
-    roster: &'a Roster,
+    roster: &'a EndpointList,
     deployment: &'a Deployment,
     bound: &'a BTreeMap<u16, TableId>,
     now: Nanos,
@@ -258,7 +258,7 @@
     parts: BTreeMap<TableId, f64>,
     memorised: Nanos,
     patience: Patience,
-    roster: Roster,
+    roster: EndpointList,
     reports: Reports,
     advice: Advice,
     shared_with: Option<Shared>,
@@ -303,7 +303,7 @@
             parts: BTreeMap::new(),
             memorised: now,
             patience: Patience::new(facts),
-            roster: Roster::new(&deployment.localities),
+            roster: EndpointList::new(&deployment.localities),
             reports: Reports::default(),
             advice: Advice::new(Patience::new(facts).balancer()),
             shared_with: None,
@@ -323,7 +323,7 @@
             decided: None,
             deployment,
         };
-        match kept.map(|kept| core.roster.recall(now, kept)) {
+        match kept.map(|kept| core.roster.load(now, kept)) {
             Some(Ok(news)) => core.events.push(Event::Endpoints(news)),
             Some(Err(error)) => {
                 core.effects.push(Effect::Odd(format!("the kept list is left unread: {error}")))
@@ -353,8 +353,9 @@
     /// Hands what was learned to the module, behind the first list.
     fn recall_servers(&mut self, now: Nanos) {
         let Some((memory, away, begun)) = self.memory.as_ref().filter(|_| !self.recalled) else { return };
-        let remembered = memory
-            .for_current_incarnations(|server| self.roster.place(server).map(|_| self.roster.life(server)));
+        let remembered = memory.for_current_incarnations(|server| {
+            self.roster.endpoint(server).map(|_| self.roster.incarnation(server))
+        });
         let away = away + now.saturating_sub(*begun);
         self.events.push(Event::Restored { snapshot: remembered, age: away });
         self.recalled = true;
@@ -363,7 +364,8 @@
     /// What was learned so far, as the file has it.
     fn memorise(&mut self, now: Nanos) -> Vec<u8> {
         let remembered = self.brain.snapshot(now);
-        let lives = remembered.servers.iter().map(|one| (one.server, self.roster.life(one.server))).collect();
+        let lives =
+            remembered.servers.iter().map(|one| (one.server, self.roster.incarnation(one.server))).collect();
         let rate = |(name, id): (&String, &ProxyId)| Some((name.clone(), *self.rates.get(id)?));
         let rates = self.numbers.iter().filter_map(rate).collect();
         StoredSnapshot {
@@ -396,13 +398,13 @@
     }
 
     /// Its part in a group, if it has one.
-    pub fn shared(&mut self) -> Option<(&mut Shared, &Roster)> {
+    pub fn shared(&mut self) -> Option<(&mut Shared, &EndpointList)> {
         self.shared_with.as_mut().map(|shared| (shared, &self.roster))
     }
 
     /// Operators' orders as they stand now.
     fn ordered(&mut self, (drained, held): (BTreeSet<ServerId>, BTreeMap<ServerId, f64>)) {
-        self.events.push(Event::Endpoints(self.roster.order(drained)));
+        self.events.push(Event::Endpoints(self.roster.set_operator_drains(drained)));
         self.relisted = true;
         self.tables.agree(held);
     }
@@ -426,7 +428,7 @@
     /// Which servers could own a key range: warm, ready and not withdrawn by the module.
     fn fits(&self, now: Nanos) -> BTreeMap<u32, ServerAvailability> {
         let cold_for = self.deployment.facts.slow_start_duration;
-        let fit = |(server, locality, ready): (ServerId, u16, bool)| {
+        let fit = |ServerSummary { server, locality, ready }: ServerSummary| {
             let warm = !self.roster.started_within(server, now, cold_for);
             let ready = ready && !self.tables.suspended(server);
             let open = ready && warm;
@@ -591,10 +593,10 @@
                     let own = usize::from(self.deployment.facts.locality);
                     word.zone.clone_from(&self.deployment.localities[own]);
                 }
-                let news = self.roster.member(now, &word);
+                let news = self.roster.apply_member_state(now, &word);
                 self.relisted = true;
                 // A balancer's own members are no news, thousands of them at its start.
-                if word.itself || word.quiesce || !word.there {
+                if word.reporter == Reporter::Member || word.quiesced || !word.present {
                     self.events.push(Event::Endpoints(news));
                 }
             }
@@ -680,8 +682,9 @@
         let proxy = if self.advice.knows(peer) {
             for outcome in self.advice.closed(peer) {
                 if let Outcome::Member(word) = outcome {
-                    let news = self.roster.member(self.decided.unwrap_or(0), &word);
-                    self.events.extend(word.itself.then_some(Event::Endpoints(news)));
+                    let news = self.roster.apply_member_state(self.decided.unwrap_or(0), &word);
+                    let by_itself = word.reporter == Reporter::Member;
+                    self.events.extend(by_itself.then_some(Event::Endpoints(news)));
                 }
             }
             self.proxies.iter().find(|(_, proxy)| proxy.peer == peer).map(|(&id, _)| id)
@@ -699,12 +702,14 @@
 
     /// A whole list from the registry. Errors: the reason why it cannot be taken.
     pub fn listed(&mut self, now: Nanos, list: &Assignment) {
-        let mut odd = Vec::new();
-        let news = self.roster.hear(now, list, &mut odd);
-        self.effects.extend(odd.into_iter().map(|text| Effect::Odd(format!("the list: {text}; left out"))));
+        let applied = self.roster.apply_list(now, list);
+        let skipped = |row: SkippedRow| {
+            Effect::Odd(format!("endpoint list row skipped: {}: {}", row.address, row.reason))
+        };
+        self.effects.extend(applied.skipped.into_iter().map(skipped));
         self.effects.push(Effect::Remember);
         self.relisted = true;
-        self.events.push(Event::Endpoints(news));
+        self.events.push(Event::Endpoints(applied.event));
         self.recall_servers(now);
     }
 
@@ -715,7 +720,7 @@
 
     /// The list as last heard, for [`Core::new`] after a restart.
     pub fn remember(&self) -> Vec<u8> {
-        self.roster.remember()
+        self.roster.to_json()
     }
 
     pub fn probed(&mut self, server: ServerId, ending: HealthCheckOutcome, took: Nanos) {
@@ -787,7 +792,7 @@
         // What was learned before must not be written over by a run that has not met its servers yet.
         let met = self.decided.is_some() && (self.memory.is_none() || self.recalled);
         let due = now >= self.ageing.next_write(self.memorised);
-        if met && due && !self.deployment.forgets && self.roster.version() > 0 {
+        if met && due && !self.deployment.forgets && self.roster.address_version() > 0 {
             self.memorised = now;
             let memory = self.memorise(now);
             self.effects.push(Effect::Memory(memory));
@@ -890,7 +895,7 @@
                     self.timers.insert((now + delay.max(1), self.nonce), token);
                 }
                 Action::CheckHealth { server } => {
-                    let address = self.roster.place(server).map(|place| place.address);
+                    let address = self.roster.endpoint(server).map(|place| place.address);
                     self.effects.extend(address.map(|address| Effect::Probe { server, address }));
                 }
                 Action::Log(line) => {
@@ -986,7 +991,7 @@
         let bend = |order: Action| match (fault, order) {
             (Planted::DropSuspensions, Action::Exclude { .. }) => vec![],
             (Planted::DropSuspensions, Action::SetWeight { server, weight, .. })
-                if weight == 0.0 && self.roster.draining(server) =>
+                if weight == 0.0 && self.roster.is_draining(server) =>
             {
                 vec![]
             }
@@ -1034,7 +1039,7 @@
         };
         let mut parts: Vec<(Part, Version)> = Vec::new();
         let mut collections = BTreeSet::new();
-        let shun = (self.tables.shunned_version(), self.roster.version());
+        let shun = (self.tables.shunned_version(), self.roster.address_version());
         if stream.serving.is_subscribed(types::ASSIGNMENT, EXCLUDED) && shun.0 > 0 && changed(EXCLUDED, shun)
         {
             parts.push((Part::Shunned, shun));
@@ -1048,7 +1053,7 @@
                 let admitted = self.tables.admitted(table, at).to_bits();
                 (Part::Collection(table, at), (admitted, table.into()))
             } else {
-                (Part::Table(table, at), (self.tables.version(table), self.roster.version()))
+                (Part::Table(table, at), (self.tables.version(table), self.roster.address_version()))
             };
             if changed(name, version) {
                 parts.push((part, version));
--- a/crates/xds-supervisor/src/lib.rs
+++ b/crates/xds-supervisor/src/lib.rs
@@ -6,11 +6,11 @@
 mod core;
 pub mod daemon;
 mod deployment;
+mod endpoints;
 mod evidence;
 mod keeper;
 mod patience;
 mod reports;
-mod roster;
 mod shared;
 mod tables;
 
@@ -18,9 +18,11 @@
 pub use channel::{Channel, Departure};
 pub use daemon::run;
 pub use deployment::{Deployment, FileError, Planted};
+pub use endpoints::{
+    AppliedList, EndpointList, ListedEndpoint, MemberReport, Reporter, ServerSummary, SkipReason, SkippedRow,
+};
 pub use keeper::{Block, Keeper, LOG, MEMORY, TABLES};
 pub use patience::{Patience, Verdict};
 pub use reports::Reports;
-pub use roster::{MemberWord, Roster};
 pub use shared::{Shared, Wanted};
 pub use tables::{Facts, Reach, Tables};
--- a/crates/xds-supervisor/src/reports.rs
+++ b/crates/xds-supervisor/src/reports.rs
@@ -5,7 +5,7 @@
 use shalereel::interface::{EndpointReport, Event, LocalityId, Nanos, ProxyId, ServerId};
 use shalereel_xds::LoadReport;
 
-use crate::roster::Roster;
+use crate::endpoints::EndpointList;
 
 #[derive(Debug, Default)]
 struct Met {
@@ -45,7 +45,7 @@
         locality: LocalityId,
         report: &LoadReport,
         operations: &[String],
-        roster: &Roster,
+        roster: &EndpointList,
     ) {
         for cluster in &report.clusters {
             let Some(at) = operations.iter().position(|name| *name == cluster.cluster) else { continue };
--- a/crates/xds-supervisor/src/shared.rs
+++ b/crates/xds-supervisor/src/shared.rs
@@ -17,8 +17,8 @@
 use shalereel_rpc::{Code, Status};
 
 use crate::core::Peer;
+use crate::endpoints::EndpointList;
 use crate::evidence::of_others;
-use crate::roster::Roster;
 
 /// What the group wants of the shell.
 #[derive(Clone, Debug, PartialEq)]
@@ -149,7 +149,7 @@
         now: Nanos,
         peer: Peer,
         message: &[u8],
-        roster: &Roster,
+        roster: &EndpointList,
     ) -> Result<(), Status> {
         let ask = RangesRequest::decode(message).map_err(|error| unreadable("RangesAsk", &error))?;
         let request = RouteRequest { last_response_read: ask.last_response_read, held: ask.held };
@@ -171,7 +171,7 @@
     }
 
     /// The list has changed: forwarders are told at once of owners that drain or are gone.
-    pub fn relisted(&mut self, fits: BTreeMap<u32, ServerAvailability>, roster: &Roster) {
+    pub fn relisted(&mut self, fits: BTreeMap<u32, ServerAvailability>, roster: &EndpointList) {
         let owners = self.group.state_machine().ranges().values().filter_map(|owned| owned.owner);
         let lost =
             owners.filter(|owner| !fits.get(owner).is_some_and(|fit| fit.listed)).collect::<BTreeSet<_>>();
@@ -182,7 +182,7 @@
         self.lost = lost;
     }
 
-    fn say_standing(&mut self, roster: &Roster) {
+    fn say_standing(&mut self, roster: &EndpointList) {
         for peer in self.tenants.clone() {
             let response = self.group.current_routes();
             let lines = told(&response.routes.unwrap_or_default(), roster);
@@ -290,7 +290,7 @@
     }
 
     /// All that is due.
-    pub fn turn(&mut self, now: Nanos, roster: &Roster) -> Followed {
+    pub fn turn(&mut self, now: Nanos, roster: &EndpointList) -> Followed {
         let mut followed = Followed::default();
         let mut leaving = false;
         for effect in self.group.poll(now) {
@@ -330,7 +330,7 @@
                     }
                 }
                 GroupAction::PeerReports(rows) => {
-                    let known = |row: &EndpointReport| roster.place(row.server).is_some();
+                    let known = |row: &EndpointReport| roster.endpoint(row.server).is_some();
                     followed.events.extend(of_others(rows).filter(known).map(Event::EndpointReport));
                 }
                 GroupAction::SnapshotRestored => {
@@ -369,14 +369,14 @@
 
 /// Lines with addresses. Nothing goes to a server that drains or is gone, whatever is agreed: its line is left out,
 /// which takes it from whoever holds it.
-fn told(lines: &[RangeRoute], roster: &Roster) -> Vec<AddressedRoute> {
+fn told(lines: &[RangeRoute], roster: &EndpointList) -> Vec<AddressedRoute> {
     let ready: BTreeSet<u32> =
-        roster.servers().into_iter().filter(|server| server.2).map(|server| server.0).collect();
+        roster.servers().into_iter().filter(|server| server.ready).map(|server| server.server).collect();
     let line = |line: &RangeRoute| {
         if !ready.contains(&line.owner) {
             return None;
         }
-        let address = roster.place(line.owner)?.address.to_string();
+        let address = roster.endpoint(line.owner)?.address.to_string();
         Some(AddressedRoute { range: line.range, owner: line.owner, epoch: line.epoch, address })
     };
     lines.iter().filter_map(line).collect()
--- a/crates/xds-supervisor/src/tables.rs
+++ b/crates/xds-supervisor/src/tables.rs
@@ -11,7 +11,7 @@
 };
 use shalereel_xds::{Any, AssignedEndpoint, Assignment, EncodedAssignment, Health, EXCLUDED};
 
-use crate::roster::Roster;
+use crate::endpoints::EndpointList;
 
 /// Position of an operation.
 pub type OperationAt = u16;
@@ -86,7 +86,7 @@
 
 /// What a line is made from, beside the orders.
 pub struct Facts<'a> {
-    pub roster: &'a Roster,
+    pub roster: &'a EndpointList,
     pub now: Nanos,
     /// The wall clock less the monotonic one.
     pub wall: Nanos,
@@ -266,7 +266,7 @@
             weight: weight * self.held.get(&server).copied().unwrap_or(1.0),
             draining: self.suspended.contains(&server),
             warming_up: facts.cold(server),
-            incarnation: facts.roster.life(server),
+            incarnation: facts.roster.incarnation(server),
         };
         let now: Vec<CurrentEndpoint> = table.lines.iter().map(facing).collect();
         let plan = plan_rollback(&now, &old, &since.unavailable);
@@ -372,9 +372,10 @@
 
     /// Makes a version of each table whose lines have changed.
     pub fn publish(&mut self, facts: &Facts, why: &Provenance) {
-        let moved = std::mem::replace(&mut self.placed, facts.roster.version()) != facts.roster.version();
-        let closed =
-            std::mem::replace(&mut self.closings, facts.roster.closings()) != facts.roster.closings();
+        let moved = std::mem::replace(&mut self.placed, facts.roster.address_version())
+            != facts.roster.address_version();
+        let closed = std::mem::replace(&mut self.closings, facts.roster.drain_version())
+            != facts.roster.drain_version();
         let mut pool = None;
         for (&id, table) in &mut self.tables {
             if moved {
@@ -384,7 +385,7 @@
                 // Should nobody take these out, nothing else may come to be judged before the grace is over.
                 let open = |(_, line): &(ServerId, &Line)| !line.draining;
                 let lines = self.store.lines(id).filter(open).map(|(server, _)| server);
-                table.back.extend(lines.filter(|&server| facts.roster.draining(server)));
+                table.back.extend(lines.filter(|&server| facts.roster.is_draining(server)));
                 let look_at = limits.drain_check_at(facts.now);
                 table.again_at = Some(table.again_at.map_or(look_at, |at| at.min(look_at)));
             }
@@ -415,14 +416,14 @@
                 if let Some(&line) = table.outranked.get(&server).filter(|_| self.outranks) {
                     return Some(Line { draining: false, ..line });
                 }
-                let place = facts.roster.place(server)?;
+                let place = facts.roster.endpoint(server)?;
                 let bent = if facts.cold(server) { shrink } else { table.bending.factor(server) };
                 let weight = table.lines.get(&server)? * bent * unit;
                 Some(Line {
                     address: place.address,
                     weight: (weight.round() as u32).max(1),
                     draining: self.suspended.contains(&server),
-                    incarnation: facts.roster.life(server),
+                    incarnation: facts.roster.incarnation(server),
                 })
             };
             let mut lines: BTreeMap<ServerId, Option<Line>> =
@@ -526,8 +527,8 @@
     }
 
     /// A table as the endpoints of an operation's cluster; kept until it changes, since many hold the same.
-    pub fn assignment(&mut self, table: TableId, at: OperationAt, name: &str, roster: &Roster) -> Any {
-        let version = (self.version(table), roster.version());
+    pub fn assignment(&mut self, table: TableId, at: OperationAt, name: &str, roster: &EndpointList) -> Any {
+        let version = (self.version(table), roster.address_version());
         let admitted = self.admitted(table, at);
         let key = (table, admitted.to_bits());
         let fresh = self.rendered.get(&key).is_some_and(|(of, _)| *of == version);
@@ -543,9 +544,9 @@
     }
 
     /// What nobody may send to, whatever tables they hold.
-    pub fn shunned(&self, roster: &Roster) -> Any {
+    pub fn shunned(&self, roster: &EndpointList) -> Any {
         let rows = self.suspended.iter().filter_map(|&server| {
-            let place = roster.place(server)?;
+            let place = roster.endpoint(server)?;
             let (address, zone) = (place.address, place.zone.clone());
             Some(AssignedEndpoint { address, zone, health: Health::Draining, weight: 1.0, info: None })
         });
@@ -554,7 +555,7 @@
 }
 
 fn servers(facts: &Facts, gone_binds: bool, sized: bool) -> BTreeMap<ServerId, Server> {
-    let pool = facts.roster.pool(facts.now, facts.cold_for, gone_binds);
+    let pool = facts.roster.guard_servers(facts.now, facts.cold_for, gone_binds);
     pool.map(|(server, known)| {
         let capacity = if sized { known.capacity } else { 1.0 };
         (server, Server { capacity, ..known })
@@ -607,8 +608,8 @@
     words
 }
 
-fn row(server: ServerId, line: &Line, roster: &Roster) -> Option<AssignedEndpoint> {
-    let place = roster.place(server)?;
+fn row(server: ServerId, line: &Line, roster: &EndpointList) -> Option<AssignedEndpoint> {
+    let place = roster.endpoint(server)?;
     let health = if line.draining { Health::Draining } else { Health::Ready };
     let weight = f64::from(line.weight) / UNIT_WEIGHT;
     Some(AssignedEndpoint { address: line.address, zone: place.zone.clone(), health, weight, info: None })
--- a/crates/xds-supervisor/tests/core.rs
+++ b/crates/xds-supervisor/tests/core.rs
@@ -360,7 +360,7 @@
 #[test]
 fn load_of_a_server_that_never_was_is_no_demand() {
     use shalereel::interface::Event;
-    let mut roster = shalereel_xds_supervisor::Roster::new(&["a".to_owned()]);
+    let mut roster = shalereel_xds_supervisor::EndpointList::new(&["a".to_owned()]);
     let row = AssignedEndpoint {
         address: ([127, 1, 0, 1], 80).into(),
         zone: "a".into(),
@@ -369,9 +369,9 @@
         info: Some(ServerInfo { server: 4, kind: 0, cell: 0, incarnation: 1, age: None }),
     };
     let list = |rows| Assignment { cluster: "fleet".into(), endpoints: rows, admitted: 1.0 };
-    roster.hear(SECOND, &list(vec![row]), &mut vec![]);
+    roster.apply_list(SECOND, &list(vec![row]));
     // Gone by now: what is told of it still counts, since tries were under way.
-    roster.hear(SECOND, &list(vec![]), &mut vec![]);
+    roster.apply_list(SECOND, &list(vec![]));
     let load = |last: u8, errored| EndpointLoad {
         address: ([127, 1, 0, last], 80).into(),
         zone: "a".into(),
--- a/crates/xds-supervisor/tests/stored.rs
+++ b/crates/xds-supervisor/tests/stored.rs
@@ -1,14 +1,14 @@
 //! A file written by an earlier version is read with the same content, and written as it was.
 
-use shalereel_xds_supervisor::Roster;
+use shalereel_xds_supervisor::EndpointList;
 
 /// Guards against a renamed field that changes the stored form without a word from the compiler.
 #[test]
 fn last_list_of_an_earlier_version_is_read() {
     let file = include_bytes!("stored/last-list.json");
     let localities = ["hal-a".to_owned(), "hal-b".to_owned(), "hal-c".to_owned()];
-    let mut roster = Roster::new(&localities);
-    let news = roster.recall(u64::MAX, file).unwrap();
-    assert_eq!(String::from_utf8(roster.remember()).unwrap(), String::from_utf8(file.to_vec()).unwrap());
-    assert_eq!(format!("{news:?}").matches("server: ").count(), 20);
+    let mut endpoints = EndpointList::new(&localities);
+    let event = endpoints.load(u64::MAX, file).unwrap();
+    assert_eq!(String::from_utf8(endpoints.to_json()).unwrap(), String::from_utf8(file.to_vec()).unwrap());
+    assert_eq!(format!("{event:?}").matches("server: ").count(), 20);
 }
