--- a/crates/routing-checks/src/fleet.rs
+++ b/crates/routing-checks/src/fleet.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde_json::Value;
-use shalereel::brain::Controller;
 use shalereel::interface::{Action, EndpointReport, Event, Nanos, ProxyId, ServerId, TableId};
+use shalereel::Controller;
 use shalereel_guard::{Availability, Limits, Server};
 use shalereel_store::{Provenance, RetentionLimits};
 use shalereel_xds::{AssignedEndpoint, Assignment, Health, ServerInfo};
--- /dev/null
+++ b/crates/xds-supervisor/src/core/actions.rs
@@ -0,0 +1,127 @@
+//! The controller's actions: tables change first, then each proxy that is concerned is charged its lines in the channel.
+
+use std::collections::BTreeMap;
+
+use shalereel::interface::{Action, Nanos, ProxyId, TableId};
+use shalereel_store::Provenance;
+
+use super::proxy::Proxy;
+use super::{Core, ShellCommand};
+use crate::tables::Reach;
+
+/// What the actions of one decision cost, and why they were decided.
+#[derive(Default)]
+struct Batch {
+    /// Lines by proxy, without message overhead.
+    lines: BTreeMap<ProxyId, f64>,
+    mark: Option<RequestedMark>,
+    log_lines: Vec<String>,
+    tables_assigned: bool,
+}
+
+#[derive(Clone, Copy)]
+struct RequestedMark {
+    serial: u16,
+    /// Of proxies that nothing else is sent to, too.
+    from_everyone: bool,
+}
+
+impl Batch {
+    fn charge(&mut self, proxy: ProxyId, lines: f64) {
+        *self.lines.entry(proxy).or_default() += lines;
+    }
+}
+
+impl Core {
+    /// Carries out the actions of one decision: one message for each proxy concerned.
+    pub(super) fn perform_all(&mut self, now: Nanos, actions: Vec<Action>) {
+        let mut batch = Batch::default();
+        for action in self.inject_fault(now, actions) {
+            self.perform(now, action, &mut batch);
+        }
+        if let Some(mark) = batch.mark {
+            if mark.from_everyone {
+                self.proxies.keys().for_each(|&id| batch.charge(id, 0.0));
+            }
+            // The mark is a line of its own.
+            batch.lines.values_mut().for_each(|lines| *lines += 1.0);
+        }
+        if batch.tables_assigned {
+            self.update_table_shares();
+        }
+        self.publish(now, &Provenance::new("module", batch.log_lines.join("; ")));
+        self.channel.enqueue(now, &batch.lines, batch.mark.map(|mark| mark.serial));
+    }
+
+    fn perform(&mut self, now: Nanos, action: Action, batch: &mut Batch) {
+        match action {
+            Action::SetTimer { delay, token } => {
+                let number = self.next_nonce();
+                self.timers.insert((now + delay.max(1), number), token);
+            }
+            Action::CheckHealth { server } => {
+                let address = self.endpoints.endpoint(server).map(|endpoint| endpoint.address);
+                let check = address.map(|address| ShellCommand::CheckHealth { server, address });
+                self.commands.extend(check);
+            }
+            Action::Log(line) => {
+                batch.log_lines.push(line.clone());
+                self.commands.push(ShellCommand::LogDecision(line));
+            }
+            Action::WatchEndpoints { on } => self.commands.push(ShellCommand::WatchEndpoints(on)),
+            Action::FetchEndpoints => self.commands.push(ShellCommand::FetchEndpoints),
+            // Supervisors of this kind send each other nothing but what the group does.
+            Action::SendToPeer { .. } => {}
+            Action::RequestAck { serial, everyone } => {
+                batch.mark = Some(RequestedMark { serial, from_everyone: everyone });
+            }
+            Action::AssignTable { proxy, table, operations } => {
+                self.assign_table(proxy, table, operations, batch);
+            }
+            action => self.change_tables(&action, batch),
+        }
+    }
+
+    /// `operations`: a bit for each by position; 0: all.
+    fn assign_table(&mut self, id: ProxyId, table: TableId, operations: u16, batch: &mut Batch) {
+        let Some(proxy) = self.proxies.get_mut(&id) else { return };
+        let count = self.deployment.operations.len() as u16;
+        let chosen = (0..count).filter(|at| operations == 0 || operations & (1 << at) != 0);
+        proxy.tables.extend(chosen.map(|at| (at, table)));
+        batch.tables_assigned = true;
+        // One that has said what it holds is sent what differs.
+        let subscription = proxy.subscriptions.get(&table);
+        let base = subscription.and_then(|subscription| subscription.next_base(&self.tables.store, table));
+        if proxy.supports_lines && subscription.is_none() {
+            proxy.charged_tables.insert(table);
+        }
+        let full = self.tables.size(table);
+        let lines = match base {
+            Some(base) => full.min(self.tables.lines_since(table, base)),
+            None => full,
+        };
+        // The assignment itself is a line.
+        batch.charge(id, 1.0 + lines as f64);
+    }
+
+    fn change_tables(&mut self, action: &Action, batch: &mut Batch) {
+        let reach = self.tables.apply(action, self.deployment.operations.len());
+        for (&id, proxy) in &self.proxies {
+            if self.is_reached(proxy, reach) {
+                batch.charge(id, 1.0);
+            }
+        }
+    }
+
+    fn is_reached(&self, proxy: &Proxy, reach: Reach) -> bool {
+        match reach {
+            Reach::Nobody => false,
+            Reach::Users(table) => proxy.uses(table),
+            Reach::Holders(server) => {
+                proxy.tables.is_empty()
+                    || proxy.tables.values().any(|&table| self.tables.lists(table, server))
+            }
+            Reach::Everyone => true,
+        }
+    }
+}
--- /dev/null
+++ b/crates/xds-supervisor/src/core/faults.rs
@@ -0,0 +1,52 @@
+//! Faults that are injected into the controller's actions for drills. Never in service.
+
+use shalereel::interface::{Action, Nanos, RetryPolicy};
+
+use super::Core;
+use crate::deployment::Planted;
+
+/// Weight of a server in slow start: many times what any server has.
+const SLOW_START_WEIGHT: f64 = 1e4;
+/// Between which weights each line of a table changes with every batch.
+const FLOOD_WEIGHTS: (f64, f64) = (1.0, 1.3);
+const FLOOD_THRESHOLD: f64 = 1.2;
+
+impl Core {
+    /// Actions as a faulty supervisor would give them; unchanged in service.
+    pub(super) fn inject_fault(&self, now: Nanos, actions: Vec<Action>) -> Vec<Action> {
+        let Some(fault) = self.deployment.planted else { return actions };
+        let mut actions: Vec<Action> =
+            actions.into_iter().filter_map(|action| self.faulty(now, fault, action)).collect();
+        if fault == Planted::Flood {
+            actions.extend(self.tables.lines(0).map(|(server, weight)| {
+                let weight = if weight > FLOOD_THRESHOLD { FLOOD_WEIGHTS.0 } else { FLOOD_WEIGHTS.1 };
+                Action::SetWeight { table: 0, server, weight }
+            }));
+        }
+        actions
+    }
+
+    fn faulty(&self, now: Nanos, fault: Planted, action: Action) -> Option<Action> {
+        let slow_start = self.config.slow_start_duration;
+        match (fault, action) {
+            (Planted::DropSuspensions, Action::Exclude { .. }) => None,
+            (Planted::DropSuspensions, Action::SetWeight { server, weight, .. })
+                if weight == 0.0 && self.endpoints.is_draining(server) =>
+            {
+                None
+            }
+            (Planted::RepeatAll, Action::LimitAdmission { table, operations, limit, .. }) => {
+                Some(Action::LimitAdmission { table, operations, limit, retry_policy: RetryPolicy::Twice })
+            }
+            (Planted::ColdInFull, Action::SetWeight { table, server, .. })
+                if self.endpoints.started_within(server, now, slow_start) =>
+            {
+                Some(Action::SetWeight { table, server, weight: SLOW_START_WEIGHT })
+            }
+            (Planted::EmptyTables, Action::SetWeight { table, server, .. }) => {
+                Some(Action::SetWeight { table, server, weight: 0.0 })
+            }
+            (_, action) => Some(action),
+        }
+    }
+}
--- /dev/null
+++ b/crates/xds-supervisor/src/core/group.rs
@@ -0,0 +1,60 @@
+//! The group, where the deployment has one: its orders become changes of the endpoint list, and it is sent the servers.
+
+use std::collections::BTreeMap;
+
+use shalereel::interface::{Event, Nanos};
+use shalereel_group::ServerAvailability;
+
+use super::{Core, ShellCommand};
+use crate::endpoints::{EndpointList, ServerSummary};
+use crate::group_member::{GroupMember, OperatorOrders};
+
+impl Core {
+    /// Makes this supervisor a member of a group.
+    pub fn join_group(&mut self, member: GroupMember) {
+        let orders = member.orders();
+        self.group = Some(member);
+        if orders != OperatorOrders::default() {
+            self.apply_orders(orders);
+        }
+    }
+
+    /// The group that it is a member of, and the servers that the group's answers name.
+    pub fn group(&mut self) -> Option<(&mut GroupMember, &EndpointList)> {
+        self.group.as_mut().map(|group| (group, &self.endpoints))
+    }
+
+    fn apply_orders(&mut self, orders: OperatorOrders) {
+        self.events.push(Event::Endpoints(self.endpoints.set_operator_drains(orders.drained)));
+        self.servers_changed = true;
+        self.tables.agree(orders.weight_caps);
+    }
+
+    /// Takes what the group has decided, and gives it the servers if they have changed.
+    pub(super) fn poll_group(&mut self, now: Nanos) {
+        let availability =
+            (self.servers_changed && self.group.is_some()).then(|| self.server_availability(now));
+        let Some(group) = &mut self.group else { return };
+        if let Some(availability) = availability {
+            self.servers_changed = false;
+            group.update_servers(availability, &self.endpoints);
+        }
+        let changes = group.poll(now, &self.endpoints);
+        self.commands.extend(changes.commands.into_iter().map(ShellCommand::Group));
+        self.events.extend(changes.events);
+        if let Some(orders) = changes.orders {
+            self.apply_orders(orders);
+        }
+    }
+
+    /// A server may own key ranges when it is ready, past its slow start, and not excluded by the controller.
+    fn server_availability(&self, now: Nanos) -> BTreeMap<u32, ServerAvailability> {
+        let slow_start = self.config.slow_start_duration;
+        let availability = |ServerSummary { server, locality, ready }| {
+            let listed = ready && !self.tables.suspended(server);
+            let accepts_ranges = listed && !self.endpoints.started_within(server, now, slow_start);
+            (server, ServerAvailability { server, locality: locality.into(), accepts_ranges, listed })
+        };
+        self.endpoints.servers().into_iter().map(availability).collect()
+    }
+}
--- /dev/null
+++ b/crates/xds-supervisor/src/core/load_streams.rs
@@ -0,0 +1,85 @@
+//! Load reports on LRS streams, and the end of a report interval.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use shalereel::interface::{Event, Nanos, TableId};
+use shalereel_rpc::{frame, Status};
+use shalereel_xds::{LoadReport, LoadReportConfig, NodeInfo};
+
+use super::{Core, Peer, Warning};
+use crate::load_reports::ReportingProxy;
+
+impl Core {
+    /// Takes a message on an LRS stream.
+    pub(super) fn handle_load_report(&mut self, peer: Peer, message: &[u8]) -> Result<(), Status> {
+        let report = LoadReport::decode(message)?;
+        if let Some(node) = &report.node {
+            self.identify_load_stream(peer, node);
+        }
+        // Reports of proxies that are joined elsewhere are about other supervisors' tables.
+        if let Some(&Some(reporter)) = self.load_streams.get(&peer) {
+            if self.proxies.contains_key(&reporter.proxy) {
+                self.load_reports.add(reporter, &report, &self.deployment.operations, &self.endpoints);
+            }
+        }
+        Ok(())
+    }
+
+    /// Takes the node that a report names; the first one is answered with how to report.
+    fn identify_load_stream(&mut self, peer: Peer, node: &NodeInfo) {
+        let locality = self.endpoints.locality(&node.zone).unwrap_or(0);
+        let proxy = self.proxy_ids.get(&node.id).copied();
+        let before = self.load_streams.insert(peer, proxy.map(|proxy| ReportingProxy { proxy, locality }));
+        if before == Some(None) {
+            let config = LoadReportConfig { interval: self.config.report_interval, by_endpoint: true };
+            self.send(peer, frame(&config.encode()));
+        }
+    }
+
+    /// Gives the interval's load reports to the controller and the group.
+    pub(super) fn end_report_interval(&mut self, now: Nanos) {
+        self.reported_at = now;
+        let reports = self.load_reports.take();
+        if let Some(group) = &mut self.group {
+            group.handle_load_reports(&reports);
+            // Servers end their slow start and are ejected without a change of the list.
+            self.servers_changed = true;
+        }
+        self.update_request_rates(&reports);
+        self.events.extend(reports);
+        let rows = self.load_reports.take_unlisted_rows();
+        if rows > 0 {
+            self.warn(Warning::UnlistedServersReported { rows });
+        }
+        self.close_unresponsive(now);
+        self.sasp.tick();
+    }
+
+    fn update_request_rates(&mut self, reports: &[Event]) {
+        self.request_rates.clear();
+        for report in reports {
+            if let Event::DemandReport { proxy, total, window, .. } = report {
+                let per_second = f64::from(*total) * 1e9 / (*window).max(1) as f64;
+                *self.request_rates.entry(*proxy).or_default() += per_second;
+            }
+        }
+    }
+
+    /// Computes each table's share of all requests by the rates of its users; those that did not report count as the
+    /// mean of the others.
+    pub(super) fn update_table_shares(&mut self) {
+        let known: f64 = self.request_rates.values().sum();
+        let count = self.request_rates.len();
+        let mean = if count == 0 { 1.0 } else { known / count as f64 };
+        let mut shares: BTreeMap<TableId, f64> = BTreeMap::new();
+        for (id, proxy) in &self.proxies {
+            let rate = self.request_rates.get(id).copied().unwrap_or(mean).max(f64::MIN_POSITIVE);
+            for table in proxy.tables.values().copied().collect::<BTreeSet<_>>() {
+                *shares.entry(table).or_default() += rate;
+            }
+        }
+        let all: f64 = shares.values().sum();
+        shares.values_mut().for_each(|share| *share /= all);
+        self.table_shares = shares;
+    }
+}
--- /dev/null
+++ b/crates/xds-supervisor/src/core/sasp.rs
@@ -0,0 +1,130 @@
+//! Balancers that take weights by SASP: what they send, and weights that are pushed to them.
+
+use std::collections::BTreeMap;
+
+use shalereel::interface::{Event, Nanos, ProxyId, TableId};
+use shalereel_rpc::{Code, Status};
+use shalereel_xds::NodeInfo;
+
+use super::proxy::{Protocol, SentUpdate};
+use super::{Core, Peer, ShellCommand};
+use crate::advice::{Outcome, View};
+use crate::endpoints::{MemberReport, Reporter};
+
+impl Core {
+    /// A SASP connection is open.
+    pub fn sasp_opened(&mut self, peer: Peer) {
+        self.sasp.opened(peer);
+    }
+
+    /// Takes bytes on a SASP connection.
+    pub fn handle_sasp(&mut self, now: Nanos, peer: Peer, bytes: &[u8]) {
+        let proxy = self.proxies.values().find(|proxy| proxy.peer == peer);
+        let bound = proxy.map(|proxy| self.published_tables(&proxy.tables)).unwrap_or_default();
+        let view = View {
+            tables: &self.tables,
+            roster: &self.endpoints,
+            operations: &self.deployment.operations,
+            bound: &bound,
+            now,
+            cold_for: self.config.slow_start_duration,
+        };
+        for outcome in self.sasp.heard(peer, bytes, &view) {
+            self.handle_sasp_outcome(now, peer, outcome);
+        }
+    }
+
+    fn handle_sasp_outcome(&mut self, now: Nanos, peer: Peer, outcome: Outcome) {
+        match outcome {
+            Outcome::Write(bytes) => self.commands.push(ShellCommand::WriteSasp { peer, bytes }),
+            Outcome::Joined { balancer } => self.join_balancer(peer, &balancer),
+            Outcome::Member(report) => self.member_reported(now, report),
+            Outcome::Taken => {
+                if let Some(id) = self.proxy_of_peer(peer) {
+                    self.acknowledge_all(now, id);
+                }
+            }
+            Outcome::End(reason) => self.close_stream(peer, Status::new(Code::InvalidArgument, reason)),
+        }
+    }
+
+    fn join_balancer(&mut self, peer: Peer, balancer: &str) {
+        let locality = self.config.locality;
+        let node = NodeInfo {
+            id: format!("balancer {balancer}"),
+            zone: self.deployment.localities[usize::from(locality)].clone(),
+            is_new: true,
+            ..NodeInfo::default()
+        };
+        if let Err(status) = self.join(peer, Protocol::Sasp, &node, locality) {
+            self.close_stream(peer, status);
+        }
+    }
+
+    fn member_reported(&mut self, now: Nanos, mut report: MemberReport) {
+        if self.endpoints.locality(&report.zone).is_none() {
+            let own = usize::from(self.config.locality);
+            report.zone.clone_from(&self.deployment.localities[own]);
+        }
+        let event = self.endpoints.apply_member_state(now, &report);
+        self.servers_changed = true;
+        // A balancer that registers its members, thousands of them at its start, changes nothing.
+        if report.reporter == Reporter::Member || report.quiesced || !report.present {
+            self.events.push(Event::Endpoints(event));
+        }
+    }
+
+    /// Reports that a connection's members made of themselves do not hold any more.
+    pub(super) fn sasp_connection_closed(&mut self, peer: Peer) {
+        for outcome in self.sasp.closed(peer) {
+            if let Outcome::Member(report) = outcome {
+                let event = self.endpoints.apply_member_state(self.decided_at.unwrap_or(0), &report);
+                let by_itself = report.reporter == Reporter::Member;
+                self.events.extend(by_itself.then_some(Event::Endpoints(event)));
+            }
+        }
+    }
+
+    /// All that a balancer was sent is in force: SASP has no acknowledgements.
+    fn acknowledge_all(&mut self, now: Nanos, id: ProxyId) {
+        if let Some(proxy) = self.proxies.get_mut(&id) {
+            proxy.unacknowledged.iter_mut().for_each(SentUpdate::acknowledge_all);
+            self.confirm_marks(now, id);
+        }
+    }
+
+    /// Those of a proxy's tables that were published.
+    fn published_tables(&self, tables: &BTreeMap<u16, TableId>) -> BTreeMap<u16, TableId> {
+        let published = tables.iter().filter(|(_, &table)| self.tables.told(table));
+        published.map(|(&operation, &table)| (operation, table)).collect()
+    }
+
+    /// Writes weights to a balancer that wants them pushed; another has them with its next request.
+    pub(super) fn write_weights(&mut self, now: Nanos, id: ProxyId) {
+        let nonce = self.next_nonce();
+        let Some(proxy) = self.proxies.get_mut(&id) else { return };
+        let pending = proxy.take_pending(now);
+        let update = SentUpdate { assignment: Some(nonce), ..SentUpdate::new(now, pending.marks) };
+        proxy.unacknowledged.push_back(update);
+        let peer = proxy.peer;
+        let tables = proxy.tables.clone();
+        let bound = self.published_tables(&tables);
+        if bound.is_empty() {
+            return self.acknowledge_all(now, id);
+        }
+        if !self.sasp.pushes(peer) {
+            return;
+        }
+        let view = View {
+            tables: &self.tables,
+            roster: &self.endpoints,
+            operations: &self.deployment.operations,
+            bound: &bound,
+            now,
+            cold_for: self.config.slow_start_duration,
+        };
+        let bytes = self.sasp.push(peer, &view);
+        self.commands.extend(bytes.map(|bytes| ShellCommand::WriteSasp { peer, bytes }));
+        self.acknowledge_all(now, id);
+    }
+}
--- a/crates/xds-supervisor/src/daemon.rs
+++ b/crates/xds-supervisor/src/daemon.rs
@@ -21,11 +21,11 @@
 };
 
 use crate::admin::ADMIN;
-use crate::core::{Core, Effect, Peer};
+use crate::core::{Core, Peer, ShellCommand};
 use crate::deployment::Deployment;
+use crate::group_member::{GroupCommand, GroupMember, GroupSettings};
 use crate::keeper::{kept, lock, Block, Keeper, LOG, MEMORY, TABLES};
 use crate::patience::Patience;
-use crate::shared::{Shared, Wanted};
 
 /// Resource name of the whole fleet at the registry.
 pub const FLEET: &str = "fleet";
@@ -206,9 +206,12 @@
             tracing::warn!(file = %path.display(), torn, "a torn tail is cut away");
         }
         self.keeper = Some(Keeper::open(folder, LOG, LOG_FILE_HEAD, whole, nudge)?);
-        let names = (&self.deployment.operations[..], &self.deployment.localities[..]);
-        let shared = Shared::new(charter, now(), found, names, ranges);
-        self.core.share(shared);
+        let settings = GroupSettings {
+            operations: self.deployment.operations.clone(),
+            localities: self.deployment.localities.clone(),
+            range_count: ranges,
+        };
+        self.core.join_group(GroupMember::new(charter, now(), found, settings));
         Ok(())
     }
 
@@ -222,7 +225,7 @@
             tracing::warn!(error = %format!("{error:#}"), "the tables' history cannot be read");
             None
         });
-        let whole = match self.core.recall(wall, file.as_deref()) {
+        let whole = match self.core.load_tables(wall, file.as_deref()) {
             Ok(whole) => file.map(|_| whole),
             Err(error) => {
                 let aside = folder.join(format!("{TABLES}.refused"));
@@ -258,7 +261,7 @@
         match file.as_deref().map(StoredSnapshot::decode_file) {
             Some(Ok(memory)) => {
                 whole = file.as_ref().map(Vec::len);
-                match self.core.reminisce(now(), memory) {
+                match self.core.restore_snapshot(now(), memory) {
                     Ok(away) => tracing::info!(away_ms = away / MILLI, "what was learned is recalled"),
                     Err(why) => tracing::warn!(%why, "what was learned is not recalled"),
                 }
@@ -278,12 +281,12 @@
     /// What became of writes.
     fn nudged(&mut self) {
         let done = self.keeper.as_ref().and_then(Keeper::done);
-        if let Some((done, (shared, _))) = done.zip(self.core.shared()) {
-            shared.stored(now(), done);
+        if let Some((done, (shared, _))) = done.zip(self.core.group()) {
+            shared.handle_log_write(now(), done);
         }
         match self.tables.as_ref().and_then(Keeper::done) {
             Some(Err(error)) => {
-                self.core.unkept();
+                self.core.table_write_failed();
                 if !std::mem::replace(&mut self.unkept, true) {
                     tracing::warn!(
                         error,
@@ -310,7 +313,7 @@
     /// One ask, one answer.
     fn asked(&mut self, conn: ConnId, stream: StreamId, message: &[u8]) {
         self.calls.remove(&(conn, stream));
-        let status = match self.core.admin(now(), message) {
+        let status = match self.core.handle_admin(now(), message) {
             Ok(answer) => {
                 self.hub.send(conn, stream, &answer);
                 Status::OK
@@ -321,7 +324,7 @@
     }
 
     fn turn(&mut self) -> Result<()> {
-        for input in self.hub.wait(Some(self.core.next().max(now())))? {
+        for input in self.hub.wait(Some(self.core.next_deadline().max(now())))? {
             self.take(input);
         }
         let (hub, peers, balancers) = (&self.hub, &self.peers, &self.balancers);
@@ -329,7 +332,7 @@
             Some(&(conn, stream)) => hub.unread(conn, stream) > 0,
             None => balancers.get(&peer).is_some_and(|&conn| hub.unwritten(conn) > 0),
         };
-        for effect in self.core.turn(now(), blocked) {
+        for effect in self.core.poll(now(), blocked) {
             self.carry_out(effect);
         }
         Ok(())
@@ -339,7 +342,7 @@
         match input {
             Input::Call { conn, stream, path, .. } => self.called(conn, stream, &path),
             Input::Message { conn, stream, message } => match self.calls.get(&(conn, stream)) {
-                Some(Call::Peer(peer)) => self.core.said(now(), *peer, &message),
+                Some(Call::Peer(peer)) => self.core.handle_message(now(), *peer, &message),
                 Some(Call::List) => self.listed(conn, stream, &message),
                 Some(Call::Member | Call::Tenant(_) | Call::Operator(_)) => {
                     self.group_said(conn, stream, &message);
@@ -379,13 +382,13 @@
             Input::Stop => self.stopping = true,
             Input::Opened { conn, at: Front::Sasp } => {
                 self.last_peer += 1;
-                self.core.advised(self.last_peer);
+                self.core.sasp_opened(self.last_peer);
                 self.advised.insert(conn, self.last_peer);
                 self.balancers.insert(self.last_peer, conn);
             }
             Input::Bytes { conn, bytes } => {
                 if let Some(&peer) = self.advised.get(&conn) {
-                    self.core.advice_heard(now(), peer, &bytes);
+                    self.core.handle_sasp(now(), peer, &bytes);
                 }
             }
             Input::Opened { conn, at: Front::Admin } => drop(self.operators.insert(conn)),
@@ -402,17 +405,17 @@
                 let status = Status::new(Code::Unimplemented, format!("{other} is not served to operators"));
                 return self.hub.finish(conn, stream, status);
             }
-            ADS | EDS => self.core.opened(peer, Variant::StateOfTheWorld),
-            DELTA_ADS | DELTA_EDS | DELTA_LEDS => self.core.opened(peer, Variant::Incremental),
-            LRS => self.core.reporting(peer),
-            MEMBER_STREAM_PATH | RANGES_STREAM_PATH | CONTROL_PATH if self.core.shared().is_none() => {
+            ADS | EDS => self.core.stream_opened(peer, Variant::StateOfTheWorld),
+            DELTA_ADS | DELTA_EDS | DELTA_LEDS => self.core.stream_opened(peer, Variant::Incremental),
+            LRS => self.core.load_stream_opened(peer),
+            MEMBER_STREAM_PATH | RANGES_STREAM_PATH | CONTROL_PATH if self.core.group().is_none() => {
                 let text = "this supervisor shares nothing: its file has no [shared]";
                 return self.hub.finish(conn, stream, Status::new(Code::Unimplemented, text));
             }
             MEMBER_STREAM_PATH => drop(self.calls.insert((conn, stream), Call::Member)),
             RANGES_STREAM_PATH => {
-                if let Some((shared, _)) = self.core.shared() {
-                    shared.holds(peer);
+                if let Some((shared, _)) = self.core.group() {
+                    shared.range_stream_opened(peer);
                 }
                 self.calls.insert((conn, stream), Call::Tenant(peer));
             }
@@ -435,7 +438,7 @@
             Some(Call::Peer(peer)) => {
                 tracing::debug!(peer, why, "a stream is over");
                 self.peers.remove(&peer);
-                self.core.ended(peer);
+                self.core.stream_closed(peer);
             }
             Some(Call::List) => {
                 self.hub.close(conn, false);
@@ -445,8 +448,8 @@
             Some(Call::ToMember(member)) => self.member_lost(member),
             Some(Call::Tenant(peer) | Call::Operator(peer)) => {
                 self.peers.remove(&peer);
-                if let Some((shared, _)) = self.core.shared() {
-                    shared.ended(peer);
+                if let Some((shared, _)) = self.core.group() {
+                    shared.stream_closed(peer);
                 }
             }
             Some(Call::Member | Call::Admin) | None => {}
@@ -458,7 +461,7 @@
         if let Some(peer) = self.advised.remove(&conn) {
             tracing::debug!(peer, why, "a balancer's connection is over");
             self.balancers.remove(&peer);
-            return self.core.ended(peer);
+            return self.core.stream_closed(peer);
         }
         let streams: Vec<StreamId> =
             self.calls.range((conn, 0)..=(conn, StreamId::MAX)).map(|((_, stream), _)| *stream).collect();
@@ -472,11 +475,11 @@
     }
 
     fn group_said(&mut self, conn: ConnId, stream: StreamId, message: &[u8]) {
-        let Some((shared, roster)) = self.core.shared() else { return };
+        let Some((shared, roster)) = self.core.group() else { return };
         let result = match self.calls.get(&(conn, stream)) {
-            Some(Call::Member) => shared.heard(now(), message),
-            Some(&Call::Tenant(peer)) => shared.ranges_asked(now(), peer, message, roster),
-            Some(&Call::Operator(peer)) => shared.control(now(), peer, message),
+            Some(Call::Member) => shared.handle_member_message(now(), message),
+            Some(&Call::Tenant(peer)) => shared.handle_ranges_request(now(), peer, message, roster),
+            Some(&Call::Operator(peer)) => shared.handle_control(now(), peer, message),
             _ => Ok(()),
         };
         if let Err(status) = result {
@@ -512,16 +515,16 @@
         }
     }
 
-    fn wanted(&mut self, wanted: Wanted) {
+    fn wanted(&mut self, wanted: GroupCommand) {
         match wanted {
-            Wanted::Tell { to, address, message } => self.tell(to, &address, &message),
-            Wanted::Keep(writing) => {
+            GroupCommand::SendToMember { to, address, message } => self.tell(to, &address, &message),
+            GroupCommand::StoreLog(writing) => {
                 if let Some(keeper) = &self.keeper {
                     let parts = vec![encode(&writing.records).into()];
                     keeper.keep(Block { number: writing.sequence, whole: writing.replaces_file, parts });
                 }
             }
-            Wanted::Answer { peer, result } => {
+            GroupCommand::AnswerOperator { peer, result } => {
                 let Some((conn, stream)) = self.peers.remove(&peer) else { return };
                 self.calls.remove(&(conn, stream));
                 let status = match result {
@@ -533,25 +536,25 @@
                 };
                 self.hub.finish(conn, stream, status);
             }
-            Wanted::Ranges { peer, message } => {
+            GroupCommand::SendRanges { peer, message } => {
                 if let Some(&(conn, stream)) = self.peers.get(&peer) {
                     self.hub.send(conn, stream, &message);
                 }
             }
-            Wanted::Remark(line) => tracing::info!(group = line),
+            GroupCommand::Log(line) => tracing::info!(group = line),
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn carry_out(&mut self, effect: ShellCommand) {
         match effect {
-            Effect::Group(wanted) => self.wanted(wanted),
-            Effect::Memory(body) => {
+            ShellCommand::Group(wanted) => self.wanted(wanted),
+            ShellCommand::StoreSnapshot(body) => {
                 self.kept += 1;
                 if let Some(keeper) = &self.memory {
                     keeper.keep(Block { number: self.kept, whole: true, parts: vec![body.into()] });
                 }
             }
-            Effect::History(writing) => {
+            ShellCommand::StoreTables(writing) => {
                 self.kept += 1;
                 if let Some(keeper) = &self.tables {
                     keeper.keep(Block {
@@ -561,17 +564,17 @@
                     });
                 }
             }
-            Effect::Say { peer, message } => {
+            ShellCommand::Send { peer, message } => {
                 if let Some(&(conn, stream)) = self.peers.get(&peer) {
                     self.hub.send_framed(conn, stream, message);
                 }
             }
-            Effect::Write { peer, bytes } => {
+            ShellCommand::WriteSasp { peer, bytes } => {
                 if let Some(&conn) = self.balancers.get(&peer) {
                     self.hub.write(conn, &bytes);
                 }
             }
-            Effect::End { peer, status } => {
+            ShellCommand::CloseStream { peer, status } => {
                 tracing::warn!(peer, %status, "a stream is ended");
                 if let Some(conn) = self.balancers.remove(&peer) {
                     self.advised.remove(&conn);
@@ -587,7 +590,7 @@
                     }
                 }
             }
-            Effect::Listen(on) => {
+            ShellCommand::WatchEndpoints(on) => {
                 self.listening = on;
                 if let Some(conn) = self.registry.take() {
                     self.hub.close(conn, false);
@@ -597,17 +600,17 @@
                     self.dial();
                 }
             }
-            Effect::AskList => {
+            ShellCommand::FetchEndpoints => {
                 if let Some(conn) = self.registry.take() {
                     self.hub.close(conn, false);
                     self.calls.retain(|(of, _), _| *of != conn);
                 }
                 self.dial();
             }
-            Effect::Probe { server, address } => self.probe(server, address),
-            Effect::Remark(line) => tracing::info!(remark = line),
-            Effect::Odd(line) => tracing::warn!("{line}"),
-            Effect::Remember => {
+            ShellCommand::CheckHealth { server, address } => self.probe(server, address),
+            ShellCommand::LogDecision(line) => tracing::info!(remark = line),
+            ShellCommand::Warn(warning) => warning.log(),
+            ShellCommand::StoreEndpointList => {
                 // Off the publishing path: what follows from the list leaves first.
                 if !std::mem::replace(&mut self.to_keep, true) {
                     self.hub.set(self.patience.keep_by(now()), Key::Keep);
@@ -640,7 +643,7 @@
             return;
         }
         tracing::warn!(why, "the registry's stream is lost");
-        self.core.list_failed();
+        self.core.endpoint_list_failed();
         if !self.deployment.facts.polls_endpoints {
             self.hub.set(self.patience.list_again(now()), Key::Dial);
         }
@@ -660,7 +663,7 @@
         let answer = match lists {
             Ok(lists) => {
                 for list in lists.iter().filter(|list| list.cluster == FLEET) {
-                    self.core.listed(now(), list);
+                    self.core.handle_endpoint_list(now(), list);
                 }
                 self.list.ack(&update)
             }
@@ -686,7 +689,7 @@
             Some((conn, stream))
         });
         let Some((conn, stream)) = called else {
-            return self.core.probed(server, HealthCheckOutcome::Unreachable, 0);
+            return self.core.health_checked(server, HealthCheckOutcome::Unreachable, 0);
         };
         self.calls.insert((conn, stream), Call::Probe(server));
         self.probes.insert(conn, (server, now()));
@@ -697,7 +700,7 @@
         if let Some((_, begun)) = self.probes.remove(&conn) {
             self.calls.retain(|(of, _), _| *of != conn);
             self.hub.close(conn, false);
-            self.core.probed(server, ending, now() - begun);
+            self.core.health_checked(server, ending, now() - begun);
         }
     }
 
@@ -705,7 +708,7 @@
         if !std::mem::take(&mut self.to_keep) {
             return;
         }
-        if let Err(error) = keep(&self.deployment.folder, &self.core.remember()) {
+        if let Err(error) = keep(&self.deployment.folder, &self.core.endpoint_list_json()) {
             tracing::warn!(%error, "the list could not be kept");
         }
     }
@@ -713,7 +716,7 @@
     /// Ends all streams with a status, so that proxies dial another supervisor at once.
     fn part(&mut self) {
         self.keep();
-        if let Some((shared, _)) = self.core.shared() {
+        if let Some((shared, _)) = self.core.group() {
             for wanted in shared.leave(now()) {
                 self.wanted(wanted);
             }
@@ -722,7 +725,7 @@
             self.hub.finish(conn, stream, Status::new(Code::Unavailable, "this supervisor stops"));
         }
         let _ = self.hub.wait(Some(now()));
-        let (most, _) = self.core.backlog();
+        let most = self.core.backlog().peak_lines;
         tracing::info!(most_lines_waiting = most, "stopped");
     }
 }
--- a/crates/xds-supervisor/src/lib.rs
+++ b/crates/xds-supervisor/src/lib.rs
@@ -1,4 +1,5 @@
-//! The running supervisor. [`Core`] is all of it but the sockets; [`run`] is the daemon.
+//! The supervisor on published protocols: xDS, load reporting and SASP. [`Core`] is all of it but the sockets; [`run`] is
+//! the daemon round it. Called by `shalereel daemon` (`crates/cli`).
 
 pub mod admin;
 mod advice;
@@ -7,22 +8,22 @@
 pub mod daemon;
 mod deployment;
 mod endpoints;
-mod evidence;
+mod group_member;
 mod keeper;
+mod load_reports;
 mod patience;
-mod reports;
-mod shared;
+mod peer_reports;
 mod tables;
 
-pub use crate::core::{Core, Effect, Peer, LISTENER, PREFIX};
-pub use channel::{Channel, Departure};
+pub use crate::core::{Core, Peer, ShellCommand, Warning, LISTENER, PREFIX};
+pub use channel::{Backlog, Channel, Departure};
 pub use daemon::run;
 pub use deployment::{Deployment, FileError, Planted};
 pub use endpoints::{
     AppliedList, EndpointList, ListedEndpoint, MemberReport, Reporter, ServerSummary, SkipReason, SkippedRow,
 };
+pub use group_member::{AppliedChanges, GroupCommand, GroupMember, GroupSettings, OperatorOrders};
 pub use keeper::{Block, Keeper, LOG, MEMORY, TABLES};
+pub use load_reports::{LoadReports, ReportingProxy};
 pub use patience::{Patience, Verdict};
-pub use reports::Reports;
-pub use shared::{Shared, Wanted};
 pub use tables::{Facts, Reach, Tables};
--- a/crates/xds-supervisor/tests/core.rs
+++ b/crates/xds-supervisor/tests/core.rs
@@ -6,7 +6,7 @@
 use shalereel_reactor::{Nanos, MILLI, SECOND};
 use shalereel_rpc::{Code, Framer};
 use shalereel_xds::*;
-use shalereel_xds_supervisor::{Core, Deployment, Effect, Peer, LISTENER};
+use shalereel_xds_supervisor::{Core, Deployment, Peer, ShellCommand, LISTENER};
 
 const FILE: &str = r#"
 listen = "127.0.0.1:0"
@@ -94,21 +94,21 @@
     fn run(&mut self, ms: u64) {
         for _ in 0..ms {
             self.now += MILLI;
-            for effect in self.core.turn(self.now, |_| false) {
+            for effect in self.core.poll(self.now, |_| false) {
                 match effect {
-                    Effect::Say { peer, message } => {
+                    ShellCommand::Send { peer, message } => {
                         let mut framer = Framer::new(1 << 20);
                         framer.push(&message);
                         self.said.push((peer, framer.take().unwrap().unwrap().to_vec()));
                     }
-                    Effect::Write { peer, bytes } => self.written.push((peer, bytes)),
-                    Effect::History(writing) => {
+                    ShellCommand::WriteSasp { peer, bytes } => self.written.push((peer, bytes)),
+                    ShellCommand::StoreTables(writing) => {
                         if writing.replaces_file {
                             self.kept.clear();
                         }
                         self.kept.extend(writing.records);
                     }
-                    Effect::End { peer, status } => self.ended.push((peer, status.code)),
+                    ShellCommand::CloseStream { peer, status } => self.ended.push((peer, status.code)),
                     _ => {}
                 }
             }
@@ -135,11 +135,11 @@
         };
         let list =
             Assignment { cluster: "fleet".into(), endpoints: (1..6).map(row).collect(), admitted: 1.0 };
-        self.core.listed(self.now, &list);
+        self.core.handle_endpoint_list(self.now, &list);
     }
 
     fn open(&mut self, peer: Peer, id: &str, variant: Variant) -> ClientStream {
-        self.core.opened(peer, variant);
+        self.core.stream_opened(peer, variant);
         ClientStream::new(variant, NodeInfo { id: id.into(), zone: "a".into(), ..NodeInfo::default() })
     }
 
@@ -152,7 +152,7 @@
             .map(|(_, message)| {
                 let update = client.handle(&message).unwrap();
                 let answer = client.ack(&update);
-                self.core.said(self.now, peer, &answer);
+                self.core.handle_message(self.now, peer, &answer);
                 update
             })
             .collect()
@@ -176,7 +176,7 @@
     let mut client = world.open(7, "stock", variant);
     let want = |world: &mut World, client: &mut ClientStream, url: &str, names: &[&str]| {
         let message = client.subscribe(url, names.iter().map(|name| name.to_string()));
-        world.core.said(world.now, 7, &message);
+        world.core.handle_message(world.now, 7, &message);
         world.run(1500);
         world.read(7, client)
     };
@@ -205,7 +205,7 @@
     world.list(&[]);
     let mut client = world.open(7, "stock", Variant::StateOfTheWorld);
     let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned()]);
-    world.core.said(world.now, 7, &message);
+    world.core.handle_message(world.now, 7, &message);
     world.run(1500);
     assert_eq!(ports(world.read(7, &mut client).last().unwrap()), [("view".into(), 5, 0)]);
     world.list(&[3]);
@@ -222,16 +222,16 @@
         (0..4).map(|at| world.open(at, &format!("f-{at}"), Variant::StateOfTheWorld)).collect();
     for (peer, client) in clients.iter_mut().enumerate() {
         let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned(), EXCLUDED.to_owned()]);
-        world.core.said(world.now, peer as Peer, &message);
+        world.core.handle_message(world.now, peer as Peer, &message);
     }
     // Each is put on a table of five: 10 for its head, 1 + 5 lines + 2 levels, 1 for its mark: 19 ms at 1 a ms.
     world.run(18);
     assert_eq!(world.said.len(), 0);
-    assert_eq!(world.core.backlog().1, 4.0 * 19.0);
+    assert_eq!(world.core.backlog().queued_lines, 4.0 * 19.0);
     world.run(22);
     assert_eq!(world.said.len(), 2);
     world.run(60);
-    assert_eq!((world.said.len(), world.core.backlog().1), (4, 0.0));
+    assert_eq!((world.said.len(), world.core.backlog().queued_lines), (4, 0.0));
 }
 
 #[rstest]
@@ -239,13 +239,13 @@
 #[case::nobody(NodeInfo { zone: "a".into(), ..NodeInfo::default() }, Code::InvalidArgument)]
 fn a_node_that_does_not_fit_is_told_why(#[case] node: NodeInfo, #[case] code: Code) {
     let mut world = World::new(None);
-    world.core.opened(1, Variant::StateOfTheWorld);
+    world.core.stream_opened(1, Variant::StateOfTheWorld);
     let message =
         ClientStream::new(Variant::StateOfTheWorld, node).subscribe(types::ASSIGNMENT, ["view".to_owned()]);
-    world.core.said(world.now, 1, &message);
+    world.core.handle_message(world.now, 1, &message);
     world.run(1);
     assert_eq!(world.ended, [(1, code)]);
-    assert_eq!(world.core.joined(), 0);
+    assert_eq!(world.core.proxy_count(), 0);
 }
 
 #[test]
@@ -254,13 +254,13 @@
     for peer in [1, 2] {
         let mut client = world.open(peer, "same", Variant::StateOfTheWorld);
         let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned()]);
-        world.core.said(world.now, peer, &message);
+        world.core.handle_message(world.now, peer, &message);
         world.run(1);
     }
-    assert_eq!((world.ended.clone(), world.core.joined()), (vec![(1, Code::Cancelled)], 1));
+    assert_eq!((world.ended.clone(), world.core.proxy_count()), (vec![(1, Code::Cancelled)], 1));
     // The end of the older one is no end of the node.
-    world.core.ended(1);
-    assert_eq!(world.core.joined(), 1);
+    world.core.stream_closed(1);
+    assert_eq!(world.core.proxy_count(), 1);
 }
 
 #[test]
@@ -269,7 +269,7 @@
     world.list(&[]);
     let mut client = world.open(1, "f", Variant::StateOfTheWorld);
     let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned()]);
-    world.core.said(world.now, 1, &message);
+    world.core.handle_message(world.now, 1, &message);
     for _ in 0..3 {
         while world.said.is_empty() {
             world.run(1);
@@ -278,7 +278,7 @@
         let update = client.handle(&message).unwrap();
         assert_eq!(ports(&update), [("view".into(), 5, 0)], "the whole table each time");
         let no = client.nack(&update, "not like this".into());
-        world.core.said(world.now, 1, &no);
+        world.core.handle_message(world.now, 1, &no);
     }
     world.run(1);
     assert_eq!(world.ended, [(1, Code::FailedPrecondition)]);
@@ -291,7 +291,7 @@
     for peer in [1, 2] {
         let mut client = world.open(peer, &format!("f-{peer}"), Variant::StateOfTheWorld);
         let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned()]);
-        world.core.said(world.now, peer, &message);
+        world.core.handle_message(world.now, peer, &message);
         world.run(100);
         if peer == 2 {
             assert_eq!(world.read(peer, &mut client).len(), 1);
@@ -301,19 +301,19 @@
     world.run(12_000);
     assert!(world.ended.is_empty());
     world.run(2_500);
-    assert_eq!((world.ended.clone(), world.core.joined()), (vec![(1, Code::DeadlineExceeded)], 1));
+    assert_eq!((world.ended.clone(), world.core.proxy_count()), (vec![(1, Code::DeadlineExceeded)], 1));
 }
 
 #[test]
 fn a_restart_lives_by_the_kept_list_and_by_nothing_else() {
     let mut world = World::new(None);
     world.list(&[2]);
-    let kept = world.core.remember();
+    let kept = world.core.endpoint_list_json();
     for (kept, rows) in [(&kept[..], 4), (&b"{half a li"[..], 0)] {
         let mut world = World::new(Some(kept));
         let mut client = world.open(1, "f", Variant::StateOfTheWorld);
         let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned()]);
-        world.core.said(world.now, 1, &message);
+        world.core.handle_message(world.now, 1, &message);
         world.run(500);
         let held = world.read(1, &mut client).last().map_or(0, |update| ports(update)[0].1);
         assert_eq!(held, rows);
@@ -390,15 +390,16 @@
         dropped: 2,
         endpoints,
     };
-    let mut reports = shalereel_xds_supervisor::Reports::default();
-    reports.add(1, 0, &LoadReport { node: None, clusters: vec![cluster] }, &["view".to_owned()], &roster);
+    let reporter = shalereel_xds_supervisor::ReportingProxy { proxy: 1, locality: 0 };
+    let mut reports = shalereel_xds_supervisor::LoadReports::default();
+    reports.add(reporter, &LoadReport { node: None, clusters: vec![cluster] }, &["view".to_owned()], &roster);
     let events = reports.take();
     assert!(
         matches!(&events[0], Event::EndpointReport(digest) if digest.server == 4 && (digest.attempts, digest.failures) == (4, 1))
     );
     assert!(matches!(&events[0], Event::EndpointReport(digest) if digest.response_time == 20 * MILLI));
     assert!(matches!(events[1], Event::DemandReport { total: 6, failures: 1, .. }), "{events:?}");
-    assert_eq!((events.len(), reports.strangers, reports.take().len()), (2, 1, 0));
+    assert_eq!((events.len(), reports.take_unlisted_rows(), reports.take().len()), (2, 1, 0));
 }
 
 mod second_front {
@@ -417,12 +418,12 @@
     }
 
     fn tell(world: &mut World, peer: Peer, body: Body) {
-        world.core.advice_heard(world.now, peer, &Message { id: 1, body }.encode());
+        world.core.handle_sasp(world.now, peer, &Message { id: 1, body }.encode());
     }
 
     /// A balancer on `peer` that has registered servers 1 to 5 for both operations.
     fn balancer(world: &mut World, peer: Peer, push: bool, trust: bool) {
-        world.core.advised(peer);
+        world.core.sasp_opened(peer);
         let flags = LbFlags { push, trust, no_change: false };
         tell(world, peer, Body::SetLbState { balancer: b"lb".to_vec(), health: 0, flags });
         let groups = ["view", "order"].map(|name| (group(name), (1..6).map(member).collect()));
@@ -458,7 +459,7 @@
         world.list(&[]);
         let mut client = world.open(1, "f", Variant::StateOfTheWorld);
         let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned()]);
-        world.core.said(world.now, 1, &message);
+        world.core.handle_message(world.now, 1, &message);
         balancer(&mut world, 2, true, false);
         for draining in [&[][..], &[3], &[3, 4], &[2]] {
             world.list(draining);
@@ -512,10 +513,10 @@
         world.list(&[]);
         let mut client = world.open(1, "f", Variant::StateOfTheWorld);
         let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned()]);
-        world.core.said(world.now, 1, &message);
+        world.core.handle_message(world.now, 1, &message);
         balancer(&mut world, 2, true, true);
         world.run(1500);
-        world.core.advised(3);
+        world.core.sasp_opened(3);
         let groups = vec![(group("view"), vec![member(77)])];
         tell(&mut world, 3, Body::Register { from_balancer: false, groups });
         let held = |world: &mut World, client: &mut ClientStream| {
@@ -540,7 +541,7 @@
         assert_eq!(held(&mut world, &mut client), (5, None));
         tell(&mut world, 3, quiesce(false));
         assert_eq!(held(&mut world, &mut client).0, 6);
-        world.core.ended(3);
+        world.core.stream_closed(3);
         assert_eq!(held(&mut world, &mut client), (5, None));
     }
 }
@@ -561,12 +562,12 @@
 
     impl Client {
         fn join(world: &mut World, peer: Peer, id: &str) -> Self {
-            world.core.opened(peer, Variant::Incremental);
+            world.core.stream_opened(peer, Variant::Incremental);
             let node =
                 NodeInfo { id: id.into(), zone: "a".into(), supports_lines: true, ..NodeInfo::default() };
             let mut list = ClientStream::new(Variant::Incremental, node);
             let message = list.subscribe(types::ASSIGNMENT, ["view".to_owned(), "order".to_owned()]);
-            world.core.said(world.now, peer, &message);
+            world.core.handle_message(world.now, peer, &message);
             Client {
                 list,
                 follower: Replica::new(ResyncBackoff::new(10 * MILLI, peer)),
@@ -578,12 +579,12 @@
 
         fn reopen(&mut self, world: &mut World, peer: Peer) {
             self.peer = peer;
-            world.core.opened(peer, Variant::Incremental);
+            world.core.stream_opened(peer, Variant::Incremental);
             let held = self.follower.verified().map(|check| (leds::collection(0), check.to_string()));
             self.list.set_resource_versions(types::LINE, held.into_iter().collect());
             self.follower.stream_reopened();
             for message in self.list.reopen() {
-                world.core.said(world.now, peer, &message);
+                world.core.handle_message(world.now, peer, &message);
             }
         }
 
@@ -601,11 +602,11 @@
                         let named = leds::collection_of(&update.resources[0]).unwrap().unwrap();
                         assert_eq!(named, leds::collection(0));
                         let answer = self.list.ack(&update);
-                        world.core.said(world.now, self.peer, &answer);
+                        world.core.handle_message(world.now, self.peer, &answer);
                         // Later streams ask for it as they are opened.
                         if !std::mem::replace(&mut self.asked, true) {
                             let ask = self.list.resubscribe(types::LINE, [(named, None)].into());
-                            world.core.said(world.now, self.peer, &ask);
+                            world.core.handle_message(world.now, self.peer, &ask);
                         }
                         continue;
                     }
@@ -625,7 +626,7 @@
                     if !deaf {
                         assert_eq!(self.follower.receive(world.now, &delta), DeltaOutcome::Applied);
                         let answer = self.list.ack(&update);
-                        world.core.said(world.now, self.peer, &answer);
+                        world.core.handle_message(world.now, self.peer, &answer);
                     }
                 }
             }
@@ -648,18 +649,18 @@
         client.run(&mut world, 100, false);
         assert_eq!((client.servers(), client.read[1]), (vec![1, 2, 4, 5], (first, 1)));
         // The stream breaks; what changed meanwhile is all that it is told.
-        world.core.ended(1);
+        world.core.stream_closed(1);
         world.list(&[3, 4]);
         world.run(100);
         client.reopen(&mut world, 2);
         client.run(&mut world, 100, false);
         assert_eq!((client.servers(), client.read[2].1, client.read.len()), (vec![1, 2, 5], 1, 3));
-        world.core.ended(2);
+        world.core.stream_closed(2);
         client.reopen(&mut world, 3);
         client.run(&mut world, 100, false);
         assert_eq!((client.read[3].1, client.read.len()), (0, 4));
         // One that comes with what nobody knows gets the whole.
-        world.core.ended(3);
+        world.core.stream_closed(3);
         client.follower = Replica::new(ResyncBackoff::new(MILLI, 1));
         client.reopen(&mut world, 4);
         client.run(&mut world, 100, false);
@@ -692,7 +693,7 @@
         client.read.clear();
         client.run(&mut world, 2000, false);
         assert_eq!(client.read, []);
-        assert!(world.core.backlog().0 < 200.0, "{:?}", world.core.backlog());
+        assert!(world.core.backlog().peak_lines < 200.0, "{:?}", world.core.backlog());
     }
 
     #[test]
@@ -706,9 +707,9 @@
             .copied()
             .chain(world.kept.iter().flat_map(|body| shalereel_journal::frame(body)))
             .collect();
-        let (list, held) = (world.core.remember(), client.follower.verified().unwrap().number);
+        let (list, held) = (world.core.endpoint_list_json(), client.follower.verified().unwrap().number);
         let mut world = World::new(Some(&list));
-        world.core.recall(0, Some(&file)).unwrap();
+        world.core.load_tables(0, Some(&file)).unwrap();
         client.read.clear();
         world.list(&[2]);
         client.reopen(&mut world, 1);
@@ -718,7 +719,7 @@
         let mut damaged = file.clone();
         damaged[12] ^= 1;
         let mut world = World::new(Some(&list));
-        assert!(world.core.recall(0, Some(&damaged)).is_err());
+        assert!(world.core.load_tables(0, Some(&damaged)).is_err());
         client.reopen(&mut world, 1);
         client.run(&mut world, 200, false);
         assert_eq!(client.servers(), [1, 2, 3, 4, 5]);
@@ -732,7 +733,7 @@
 
     fn ask(world: &mut World, question: Question) -> Result<serde_json::Value, String> {
         let message = AdminAsk { question: Some(question) }.encode_to_vec();
-        let answer = world.core.admin(world.now, &message).map_err(|status| status.text)?;
+        let answer = world.core.handle_admin(world.now, &message).map_err(|status| status.text)?;
         Ok(serde_json::from_str(&AdminAnswer::decode(&answer[..]).unwrap().told).unwrap())
     }
 
@@ -765,7 +766,7 @@
         assert!(ask(&mut world, back(to, 1000, false)).unwrap_err().contains("nothing to go back to"));
         assert!(ask(&mut world, back(999, 1000, false)).unwrap_err().contains("not kept"));
         assert!(ask(&mut world, back(from, 0, false)).unwrap_err().contains("must end"));
-        assert!(world.core.admin(world.now, b"\xff\xff").is_err());
+        assert!(world.core.handle_admin(world.now, b"\xff\xff").is_err());
     }
 
     #[test]
@@ -804,7 +805,7 @@
         world.list(&[]);
         let mut client = world.open(1, "f", Variant::StateOfTheWorld);
         let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned()]);
-        world.core.said(world.now, 1, &message);
+        world.core.handle_message(world.now, 1, &message);
         let weights = |world: &mut World, client: &mut ClientStream| {
             let update = world.read(1, client).pop()?;
             let table = Assignment::decode(&update.resources[0]).unwrap();
@@ -839,6 +840,6 @@
         assert_eq!((over["127.1.0.3:80"], over.len()), (75, 4));
         let told = ask(&mut world, Question::List(List { last: 1 })).unwrap();
         assert!(told["ways"].as_array().unwrap().is_empty());
-        assert!(world.core.backlog().0 < 200.0);
+        assert!(world.core.backlog().peak_lines < 200.0);
     }
 }
