--- /dev/null
+++ b/crates/xds-supervisor/tests/core/discovery.rs
@@ -0,0 +1,91 @@
+//! Tables as discovery clients receive, acknowledge and reject them.
+
+use rstest::rstest;
+
+use super::*;
+
+/// From the listener to the endpoints as the specification has it, with none of our own features.
+#[rstest]
+#[case(Variant::StateOfTheWorld)]
+#[case(Variant::Incremental)]
+fn standard_client_joins_and_receives_tables(#[case] variant: Variant) {
+    let mut harness = Harness::new(None);
+    harness.list_draining(&[]);
+    let mut client = harness.open_client(7, "stock", variant);
+    let subscribe = |harness: &mut Harness, client: &mut ClientStream, url: &str, names: &[&str]| {
+        let message = client.subscribe(url, names.iter().map(|name| name.to_string()));
+        harness.core.handle_message(harness.now, 7, &message);
+        harness.run_ms(1500);
+        harness.read_and_acknowledge(7, client)
+    };
+    let listeners = subscribe(&mut harness, &mut client, types::LISTENER, &[LISTENER]);
+    assert_eq!(listeners[0].resources.len(), 1);
+    let routes = subscribe(&mut harness, &mut client, types::ROUTES, &[LISTENER]);
+    let policies = decode_retries(&routes.last().unwrap().resources[0]).unwrap();
+    assert_eq!(policies.iter().map(|policy| policy.0.as_str()).collect::<Vec<_>>(), ["view", "order"]);
+    let clusters = subscribe(&mut harness, &mut client, types::CLUSTER, &["view", "order"]);
+    assert_eq!(clusters[0].resources.len(), 2);
+    let tables = subscribe(&mut harness, &mut client, types::ASSIGNMENT, &["view", "order"]);
+    assert_eq!(summaries(tables.last().unwrap()), [summary("view", 5, 0), summary("order", 5, 0)]);
+    // A drain leaves at once, not with the next ordinary batch.
+    harness.list_draining(&[3]);
+    harness.run_ms(200);
+    let tables = harness.read_and_acknowledge(7, &mut client);
+    assert_eq!(summaries(&tables[0]), [summary("view", 4, 0), summary("order", 4, 0)]);
+    assert!(harness.closed.is_empty());
+}
+
+/// Guards against a correction of the guard that waits for the controller's next change: there is none. The grace is 2 s.
+#[test]
+fn drain_that_the_guard_enforces_is_sent_within_the_grace() {
+    let mut harness =
+        Harness::with_deployment(&format!("planted = \"drop_suspensions\"\n{DEPLOYMENT}"), None);
+    harness.list_draining(&[]);
+    let mut client = harness.join_viewer(7, "stock");
+    harness.run_ms(1500);
+    assert_eq!(
+        summaries(harness.read_and_acknowledge(7, &mut client).last().unwrap()),
+        [summary("view", 5, 0)]
+    );
+    harness.list_draining(&[3]);
+    harness.run_ms(1200);
+    let tables = harness.read_and_acknowledge(7, &mut client);
+    assert_eq!(tables.last().map(summaries), Some(vec![summary("view", 5, 1)]));
+}
+
+#[test]
+fn rejected_response_is_sent_again_and_the_third_rejection_closes_the_stream() {
+    let mut harness = Harness::new(None);
+    harness.list_draining(&[]);
+    let mut client = harness.join_viewer(1, "f");
+    for _ in 0..3 {
+        while harness.sent.is_empty() {
+            harness.run_ms(1);
+        }
+        let (_, message) = harness.sent.remove(0);
+        let update = client.handle(&message).unwrap();
+        assert_eq!(summaries(&update), [summary("view", 5, 0)], "the whole table each time");
+        let rejection = client.nack(&update, "not like this".into());
+        harness.core.handle_message(harness.now, 1, &rejection);
+    }
+    harness.run_ms(1);
+    assert_eq!(harness.closed, [(1, Code::FailedPrecondition)]);
+}
+
+#[test]
+fn unresponsive_client_is_closed_and_holds_up_nobody() {
+    let mut harness = Harness::new(None);
+    harness.list_draining(&[]);
+    for peer in [1, 2] {
+        let mut client = harness.join_viewer(peer, &format!("f-{peer}"));
+        harness.run_ms(100);
+        if peer == 2 {
+            assert_eq!(harness.read_and_acknowledge(peer, &mut client).len(), 1);
+        }
+    }
+    // Four times a round of 1.2 s and the 2 s in which a full channel empties.
+    harness.run_ms(12_000);
+    assert!(harness.closed.is_empty());
+    harness.run_ms(2_500);
+    assert_eq!((harness.closed.clone(), harness.core.proxy_count()), (vec![(1, Code::DeadlineExceeded)], 1));
+}
--- /dev/null
+++ b/crates/xds-supervisor/tests/core/main.rs
@@ -0,0 +1,21 @@
+//! A supervisor without sockets: streams as clients open them, lists as a registry sends them.
+
+use std::path::Path;
+
+use shalereel_reactor::{MILLI, SECOND};
+use shalereel_rpc::Code;
+use shalereel_xds::*;
+use shalereel_xds_supervisor::{Deployment, Peer, LISTENER};
+
+use harness::{summaries, summary, Harness, DEPLOYMENT};
+
+mod channel;
+mod deployment_file;
+mod discovery;
+mod harness;
+mod lines;
+mod load_reports;
+mod operators;
+mod restart;
+mod sasp;
+mod streams;
--- /dev/null
+++ b/crates/xds-supervisor/tests/core/restart.rs
@@ -0,0 +1,20 @@
+//! A restart with the stored endpoint list.
+
+use super::*;
+
+#[test]
+fn restart_uses_the_stored_list_and_nothing_else() {
+    let mut harness = Harness::new(None);
+    harness.list_draining(&[2]);
+    let stored = harness.core.endpoint_list_json();
+    for (stored, rows) in [(&stored[..], 4), (&b"{half a li"[..], 0)] {
+        let mut harness = Harness::new(Some(stored));
+        let mut client = harness.join_viewer(1, "f");
+        harness.run_ms(500);
+        let received = harness
+            .read_and_acknowledge(1, &mut client)
+            .last()
+            .map_or(0, |update| summaries(update)[0].endpoints);
+        assert_eq!(received, rows);
+    }
+}
