--- a/src/channel/changes.rs
+++ b/src/channel/changes.rs
@@ -46,6 +46,7 @@
 }
 
 impl Change {
+    /// Whether a rule depends on it.
     pub(super) fn is_urgent(&self) -> bool {
         self.priority == Priority::Urgent
     }
--- a/src/pacing.rs
+++ b/src/pacing.rs
@@ -41,7 +41,7 @@
     /// Lines in the queue as of `updated_at`.
     pub(crate) queued_lines: f64,
     pub(crate) updated_at: Nanos,
-    pub(crate) last_serial: u16,
+    last_serial: u16,
     /// Marks that await acknowledgement, by serial.
     pub(crate) pending_marks: BTreeMap<u64, PendingMark>,
     pub(crate) message_limit: MessageLimit,
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -49,7 +49,7 @@
     /// Weight that each subset of the current assignment should have.
     pub(crate) target_weights: BTreeMap<TableId, f64>,
     /// Subsets with so much warm weight that a server that is warming up gets a small share.
-    pub(crate) well_supplied: BTreeSet<TableId>,
+    well_supplied: BTreeSet<TableId>,
     /// Servers that were known when subsets were assigned or replenished.
     known_servers: BTreeSet<ServerId>,
     purpose: Purpose,
--- a/src/tables.rs
+++ b/src/tables.rs
@@ -32,5 +32,5 @@
     }
 }
 
-/// What proxies are to be told, by server.
+/// What proxies are to be sent, by server.
 pub(crate) type DesiredWeights = BTreeMap<ServerId, DesiredWeight>;
