--- a/crates/platform-supervisor/src/lib.rs
+++ b/crates/platform-supervisor/src/lib.rs
@@ -1,5 +1,5 @@
-//! The live supervisor on the platform's protocol. Data flows one way: socket, codec, event, controller,
-//! action, codec, socket. All but [`run`] is free of I/O and clocks.
+//! The supervisor on the operators' platform, `shalereel node`. Data flows one way: socket, codec, event, controller,
+//! action, codec, socket. All but [`run`] and [`Config::read`] is free of I/O and clocks.
 
 #![deny(missing_docs)]
 
--- a/crates/platform-supervisor/src/limits.rs
+++ b/crates/platform-supervisor/src/limits.rs
@@ -30,14 +30,13 @@
 const DIAL_BACKOFF_MAX: Nanos = SECOND;
 /// Keeps the shift of the backoff in range.
 const DIAL_BACKOFF_MAX_DOUBLINGS: u32 = 16;
-/// Delay until a call is repeated that the kernel refused for lack of resources.
+/// Delay until a system call is repeated that the kernel refused for lack of memory or descriptors.
 const KERNEL_RETRY_DELAY: Nanos = SECOND / 20;
-/// A configuration file may be unreadable while it is replaced; time limits do not apply for 4 s after the
-/// signal.
+/// After SIGHUP the configuration file may be unreadable while it is replaced: for 4 s it is read again at this interval.
 const CONFIG_REREAD_DELAY: Nanos = SECOND / 10;
 const MAX_CONFIG_REREADS: u32 = 40;
-/// A proxy that owes acknowledgements is taken for gone after this multiple of the longest round trip, a
-/// report interval and the emptying of a full channel.
+/// A proxy that owes acknowledgements is taken for unresponsive after this multiple of `max_ack_delay` and
+/// `channel_drain_time` together.
 const PROXY_SILENCE_FACTOR: Nanos = 4;
 /// Consecutive malformed lines after which a joined connection is closed.
 const MAX_MALFORMED_LINES: u32 = 2;
@@ -71,8 +70,9 @@
 pub struct Limits {
     resources: ResourceLimits,
     report_interval: Nanos,
-    /// Longest way to a proxy and back, and a report interval.
-    max_round_trip: Nanos,
+    /// Longest time from sending a mark to its acknowledgement without the channel's queue: twice the worst transit and a
+    /// report interval.
+    max_ack_delay: Nanos,
     /// Time in which a full channel empties.
     channel_drain_time: Nanos,
     longest_timeout: Nanos,
@@ -87,7 +87,7 @@
         Limits {
             resources,
             report_interval: controller.report_interval.max(1),
-            max_round_trip: 2 * controller.worst_transit + controller.report_interval,
+            max_ack_delay: 2 * controller.worst_transit + controller.report_interval,
             channel_drain_time: (controller.channel_capacity / lines_per_s * 1e9) as Nanos,
             longest_timeout: timeouts.max().unwrap_or_default().max(1),
             drain_grace: controller.drain_grace.max(SECOND),
@@ -120,7 +120,7 @@
         (self.resources.memory_mb as usize).max(1) * (1 << 20) / BUFFERED_MEMORY_DIVISOR
     }
 
-    /// Delay until a call is repeated that the kernel refused for lack of resources.
+    /// Delay until a system call is repeated that the kernel refused for lack of memory or descriptors.
     pub fn kernel_retry_delay(&self) -> Nanos {
         KERNEL_RETRY_DELAY
     }
@@ -132,7 +132,7 @@
 
     /// How long a proxy may owe acknowledgements before it is taken for gone; also the user timeout of TCP.
     pub fn proxy_silence_timeout(&self) -> Nanos {
-        PROXY_SILENCE_FACTOR * (self.max_round_trip + self.channel_drain_time)
+        PROXY_SILENCE_FACTOR * (self.max_ack_delay + self.channel_drain_time)
     }
 
     /// How long discovery may be silent before its watch is closed.
--- a/crates/platform-supervisor/src/protocol.rs
+++ b/crates/platform-supervisor/src/protocol.rs
@@ -167,7 +167,7 @@
             RejectReason::MalformedJson => "malformed first message",
             RejectReason::InvalidMessage => "invalid first message",
             RejectReason::UnknownLocality => "collector of unknown zone",
-            RejectReason::UnknownProxy => "unknown proxy",
+            RejectReason::UnknownProxy => "unknown proxy, zone or rate",
             RejectReason::ReportBeforeJoin => "report before joining",
             RejectReason::JoinTimeout => "join timeout",
             RejectReason::MessageTooLong => "message too long",
--- a/crates/platform-supervisor/src/proxy_tables/updates.rs
+++ b/crates/platform-supervisor/src/proxy_tables/updates.rs
@@ -61,7 +61,8 @@
         if changes.is_empty(!changed_tables.is_empty()) {
             return Vec::new();
         }
-        let returned = registry.iter().filter(|(_, server)| server.has_returned).map(|(id, _)| id).collect();
+        let returned =
+            registry.iter().filter(|(_, server)| server.was_started_or_returned).map(|(id, _)| id).collect();
         let (tables, excluded) = (&self.tables, &self.excluded);
         let batch = Batch { changes, tables, excluded, changed_tables, returned };
         let global_admissions = &self.global_admissions;
--- a/crates/platform-supervisor/src/runtime.rs
+++ b/crates/platform-supervisor/src/runtime.rs
@@ -37,7 +37,8 @@
     Io(#[from] io::Error),
 }
 
-/// Timers are attempts to read the configuration file again; listeners need no name.
+/// The hub of `shalereel node`. A timer carries how often the configuration file was read in vain; the only listener needs
+/// no name.
 type PlatformHub = Hub<(), u32>;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,8 +90,10 @@
     let limits = Limits::new(&config.controller, config.resources);
     let mut hub: PlatformHub = Hub::new(ConnectionLimits {
         max_message_bytes: limits.max_message_bytes(),
+        // No gRPC is served here.
         max_concurrent_calls: 0,
         max_unsent_bytes: limits.max_unread_bytes(),
+        // Also for discovery and health checks.
         user_timeout: limits.proxy_silence_timeout(),
         retry_delay: limits.kernel_retry_delay(),
     })?;
@@ -122,6 +125,7 @@
             Input::Reload => reload_config(config_path, 0, supervisor, hub),
             Input::Timer(attempts) => reload_config(config_path, attempts, supervisor, hub),
             Input::Stop => flow = Flow::Stop,
+            // Inputs of gRPC, standard input and threads, which this hub does not have.
             _ => {}
         }
     }
@@ -166,7 +170,7 @@
         Ok(config) => supervisor.move_discovery(config.discovery, now()),
         Err(error) => {
             if attempts == 0 {
-                tracing::warn!(%error, "config reload failed, the previous config stays in force");
+                tracing::warn!(%error, "config reload failed, the previous config stays in force; retrying for 4 s");
             }
             if let Some(at) = supervisor.limits().config_reread_at(now(), attempts) {
                 hub.set_timer(at, attempts + 1);
--- a/crates/platform-supervisor/src/server_registry.rs
+++ b/crates/platform-supervisor/src/server_registry.rs
@@ -55,8 +55,8 @@
     pub address: Option<SocketAddr>,
     /// The server for the controller.
     pub endpoint: Endpoint,
-    /// It was not ready before and is again: proxies may have been told to exclude it meanwhile.
-    pub has_returned: bool,
+    /// A start of it was listed, or it became ready again: proxies of earlier connections may still exclude it. Never reset.
+    pub was_started_or_returned: bool,
     /// Since when it is not ready.
     pub unready_since: Option<Nanos>,
     /// Unix time of its start as listed, ms.
@@ -208,7 +208,7 @@
             name: Arc::from(entry.name.as_str()),
             address: None,
             endpoint: Endpoint::default(),
-            has_returned: entry.started_ms > 0.0,
+            was_started_or_returned: entry.started_ms > 0.0,
             unready_since: None,
             started_ms: f64::NAN,
         });
@@ -277,7 +277,7 @@
         }
         let age = server_age(started_ms, evidence);
         self.endpoint.started_at = age.map_or(0, |age| clocks.controller_time().saturating_sub(age));
-        self.has_returned |= started_ms > 0.0;
+        self.was_started_or_returned |= started_ms > 0.0;
         self.started_ms = started_ms;
     }
 
@@ -288,7 +288,7 @@
             ListedState::Removed => Readiness::Removed,
         };
         if readiness == Readiness::Ready {
-            self.has_returned |= self.unready_since.take().is_some();
+            self.was_started_or_returned |= self.unready_since.take().is_some();
         } else {
             self.unready_since.get_or_insert(now);
         }
--- a/crates/platform-supervisor/src/supervisor/connections.rs
+++ b/crates/platform-supervisor/src/supervisor/connections.rs
@@ -194,7 +194,7 @@
     }
 
     /// An unidentified client has joined as this proxy.
-    pub(super) fn proxy_joined(
+    pub(super) fn add_proxy(
         &mut self,
         connection: C,
         proxy: ProxyId,
--- a/crates/platform-supervisor/src/supervisor/controller_runs.rs
+++ b/crates/platform-supervisor/src/supervisor/controller_runs.rs
@@ -119,6 +119,7 @@
             }
             Action::CheckHealth { server } => self.start_health_check(server),
             Action::FetchEndpoints => self.request_full_list(now),
+            // Tables were handled above; the watch is always on, and there are no peers here.
             _ => {}
         }
     }
--- a/crates/platform-supervisor/src/supervisor/discovery.rs
+++ b/crates/platform-supervisor/src/supervisor/discovery.rs
@@ -23,8 +23,8 @@
     pub watch: Option<C>,
     /// A connection was requested and is awaited.
     is_dialling: bool,
-    /// Watches lost since the last list.
-    dial_failures: u32,
+    /// Watches lost, or not opened, since the last list.
+    watches_lost: u32,
     /// The next watch requests the full list.
     pub requests_full_list: bool,
     /// When discovery last said something, be it that nothing has changed.
@@ -39,7 +39,7 @@
         DiscoveryState {
             watch: None,
             is_dialling: false,
-            dial_failures: 0,
+            watches_lost: 0,
             requests_full_list,
             last_heard_at: None,
             watch_has_listed: false,
@@ -134,7 +134,7 @@
     }
 
     fn apply_list(&mut self, list: EndpointList, clocks: Clocks) {
-        self.discovery.dial_failures = 0;
+        self.discovery.watches_lost = 0;
         self.discovery.requests_full_list = false;
         let (version, is_full, entries) = (list.version, list.is_full, list.entries.len());
         let update = self.registry.apply(list, clocks, self.discovery.last_heard_at);
@@ -157,9 +157,9 @@
     pub(super) fn watch_lost(&mut self, reason: &CloseReason<'_>, now: Nanos) {
         self.discovery.watch = None;
         let random = self.discovery.random.rand_float();
-        let dial_at = self.limits.discovery_dial_at(now, self.discovery.dial_failures, random);
+        let dial_at = self.limits.discovery_dial_at(now, self.discovery.watches_lost, random);
         self.timers.set(dial_at, Timer::DialDiscovery);
-        self.discovery.dial_failures += 1;
+        self.discovery.watches_lost += 1;
         self.log(now, format!("discovery watch lost: {reason}"));
     }
 
@@ -194,7 +194,7 @@
         }
         self.log(now, format!("config reloaded: discovery moved to {discovery}"));
         self.config.discovery = discovery;
-        self.discovery.dial_failures = 0;
+        self.discovery.watches_lost = 0;
         match self.discovery.watch.take() {
             Some(connection) => {
                 let reason = CloseReason::Discovery(DiscoveryCloseReason::Moved);
--- a/crates/platform-supervisor/src/supervisor/messages.rs
+++ b/crates/platform-supervisor/src/supervisor/messages.rs
@@ -60,9 +60,9 @@
                 self.commands.push(Command::Write(connection, Bytes::from_static(ALIVE_LINE)));
             }
             Message::CollectorJoin { locality } if is_unidentified => {
-                self.collector_joins(connection, &locality, now);
+                self.handle_collector_join(connection, &locality, now);
             }
-            Message::ProxyJoin(join) if is_unidentified => self.proxy_joins(connection, &join, now),
+            Message::ProxyJoin(join) if is_unidentified => self.handle_proxy_join(connection, &join, now),
             Message::CollectorJoin { .. } | Message::ProxyJoin(_) => self.count_fault(Fault::AlreadyJoined),
             _ if is_unidentified => self.reject(connection, RejectReason::ReportBeforeJoin, now),
             Message::Acknowledgement(ack) => self.acknowledged(connection, &ack, now),
@@ -71,7 +71,7 @@
         }
     }
 
-    fn collector_joins(&mut self, connection: C, locality: &str, now: Nanos) {
+    fn handle_collector_join(&mut self, connection: C, locality: &str, now: Nanos) {
         if self.registry.locality_id(locality).is_none() {
             return self.reject(connection, RejectReason::UnknownLocality, now);
         }
@@ -81,14 +81,14 @@
         self.log(now, format!("collector of {locality} joined"));
     }
 
-    fn proxy_joins(&mut self, connection: C, join: &ProxyJoin<'_>, now: Nanos) {
+    fn handle_proxy_join(&mut self, connection: C, join: &ProxyJoin<'_>, now: Nanos) {
         let rate = join.requests_per_s;
         let is_valid = join.proxy < self.config.controller.proxy_count && rate >= 0.0 && rate.is_finite();
         let Some(locality) = self.registry.locality_id(&join.locality).filter(|_| is_valid) else {
             return self.reject(connection, RejectReason::UnknownProxy, now);
         };
         let kind = JoinKind::from_is_new(join.is_new);
-        self.proxy_joined(connection, join.proxy as ProxyId, locality, rate, kind, now);
+        self.add_proxy(connection, join.proxy as ProxyId, locality, rate, kind, now);
     }
 
     fn acknowledged(&mut self, connection: C, ack: &Acknowledgement, now: Nanos) {
--- a/crates/platform-supervisor/src/supervisor/status.rs
+++ b/crates/platform-supervisor/src/supervisor/status.rs
@@ -130,7 +130,7 @@
         let draining = count(Readiness::Draining);
         let removed = count(Readiness::Removed);
         let version = self.registry.version();
-        let watch = if self.discovery.watch.is_some() { "" } else { ", no watch" };
+        let watch = if self.discovery.watch.is_some() { "" } else { ", discovery watch is down" };
         format!(
             "servers: {ready} ready, {draining} draining, {removed} removed; list version {version}{watch}"
         )
@@ -145,7 +145,7 @@
     fn sent_status(&self) -> String {
         let sent = self.tables.sent();
         format!(
-            "sent: {} messages, {} lines, {} bytes, {} exclusions, {} inclusions",
+            "sent since the start: {} messages, {} lines, {} bytes, {} exclusions, {} inclusions",
             sent.messages, sent.lines, self.sent_bytes, sent.exclusions, sent.inclusions
         )
     }
@@ -154,6 +154,6 @@
         let counts: Vec<String> =
             self.faults.iter().map(|(fault, count)| format!("{} {count}", fault.label())).collect();
         let counts = if counts.is_empty() { "none".to_owned() } else { counts.join(", ") };
-        format!("faults: {counts}")
+        format!("faults since the start: {counts}")
     }
 }
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,4 +1,4 @@
-//! Readiness, timers and sockets on `epoll`, without a runtime. Addresses outside loopback are rejected,
+//! Readiness, timers and sockets on `epoll`, without a runtime; called by `crates/rpc` and by the tools of `crates/cli`. Addresses outside loopback are rejected,
 //! except by the functions whose name says `any_address`.
 //!
 //! A [`Reactor`] says which tokens are ready. The owner of a token is polled as a whole when its socket is
@@ -18,5 +18,5 @@
 pub use listener::Listener;
 pub use reactor::{Reactor, Token};
 pub use signals::{reload_signals, stop_signals};
-pub use socket::{dial, dial_any_address, is_transient, Socket};
+pub use socket::{dial, dial_any_address, is_out_of_kernel_memory, Socket};
 pub use timers::{TimerId, Timers};
--- a/crates/reactor/src/socket.rs
+++ b/crates/reactor/src/socket.rs
@@ -26,9 +26,9 @@
     }
 }
 
-/// Whether the kernel lacks memory or buffers for a call. It must be repeated after a delay: no readiness
+/// Whether the error is ENOBUFS or ENOMEM: the kernel lacks memory or buffers. The call must be repeated after a delay: no readiness
 /// follows.
-pub fn is_transient(error: &io::Error) -> bool {
+pub fn is_out_of_kernel_memory(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
     matches!(errno, Some(Errno::NOBUFS | Errno::NOMEM))
 }
--- a/crates/rpc/src/connection/call.rs
+++ b/crates/rpc/src/connection/call.rs
@@ -24,8 +24,8 @@
     Messages(RecvStream),
     /// Client side: the status.
     Trailers(RecvStream),
-    /// Server side: the peer sends no more.
-    HalfClosed,
+    /// Nothing more is received; only a reset is watched for.
+    Finished,
 }
 
 /// What receiving has led to.
@@ -94,7 +94,7 @@
                 call.send_stream = Some(send_stream);
                 call.respond = Some(respond);
             }
-            _ => call.receive = ReceiveState::HalfClosed,
+            _ => call.receive = ReceiveState::Finished,
         }
         let path = if is_grpc { head.uri.path().to_owned() } else { String::new() };
         (call, ConnectionEvent::Call { stream, path, timeout: grpc_timeout(&head.headers) })
@@ -160,7 +160,7 @@
                 ReceiveState::ResponseHeaders(_) => self.receive_headers(cx),
                 ReceiveState::Messages(_) => self.receive_messages(cx, stream, events),
                 ReceiveState::Trailers(body) => receive_trailers(cx, body),
-                ReceiveState::HalfClosed => self.receive_reset(cx),
+                ReceiveState::Finished => self.receive_reset(cx),
             };
             match received {
                 Received::Pending => return None,
@@ -218,7 +218,7 @@
         if let Err(error) = self.framer.finish() {
             return Received::Ended(self.reject(error.into()));
         }
-        let ended = std::mem::replace(&mut self.receive, ReceiveState::HalfClosed);
+        let ended = std::mem::replace(&mut self.receive, ReceiveState::Finished);
         if self.is_server() {
             events.push(ConnectionEvent::HalfClosed { stream });
         } else if let ReceiveState::Messages(body) = ended {
@@ -257,7 +257,7 @@
         }
         if self.unsent_bytes > max_unsent_bytes {
             self.reset(Reason::ENHANCE_YOUR_CALM);
-            let message = format!("{max_unsent_bytes} bytes wait unread");
+            let message = format!("more than {max_unsent_bytes} bytes wait unread");
             return Some(Status::new(Code::ResourceExhausted, message));
         }
         if !self.unsent.is_empty() {
--- a/crates/rpc/src/connection/mod.rs
+++ b/crates/rpc/src/connection/mod.rs
@@ -41,7 +41,7 @@
     pub max_unsent_bytes: usize,
     /// A peer whose kernel acknowledges nothing for so long counts as gone.
     pub user_timeout: Nanos,
-    /// Delay until a call is repeated that this kernel refused for lack of resources.
+    /// Delay until a system call is repeated that the kernel refused for lack of memory or descriptors.
     pub retry_delay: Nanos,
 }
 
--- a/crates/rpc/src/hub/connections.rs
+++ b/crates/rpc/src/hub/connections.rs
@@ -269,7 +269,7 @@
     fn ended(&mut self, conn: ConnId, reason: CloseReason) {
         let plain = self.connections.get(&conn).and_then(OpenConnection::plain);
         if plain.is_some_and(|plain| plain.is_half_closed) {
-            if !self.half_closed.insert(conn) {
+            if !self.half_closed_connections.insert(conn) {
                 return;
             }
         } else {
--- a/crates/rpc/src/hub/mod.rs
+++ b/crates/rpc/src/hub/mod.rs
@@ -121,7 +121,7 @@
     /// To be polled before the next wait: something was put into them.
     touched: BTreeSet<ConnId>,
     /// Plain connections that the peer has half closed: open until what was read from them is answered.
-    half_closed: BTreeSet<ConnId>,
+    half_closed_connections: BTreeSet<ConnId>,
     retries: Retries,
     stop_signals: Option<WakeStream>,
     reload_signals: Option<WakeStream>,
@@ -144,7 +144,7 @@
             max_connections: usize::MAX,
             connections: BTreeMap::new(),
             touched: BTreeSet::new(),
-            half_closed: BTreeSet::new(),
+            half_closed_connections: BTreeSet::new(),
             retries: Retries::default(),
             stop_signals: None,
             reload_signals: None,
@@ -171,7 +171,7 @@
     /// Those of `epoll_wait`.
     pub fn wait(&mut self, until: Option<Nanos>) -> io::Result<Vec<Input<L, K>>> {
         loop {
-            for conn in std::mem::take(&mut self.half_closed) {
+            for conn in std::mem::take(&mut self.half_closed_connections) {
                 self.close(conn);
             }
             for conn in std::mem::take(&mut self.touched) {
--- a/crates/rpc/src/hub/plain.rs
+++ b/crates/rpc/src/hub/plain.rs
@@ -6,7 +6,7 @@
 use std::task::{Context, Poll};
 
 use bytes::{Buf, Bytes};
-use shalereel_reactor::{is_transient, Socket};
+use shalereel_reactor::{is_out_of_kernel_memory, Socket};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 use crate::connection::CloseReason;
@@ -46,7 +46,7 @@
         while let Some(first) = self.unsent.front_mut() {
             match Pin::new(&mut self.socket).poll_write(cx, first) {
                 Poll::Ready(Ok(count)) => first.advance(count),
-                Poll::Ready(Err(error)) if is_transient(&error) => {
+                Poll::Ready(Err(error)) if is_out_of_kernel_memory(&error) => {
                     self.was_refused = true;
                     break;
                 }
@@ -94,7 +94,7 @@
                     return Poll::Ready(CloseReason::ClosedByPeer);
                 }
                 Poll::Ready(Ok(())) => received.push(Bytes::copy_from_slice(buffer.filled())),
-                Poll::Ready(Err(error)) if is_transient(&error) => {
+                Poll::Ready(Err(error)) if is_out_of_kernel_memory(&error) => {
                     self.was_refused = true;
                     return Poll::Pending;
                 }
--- a/crates/simulator-codec/src/lib.rs
+++ b/crates/simulator-codec/src/lib.rs
@@ -1,9 +1,11 @@
-//! Binary codec of the operators' simulator: batches of events in, replies of actions out. It decides nothing and is free of
-//! I/O; `shalereel-wirehost` reads and writes the bytes.
+//! Codec of the operators' simulator: batches of events in, replies of actions out; and of the settings, which the platform
+//! writes in the same form. It decides nothing and is free of I/O. `shalereel-wirehost` uses all of it; `shalereel node`
+//! decodes the `settings` of its configuration with [`decode_settings`].
 //!
 //! The simulator has names of its own for the records of its wire (`enlist`, `roster`, `digest` and so on) and for the keys of
 //! its settings (`worth`, `cycle_ms`, `tip_multiple` and so on). They are mapped to the terms of `shalereel::interface` once,
-//! here: records by their codes (`codes`), settings by `serde` attributes. No other part of the project knows them.
+//! here: records by their codes (`codes`), settings by `serde` attributes. Names of operations,
+//! kinds and zones, which the controller does not need, are read in `crates/platform-supervisor/src/config.rs`.
 
 #![deny(missing_docs)]
 
--- a/crates/simulator-codec/src/settings.rs
+++ b/crates/simulator-codec/src/settings.rs
@@ -1,7 +1,8 @@
 //! Decodes the settings of an instance, as the simulator hands them over in JSON, to the controller's configuration.
 //!
-//! The structures mirror the sections of the JSON and have their names, which serde's messages tell; fields have the
-//! interface's terms and are renamed to the simulator's keys. The order of fields decides which missing one is told.
+//! The structures mirror the sections of the JSON and have their names, since serde's error messages contain them; fields
+//! have the interface's terms and are renamed to the simulator's keys. Of several missing fields the first in this order is
+//! reported.
 
 use serde::{Deserialize, Deserializer};
 use shalereel::interface::{
@@ -62,6 +63,7 @@
     max_unserved_time: Nanos,
     #[serde(default, rename = "fails_to_eject")]
     failures_to_avoid: u32,
+    /// Share of the latency objective that a first attempt may take where a retry may follow.
     first_wait: f64,
     /// By position of the operation.
     #[serde(default, rename = "home_only")]
@@ -84,6 +86,7 @@
     mean_transit: Nanos,
     #[serde(default, rename = "reloads_max")]
     message_limit: u32,
+    /// Retries of a proxy that was sent no policy.
     retry_default: u8,
     #[serde(default)]
     sole_owner: bool,
@@ -107,6 +110,7 @@
     overload_delay: Nanos,
     #[serde(rename = "tip_multiple")]
     overload_ratio: f64,
+    /// Only draining excludes a server: a removal without it is advisory.
     #[serde(default, rename = "drain_binds_alone")]
     removal_is_advisory: bool,
 }
--- a/crates/xds/src/assignment.rs
+++ b/crates/xds/src/assignment.rs
@@ -26,9 +26,9 @@
 const SERVER_INFO: &str = "shalereel.server";
 const SERVER_INFO_TYPE: &str = "type.googleapis.com/shalereel.v1.ServerFacts";
 /// Category of the drops that carry an admission limit.
-const ADMISSION_CATEGORY: &str = "level";
+pub(crate) const ADMISSION_CATEGORY: &str = "level";
 /// A weight of 1 on the wire, where weights are whole numbers from 1 up.
-const WEIGHT_UNIT: f64 = 10_000.0;
+const UNIT_WEIGHT: f64 = 10_000.0;
 const MILLION: f64 = 1e6;
 
 /// Health of an endpoint, as far as it is distinguished here.
@@ -185,7 +185,7 @@
     pub fn body(&self) -> EncodedAssignment {
         let sum: f64 = self.endpoints.iter().map(|row| row.weight).sum();
         // The specification bounds the sum of a priority's weights by 32 bits.
-        let unit = WEIGHT_UNIT.min(f64::from(u32::MAX / 2) / sum.max(f64::MIN_POSITIVE));
+        let unit = UNIT_WEIGHT.min(f64::from(u32::MAX / 2) / sum.max(f64::MIN_POSITIVE));
         let mut zones: BTreeMap<&str, Vec<&AssignedEndpoint>> = BTreeMap::new();
         for row in &self.endpoints {
             zones.entry(&row.zone).or_default().push(row);
@@ -270,7 +270,8 @@
                 HealthStatus::Draining => Health::Draining,
                 _ => Health::Unhealthy,
             },
-            weight: f64::from(weight) / WEIGHT_UNIT,
+            // A sender that had to use a smaller unit scaled all weights alike: only ratios count.
+            weight: f64::from(weight) / UNIT_WEIGHT,
             info: endpoint.metadata.as_ref().and_then(ServerInfo::decode),
         })
     }
--- a/crates/xds/src/client_stream.rs
+++ b/crates/xds/src/client_stream.rs
@@ -1,6 +1,6 @@
 //! The subscribing side of discovery streams. It outlives a stream: a new one begins with all subscriptions.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use prost::Message;
 use shalereel_rpc::{Code, Status};
@@ -29,7 +29,7 @@
     version: String,
     /// Of the last response that was acknowledged or rejected on this stream.
     nonce: String,
-    /// Versions of single resources that are subscription.
+    /// Versions of the single resources that are held.
     resource_versions: BTreeMap<String, String>,
 }
 
@@ -51,9 +51,9 @@
 
     /// Subscribes to more names of a type; gives the request to send.
     pub fn subscribe(&mut self, type_url: &str, names: impl IntoIterator<Item = String>) -> Vec<u8> {
-        let fresh: Vec<String> = names.into_iter().collect();
-        self.subscriptions.entry(type_url.to_owned()).or_default().names.extend(fresh.iter().cloned());
-        self.request(type_url, fresh, Purpose::Subscribe, None)
+        let names: Vec<String> = names.into_iter().collect();
+        self.subscriptions.entry(type_url.to_owned()).or_default().names.extend(names.iter().cloned());
+        self.request(type_url, names, Purpose::Subscribe, None)
     }
 
     /// Subscribes anew to some names, and says of each which version is held, if any; gives the request to send.
@@ -159,10 +159,11 @@
         self.request(&update.type_url, Vec::new(), Purpose::Acknowledge, Some(reason))
     }
 
+    /// Encodes a request. `names`: those to subscribe to, for an incremental stream.
     fn request(
         &mut self,
         url: &str,
-        fresh: Vec<String>,
+        names: Vec<String>,
         purpose: Purpose,
         reason: Option<String>,
     ) -> Vec<u8> {
@@ -174,7 +175,6 @@
             ..rpc::Status::default()
         });
         let subscription = self.subscriptions.entry(url.to_owned()).or_default();
-        let asked = if purpose == Purpose::Resubscribe { fresh.clone() } else { Vec::new() };
         match self.variant {
             Variant::StateOfTheWorld => DiscoveryRequest {
                 version_info: subscription.version.clone(),
@@ -189,26 +189,11 @@
             Variant::Incremental => DeltaDiscoveryRequest {
                 node,
                 type_url: url.to_owned(),
-                resource_names_subscribe: fresh,
-                initial_resource_versions: match purpose {
-                    Purpose::Subscribe if subscription.nonce.is_empty() => {
-                        subscription.resource_versions.clone().into_iter().collect()
-                    }
-                    Purpose::Resubscribe => asked
-                        .into_iter()
-                        .filter_map(|name| {
-                            subscription
-                                .resource_versions
-                                .get_key_value(&name)
-                                .map(|(name, version)| (name.clone(), version.clone()))
-                        })
-                        .collect(),
-                    _ => Default::default(),
-                },
-                response_nonce: if purpose == Purpose::Acknowledge {
-                    subscription.nonce.clone()
-                } else {
-                    String::new()
+                initial_resource_versions: subscription.held_versions(purpose, &names),
+                resource_names_subscribe: names,
+                response_nonce: match purpose {
+                    Purpose::Acknowledge => subscription.nonce.clone(),
+                    Purpose::Subscribe | Purpose::Resubscribe => String::new(),
                 },
                 error_detail,
                 ..DeltaDiscoveryRequest::default()
@@ -217,3 +202,20 @@
         }
     }
 }
+
+impl Subscription {
+    /// The versions that a request says are held: all when a stream is opened, those of `names` when it subscribes to
+    /// these anew.
+    fn held_versions(&self, purpose: Purpose, names: &[String]) -> HashMap<String, String> {
+        match purpose {
+            Purpose::Subscribe if self.nonce.is_empty() => {
+                self.resource_versions.clone().into_iter().collect()
+            }
+            Purpose::Resubscribe => names
+                .iter()
+                .filter_map(|name| Some((name.clone(), self.resource_versions.get(name)?.clone())))
+                .collect(),
+            Purpose::Subscribe | Purpose::Acknowledge => HashMap::new(),
+        }
+    }
+}
--- a/crates/xds/src/discovery.rs
+++ b/crates/xds/src/discovery.rs
@@ -42,7 +42,8 @@
     pub removed: Vec<String>,
     /// Number of the response on its stream.
     pub nonce: u64,
-    /// When it was decided, for whoever reads the traffic; it means nothing to a client.
+    /// Time at which it was decided, ns by the sender's clock: for whoever reads the traffic, and for measurements. It
+    /// means nothing to a client.
     pub stamp: u64,
 }
 
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -1,8 +1,8 @@
 //! xDS v3 transport and load reporting, free of I/O: messages, and the state of one stream on either side.
 //!
 //! Message types, field numbers and type URLs are those of the published crate `xds-api`. This crate says what tables,
-//! endpoint lists and load reports look like in them (`docs/design-grpc.md`). `crates/xds-supervisor` serves these streams,
-//! `crates/standins` subscribes to them.
+//! endpoint lists and load reports look like in them (`docs/design-grpc.md`). `crates/xds-supervisor` serves these streams and
+//! subscribes to the registry's; `crates/standins` and the measurements of `crates/cli` subscribe to them.
 
 #![deny(missing_docs, unreachable_pub)]
 
--- a/crates/xds/src/load_report.rs
+++ b/crates/xds/src/load_report.rs
@@ -14,7 +14,7 @@
 use xds_api::pb::envoy::service::load_stats::v3::{LoadStatsRequest, LoadStatsResponse};
 use xds_api::pb::google::protobuf::Duration;
 
-use crate::assignment::{decode_address, encode_address};
+use crate::assignment::{decode_address, encode_address, ADMISSION_CATEGORY};
 use crate::{decoded, NodeInfo};
 
 /// Name of the load metric of successful attempts' response times: their sum in milliseconds.
@@ -145,7 +145,7 @@
                 upstream_locality_stats: localities.collect(),
                 total_dropped_requests: cluster.dropped,
                 dropped_requests: vec![DroppedRequests {
-                    category: "level".into(),
+                    category: ADMISSION_CATEGORY.into(),
                     dropped_count: cluster.dropped,
                 }],
                 load_report_interval: Some(encode_duration(cluster.interval)),
--- a/crates/xds/src/node_info.rs
+++ b/crates/xds/src/node_info.rs
@@ -14,7 +14,8 @@
     pub zone: String,
     /// Requests per second that it ordinarily gets; metadata `rate`, 0 where it says none.
     pub rate: f64,
-    /// No supervisor has sent it anything yet; metadata `standing_only`.
+    /// No supervisor has sent it anything yet; metadata `standing_only`, an older name that
+    /// other versions read.
     pub is_new: bool,
     /// It takes tables line by line ([`crate::leds`]); `client_features` has [`LINES`].
     pub supports_lines: bool,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -143,7 +143,7 @@
     pub report_interval: Nanos,
     /// How long a joined proxy may be without a usable server.
     pub max_unserved_time: Nanos,
-    /// Share of its timeout that a client waits for its first server.
+    /// Share of the latency objective that a first attempt may take where a retry may follow.
     pub first_wait: f64,
     /// A proxy avoids a server after so many consecutive failures of its own there; 0: never.
     pub failures_to_avoid: u32,
