--- a/src/controller.rs
+++ b/src/controller.rs
@@ -2,7 +2,7 @@
 //! [`Controller::decide`] with each batch of events, and carries out the actions in their order.
 //!
 //! Inside, the endpoint list, each server, the fleet and the channel are components with a mailbox each. They exchange
-//! [`Message`]s only; `decide` turns events into messages and empties the mailboxes.
+//! `Message`s only; `decide` turns events into messages and empties the mailboxes.
 
 use std::collections::BTreeMap;
 
