--- a/crates/platform-supervisor/tests/supervisor.rs
+++ b/crates/platform-supervisor/tests/supervisor.rs
@@ -119,7 +119,7 @@
 
     /// Whether the last status report names a fault.
     fn reports_fault(&self, label: &str) -> bool {
-        let report = self.log.iter().rev().find(|line| line.contains("faults:"));
+        let report = self.log.iter().rev().find(|line| line.contains("faults since the start:"));
         report.is_some_and(|line| line.contains(label))
     }
 
