--- a/src/interface.rs
+++ b/src/interface.rs
@@ -319,32 +319,110 @@
 pub enum Event {
     /// The endpoint list changed.
     Endpoints(WatchEvent),
-    /// What an earlier process had learned, and how long ago; comes after the first list.
-    Restored { snapshot: Snapshot, age: Nanos },
+    /// What an earlier process had learned; comes after the first list.
+    Restored {
+        /// What it had learned.
+        snapshot: Snapshot,
+        /// How long ago that was.
+        age: Nanos,
+    },
     /// Lines that were sent to proxies before this controller began and are not acknowledged: they may still wait.
-    Backlog { lines: f64 },
-    /// A proxy connected. It brings `rate` requests per second; `is_new`: no supervisor has told it anything yet.
-    Joined { proxy: ProxyId, locality: LocalityId, rate: f64, is_new: bool },
+    Backlog {
+        /// So many lines, with the overhead of their messages.
+        lines: f64,
+    },
+    /// A proxy connected.
+    Joined {
+        /// Which proxy.
+        proxy: ProxyId,
+        /// Where it runs.
+        locality: LocalityId,
+        /// Requests per second that it ordinarily gets.
+        rate: f64,
+        /// No supervisor has sent it anything yet; otherwise it may hold tables and exclusions of another one.
+        is_new: bool,
+    },
     /// A proxy disconnected.
-    Left { proxy: ProxyId },
+    Left {
+        /// Which proxy.
+        proxy: ProxyId,
+    },
     /// What proxies observed at a server.
     EndpointReport(EndpointReport),
-    /// Requests that came to a proxy in `window`, and those of them that got no response.
-    DemandReport { proxy: ProxyId, operation: u16, total: u32, failures: u32, window: Nanos },
-    /// The same for the users of a table.
-    TableDemand { table: TableId, operation: u16, total: u32, failures: u32, window: Nanos },
-    /// A health check ended after `elapsed`.
-    HealthChecked { server: ServerId, outcome: HealthCheckOutcome, elapsed: Nanos, load: Vec<f64> },
-    /// A proxy has applied everything up to a mark, `elapsed` after it was sent.
-    Acknowledged { proxy: ProxyId, serial: u64, elapsed: Nanos },
-    /// A lease of a table began or ended.
-    LeaseChanged { table: TableId, on: bool },
-    /// A weight as it is recorded.
-    RecordedWeight { table: TableId, server: ServerId, weight: f64 },
-    /// Another supervisor sent a message.
-    PeerMessage { from: u16, content: Vec<u8> },
+    /// Requests of an operation that came to a proxy.
+    DemandReport {
+        /// Which proxy.
+        proxy: ProxyId,
+        /// Position of the operation.
+        operation: u16,
+        /// Requests that came.
+        total: u32,
+        /// Those of them that got no response.
+        failures: u32,
+        /// Time that the report covers.
+        window: Nanos,
+    },
+    /// Requests of an operation that came to the users of a table. Not used by the controller.
+    TableDemand {
+        /// Which table.
+        table: TableId,
+        /// Position of the operation.
+        operation: u16,
+        /// Requests that came.
+        total: u32,
+        /// Those of them that got no response.
+        failures: u32,
+        /// Time that the report covers.
+        window: Nanos,
+    },
+    /// A health check ended. Not used by the controller.
+    HealthChecked {
+        /// Which server.
+        server: ServerId,
+        /// How it ended.
+        outcome: HealthCheckOutcome,
+        /// Time from the request to the end.
+        elapsed: Nanos,
+        /// The server's load values, see [`LoadColumn`].
+        load: Vec<f64>,
+    },
+    /// A proxy has applied everything up to a mark.
+    Acknowledged {
+        /// Which proxy.
+        proxy: ProxyId,
+        /// The mark, see [`Action::RequestAck`].
+        serial: u64,
+        /// Time from sending the mark until it was applied.
+        elapsed: Nanos,
+    },
+    /// A lease of a table began or ended. Not used by the controller.
+    LeaseChanged {
+        /// Which table.
+        table: TableId,
+        /// Whether it began.
+        on: bool,
+    },
+    /// A weight as it is recorded. Not used by the controller.
+    RecordedWeight {
+        /// Which table.
+        table: TableId,
+        /// Which server.
+        server: ServerId,
+        /// Its weight.
+        weight: f64,
+    },
+    /// Another supervisor sent a message. Not used by the controller.
+    PeerMessage {
+        /// Number of the other supervisor.
+        from: u16,
+        /// What it sent.
+        content: Vec<u8>,
+    },
     /// A timer set by [`Action::SetTimer`] has fired.
-    TimerFired { token: u64 },
+    TimerFired {
+        /// As the timer was set.
+        token: u64,
+    },
 }
 
 /// When a proxy tries another server.
@@ -363,34 +441,80 @@
 /// Something that the caller of the controller is to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Give [`Event::TimerFired`] after `delay`.
-    SetTimer { delay: Nanos, token: u64 },
-    /// Send a health check.
-    CheckHealth { server: ServerId },
-    /// Send a message to one or all other supervisors.
-    SendToPeer { to: Option<u16>, content: Vec<u8> },
+    /// Give [`Event::TimerFired`] after a delay.
+    SetTimer {
+        /// The delay.
+        delay: Nanos,
+        /// Names the timer.
+        token: u64,
+    },
+    /// Send a health check. The controller never does.
+    CheckHealth {
+        /// To which server.
+        server: ServerId,
+    },
+    /// Send a message to one or all other supervisors. The controller never does.
+    SendToPeer {
+        /// Number of the other supervisor; `None`: all.
+        to: Option<u16>,
+        /// What to send.
+        content: Vec<u8>,
+    },
     /// Write a line to the log.
     Log(String),
     /// Begin or end the watch of the endpoint list.
-    WatchEndpoints { on: bool },
-    /// Fetch the whole endpoint list.
+    WatchEndpoints {
+        /// Whether it is to begin.
+        on: bool,
+    },
+    /// Fetch the whole endpoint list. The controller never does.
     FetchEndpoints,
-    /// Set the weight of a server in a table; 0 removes it.
-    SetWeight { table: TableId, server: ServerId, weight: f64 },
-    /// Remove all servers from a table.
-    ClearTable { table: TableId },
-    /// Have proxies exclude a server, whatever their tables say, or end that.
-    Exclude { server: ServerId, on: bool },
-    /// Have a proxy use a table for operations; `operations` 0: all of them.
-    AssignTable { proxy: ProxyId, table: TableId, operations: OperationMask },
-    /// Limit what is admitted of operations, in the unit of [`AdmissionMode`], and set when they are retried.
-    /// `table` absent: for all joined proxies. `operations` 0: all of them.
+    /// Set the weight of a server in a table.
+    SetWeight {
+        /// Which table.
+        table: TableId,
+        /// Which server.
+        server: ServerId,
+        /// Its weight; 0 removes it.
+        weight: f64,
+    },
+    /// Remove all servers from a table. The controller never does.
+    ClearTable {
+        /// Which table.
+        table: TableId,
+    },
+    /// Have proxies exclude a server, whatever their tables say, or readmit it.
+    Exclude {
+        /// Which server.
+        server: ServerId,
+        /// Whether it is to be excluded.
+        on: bool,
+    },
+    /// Have a proxy use a table.
+    AssignTable {
+        /// Which proxy.
+        proxy: ProxyId,
+        /// Which table.
+        table: TableId,
+        /// For which operations; 0: all of them.
+        operations: OperationMask,
+    },
+    /// Limit what is admitted of operations, and set when they are retried.
     LimitAdmission {
+        /// For the users of which table; `None`: for all joined proxies.
         table: Option<TableId>,
+        /// For which operations; 0: all of them.
         operations: OperationMask,
+        /// The limit, in the unit of [`AdmissionMode`].
         limit: f64,
+        /// When they are retried.
         retry_policy: RetryPolicy,
     },
-    /// Ask for [`Event::Acknowledged`] from each proxy that these actions reach, or from everyone.
-    RequestAck { serial: u16, everyone: bool },
+    /// Ask for [`Event::Acknowledged`] from the proxies that these actions reach.
+    RequestAck {
+        /// Names the mark.
+        serial: u16,
+        /// From all joined proxies, also those that the actions do not reach.
+        everyone: bool,
+    },
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,6 +3,8 @@
 //! A supervisor gives [`Controller`] batches of [`interface::Event`]s and carries out the [`interface::Action`]s that it
 //! returns. Nothing here does I/O or reads a clock: the same events lead to the same actions.
 
+#![deny(missing_docs)]
+
 mod admission;
 mod channel;
 pub mod controller;
@@ -26,6 +28,4 @@
 #[cfg(test)]
 mod testing;
 
-/// The former name of [`controller`].
-pub use controller as brain;
 pub use controller::Controller;
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -17,15 +17,15 @@
     Endpoint { server, readiness: Readiness::Ready, weight: 1.0, ..Endpoint::default() }
 }
 
-pub(crate) fn operation(billed_value: f64, objective: Nanos, home_only: bool) -> Operation {
+pub(crate) fn operation(priority_weight: f64, objective: Nanos, local_only: bool) -> Operation {
     Operation {
         idempotency: Idempotency::Idempotent,
         deduplication_scope: DeduplicationScope::Cell,
         deduplication_window: 0,
         latency_objective: objective,
         timeout: 4 * objective,
-        priority_weight: billed_value,
-        local_only: home_only,
+        priority_weight,
+        local_only,
         writes: false,
     }
 }
@@ -82,9 +82,9 @@
 
 /// An instance that knows four servers and has one proxy on its table.
 pub(crate) fn running(config: &ControllerConfig) -> Controller {
-    let mut brain = Controller::new(config);
-    brain.decide(START, vec![listed((1..5).map(endpoint)), joined(1)]);
-    brain
+    let mut controller = Controller::new(config);
+    controller.decide(START, vec![listed((1..5).map(endpoint)), joined(1)]);
+    controller
 }
 
 /// What proxies observed at a server in one second; its responses took 0.2 s.
