--- a/crates/sasp/src/lib.rs
+++ b/crates/sasp/src/lib.rs
@@ -1,16 +1,22 @@
-//! SASP, the Server/Application State Protocol, version 1 (RFC 4678): what balancers and members say to a
-//! workload manager and what it says back. Free of I/O.
+//! SASP, the Server/Application State Protocol, version 1 (RFC 4678): messages between load balancers or members and
+//! a workload manager, and the manager's side of all connections. Free of I/O.
 //!
-//! [`Frames`] cuts a stream into messages, [`Message`] reads and writes them, [`Advisor`] keeps all peers to the
-//! protocol, [`weights`] turns a table into the 16-bit weights that balancers take. `docs/sasp.md` has the table of
-//! numbers and says which of them are certain.
+//! [`Frames`] cuts a stream into messages, [`Message`] is decoded and encoded, [`Advisor`] registers load balancers
+//! and members and replies to them, [`weights`] rounds a table's weights to the 16 bits of the protocol.
+//! `docs/sasp.md` has the table of numbers and says which of them are certain. `crates/xds-supervisor` serves these
+//! connections.
 
-mod codec;
+#![deny(unreachable_pub)]
+
+mod decode;
+mod encode;
+mod frames;
 mod message;
 pub mod numbers;
 mod session;
 pub mod weights;
 
-pub use codec::{DecodeError, Frames};
-pub use message::{Body, Group, LbFlags, Member, MemberState, Message, ReturnCode, WeightEntry};
+pub use decode::DecodeError;
+pub use frames::Frames;
+pub use message::{Body, Group, GroupOf, LbFlags, Member, MemberState, Message, ReturnCode, WeightEntry};
 pub use session::{Advisor, Answer, Bounds, Change, Lookup, Peer};
--- a/crates/sasp/src/message.rs
+++ b/crates/sasp/src/message.rs
@@ -1,23 +1,38 @@
+//! The messages of SASP and their components (RFC 4678, sections 5 and 6). [`crate::Frames`] decodes them,
+//! [`Message::encode`] encodes them.
+
 use std::net::{IpAddr, Ipv6Addr, SocketAddr};
 
 use crate::numbers::*;
 
-/// How a request ended.
+/// Result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReturnCode {
+    /// The request has been carried out.
     Successful,
+    /// The message was not understood.
     NotUnderstood,
+    /// The sender may not make this request.
     WillNotAccept,
+    /// A member is registered already, by its load balancer or by the sender.
     AlreadyRegistered,
+    /// A member is not registered.
     NotRegistered,
+    /// A member stands twice in one request.
     DuplicateMember,
+    /// The group is not registered.
     InvalidGroup,
+    /// The group's name is empty.
     InvalidGroupNameSize,
+    /// The load balancer's id is empty.
     InvalidUidSize,
+    /// A load balancer registers a member that has registered itself.
     MemberRegistersItself,
+    /// The load balancer of the group has not registered yet.
     NoGroupYet,
+    /// A limit is reached; retry later.
     TryLater,
-    /// One that this table does not have: told, never guessed at.
+    /// A code that is not defined here; kept as received.
     Other(u8),
 }
 
@@ -37,6 +52,7 @@
 ];
 
 impl ReturnCode {
+    /// The code on the wire.
     pub fn number(self) -> u8 {
         match self {
             ReturnCode::Other(number) => number,
@@ -46,6 +62,7 @@
         }
     }
 
+    /// The result that a code on the wire stands for.
     pub fn read(number: u8) -> Self {
         CODES.iter().find(|(_, known)| *known == number).map_or(ReturnCode::Other(number), |(code, _)| *code)
     }
@@ -56,6 +73,7 @@
 pub struct Member {
     /// IP protocol number; 6: TCP.
     pub protocol: u8,
+    /// Port at which the member serves.
     pub port: u16,
     /// IPv4 in its mapped form.
     pub address: Ipv6Addr,
@@ -73,97 +91,137 @@
         Member { protocol: 6, port: address.port(), address: ip, label: Vec::new() }
     }
 
+    /// Address and port; an IPv4 address in its own form.
     pub fn socket(&self) -> SocketAddr {
         SocketAddr::new(self.address.to_canonical(), self.port)
     }
 }
 
-/// A group of members, known by the balancer that has it (Group Data Component).
+/// The name of a group of members of a load balancer (Group Data Component).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Group {
-    /// The balancer's own id; at most 255 bytes each.
+    /// The load balancer's id (LB UID); at most 255 bytes.
     pub balancer: Vec<u8>,
+    /// The group's name; at most 255 bytes.
     pub name: Vec<u8>,
 }
 
+/// A group and its items: one of the components Group of Member Data, Group of Weight Entry Data, and Group of Member
+/// State Data.
+pub type GroupOf<T> = (Group, Vec<T>);
+
 /// One member's weight (Weight Entry Data Component).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightEntry {
     /// Opaque to the protocol.
     pub state: u8,
-    /// The balancer said that it reaches the member.
+    /// The load balancer said that it reaches the member.
     pub contact: bool,
-    /// Nothing new may go there.
+    /// The member is to receive no new work.
     pub quiesce: bool,
+    /// The load balancer registered the member; otherwise it registered itself.
     pub registered_by_balancer: bool,
-    /// The manager knows enough of the member to mean the weight.
+    /// The workload manager knows the member, so that its weight has a meaning.
     pub confident: bool,
+    /// Share of the group's work relative to its other members; 0: none.
     pub weight: u16,
+    /// The member that the weight is for.
     pub member: Member,
 }
 
-/// What is said of one member (Member State Instance).
+/// State of one member, as reported by itself or by its load balancer (Member State Instance).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberState {
+    /// Opaque to the protocol.
     pub state: u8,
+    /// The load balancer reaches the member.
     pub contact: bool,
+    /// The member is to receive no new work.
     pub quiesce: bool,
+    /// The member that it is the state of.
     pub member: Member,
 }
 
-/// How a balancer wants to be served.
+/// Flags of a load balancer (Set Load Balancer State).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LbFlags {
-    /// Send weights unasked.
+    /// Push weights: send them without a request.
     pub push: bool,
-    /// Members may register themselves.
+    /// Trust members: they may register themselves.
     pub trust: bool,
-    /// Leave out of pushes what did not change.
+    /// Leave members without a change out of pushes.
     pub no_change: bool,
 }
 
+/// What a message says: a request, its reply, or pushed weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Body {
+    /// Registration Request.
     Register {
+        /// A load balancer sends it; otherwise a member for itself.
         from_balancer: bool,
-        groups: Vec<(Group, Vec<Member>)>,
+        /// Members to register.
+        groups: Vec<GroupOf<Member>>,
     },
+    /// Registration Reply.
     Registered(ReturnCode),
-    /// A group without members stands for all of them.
+    /// Deregistration Request.
     Deregister {
+        /// A load balancer sends it; otherwise a member for itself.
         from_balancer: bool,
+        /// Why, by the sender; not interpreted.
         reason: u8,
-        groups: Vec<(Group, Vec<Member>)>,
+        /// Members to deregister; a group without members stands for all of its members.
+        groups: Vec<GroupOf<Member>>,
     },
+    /// Deregistration Reply.
     Deregistered(ReturnCode),
+    /// Get Weights Request.
     GetWeights {
+        /// Groups of the load balancer that requests.
         groups: Vec<Group>,
     },
-    /// `interval`: seconds after which to ask again.
+    /// Get Weights Reply.
     Weights {
+        /// Result of the request.
         code: ReturnCode,
+        /// Seconds until the next request is due.
         interval: u16,
-        groups: Vec<(Group, Vec<WeightEntry>)>,
+        /// Weights of the requested groups; empty unless successful.
+        groups: Vec<GroupOf<WeightEntry>>,
     },
+    /// Send Weights: weights that are pushed.
     SendWeights {
-        groups: Vec<(Group, Vec<WeightEntry>)>,
+        /// Weights of the groups in which something changed.
+        groups: Vec<GroupOf<WeightEntry>>,
     },
+    /// Set Load Balancer State Request.
     SetLbState {
+        /// The load balancer's id (LB UID).
         balancer: Vec<u8>,
+        /// Its health; not interpreted.
         health: u8,
+        /// How it is to be served.
         flags: LbFlags,
     },
+    /// Set Load Balancer State Reply.
     LbStateSet(ReturnCode),
+    /// Set Member State Request.
     SetMemberState {
+        /// A load balancer sends it; otherwise a member for itself.
         from_balancer: bool,
-        groups: Vec<(Group, Vec<MemberState>)>,
+        /// States of members.
+        groups: Vec<GroupOf<MemberState>>,
     },
+    /// Set Member State Reply.
     MemberStateSet(ReturnCode),
 }
 
-/// One message; a reply bears the id of its request.
+/// One message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
+    /// Chosen by the sender of a request; a reply has the id of its request.
     pub id: u32,
+    /// What it says.
     pub body: Body,
 }
--- a/crates/sasp/src/numbers.rs
+++ b/crates/sasp/src/numbers.rs
@@ -1,59 +1,98 @@
-//! Every number of the protocol, in one table. `docs/sasp.md` tells how certain each is.
+//! Every number of the protocol, in one table. `docs/sasp.md` says how certain each is.
 
-/// Port that the RFC registers.
+/// Registered TCP port.
 pub const PORT: u16 = 3860;
+/// Version of the protocol.
 pub const VERSION: u8 = 1;
 
 // Components: type (16 bits) and length (16 bits, these four bytes included).
+/// SASP Header.
 pub const HEADER: u16 = 0x2010;
+/// Registration Request.
 pub const REGISTRATION_REQUEST: u16 = 0x1010;
+/// Registration Reply.
 pub const REGISTRATION_REPLY: u16 = 0x1015;
+/// Deregistration Request.
 pub const DEREGISTRATION_REQUEST: u16 = 0x1020;
+/// Deregistration Reply.
 pub const DEREGISTRATION_REPLY: u16 = 0x1025;
+/// Get Weights Request.
 pub const GET_WEIGHTS_REQUEST: u16 = 0x1030;
+/// Get Weights Reply.
 pub const GET_WEIGHTS_REPLY: u16 = 0x1035;
+/// Send Weights.
 pub const SEND_WEIGHTS: u16 = 0x1040;
+/// Set Load Balancer State Request.
 pub const SET_LB_STATE_REQUEST: u16 = 0x1050;
+/// Set Load Balancer State Reply.
 pub const SET_LB_STATE_REPLY: u16 = 0x1055;
+/// Set Member State Request.
 pub const SET_MEMBER_STATE_REQUEST: u16 = 0x1060;
+/// Set Member State Reply.
 pub const SET_MEMBER_STATE_REPLY: u16 = 0x1065;
+/// Member Data.
 pub const MEMBER_DATA: u16 = 0x3010;
+/// Group Data.
 pub const GROUP_DATA: u16 = 0x3011;
+/// Weight Entry Data.
 pub const WEIGHT_ENTRY_DATA: u16 = 0x3012;
+/// Member State Instance.
 pub const MEMBER_STATE_INSTANCE: u16 = 0x3013;
+/// Group of Member Data.
 pub const GROUP_OF_MEMBER_DATA: u16 = 0x4010;
+/// Group of Weight Entry Data.
 pub const GROUP_OF_WEIGHT_ENTRY_DATA: u16 = 0x4011;
+/// Group of Member State Data.
 pub const GROUP_OF_MEMBER_STATE_DATA: u16 = 0x4012;
 
 /// Bytes of the header: type, length, version, message length (32 bits), message id (32 bits).
 pub const HEADER_BYTES: usize = 13;
-/// Type and length of a component.
+/// Bytes of a component's type and length.
 pub const COMPONENT_BYTES: usize = 4;
 
-/// Who speaks: set by a balancer, clear where a member speaks for itself.
+/// Sender of a request: set by a load balancer, clear where a member sends it for itself.
 pub const FLAG_FROM_BALANCER: u8 = 0x01;
 
 // Set Load Balancer State.
+/// Push weights: send them without a request.
 pub const LB_PUSH: u8 = 0x01;
+/// Trust members: they may register themselves.
 pub const LB_TRUST: u8 = 0x02;
+/// Leave members without a change out of pushes.
 pub const LB_NO_CHANGE: u8 = 0x04;
 
 // Weight entries and member states.
+/// The load balancer reaches the member.
 pub const CONTACT_SUCCESS: u8 = 0x01;
+/// The member is to receive no new work.
 pub const QUIESCE: u8 = 0x02;
+/// The load balancer registered the member, not it itself.
 pub const REGISTERED_BY_BALANCER: u8 = 0x04;
+/// The weight has a meaning: the member is known.
 pub const CONFIDENT: u8 = 0x08;
 
 // Return codes.
+/// [`ReturnCode::Successful`](crate::ReturnCode::Successful).
 pub const SUCCESSFUL: u8 = 0x00;
+/// [`ReturnCode::NotUnderstood`](crate::ReturnCode::NotUnderstood).
 pub const NOT_UNDERSTOOD: u8 = 0x10;
+/// [`ReturnCode::WillNotAccept`](crate::ReturnCode::WillNotAccept).
 pub const WILL_NOT_ACCEPT: u8 = 0x11;
+/// [`ReturnCode::AlreadyRegistered`](crate::ReturnCode::AlreadyRegistered).
 pub const ALREADY_REGISTERED: u8 = 0x40;
+/// [`ReturnCode::NotRegistered`](crate::ReturnCode::NotRegistered).
 pub const NOT_REGISTERED: u8 = 0x41;
+/// [`ReturnCode::DuplicateMember`](crate::ReturnCode::DuplicateMember).
 pub const DUPLICATE_MEMBER: u8 = 0x42;
+/// [`ReturnCode::InvalidGroup`](crate::ReturnCode::InvalidGroup).
 pub const INVALID_GROUP: u8 = 0x43;
+/// [`ReturnCode::InvalidGroupNameSize`](crate::ReturnCode::InvalidGroupNameSize).
 pub const INVALID_GROUP_NAME_SIZE: u8 = 0x44;
+/// [`ReturnCode::InvalidUidSize`](crate::ReturnCode::InvalidUidSize).
 pub const INVALID_UID_SIZE: u8 = 0x45;
+/// [`ReturnCode::MemberRegistersItself`](crate::ReturnCode::MemberRegistersItself).
 pub const MEMBER_REGISTERS_ITSELF: u8 = 0x50;
+/// [`ReturnCode::NoGroupYet`](crate::ReturnCode::NoGroupYet).
 pub const NO_GROUP_YET: u8 = 0x51;
+/// [`ReturnCode::TryLater`](crate::ReturnCode::TryLater).
 pub const TRY_LATER: u8 = 0x61;
--- a/crates/sasp/tests/protocol.rs
+++ b/crates/sasp/tests/protocol.rs
@@ -103,21 +103,21 @@
 }
 
 #[rstest]
-#[case::no_header(vec![0x10, 0x10], DecodeError::Component { found: 0x1010, wanted: 0x2010 })]
+#[case::no_header(vec![0x10, 0x10], DecodeError::UnexpectedComponent { found: 0x1010, expected: 0x2010 })]
 #[case::header_length(vec![0x20, 0x10, 0, 12], DecodeError::HeaderLength(12))]
 #[case::version(vec![0x20, 0x10, 0, 13, 2], DecodeError::Version(2))]
 #[case::too_long(
     [&[0x20, 0x10, 0, 13, 1, 0x7f, 0xff, 0xff, 0xff][..], &[0; 4]].concat(),
-    DecodeError::TooLong { size: 0x7fff_ffff, most: 1024 }
+    DecodeError::MessageTooLong { size: 0x7fff_ffff, limit: 1024 }
 )]
-#[case::too_short([header(0)].concat(), DecodeError::CutShort(0x2010))]
+#[case::too_short([header(0)].concat(), DecodeError::Truncated(0x2010))]
 #[case::unknown([header(4), vec![0x99, 0x99, 0, 4]].concat(), DecodeError::UnknownMessage(0x9999))]
 #[case::component_length(
     [header(5), vec![0x10, 0x15, 0, 9, 0]].concat(),
-    DecodeError::Length { component: 0x1015, said: 9, has: 5 }
+    DecodeError::ComponentLength { component: 0x1015, stated: 9, actual: 5 }
 )]
-#[case::promises_more([header(6), vec![0x10, 0x30, 0, 6, 0xff, 0xff]].concat(), DecodeError::CutShort(0x3011))]
-#[case::left([header(6), vec![0x10, 0x15, 0, 5, 0, 1]].concat(), DecodeError::Left(1))]
+#[case::promises_more([header(6), vec![0x10, 0x30, 0, 6, 0xff, 0xff]].concat(), DecodeError::Truncated(0x3011))]
+#[case::left([header(6), vec![0x10, 0x15, 0, 5, 0, 1]].concat(), DecodeError::TrailingBytes(1))]
 fn departures_are_refused_by_name(#[case] wire: Vec<u8>, #[case] error: DecodeError) {
     let mut frames = Frames::new(1024);
     frames.push(&wire);
