--- a/crates/sasp/src/lib.rs
+++ b/crates/sasp/src/lib.rs
@@ -6,7 +6,7 @@
 //! `docs/sasp.md` has the table of numbers and says which of them are certain. `crates/xds-supervisor` serves these
 //! connections.
 
-#![deny(unreachable_pub)]
+#![deny(missing_docs, unreachable_pub)]
 
 mod decode;
 mod encode;
--- /dev/null
+++ b/crates/sasp/src/session/weight_messages.rs
@@ -0,0 +1,106 @@
+//! Weights of groups: replies to Get Weights, and Send Weights where a load balancer wants them pushed.
+
+use super::{Advisor, Lookup, Peer, PushedWeight};
+use crate::message::{Body, Group, GroupOf, Message, ReturnCode, WeightEntry};
+use crate::weights::{round_to_u16, TableWeight};
+
+impl Advisor {
+    pub(super) fn get_weights(&mut self, peer: Peer, groups: &[Group], lookup: Lookup<'_>) -> Body {
+        let interval = self.bounds.interval;
+        match self.authorize_weights(peer, groups) {
+            Ok(()) => Body::Weights {
+                code: ReturnCode::Successful,
+                interval,
+                groups: groups.iter().map(|group| (group.clone(), self.entries(group, lookup))).collect(),
+            },
+            Err(code) => Body::Weights { code, interval, groups: Vec::new() },
+        }
+    }
+
+    /// Counts a request for weights, and checks that it is within the limit and for groups of the sender.
+    fn authorize_weights(&mut self, peer: Peer, groups: &[Group]) -> Result<(), ReturnCode> {
+        let connection = self.connections.get_mut(&peer).ok_or(ReturnCode::WillNotAccept)?;
+        connection.weight_requests += 1;
+        if connection.weight_requests > self.bounds.weight_requests {
+            return Err(ReturnCode::TryLater);
+        }
+        let balancer = connection.balancer.as_ref().ok_or(ReturnCode::NoGroupYet)?;
+        if groups.iter().any(|group| group.balancer != *balancer) {
+            return Err(ReturnCode::WillNotAccept);
+        }
+        if groups.iter().any(|group| !self.groups.contains_key(group)) {
+            return Err(ReturnCode::InvalidGroup);
+        }
+        Ok(())
+    }
+
+    /// The Send Weights message that is due to a load balancer; `None` where it wants no pushes or nothing has changed
+    /// since the last one. Has all entries of a group in which something changed; with the no-change flag, only the
+    /// entries that changed.
+    pub fn push(&mut self, peer: Peer, lookup: Lookup<'_>) -> Option<Message> {
+        let connection = self.connections.get(&peer).filter(|connection| connection.flags.push)?;
+        let only_changed = connection.flags.no_change;
+        let own_groups = self.groups_of(connection.balancer.as_ref()?);
+        let mut groups: Vec<GroupOf<WeightEntry>> = Vec::new();
+        for group in own_groups {
+            let entries = self.entries(&group, lookup);
+            let changed = self.record_pushed(&group, &entries);
+            if !changed.is_empty() {
+                groups.push((group, if only_changed { changed } else { entries }));
+            }
+        }
+        if groups.is_empty() {
+            return None;
+        }
+        self.last_id = self.last_id.wrapping_add(1);
+        Some(Message { id: self.last_id, body: Body::SendWeights { groups } })
+    }
+
+    /// Records the entries of a group as pushed; returns those that differ from the last push.
+    fn record_pushed(&mut self, group: &Group, entries: &[WeightEntry]) -> Vec<WeightEntry> {
+        let Some(registrations) = self.groups.get_mut(group) else { return Vec::new() };
+        let mut changed = Vec::new();
+        for entry in entries {
+            let pushed =
+                PushedWeight { weight: entry.weight, quiesce: entry.quiesce, confident: entry.confident };
+            let Some(registration) = registrations.get_mut(&entry.member) else { continue };
+            if registration.pushed != Some(pushed) {
+                registration.pushed = Some(pushed);
+                changed.push(entry.clone());
+            }
+        }
+        changed
+    }
+
+    /// The weight entries of a group's members, in the members' order.
+    fn entries(&self, group: &Group, lookup: Lookup<'_>) -> Vec<WeightEntry> {
+        const NO_WEIGHT: TableWeight = TableWeight { weight: 0.0, warming_up: false };
+        let Some(registrations) = self.groups.get(group) else { return Vec::new() };
+        let listed: Vec<Option<TableWeight>> =
+            registrations.keys().map(|member| lookup(group, member)).collect();
+        let effective: Vec<TableWeight> = registrations
+            .values()
+            .zip(&listed)
+            .map(|(registration, listed)| match listed {
+                Some(weight) if !registration.quiesce => *weight,
+                _ => NO_WEIGHT,
+            })
+            .collect();
+        let weights = round_to_u16(&effective);
+        registrations
+            .iter()
+            .zip(listed)
+            .zip(weights)
+            .map(|(((member, registration), listed), weight)| WeightEntry {
+                state: registration.state,
+                contact: registration.contact,
+                // A load balancer stops new work by this flag, not by the weight 0.
+                quiesce: registration.quiesce || weight == 0,
+                registered_by_balancer: registration.self_registered_by.is_none(),
+                confident: listed.is_some(),
+                weight,
+                member: member.clone(),
+            })
+            .collect()
+    }
+}
--- a/crates/sasp/tests/protocol.rs
+++ b/crates/sasp/tests/protocol.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
-use shalereel_sasp::weights::Figure;
+use shalereel_sasp::weights::TableWeight;
 use shalereel_sasp::*;
 
 fn member(port: u16) -> Member {
@@ -157,13 +157,13 @@
     }
 }
 
-const BOUNDS: Bounds = Bounds { members: 100, groups: 10, asks: 3, interval: 5 };
+const BOUNDS: Bounds = Bounds { members: 100, groups: 10, weight_requests: 3, interval: 5 };
 
 struct World {
     advisor: Advisor,
     changes: Vec<Change>,
     /// By port.
-    table: Vec<(u16, Figure)>,
+    table: Vec<(u16, TableWeight)>,
 }
 
 impl World {
@@ -176,8 +176,10 @@
             world.ask(1, Body::Register { from_balancer: true, groups }),
             Body::Registered(ReturnCode::Successful)
         );
-        world.table =
-            vec![(1, Figure { weight: 2.0, cold: false }), (2, Figure { weight: 1.0, cold: false })];
+        world.table = vec![
+            (1, TableWeight { weight: 2.0, warming_up: false }),
+            (2, TableWeight { weight: 1.0, warming_up: false }),
+        ];
         world
     }
 
@@ -185,9 +187,9 @@
         let table = self.table.clone();
         let lookup =
             move |_: &Group, member: &Member| table.iter().find(|row| row.0 == member.port).map(|row| row.1);
-        let answers = self.advisor.hear(peer, Message { id: 3, body }, &lookup, &mut self.changes);
+        let answers = self.advisor.handle_message(peer, Message { id: 3, body }, &lookup, &mut self.changes);
         match &answers[..] {
-            [Answer::Say(to, message)] if *to == peer && message.id == 3 => message.body.clone(),
+            [Answer::Send(to, message)] if *to == peer && message.id == 3 => message.body.clone(),
             other => panic!("{other:?}"),
         }
     }
@@ -265,8 +267,12 @@
     };
     assert_eq!(world.ask(2, quiesce(9, true)), Body::MemberStateSet(ReturnCode::Successful));
     assert_eq!(world.ask(2, quiesce(1, true)), Body::MemberStateSet(ReturnCode::WillNotAccept), "not itself");
-    let member_9 =
-        |there, quiesce| Change::Member { group: group("lb", "view"), member: member(9), there, quiesce };
+    let member_9 = |registered, quiesce| Change::Member {
+        group: group("lb", "view"),
+        member: member(9),
+        registered,
+        quiesce,
+    };
     assert_eq!(world.changes.last(), Some(&member_9(true, true)));
     // It takes itself away by ending its connection.
     world.advisor.closed(2, &mut world.changes);
@@ -316,6 +322,6 @@
 fn a_reply_where_a_request_is_due_ends_the_connection() {
     let mut world = World::new();
     let message = Message { id: 1, body: Body::Registered(ReturnCode::Successful) };
-    let answers = world.advisor.hear(1, message, &|_, _| None, &mut world.changes);
-    assert!(matches!(answers[..], [Answer::End(1, _)]));
+    let answers = world.advisor.handle_message(1, message, &|_, _| None, &mut world.changes);
+    assert!(matches!(answers[..], [Answer::Close(1, _)]));
 }
--- a/crates/xds-supervisor/src/advice.rs
+++ b/crates/xds-supervisor/src/advice.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use shalereel::interface::{Nanos, TableId};
-use shalereel_sasp::weights::Figure;
+use shalereel_sasp::weights::TableWeight;
 use shalereel_sasp::{Advisor, Answer, Body, Bounds, Change, Frames, Group, Member, ReturnCode};
 
 use crate::core::Peer;
@@ -25,12 +25,13 @@
 }
 
 impl View<'_> {
-    fn figure(&self, group: &Group, member: &Member) -> Option<Figure> {
+    fn figure(&self, group: &Group, member: &Member) -> Option<TableWeight> {
         let at = self.operations.iter().position(|name| name.as_bytes() == group.name)? as u16;
         let table = *self.bound.get(&at)?;
         let server = self.roster.server_at(member.socket())?;
         let weight = self.tables.weight(table, server);
-        Some(Figure { weight, cold: self.roster.started_within(server, self.now, self.cold_for) })
+        let warming_up = self.roster.started_within(server, self.now, self.cold_for);
+        Some(TableWeight { weight, warming_up })
     }
 }
 
@@ -98,15 +99,15 @@
                 outcomes.push(Outcome::Write(reply.encode().to_vec()));
                 continue;
             }
-            for answer in self.advisor.hear(peer, message, &lookup, &mut changes) {
+            for answer in self.advisor.handle_message(peer, message, &lookup, &mut changes) {
                 match answer {
-                    Answer::Say(_, reply) => {
+                    Answer::Send(_, reply) => {
                         if asks && matches!(reply.body, Body::Weights { code: ReturnCode::Successful, .. }) {
                             outcomes.push(Outcome::Taken);
                         }
                         outcomes.push(Outcome::Write(reply.encode().to_vec()));
                     }
-                    Answer::End(_, why) => outcomes.push(Outcome::End(why.to_owned())),
+                    Answer::Close(_, why) => outcomes.push(Outcome::End(why.to_owned())),
                 }
             }
         }
@@ -140,12 +141,18 @@
             Some(Outcome::Joined { balancer: String::from_utf8_lossy(&balancer).into_owned() })
         }
         Change::Left { .. } => None,
-        Change::Member { member, there, quiesce, .. } => {
-            let by_balancer = advisor.speaks_for_balancer(peer);
+        Change::Member { member, registered, quiesce, .. } => {
+            let by_balancer = advisor.is_balancer(peer);
             let reporter = if by_balancer { Reporter::Balancer } else { Reporter::Member };
             let zone = String::from_utf8_lossy(&member.label).into_owned();
             let address = member.socket();
-            Some(Outcome::Member(MemberReport { address, zone, reporter, present: there, quiesced: quiesce }))
+            Some(Outcome::Member(MemberReport {
+                address,
+                zone,
+                reporter,
+                present: registered,
+                quiesced: quiesce,
+            }))
         }
     }
 }
--- a/crates/xds-supervisor/src/patience.rs
+++ b/crates/xds-supervisor/src/patience.rs
@@ -105,7 +105,7 @@
     pub fn balancer(&self) -> shalereel_sasp::Bounds {
         // The protocol counts whole seconds.
         let interval = self.cycle.div_ceil(1_000_000_000).clamp(1, 3600) as u16;
-        shalereel_sasp::Bounds { members: MEMBERS, groups: GROUPS, asks: ASKS, interval }
+        shalereel_sasp::Bounds { members: MEMBERS, groups: GROUPS, weight_requests: ASKS, interval }
     }
 }
 
