--- /dev/null
+++ b/crates/sasp/tests/protocol/main.rs
@@ -0,0 +1,14 @@
+//! SASP: bytes of its messages, and the manager's side of its connections.
+
+mod codec;
+mod session;
+
+use shalereel_sasp::{Group, Member};
+
+fn member(port: u16) -> Member {
+    Member { protocol: 6, port, address: "::ffff:127.0.0.1".parse().unwrap(), label: b"m".to_vec() }
+}
+
+fn group(balancer: &str, name: &str) -> Group {
+    Group { balancer: balancer.into(), name: name.into() }
+}
