--- a/crates/sasp/tests/protocol/session.rs
+++ b/crates/sasp/tests/protocol/session.rs
@@ -69,8 +69,10 @@
         .collect()
 }
 
-fn lb_state(push: bool, trust: bool, no_change: bool) -> Body {
-    Body::SetLbState { balancer: b"lb".to_vec(), health: 1, flags: LbFlags { push, trust, no_change } }
+const NO_FLAGS: LbFlags = LbFlags { push: false, trust: false, no_change: false };
+
+fn lb_state(flags: LbFlags) -> Body {
+    Body::SetLbState { balancer: b"lb".to_vec(), health: 1, flags }
 }
 
 #[test]
@@ -105,7 +107,7 @@
 fn weights_are_pushed_on_request_of_the_balancer_and_only_on_change() {
     let mut harness = Harness::new();
     assert_eq!(harness.push(1), [], "no push flag");
-    harness.request(1, lb_state(true, false, true));
+    harness.request(1, lb_state(LbFlags { push: true, no_change: true, ..NO_FLAGS }));
     assert_eq!(harness.push(1).len(), 2);
     assert_eq!(harness.push(1), [], "nothing changed");
     harness.table.insert(2, table_weight(2.0));
@@ -114,7 +116,7 @@
         [Weight { port: 2, weight: 65535, quiesce: false }],
         "only the changed entry"
     );
-    harness.request(1, lb_state(true, false, false));
+    harness.request(1, lb_state(LbFlags { push: true, ..NO_FLAGS }));
     harness.table.insert(2, table_weight(1.0));
     assert_eq!(harness.push(1).len(), 2, "all entries of a changed group");
     assert_eq!(harness.push(2), []);
@@ -128,7 +130,7 @@
         groups: vec![(group("lb", "view"), vec![member(port)])],
     };
     assert_eq!(harness.request(2, register(9)), Body::Registered(ReturnCode::WillNotAccept), "no trust flag");
-    harness.request(1, lb_state(false, true, false));
+    harness.request(1, lb_state(LbFlags { trust: true, ..NO_FLAGS }));
     assert_eq!(harness.request(2, register(9)), Body::Registered(ReturnCode::Successful));
     let quiesce = |port, quiesce| Body::SetMemberState {
         from_balancer: false,
