--- a/crates/xds-supervisor/src/channel.rs
+++ b/crates/xds-supervisor/src/channel.rs
@@ -30,7 +30,9 @@
 /// A message that has left the channel, to be written to its proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Departure {
+    /// Receiver.
     pub proxy: ProxyId,
+    /// When it was put into the channel.
     pub queued_at: Nanos,
     /// Serial of the mark that it carries.
     pub mark: Option<u16>,
--- a/crates/xds-supervisor/src/endpoints.rs
+++ b/crates/xds-supervisor/src/endpoints.rs
@@ -13,7 +13,9 @@
 /// A server as last listed: its address, and its last start. The field names are those of `last-list.json`.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ListedEndpoint {
+    /// Where it is reached.
     pub address: SocketAddr,
+    /// Name of its locality.
     pub zone: String,
     incarnation: u64,
     #[serde(rename = "ready_at")]
@@ -43,18 +45,24 @@
 /// State of a SASP member as it or its balancer reported it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberReport {
+    /// Of the member.
     pub address: SocketAddr,
     /// SASP has no field for it: the member's label where that is a zone, else the supervisor's own.
     pub zone: String,
+    /// Who reported it.
     pub reporter: Reporter,
+    /// False: it is removed.
     pub present: bool,
+    /// It takes nothing new.
     pub quiesced: bool,
 }
 
 /// A row of the registry's list that was skipped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SkippedRow {
+    /// As listed.
     pub address: SocketAddr,
+    /// Why it was skipped.
     pub reason: SkipReason,
 }
 
@@ -79,14 +87,18 @@
 /// What a list from the registry led to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedList {
+    /// For the controller.
     pub event: WatchEvent,
+    /// Rows that were not taken; their servers count as not listed.
     pub skipped: Vec<SkippedRow>,
 }
 
 /// A listed server, in short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerSummary {
+    /// Its number.
     pub server: ServerId,
+    /// Position of its locality.
     pub locality: u16,
     /// Neither draining nor drained by an operator.
     pub ready: bool,
@@ -255,7 +267,7 @@
         }
     }
 
-    /// By the registry's, a member's or an operator's word.
+    /// By the registry, a report of a SASP member, or an operator.
     fn drains(&self, server: ServerId, endpoint: &ListedEndpoint) -> bool {
         endpoint.draining
             || self.quiesced.contains(&endpoint.address)
--- a/crates/xds-supervisor/src/group_member.rs
+++ b/crates/xds-supervisor/src/group_member.rs
@@ -22,22 +22,30 @@
 pub enum GroupCommand {
     /// Send a message to another member; it may be lost.
     SendToMember {
+        /// Number of the receiver.
         to: u32,
+        /// Where it is reached.
         address: String,
+        /// An encoded `Envelope`.
         message: Vec<u8>,
     },
     /// Write and sync records of the log.
     StoreLog(LogWrite),
     /// Send the one message of an operator's stream, or close it with the reason why there is none.
     AnswerOperator {
+        /// The operator's stream.
         peer: Peer,
+        /// An encoded `ControlResponse`, or the status that the stream is closed with.
         result: Result<Vec<u8>, Status>,
     },
     /// Send on a forwarder's stream of key ranges.
     SendRanges {
+        /// The forwarder's stream.
         peer: Peer,
+        /// An encoded `RangesResponse`.
         message: Vec<u8>,
     },
+    /// Write a line of the group to the log.
     Log(String),
 }
 
@@ -53,6 +61,7 @@
 /// What changed for the supervisor itself.
 #[derive(Debug, Default)]
 pub struct AppliedChanges {
+    /// For the shell, in order.
     pub commands: Vec<GroupCommand>,
     /// What proxies of other members observed, for the controller.
     pub events: Vec<Event>,
--- a/crates/xds-supervisor/src/lib.rs
+++ b/crates/xds-supervisor/src/lib.rs
@@ -16,7 +16,7 @@
 mod tables;
 
 pub use crate::core::{Core, Peer, ShellCommand, Warning, LISTENER, PREFIX};
-pub use channel::{Backlog, Channel, Departure};
+pub use channel::Backlog;
 pub use daemon::run;
 pub use deployment::{Deployment, FileError, Planted};
 pub use endpoints::{
@@ -25,5 +25,4 @@
 pub use group_member::{AppliedChanges, GroupCommand, GroupMember, GroupSettings, OperatorOrders};
 pub use keeper::{Block, Keeper, LOG, MEMORY, TABLES};
 pub use load_reports::{LoadReports, ReportingProxy};
-pub use patience::{Patience, Verdict};
-pub use tables::{Facts, Reach, Tables};
+pub use tables::{Facts, Tables};
--- a/crates/xds-supervisor/src/load_reports.rs
+++ b/crates/xds-supervisor/src/load_reports.rs
@@ -30,7 +30,9 @@
 /// A proxy that reports load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportingProxy {
+    /// Its number.
     pub proxy: ProxyId,
+    /// Position of its locality.
     pub locality: LocalityId,
 }
 
