--- a/crates/xds-supervisor/src/core/delivery.rs
+++ b/crates/xds-supervisor/src/core/delivery.rs
@@ -3,7 +3,7 @@
 
 use shalereel::interface::{Nanos, ProxyId, TableId};
 
-use super::proxy::{Mark, PendingUpdate, Proxy};
+use super::proxy::{Mark, PendingUpdate};
 use super::{facts, Core};
 use crate::channel::Departure;
 
@@ -105,8 +105,7 @@
     /// A message has left the channel: it is written with the next poll in which its proxy can read it.
     pub(super) fn departed(&mut self, departure: Departure) {
         let Some(proxy) = self.proxies.get_mut(&departure.proxy) else { return };
-        let Proxy { pending, .. } = proxy;
-        let update = pending.get_or_insert_with(|| PendingUpdate::new(departure.queued_at));
+        let update = proxy.pending.get_or_insert_with(|| PendingUpdate::new(departure.queued_at));
         let mark = departure.mark.map(|serial| Mark { serial, queued_at: departure.queued_at });
         update.marks.extend(mark);
     }
--- a/crates/xds-supervisor/src/core/faults.rs
+++ b/crates/xds-supervisor/src/core/faults.rs
@@ -7,8 +7,10 @@
 
 /// Weight of a server in slow start: many times what any server has.
 const SLOW_START_WEIGHT: f64 = 1e4;
-/// Between which weights each line of a table changes with every batch.
-const FLOOD_WEIGHTS: (f64, f64) = (1.0, 1.3);
+/// Each line of a table changes between these weights with every batch.
+const LOW_FLOOD_WEIGHT: f64 = 1.0;
+const HIGH_FLOOD_WEIGHT: f64 = 1.3;
+/// A line above this weight has the high one.
 const FLOOD_THRESHOLD: f64 = 1.2;
 
 impl Core {
@@ -19,7 +21,7 @@
             actions.into_iter().filter_map(|action| self.faulty(now, fault, action)).collect();
         if fault == Planted::Flood {
             actions.extend(self.tables.lines(0).map(|(server, weight)| {
-                let weight = if weight > FLOOD_THRESHOLD { FLOOD_WEIGHTS.0 } else { FLOOD_WEIGHTS.1 };
+                let weight = if weight > FLOOD_THRESHOLD { LOW_FLOOD_WEIGHT } else { HIGH_FLOOD_WEIGHT };
                 Action::SetWeight { table: 0, server, weight }
             }));
         }
