--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -16,14 +16,14 @@
 /// Longest record; a greater length is damage.
 const MAX_RECORD_BYTES: usize = 16 << 20;
 
-/// Why a file is rejected.
+/// Why a file is rejected. What to do about it depends on the file and is said by its reader.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum JournalError {
     /// The file begins with another magic.
-    #[error("the file does not begin with the magic of this version; move it away to start without it")]
+    #[error("the file does not begin with the magic of this version")]
     UnknownFormat,
     /// An intact frame follows a damaged one, which no crash during a write explains.
-    #[error("damaged at byte {at}, with intact frames after it; move the file away to start without it")]
+    #[error("damaged at byte {at}, with intact frames after it")]
     Damaged {
         /// Offset of the first frame that cannot be read, in bytes.
         at: usize,
--- a/crates/store/src/codec.rs
+++ b/crates/store/src/codec.rs
@@ -24,13 +24,13 @@
     #[error(transparent)]
     Journal(#[from] JournalError),
     /// A frame whose checksum is right cannot be decoded.
-    #[error("the frame that ends at byte {at} is intact but cannot be decoded; move the file away")]
+    #[error("the frame that ends at byte {at} is intact but cannot be decoded")]
     Malformed {
         /// Offset of the frame's end, in bytes.
         at: usize,
     },
     /// A version whose parent, number or digest does not match the versions before it.
-    #[error("version {number} does not follow from those before it; move the file away")]
+    #[error("version {number} does not follow from those before it")]
     Inconsistent {
         /// Number of the version.
         number: VersionNumber,
--- a/crates/xds-supervisor/src/daemon.rs
+++ b/crates/xds-supervisor/src/daemon.rs
@@ -199,8 +199,9 @@
         let folder = &self.deployment.folder;
         let log = kept(folder, LOG)?;
         let path = folder.join(LOG);
-        let found =
-            log.as_deref().map(StoredLog::read).transpose().with_context(|| path.display().to_string())?;
+        let found = log.as_deref().map(StoredLog::read).transpose().with_context(|| {
+            format!("{} (move the file away only to add this supervisor as a new member)", path.display())
+        })?;
         let whole = found.as_ref().map(|found| found.complete_bytes);
         if let Some(torn) = log.zip(whole).map(|(log, whole)| log.len() - whole).filter(|torn| *torn > 0) {
             tracing::warn!(file = %path.display(), torn, "a torn tail is cut away");
