--- a/crates/snapshot/src/freshness.rs
+++ b/crates/snapshot/src/freshness.rs
@@ -3,9 +3,9 @@
 use shalereel::interface::{ControllerConfig, Nanos};
 use thiserror::Error;
 
-/// Report intervals between writes: less is learned in them than a snapshot loses by its age.
+/// Report intervals between two writes: a crash loses at most so many intervals of learning.
 const WRITE_INTERVALS: Nanos = 2;
-/// Age beyond which a snapshot is rejected, in report intervals.
+/// Age beyond which a snapshot is rejected, in report intervals: ten minutes at an interval of a second.
 const MAX_AGE_INTERVALS: Nanos = 600;
 /// How far ahead of the clock a snapshot may be, in report intervals; beyond, a clock was set.
 const MAX_LEAD_INTERVALS: Nanos = 1;
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum RejectReason {
     /// It was taken this far after the present time, ns: a clock was set back, and its age is unknown.
-    #[error("it is from {} s ahead of the clock", .0 / SECOND)]
+    #[error("it was taken {} s in the future by this clock", .0 / SECOND)]
     FromFuture(Nanos),
     /// Its age, ns.
     #[error("it is {} s old", .0 / SECOND)]
--- a/crates/snapshot/src/schema.rs
+++ b/crates/snapshot/src/schema.rs
@@ -108,7 +108,7 @@
         }
     }
 
-    fn numbers(&self) -> [f32; 6] {
+    fn numbers_to_validate(&self) -> [f32; 6] {
         [
             self.attempts,
             self.failures,
@@ -146,7 +146,7 @@
         }
     }
 
-    fn numbers(&self) -> [f64; 5] {
+    fn numbers_to_validate(&self) -> [f64; 5] {
         let load_limit = self.load_limit.unwrap_or(0.0);
         [self.attempts, self.failures, self.usual_weight, self.peak_load, load_limit]
     }
@@ -171,10 +171,10 @@
     type Error = SnapshotError;
 
     fn try_from(record: SchemaV2) -> Result<Self, SnapshotError> {
-        let of_servers = record.servers.iter().flat_map(ServerRecord::numbers);
+        let of_servers = record.servers.iter().flat_map(ServerRecord::numbers_to_validate);
         let of_proxies = record.proxy_rates.values().copied();
         let mut numbers =
-            record.fleet.numbers().into_iter().chain(of_servers.chain(of_proxies).map(f64::from));
+            record.fleet.numbers_to_validate().into_iter().chain(of_servers.chain(of_proxies).map(f64::from));
         if numbers.any(|number| !number.is_finite() || number < 0.0) {
             return Err(SnapshotError::InvalidNumber);
         }
