--- a/crates/group/src/group.rs
+++ b/crates/group/src/group.rs
@@ -34,7 +34,7 @@
 pub use log_event::LogEvent;
 pub use status::{LogStatus, MemberRole};
 
-/// Entries of the log before they are replaced by a snapshot.
+/// Entries applied since the last snapshot that bring about the next one: they bound the file and its replay at a start.
 const SNAPSHOT_EVERY_ENTRIES: u64 = 512;
 /// A request id is the member's number, the low bits of its start count, and a counter.
 const REQUEST_MEMBER_SHIFT: u32 = 48;
@@ -46,7 +46,7 @@
 pub struct Group {
     config: GroupConfig,
     timing: Timing,
-    /// Of the group's name: messages of other groups are ignored.
+    /// CRC-32C of the group's name: messages of other groups are ignored.
     group_hash: u64,
     raft: Raft,
     membership: Membership,
@@ -106,7 +106,7 @@
         };
         if state_is_unreadable {
             // The entries after the snapshot mean nothing without it.
-            group.raft.fail_storage();
+            group.raft.stop_participating();
             group.log(LogEvent::StoredStateUnreadable);
         }
         group
@@ -152,17 +152,17 @@
         self.role
     }
 
-    /// Does it lead, and has it committed an entry of its term?
+    /// Whether this member leads and has committed an entry of its term.
     pub fn is_leader(&self) -> bool {
         self.raft.is_leader()
     }
 
-    /// May it grant routes to forwarders now?
+    /// Whether this member may grant routes now.
     pub fn may_grant_ranges(&self, now: Nanos) -> bool {
-        self.lease.is_valid(now, self.last_applied) || !self.is_fenced()
+        self.lease.is_valid(now, self.last_applied) || !self.enforces_fences()
     }
 
-    fn is_fenced(&self) -> bool {
+    fn enforces_fences(&self) -> bool {
         self.config.injected_fault != Some(InjectedFault::NoFence)
     }
 
@@ -193,7 +193,7 @@
 
     /// A write failed: until a restart this member neither votes, leads nor acknowledges.
     pub fn handle_write_failed(&mut self, reason: &str) {
-        self.raft.fail_storage();
+        self.raft.stop_participating();
         self.log(LogEvent::WriteFailed { reason: reason.to_owned() });
     }
 
@@ -258,7 +258,7 @@
 
     fn update_role(&mut self) {
         let role = match self.raft.leader() {
-            _ if self.raft.storage_failed() => MemberRole::StorageFailed,
+            _ if self.raft.has_stopped() => MemberRole::Stopped,
             Some(leader) if leader == self.config.id => MemberRole::Leader,
             Some(leader) => MemberRole::Follower(leader),
             None => MemberRole::NoLeader,
--- a/crates/group/src/group/apply.rs
+++ b/crates/group/src/group/apply.rs
@@ -33,7 +33,7 @@
                 self.log(LogEvent::SnapshotInstalled { index: snapshot.last_included_index });
             }
             Err(error) => {
-                self.raft.fail_storage();
+                self.raft.stop_participating();
                 self.log(LogEvent::SnapshotUnreadable { reason: error.to_string() });
             }
         }
--- a/crates/group/src/group/commands.rs
+++ b/crates/group/src/group/commands.rs
@@ -12,7 +12,7 @@
     /// Submits an operator's order; it is answered by an [`Action::Answer`] with this ticket.
     pub fn submit_order(&mut self, now: Nanos, ticket: u64, payload: CommandPayload) {
         let error = match self.role {
-            MemberRole::StorageFailed => OrderError::StorageFailed,
+            MemberRole::Stopped => OrderError::StorageFailed,
             MemberRole::NoLeader => self.no_leader_error(),
             MemberRole::Leader | MemberRole::Follower(_) => {
                 return self.add_command(now, payload, Some(ticket));
--- a/crates/group/src/group/config.rs
+++ b/crates/group/src/group/config.rs
@@ -19,7 +19,7 @@
     pub joining: bool,
     /// Settings of time.
     pub timing: TimingSettings,
-    /// Of all random draws.
+    /// Seed of all random draws.
     pub seed: u64,
     /// Duties to be assigned.
     pub duties: Vec<Duty>,
--- a/crates/group/src/group/log_event.rs
+++ b/crates/group/src/group/log_event.rs
@@ -45,10 +45,10 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             LogEvent::StoredStateUnreadable => f.write_str(
-                "stored group state cannot be decoded; move the log file away to add this controller as a new member",
+                "stored group state cannot be decoded; move the log file away to add this supervisor as a new member",
             ),
             LogEvent::WriteFailed { reason } => {
-                write!(f, "group log write failed ({reason}): this controller no longer votes or leads")
+                write!(f, "group log write failed ({reason}): this supervisor no longer votes or leads")
             }
             LogEvent::SnapshotInstalled { index } => {
                 write!(f, "installed the leader's snapshot up to entry {index}")
@@ -57,7 +57,7 @@
                 write!(f, "the leader's snapshot cannot be decoded ({reason})")
             }
             LogEvent::StatusChanged { member, status } => {
-                write!(f, "controller {member} {}", status_phrase(*status))
+                write!(f, "supervisor {member} {}", status_phrase(*status))
             }
             LogEvent::RoleChanged { role, term } => write_role(f, *role, *term),
         }
@@ -76,10 +76,15 @@
 fn write_role(f: &mut fmt::Formatter, role: MemberRole, term: u64) -> fmt::Result {
     match role {
         MemberRole::Leader => write!(f, "leads the group in term {term}"),
-        MemberRole::Follower(leader) => write!(f, "follows controller {leader} in term {term}"),
+        MemberRole::Follower(leader) => write!(f, "follows supervisor {leader} in term {term}"),
         MemberRole::NoLeader => {
-            f.write_str("no leader: tables and local rules go on, orders and range moves wait")
+            f.write_str(
+                "no leader is known: tables and local rules go on, orders are rejected, range moves wait",
+            )
         }
-        MemberRole::StorageFailed => f.write_str("no longer takes part in the group: its log failed"),
+        MemberRole::Stopped => f.write_str(
+            "no longer takes part in the group until a restart: a write failed, or stored or received state cannot \
+             be used",
+        ),
     }
 }
--- a/crates/group/src/group/messages.rs
+++ b/crates/group/src/group/messages.rs
@@ -64,7 +64,7 @@
     /// Reports of a former holder of the duty to merge are ignored.
     fn handle_peer_reports(&mut self, reports: PeerReports) {
         let agreed_epoch = self.state_machine.assignment(Duty::MergeReports).map_or(0, |held| held.epoch);
-        if self.is_fenced() && reports.epoch < self.reports_epoch.max(agreed_epoch) {
+        if self.enforces_fences() && reports.epoch < self.reports_epoch.max(agreed_epoch) {
             return;
         }
         self.reports_epoch = reports.epoch;
--- a/crates/group/src/group/review.rs
+++ b/crates/group/src/group/review.rs
@@ -102,7 +102,7 @@
         let members = self.configured_members();
         let lease_table = self.lease_table.get_or_insert_with(|| LeaseTable::new(&self.timing, elected_at));
         let mut assignable = lease_table.assignable_ranges(now, &self.timing, &self.state_machine, &members);
-        if !self.is_fenced() {
+        if !self.enforces_fences() {
             assignable = self.pending_moves();
         }
         let term = self.raft.term();
--- a/crates/group/src/group/status.rs
+++ b/crates/group/src/group/status.rs
@@ -11,8 +11,8 @@
     Follower(MemberId),
     /// It knows no leader: published tables and its own rules go on, orders are rejected.
     NoLeader,
-    /// Its log cannot be written.
-    StorageFailed,
+    /// It takes no part until a restart: a write failed, or stored or received state cannot be used.
+    Stopped,
 }
 
 /// How far a member's log is.
--- a/crates/group/src/leases/client.rs
+++ b/crates/group/src/leases/client.rs
@@ -1,4 +1,5 @@
 //! A forwarder's side of key ranges: which routes it may use, and until when. All that a proxy has to implement.
+//! Called by the forwarders in `crates/standins`.
 
 use std::collections::BTreeMap;
 
--- a/crates/group/src/leases/grantor.rs
+++ b/crates/group/src/leases/grantor.rs
@@ -99,8 +99,8 @@
         RouteResponse { sequence: self.responses, routes: Some(routes) }
     }
 
-    /// Moves, by range and index, that no forwarder of this member stands against any more and that it has not yet
-    /// cleared.
+    /// Pending moves, by range and index, that this member may now report as cleared: none of its forwarders can still
+    /// use the former owner.
     pub fn cleared_moves(
         &mut self,
         now: Nanos,
--- a/crates/group/src/leases/member_lease.rs
+++ b/crates/group/src/leases/member_lease.rs
@@ -16,7 +16,7 @@
 impl Lease {
     /// The leader has granted the lease that was requested at `requested_at`, up to its commit index.
     pub fn renew(&mut self, timing: &Timing, requested_at: Nanos, commit_index: LogIndex) {
-        let expires_at = requested_at + timing.lease_duration();
+        let expires_at = requested_at + timing.member_lease_duration();
         if expires_at > self.expires_at {
             *self = Lease { expires_at, commit_index: self.commit_index.max(commit_index) };
         }
--- a/crates/group/src/leases/table.rs
+++ b/crates/group/src/leases/table.rs
@@ -38,7 +38,7 @@
     /// The table of a leader that was elected at `elected_at`: earlier leaders may have granted leases until then.
     pub fn new(timing: &Timing, elected_at: Nanos) -> Self {
         LeaseTable {
-            earlier_leases_expire_at: elected_at + timing.upper_bound(timing.lease_duration()),
+            earlier_leases_expire_at: elected_at + timing.upper_bound(timing.member_lease_duration()),
             expires_at: BTreeMap::new(),
             move_waits: BTreeMap::new(),
         }
@@ -46,7 +46,7 @@
 
     /// Records a lease that is granted now, for a request of some moment before.
     pub fn grant(&mut self, now: Nanos, timing: &Timing, member: MemberId) {
-        self.expires_at.insert(member, now + timing.upper_bound(timing.lease_duration()));
+        self.expires_at.insert(member, now + timing.upper_bound(timing.member_lease_duration()));
     }
 
     /// Moves, by range and index, whose range may be assigned to its next owner. `members`: voters and learners.
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -2,6 +2,9 @@
 //! [`Group`] joins them, free of I/O and of clocks; [`sim`] runs groups on a simulated network.
 //!
 //! The group is optional: what a supervisor does for its own proxies needs none of it.
+//!
+//! Called by `crates/xds-supervisor` (`group_member`); [`LeaseClient`] is the forwarders' side, called by
+//! `crates/standins`.
 
 #![deny(missing_docs)]
 
@@ -30,5 +33,5 @@
 pub use state_machine::{
     AppliedChange, DutyAssignment, PendingMove, RangeOwnership, Rejection, StandingOrder, StateMachine,
 };
-pub use storage::{encode, StoredLog, LOG_FILE_HEAD};
+pub use storage::{encode, StoredLog, StoredLogError, LOG_FILE_HEAD};
 pub use timing::{Timing, TimingSettings};
--- a/crates/group/src/membership/probing.rs
+++ b/crates/group/src/membership/probing.rs
@@ -6,7 +6,7 @@
 use super::Membership;
 use crate::wire::{MemberId, MemberStatus, ProbeKind};
 
-/// Members asked to probe on one's behalf.
+/// Members asked to probe on one's behalf: more than one, so that a lost message does not make a suspect.
 const INDIRECT_PROBES: usize = 3;
 /// Every so many periods a dead member is probed too: after a split both sides see each other as dead.
 const DEAD_PROBE_PERIODS: u64 = 2;
--- a/crates/group/src/raft.rs
+++ b/crates/group/src/raft.rs
@@ -76,7 +76,7 @@
     held_messages: VecDeque<HeldMessage>,
     outbox: Vec<(MemberId, Body)>,
     restored_snapshot: Option<Snapshot>,
-    storage_failed: bool,
+    has_stopped: bool,
     injected_fault: Option<InjectedFault>,
 }
 
@@ -114,7 +114,7 @@
             held_messages: VecDeque::new(),
             outbox: Vec::new(),
             restored_snapshot: None,
-            storage_failed: false,
+            has_stopped: false,
             injected_fault,
         };
         raft.election_due_at = now + raft.timing.election_timeout() + raft.random_election_timeout();
@@ -156,9 +156,9 @@
         self.log.configuration()
     }
 
-    /// Has a write failed? Such a member neither votes, leads nor acknowledges.
-    pub(crate) fn storage_failed(&self) -> bool {
-        self.storage_failed
+    /// Whether this member takes no part until a restart: it neither votes, leads nor acknowledges.
+    pub(crate) fn has_stopped(&self) -> bool {
+        self.has_stopped
     }
 
     fn has_leader_role(&self) -> bool {
@@ -195,7 +195,7 @@
 
     /// Does what is due at this time.
     pub(crate) fn tick(&mut self, now: Nanos) {
-        if self.storage_failed {
+        if self.has_stopped {
             self.election_due_at = now + self.timing.election_timeout();
             return;
         }
@@ -240,7 +240,7 @@
 
     /// Takes a message of another member; those that are not of the log are ignored.
     pub(crate) fn handle_message(&mut self, now: Nanos, from: MemberId, body: Body) {
-        if self.storage_failed {
+        if self.has_stopped {
             return;
         }
         match body {
--- a/crates/group/src/raft/persistence.rs
+++ b/crates/group/src/raft/persistence.rs
@@ -59,7 +59,7 @@
 
     /// All writes up to this one are synced.
     pub(crate) fn handle_write_done(&mut self, now: Nanos, sequence: u64) {
-        if self.storage_failed {
+        if self.has_stopped {
             return;
         }
         self.writes_done = self.writes_done.max(sequence);
@@ -96,10 +96,10 @@
         self.outbox.push((leader, Body::AppendResponse(response)));
     }
 
-    /// A write failed, or the log contradicts a leader's: from now on this member neither leads, votes nor
-    /// acknowledges anything.
-    pub(crate) fn fail_storage(&mut self) {
-        self.storage_failed = true;
+    /// A write failed, the log contradicts a leader's, or a snapshot cannot be decoded: until a restart this member
+    /// neither leads, votes nor acknowledges anything.
+    pub(crate) fn stop_participating(&mut self) {
+        self.has_stopped = true;
         self.held_messages.clear();
         self.role = Role::Follower;
         self.leader = None;
--- a/crates/group/src/raft/replication.rs
+++ b/crates/group/src/raft/replication.rs
@@ -34,7 +34,7 @@
 
     /// Appends a command to a leader's log; nothing where this member does not lead.
     pub(crate) fn propose(&mut self, now: Nanos, command: Command) -> Option<LogIndex> {
-        if !self.has_leader_role() || self.storage_failed {
+        if !self.has_leader_role() || self.has_stopped {
             return None;
         }
         let index = self.append(Some(command), None);
@@ -181,7 +181,7 @@
         let last_sent = prev_log_index + request.entries.len() as u64;
         for entry in request.entries {
             if !self.append_of_leader(entry) {
-                return self.fail_storage();
+                return self.stop_participating();
             }
         }
         self.match_index = self.match_index.max(last_sent);
--- a/crates/group/src/sim/simulation.rs
+++ b/crates/group/src/sim/simulation.rs
@@ -160,7 +160,7 @@
             if member.paused {
                 self.resume(id)?;
             }
-            if disk_failed || role == Some(MemberRole::StorageFailed) {
+            if disk_failed || role == Some(MemberRole::Stopped) {
                 self.crash(id);
             }
             self.restart(id)?;
--- a/crates/group/src/storage.rs
+++ b/crates/group/src/storage.rs
@@ -2,12 +2,27 @@
 
 use prost::Message;
 use shalereel_journal::JournalError;
+use thiserror::Error;
 
 use crate::wire::{Entry, RecordBatch, RecordKind, Snapshot, StoredRecord, Vote};
 
 /// The first bytes of the file: kind and version.
 pub const LOG_FILE_HEAD: &shalereel_journal::Magic = b"shlrgrp1";
 
+/// Why a log file is rejected.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum StoredLogError {
+    /// The file's frames are damaged or of another format.
+    #[error(transparent)]
+    Journal(#[from] JournalError),
+    /// A frame whose checksum is right cannot be decoded.
+    #[error("the frame at byte {at} is intact but cannot be decoded; a later version may have written it")]
+    Undecodable {
+        /// Offset at which the frame begins, in bytes.
+        at: usize,
+    },
+}
+
 /// What a member's file contains.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredLog {
@@ -33,13 +48,13 @@
     ///
     /// # Errors
     ///
-    /// The bytes are of another kind of file, or damaged in a way that no crash during a write explains.
-    pub fn read(bytes: &[u8]) -> Result<Self, JournalError> {
+    /// The bytes are of another kind of file, damaged in a way that no crash during a write explains, or of a later
+    /// version.
+    pub fn read(bytes: &[u8]) -> Result<Self, StoredLogError> {
         let mut found = StoredLog { complete_bytes: LOG_FILE_HEAD.len(), ..StoredLog::default() };
         for shalereel_journal::Record { payload, end } in shalereel_journal::records(bytes, LOG_FILE_HEAD)? {
-            // Its checksum is right, so what cannot be decoded was written by a later version.
             let batch = RecordBatch::decode(payload)
-                .map_err(|_| JournalError::Damaged { at: found.complete_bytes })?;
+                .map_err(|_| StoredLogError::Undecodable { at: found.complete_bytes })?;
             batch.records.into_iter().for_each(|record| found.apply(record));
             found.complete_bytes = end;
         }
--- a/crates/group/src/timing.rs
+++ b/crates/group/src/timing.rs
@@ -5,7 +5,8 @@
 /// Settings of time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimingSettings {
-    /// A follower that heard no leader for this span, and up to twice of it, stands for election.
+    /// After hearing no leader for a random span between once and twice this, a follower stands for election; after a
+    /// start it waits for this span in addition.
     pub election_timeout: Nanos,
     /// Any two clocks differ by at most this part of a span.
     pub max_clock_drift: f64,
@@ -27,6 +28,7 @@
 const HEARTBEATS_PER_ELECTION_TIMEOUT: Nanos = 5;
 /// Unacknowledged entries are sent again after this many heartbeats.
 const RETRANSMIT_HEARTBEATS: Nanos = 3;
+/// Some requests or grants may be lost before a member's lease expires.
 const RENEWALS_PER_LEASE: Nanos = 4;
 const PROBES_PER_ELECTION_TIMEOUT: Nanos = 2;
 /// A direct acknowledgement may take this fraction of a probe period; the rest is for indirect probes.
@@ -66,14 +68,14 @@
         RETRANSMIT_HEARTBEATS * self.heartbeat_interval()
     }
 
-    /// How long a member may grant routes after it requested a lease of the leader.
-    pub fn lease_duration(&self) -> Nanos {
+    /// How long a member's own lease from the leader is valid after its request: one election timeout.
+    pub fn member_lease_duration(&self) -> Nanos {
         self.settings.election_timeout
     }
 
     /// From one request for a lease to the next.
     pub fn lease_renewal_interval(&self) -> Nanos {
-        self.lease_duration() / RENEWALS_PER_LEASE
+        self.member_lease_duration() / RENEWALS_PER_LEASE
     }
 
     /// How long a forwarder may use a route after its request.
@@ -91,13 +93,13 @@
         COMMAND_ELECTION_TIMEOUTS * self.settings.election_timeout
     }
 
-    /// The longest that a span of any other clock lasts by one's own.
+    /// Longest span that this clock may show while another clock shows `span`.
     pub fn upper_bound(&self, span: Nanos) -> Nanos {
         let drift = self.settings.max_clock_drift;
         (span as f64 * (1.0 + drift) / (1.0 - drift)).ceil() as Nanos
     }
 
-    /// The shortest that a span of any other clock lasts by one's own.
+    /// Shortest span that this clock may show while another clock shows `span`.
     pub fn lower_bound(&self, span: Nanos) -> Nanos {
         let drift = self.settings.max_clock_drift;
         (span as f64 * (1.0 - drift) / (1.0 + drift)) as Nanos
--- a/crates/group/src/wire/control.rs
+++ b/crates/group/src/wire/control.rs
@@ -1,4 +1,5 @@
-//! Messages of operators: one request and one response.
+//! Messages of operators: one request and one response. Sent by `crates/fault-scenarios` (`control.rs`), answered by
+//! `crates/xds-supervisor` (`group_member/operators.rs`).
 
 use prost::Message;
 
--- a/crates/group/src/wire/ranges.rs
+++ b/crates/group/src/wire/ranges.rs
@@ -1,4 +1,5 @@
-//! Messages by which forwarders lease routes of key ranges, on a stream both ways.
+//! Messages by which forwarders lease routes of key ranges, on a stream both ways. Sent by the forwarders in
+//! `crates/standins`, answered by `crates/xds-supervisor` (`group_member/forwarders.rs`).
 
 use prost::Message;
 
--- a/crates/xds-supervisor/src/group_member/operators.rs
+++ b/crates/xds-supervisor/src/group_member/operators.rs
@@ -60,7 +60,7 @@
             MemberRole::Leader => ("leads", Some(self.group.id())),
             MemberRole::Follower(leader) => ("follows", Some(leader)),
             MemberRole::NoLeader => ("alone", None),
-            MemberRole::StorageFailed => ("broken", None),
+            MemberRole::Stopped => ("broken", None),
         }
     }
 
