--- a/crates/store/src/delivery.rs
+++ b/crates/store/src/delivery.rs
@@ -4,7 +4,7 @@
 
 use crate::subscription::Unacknowledged;
 
-/// A delta is sent again after this part of a report interval and a round trip.
+/// A delta is sent again after twice the mean transit and a report interval divided by this.
 const RETRANSMIT_INTERVAL_DIVISOR: Nanos = 4;
 /// Retransmissions at an even pace, so that a drain gets through a lossy link within its grace; after these each delay is
 /// twice the one before, so that a dead link costs little.
--- a/crates/store/src/delta.rs
+++ b/crates/store/src/delta.rs
@@ -6,7 +6,8 @@
 use crate::line::Line;
 use crate::version::VersionNumber;
 
-/// Takes whoever has any version from `base` on to the version of `check`. Base 0: it is the complete table.
+/// The changes that lead from any version between `base` and `check.number` to the version of `check`; with base 0, the
+/// complete table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Delta {
     /// The version that it leads to.
--- a/crates/store/src/digest.rs
+++ b/crates/store/src/digest.rs
@@ -62,9 +62,9 @@
 pub struct Check {
     /// Number of the version.
     pub number: u64,
-    /// Of its lines.
+    /// Digest of its lines.
     pub digest: Digest,
-    /// Of the digest.
+    /// Salt of the digest.
     pub salt: Salt,
 }
 
--- a/crates/store/src/history.rs
+++ b/crates/store/src/history.rs
@@ -30,7 +30,7 @@
     pub(crate) salt: Salt,
     /// Oldest version that is still known; `versions` came after it.
     pub(crate) base: VersionNumber,
-    pub(crate) base_at: Nanos,
+    pub(crate) base_published_at: Nanos,
     pub(crate) versions: VecDeque<Version>,
     /// Versions published since the start of the program.
     published: u64,
@@ -38,8 +38,8 @@
 
 impl TableHistory {
     /// A table of which nothing but one version is known.
-    pub(crate) fn from_base(base: VersionNumber, base_at: Nanos, lines: Lines) -> Self {
-        TableHistory { lines, base, base_at, ..TableHistory::default() }
+    pub(crate) fn from_base(base: VersionNumber, base_published_at: Nanos, lines: Lines) -> Self {
+        TableHistory { lines, base, base_published_at, ..TableHistory::default() }
     }
 
     pub(crate) fn newest(&self) -> VersionNumber {
@@ -55,7 +55,7 @@
         self.versions.get(at)
     }
 
-    /// Whether the lines of a version can be told.
+    /// Whether the lines of a version can be reconstructed.
     pub(crate) fn knows(&self, number: VersionNumber) -> bool {
         self.base == number && number > 0 || self.version(number).is_some()
     }
@@ -94,7 +94,7 @@
 
     /// Updates the digest by the changes of a new version. The first version since the start of the program, and one of so
     /// many after it, brings a new salt.
-    pub(crate) fn digest_published(&mut self, changes: &[LineChange], new_salt: Salt) {
+    pub(crate) fn update_digest_for_published(&mut self, changes: &[LineChange], new_salt: Salt) {
         if self.published.is_multiple_of(VERSIONS_PER_SALT) {
             self.digest_all_lines(new_salt);
         } else {
@@ -104,7 +104,7 @@
     }
 
     /// Updates the digest by the changes of a version that was read from a file.
-    pub(crate) fn digest_loaded(&mut self, changes: &[LineChange], salt: Salt) {
+    pub(crate) fn update_digest_for_loaded(&mut self, changes: &[LineChange], salt: Salt) {
         if self.versions.is_empty() || salt != self.salt {
             self.digest_all_lines(salt);
         } else {
@@ -132,7 +132,7 @@
     /// Drops the oldest retained version, `number`, which becomes the base.
     pub(crate) fn drop_oldest(&mut self, number: VersionNumber) {
         self.base = number;
-        self.base_at = self.oldest_published_at();
+        self.base_published_at = self.oldest_published_at();
         self.versions.pop_front();
     }
 
--- a/crates/store/src/line.rs
+++ b/crates/store/src/line.rs
@@ -26,7 +26,7 @@
 pub type Lines = BTreeMap<ServerId, Line>;
 
 impl Line {
-    /// XXH3, 128 bits, of what a proxy knows of the line.
+    /// Hash (XXH3, 128 bits) of what a proxy knows of the line.
     pub(crate) fn hash(&self, server: ServerId, salt: u64) -> u128 {
         let ip = match self.address {
             SocketAddr::V4(address) => address.ip().to_ipv6_mapped(),
--- a/crates/store/src/load.rs
+++ b/crates/store/src/load.rs
@@ -55,7 +55,7 @@
                 LineChange { server, before, after }
             })
             .collect();
-        history.digest_loaded(&changes, salt);
+        history.update_digest_for_loaded(&changes, salt);
         let follows = parent == history.newest() && number > last_loaded.max(history.base);
         if history.digest != digest || !follows {
             return Err(StoreError::Inconsistent { number });
--- a/crates/store/src/retention.rs
+++ b/crates/store/src/retention.rs
@@ -2,13 +2,13 @@
 
 use shalereel::interface::{ControllerConfig, Nanos};
 
-/// Versions of history: two days of one a second.
+/// Most versions retained: two days at one version per second.
 const MAX_VERSIONS: usize = 2 * 24 * 3600;
 /// Age of history in report intervals: two days at an interval of a second.
 const MAX_AGE_INTERVALS: Nanos = 2 * 24 * 3600;
 /// Bytes that a line of a version takes in the file.
 const BYTES_PER_LINE: f64 = 50.0;
-/// History takes as many bytes as the lines that fit into the channel so many times.
+/// Bytes of history, in ratio to the bytes of the lines that fill the channel once.
 const CHANNEL_FILLS: f64 = 256.0;
 
 /// How much history is retained: the oldest versions go as soon as one limit is exceeded.
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -97,7 +97,7 @@
         if changes.is_empty() {
             return None;
         }
-        history.digest_published(&changes, new_salt);
+        history.update_digest_for_published(&changes, new_salt);
         let version = Version {
             number,
             table,
@@ -161,7 +161,7 @@
             codec::encode_base(&TableBase {
                 table,
                 number: history.base,
-                published_at: history.base_at,
+                published_at: history.base_published_at,
                 lines: history.lines_at(history.base),
                 last_number: self.last_number,
             })
--- a/crates/store/src/subscription.rs
+++ b/crates/store/src/subscription.rs
@@ -9,7 +9,7 @@
 /// A delta that waits for its acknowledgement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unacknowledged {
-    /// When the oldest one was sent, ns.
+    /// When the oldest unacknowledged delta was sent for the last time, ns.
     pub since: Nanos,
     /// How often it was sent again.
     pub retransmissions: u32,
@@ -22,7 +22,7 @@
     acknowledged: VersionNumber,
     /// Newest version that was sent; 0: none.
     sent: VersionNumber,
-    /// When the oldest delta without acknowledgement was sent.
+    /// When the oldest unacknowledged delta was sent for the last time.
     unacknowledged_since: Option<Nanos>,
     retransmissions: u32,
     /// The proxy requested the table: a response is due even where nothing differs.
--- a/crates/store/src/version.rs
+++ b/crates/store/src/version.rs
@@ -48,9 +48,9 @@
     pub published_at: Nanos,
     /// Who made it and why.
     pub provenance: Provenance,
-    /// Of all lines of the table.
+    /// Digest of all lines of the table.
     pub digest: Digest,
-    /// Of the digest.
+    /// Salt of the digest.
     pub salt: Salt,
     /// Lines that differ from the parent's.
     pub changes: Vec<LineChange>,
