--- a/crates/guard/src/guard.rs
+++ b/crates/guard/src/guard.rs
@@ -33,7 +33,8 @@
     pub drained: BTreeSet<ServerId>,
     /// To be logged: at the first refusal, and now and then while it lasts.
     pub refusals: Vec<Refusal>,
-    /// Ratios that were published after all, since they were refused for too long and no mandatory rule is broken.
+    /// Findings of rules that may be waived which were published after all: they were refused for too long, and no
+    /// mandatory rule is broken.
     pub waived: Vec<Finding>,
 }
 
@@ -63,13 +64,15 @@
         !has_usable_line && pool.ready().any(|known| self.limits.is_warm(known))
     }
 
-    /// Judges a table that is about to replace another one.
+    /// Judges a table that is about to replace another one. Usable lines of draining or removed servers are published as
+    /// draining in any case.
     ///
-    /// What the table before has as much of, with the removals that keep a rule, is not held against the new one: the
-    /// pool has changed, and the controller follows it piece by piece. Other findings are taken back line by line: the line
-    /// concerned, or, where too few servers would be left, each line that takes a ready server out. If the rest is still
-    /// wrong, nothing but removals that keep a rule is published. A wrong table is published all the same where the one
-    /// before is worse by now.
+    /// Compares the new table with a fallback: the table before, without usable lines of draining or removed servers and
+    /// with the reductions of servers in slow start. A finding that the fallback has to the same degree is ignored: the
+    /// pool has changed, and the controller follows it piece by piece. For each other finding the lines concerned (its
+    /// server's, or, where it names none, each that takes a ready server out) are set back to the fallback's, at most
+    /// `MAX_REPAIRS` times; if findings remain, the fallback is published. If the fallback breaks worse rules than the
+    /// new table, or rules that may be waived alone were refused for too long, the new table is published as it is.
     pub fn judge(&mut self, now: Nanos, pool: &Pool, before: &Lines, after: &Lines) -> Decision {
         let drained = usable_but_unavailable(pool, after);
         let next = with_drained(after, &drained);
@@ -82,8 +85,7 @@
         let fallback = fallback(pool, before, &next);
         let fallback_findings = inspect(&self.limits, pool, &fallback);
         let new_findings = new_findings(&fallback_findings, findings.clone());
-        if new_findings.is_empty() || is_worse(&fallback_findings, &findings) {
-            // No better table is at hand.
+        if is_best_available(&findings, &new_findings, &fallback_findings) {
             self.refusing_since = None;
             return decision;
         }
@@ -95,20 +97,25 @@
         }
         let repaired = self.repair(pool, &next, fallback, &fallback_findings, &new_findings);
         decision.reverted = differing_servers(&next, &repaired);
-        if self.is_report_due(now, since) {
-            self.reported_at = now;
-            let refusal = |finding| Refusal { finding, since };
-            decision.refusals = new_findings.into_iter().map(refusal).collect();
-        }
+        decision.refusals = self.due_refusals(now, since, new_findings);
         decision
     }
 
-    /// Ratios are waived where they alone have been refused for too long.
+    /// Rules that may be waived are waived where they alone have been refused for too long.
     fn may_waive(&self, now: Nanos, since: Nanos, findings: &[Finding]) -> bool {
         let refused_too_long = now.saturating_sub(since) >= self.limits.max_refusal_time;
         refused_too_long && !findings.iter().any(|finding| finding.rule.is_mandatory())
     }
 
+    /// The findings as refusals if a report of them is due; else none.
+    fn due_refusals(&mut self, now: Nanos, since: Nanos, findings: Vec<Finding>) -> Vec<Refusal> {
+        if !self.is_report_due(now, since) {
+            return Vec::new();
+        }
+        self.reported_at = now;
+        findings.into_iter().map(|finding| Refusal { finding, since }).collect()
+    }
+
     fn is_report_due(&self, now: Nanos, since: Nanos) -> bool {
         let first = self.reported_at == 0 || since == now;
         first || now.saturating_sub(self.reported_at) >= self.limits.max_refusal_time
@@ -140,6 +147,12 @@
     }
 }
 
+/// Whether no better table than the new one is at hand: all that is wrong with it is wrong with the fallback too, or the
+/// fallback is worse.
+fn is_best_available(findings: &[Finding], new_findings: &[Finding], fallback_findings: &[Finding]) -> bool {
+    new_findings.is_empty() || is_worse(fallback_findings, findings)
+}
+
 /// Servers with a usable line that are draining or removed.
 fn usable_but_unavailable(pool: &Pool, lines: &Lines) -> BTreeSet<ServerId> {
     let unavailable = lines.iter().filter(|(&server, line)| !line.draining && pool.is_unavailable(server));
--- a/crates/guard/src/inspect.rs
+++ b/crates/guard/src/inspect.rs
@@ -9,8 +9,8 @@
 
 /// Part of the warm, ready servers that a table has at least: a third may be ejected, and some more be on the way.
 const MIN_WARM_PART: f64 = 0.5;
-/// Most load of a server in ratio to its capacity: three times by what is learned of it, where all others have come down to a
-/// quarter.
+/// Most load of a server in ratio to its capacity: learned capacity may triple its share, and the others may have come down
+/// to a quarter, 3 x 4.
 const MAX_LOAD_RATIO: f64 = 12.0;
 /// Most of all requests that one server gets, 0 to 1.
 const MAX_TRAFFIC_PART: f64 = 0.6;
@@ -44,7 +44,7 @@
         Rule::TooConcentrated,
     ];
 
-    /// Whether it is never waived; the others are ratios that are waived after a while.
+    /// Whether the rule is never waived: all but `TooFewServers` and `TooConcentrated`.
     pub fn is_mandatory(self) -> bool {
         self < Rule::TooFewServers
     }
@@ -76,7 +76,11 @@
                 f,
                 "server {server} in slow start would get {value:.2} times its capacity, {limit:.2} at most"
             ),
-            Rule::TooFewServers => write!(f, "{value} warm servers have a line, {limit:.1} at least"),
+            Rule::TooFewServers => write!(
+                f,
+                "only {value} warm servers (past slow start) have a usable line; at least {limit:.1}, rounded down, \
+                 are needed"
+            ),
             Rule::TooConcentrated => write!(
                 f,
                 "server {server} would get {value:.1} times its part of the pool's capacity, {limit:.1} at most"
--- a/crates/guard/src/limits.rs
+++ b/crates/guard/src/limits.rs
@@ -4,7 +4,8 @@
 
 use crate::pool::Server;
 
-/// Rounds of reports until a ratio is waived: what a table did shows within one, and after two nothing is on its way.
+/// Rounds of reports until a rule that may be waived is waived: what a table did shows within one, and after two nothing
+/// is on its way.
 const MAX_REFUSAL_ROUNDS: Nanos = 2;
 /// Part of the drain grace that the controller has to take a server out; the guard's own change needs the rest to arrive.
 const DRAIN_CHECK_GRACE_DIVISOR: Nanos = 2;
@@ -18,7 +19,7 @@
     pub(crate) slow_start_duration: Nanos,
     /// Most load of a server in slow start, in ratio to its capacity.
     pub(crate) overload_ratio: f64,
-    /// Time between reports of a refusal that lasts, and until ratios are waived, ns.
+    /// Time between reports of a refusal that lasts, and until rules that may be waived are waived, ns.
     pub(crate) max_refusal_time: Nanos,
     /// Time until lines of a server that is draining or was removed are inspected again, ns.
     pub(crate) drain_check_delay: Nanos,
--- a/crates/guard/src/pool.rs
+++ b/crates/guard/src/pool.rs
@@ -9,7 +9,8 @@
 pub enum Availability {
     /// It is listed as ready.
     Ready,
-    /// No list has it any more, and that alone does not bind: it may be in the table and need not.
+    /// It is not listed any more, and removal without draining is advisory (`removal_is_advisory`): a table may have it or
+    /// not.
     Unlisted,
     /// It is draining or removed: no new requests may go there.
     Unavailable,
