--- a/crates/cli/src/group_measure.rs
+++ b/crates/cli/src/group_measure.rs
@@ -12,7 +12,7 @@
 use shalereel_group::wire::{Command, CommandPayload, Entry, RecordKind, ReleaseOrder, StoredRecord};
 use shalereel_group::{encode, LOG_FILE_HEAD};
 use shalereel_journal::frame;
-use shalereel_xds_supervisor::{Block, Keeper, LOG};
+use shalereel_xds_supervisor::{FileWriter, WriteRequest, GROUP_LOG_FILE};
 
 /// A round that takes longer has failed.
 const PATIENCE: Duration = Duration::from_secs(60);
@@ -133,18 +133,22 @@
     vec![StoredRecord { kind: Some(RecordKind::Entry(entry)) }]
 }
 
-/// Entries a second through the keeper, which syncs what has come together, beside bare writes of the same bytes.
+/// Entries a second through the writer, which syncs what has come together, beside bare writes of the same bytes.
 fn log(many: u64, single: u64) -> Result<()> {
     let folder = std::env::temp_dir().join(format!("shalereel-log-{}", std::process::id()));
     fs::create_dir_all(&folder)?;
     let (ours, theirs) = UnixStream::pair()?;
     theirs.set_nonblocking(true)?;
-    let keeper = Keeper::open(&folder, LOG, LOG_FILE_HEAD, None, theirs)?;
-    let block = |number| Block { number, whole: false, parts: vec![encode(&records(number)).into()] };
+    let writer = FileWriter::open(&folder, GROUP_LOG_FILE, LOG_FILE_HEAD, None, theirs)?;
+    let request = |number| WriteRequest {
+        sequence: number,
+        replaces_file: false,
+        records: vec![encode(&records(number)).into()],
+    };
     let wait = |number: u64| -> Result<()> {
         let begun = Instant::now();
         while begun.elapsed() < PATIENCE {
-            match keeper.done() {
+            match writer.take_result() {
                 Some(Ok(done)) if done >= number => return Ok(()),
                 Some(Err(why)) => bail!("{why}"),
                 _ => std::thread::yield_now(),
@@ -154,13 +158,13 @@
     };
     let begun = Instant::now();
     for number in 1..=many {
-        keeper.keep(block(number));
+        writer.write(request(number));
     }
     wait(many)?;
     let together = begun.elapsed().as_secs_f64();
     let begun = Instant::now();
     for number in many + 1..=many + single {
-        keeper.keep(block(number));
+        writer.write(request(number));
         wait(number)?;
     }
     let alone = begun.elapsed().as_secs_f64();
--- a/crates/cli/tests/memory.rs
+++ b/crates/cli/tests/memory.rs
@@ -8,7 +8,7 @@
 
 use shalereel_snapshot::{SnapshotError, StoredSnapshot};
 use shalereel_xds::{AssignedEndpoint, Assignment, Health, ServerInfo};
-use shalereel_xds_supervisor::{Roster, MEMORY, TABLES};
+use shalereel_xds_supervisor::{Roster, SNAPSHOT_FILE, TABLE_HISTORY_FILE};
 
 const DEPLOYMENT: &str = include_str!("../../../expect/deployment.toml");
 const BOUND: Duration = Duration::from_secs(20);
@@ -78,7 +78,7 @@
 }
 
 fn read(folder: &Path) -> Result<StoredSnapshot, SnapshotError> {
-    StoredSnapshot::decode_file(&std::fs::read(folder.join(MEMORY)).unwrap_or_default())
+    StoredSnapshot::decode_file(&std::fs::read(folder.join(SNAPSHOT_FILE)).unwrap_or_default())
 }
 
 #[test]
@@ -88,9 +88,9 @@
     let mut written = 0;
     for round in 0..24 {
         let child = start(&file);
-        let before = std::fs::metadata(folder.join(MEMORY)).and_then(|file| file.modified()).ok();
+        let before = std::fs::metadata(folder.join(SNAPSHOT_FILE)).and_then(|file| file.modified()).ok();
         let changed =
-            || std::fs::metadata(folder.join(MEMORY)).and_then(|file| file.modified()).ok() != before;
+            || std::fs::metadata(folder.join(SNAPSHOT_FILE)).and_then(|file| file.modified()).ok() != before;
         if round % 3 == 0 {
             wait("a memory", changed);
         }
@@ -105,7 +105,7 @@
             Err(error) => assert!(error == SnapshotError::Empty && written == 0, "{error}"),
         }
         let bounds = shalereel_store::RetentionLimits { versions: 10_000, bytes: 1 << 24, age: u64::MAX };
-        let tables = std::fs::read(folder.join(TABLES)).unwrap();
+        let tables = std::fs::read(folder.join(TABLE_HISTORY_FILE)).unwrap();
         shalereel_store::Store::new(bounds, 0).load(&tables).unwrap();
     }
     assert!(written > 8, "{written}");
@@ -134,29 +134,29 @@
     let (folder, file) = folder();
     let elsewhere = folder.join("elsewhere");
     std::fs::write(&elsewhere, "not ours").unwrap();
-    std::os::unix::fs::symlink(&elsewhere, folder.join(MEMORY)).unwrap();
+    std::os::unix::fs::symlink(&elsewhere, folder.join(SNAPSHOT_FILE)).unwrap();
     let mut child = start(&file);
     assert!(child.try_wait().unwrap().is_none());
     end(child);
-    assert!(said(&file, "what was learned cannot be read, and is not kept"));
+    assert!(said(&file, "snapshot unreadable and not persisted"));
     assert_eq!(std::fs::read_to_string(&elsewhere).unwrap(), "not ours");
-    std::fs::remove_file(folder.join(MEMORY)).unwrap();
+    std::fs::remove_file(folder.join(SNAPSHOT_FILE)).unwrap();
     for content in
         [&b"shlrmem1and then nonsense that is long enough to be a frame"[..], b"another file", b"shl"]
     {
-        std::fs::write(folder.join(MEMORY), content).unwrap();
+        std::fs::write(folder.join(SNAPSHOT_FILE), content).unwrap();
         let child = start(&file);
         wait("a memory", || read(&folder).is_ok());
         end(child);
-        std::fs::remove_file(folder.join(MEMORY)).unwrap();
+        std::fs::remove_file(folder.join(SNAPSHOT_FILE)).unwrap();
     }
-    let fresh = folder.join(format!("{MEMORY}.new"));
+    let fresh = folder.join(format!("{SNAPSHOT_FILE}.new"));
     std::fs::create_dir(&fresh).unwrap();
     let child = start(&file);
-    wait("word of a failed write", || said(&file, "what was learned could not be written"));
+    wait("word of a failed write", || said(&file, "snapshot write failed"));
     std::fs::remove_dir(&fresh).unwrap();
     wait("a memory after the disk is back", || read(&folder).is_ok());
-    wait("word of it", || said(&file, "what is learned is written again"));
+    wait("word of it", || said(&file, "snapshot writes recovered"));
     end(child);
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/cli/tests/shared.rs
+++ b/crates/cli/tests/shared.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use shalereel_fault_scenarios::{order_at, play, standing, Day, Rule, Stage, Verdict};
 use shalereel_group::wire::{CommandPayload, MemberAddress, MembershipChange, OperatorOrder, ReleaseOrder};
-use shalereel_xds_supervisor::LOG;
+use shalereel_xds_supervisor::GROUP_LOG_FILE;
 
 const SHARED: &str = "[shared]\nelection_ms = 400.0\ndrift = 0.01\nranges = 6\ntenure_ms = 800.0\n\
                       in_flight_ms = 4500.0\nkeyed = \"order-place\"\n\n[rules]";
@@ -121,7 +121,7 @@
     let refused = order_at(stage.address(last), drain(1003)).unwrap_err().to_string();
     assert!(refused.contains("2 are needed; nothing was ordered"), "{refused}");
     // The first is back, its log torn by its death: with the last one it is a majority, and knows the order.
-    let log = folder.join(format!("supervisor-{first}")).join(LOG);
+    let log = folder.join(format!("supervisor-{first}")).join(GROUP_LOG_FILE);
     let mut bytes = std::fs::read(&log).unwrap();
     bytes.extend([9, 0, 0, 0, 1, 2, 3]);
     std::fs::write(&log, bytes).unwrap();
--- a/crates/cli/tests/tables.rs
+++ b/crates/cli/tests/tables.rs
@@ -34,7 +34,8 @@
     assert!(verdict.stands(), "{}", shalereel_fault_scenarios::as_text(&verdict));
     assert!(verdict.traffic.disturbed > 20, "{:?}", verdict.traffic);
     // What was told is on the disk, whole, with the reasons.
-    let file = std::fs::read(folder.join("supervisor-0").join(shalereel_xds_supervisor::TABLES)).unwrap();
+    let file = std::fs::read(folder.join("supervisor-0").join(shalereel_xds_supervisor::TABLE_HISTORY_FILE))
+        .unwrap();
     let bounds = shalereel_store::RetentionLimits { versions: 10_000, bytes: 1 << 24, age: u64::MAX };
     let mut store = shalereel_store::Store::new(bounds, 0);
     assert_eq!(store.load(&file).unwrap(), file.len());
--- /dev/null
+++ b/crates/xds-supervisor/src/daemon/group.rs
@@ -0,0 +1,145 @@
+//! Streams of the group: its members', proxies' that follow key ranges, and operators'.
+
+use std::collections::BTreeMap;
+use std::os::unix::net::UnixStream;
+
+use shalereel_group::wire::{CONTROL_PATH, MEMBER_STREAM_PATH, RANGES_STREAM_PATH};
+use shalereel_group::{encode, StoredLog, LOG_FILE_HEAD};
+use shalereel_reactor::{now, Nanos};
+use shalereel_rpc::Status;
+
+use super::{CallId, CallKind, Daemon, DaemonError};
+use crate::core::Peer;
+use crate::shared::{Shared, Wanted};
+use crate::storage::{read_file, FileWriter, WriteRequest, GROUP_LOG_FILE};
+
+/// Streams to the other members, by their number.
+#[derive(Default)]
+pub(super) struct GroupLinks {
+    streams: BTreeMap<u32, CallId>,
+    /// Not dialled again before then.
+    dial_after: BTreeMap<u32, Nanos>,
+}
+
+impl Daemon {
+    /// Joins the group that the deployment names, if any.
+    pub(super) fn join_group(&mut self, wake: UnixStream) -> Result<(), DaemonError> {
+        let Some((group_config, range_count)) = self.deployment.shared.clone() else { return Ok(()) };
+        let folder = &self.deployment.folder;
+        let path = folder.join(GROUP_LOG_FILE);
+        let file = read_file(folder, GROUP_LOG_FILE)?;
+        let log = match file.as_deref().map(StoredLog::read).transpose() {
+            Ok(log) => log,
+            Err(error) => return Err(DaemonError::GroupLog { path, error }),
+        };
+        let complete_bytes = log.as_ref().map(|log| log.complete_bytes);
+        let file_bytes = file.map_or(0, |file| file.len());
+        let torn_bytes = file_bytes - complete_bytes.unwrap_or(file_bytes);
+        if torn_bytes > 0 {
+            tracing::warn!(file = %path.display(), torn_bytes, "torn write truncated");
+        }
+        self.persistence.group_log =
+            Some(FileWriter::open(folder, GROUP_LOG_FILE, LOG_FILE_HEAD, complete_bytes, wake)?);
+        let names = (&self.deployment.operations[..], &self.deployment.localities[..]);
+        self.core.share(Shared::new(group_config, now(), log, names, range_count));
+        Ok(())
+    }
+
+    pub(super) fn on_group_call(&mut self, call: CallId, peer: Peer, path: &str) {
+        let Some((shared, _)) = self.core.shared() else {
+            return self.reject(call, "this supervisor shares nothing: its file has no [shared]");
+        };
+        let kind = match path {
+            MEMBER_STREAM_PATH => CallKind::FromMember,
+            RANGES_STREAM_PATH => {
+                shared.holds(peer);
+                CallKind::RangeClient(peer)
+            }
+            CONTROL_PATH => CallKind::GroupOrder(peer),
+            _ => return,
+        };
+        self.accept(call, peer, kind);
+    }
+
+    pub(super) fn on_group_message(&mut self, call: CallId, kind: CallKind, message: &[u8]) {
+        let Some((shared, roster)) = self.core.shared() else { return };
+        let result = match kind {
+            CallKind::FromMember => shared.heard(now(), message),
+            CallKind::RangeClient(peer) => shared.ranges_asked(now(), peer, message, roster),
+            CallKind::GroupOrder(peer) => shared.control(now(), peer, message),
+            _ => Ok(()),
+        };
+        if let Err(status) = result {
+            self.on_call_ended(call, &status.to_string());
+            self.hub.finish(call.conn, call.stream, status);
+        }
+    }
+
+    pub(super) fn carry_out_for_group(&mut self, wanted: Wanted) {
+        match wanted {
+            Wanted::Tell { to, address, message } => self.send_to_member(to, &address, &message),
+            Wanted::Keep(write) => {
+                if let Some(writer) = &self.persistence.group_log {
+                    writer.write(WriteRequest {
+                        sequence: write.sequence,
+                        replaces_file: write.replaces_file,
+                        records: vec![encode(&write.records).into()],
+                    });
+                }
+            }
+            Wanted::Answer { peer, result } => self.answer_group_order(peer, result),
+            Wanted::Ranges { peer, message } => {
+                if let Some(call) = self.peers.get(&peer) {
+                    self.hub.send(call.conn, call.stream, &message);
+                }
+            }
+            Wanted::Remark(line) => tracing::info!(group = line),
+        }
+    }
+
+    fn answer_group_order(&mut self, peer: Peer, result: Result<Vec<u8>, Status>) {
+        let Some(call) = self.peers.remove(&peer) else { return };
+        self.calls.remove(&call);
+        let status = match result {
+            Ok(message) => {
+                self.hub.send(call.conn, call.stream, &message);
+                Status::OK
+            }
+            Err(status) => status,
+        };
+        self.hub.finish(call.conn, call.stream, status);
+    }
+
+    /// Sends a message to a member, or drops it where the member cannot be reached: the group sends all of it again.
+    fn send_to_member(&mut self, member: u32, address: &str, message: &[u8]) {
+        if !self.group_links.streams.contains_key(&member) {
+            self.dial_member(member, address);
+        }
+        if let Some(call) = self.group_links.streams.get(&member) {
+            // Guards against unbounded buffering for a member that does not read.
+            if self.hub.unread(call.conn, call.stream) < self.limits.connection().message {
+                self.hub.send(call.conn, call.stream, message);
+            }
+        }
+    }
+
+    fn dial_member(&mut self, member: u32, address: &str) {
+        if self.group_links.dial_after.get(&member).is_some_and(|&after| now() < after) {
+            return;
+        }
+        self.group_links.dial_after.insert(member, self.limits.member_again(now()));
+        let Ok(address) = address.parse() else { return };
+        let Ok(conn) = self.hub.dial(address) else { return };
+        let Some(stream) = self.hub.call(conn, MEMBER_STREAM_PATH, None) else { return };
+        let call = CallId { conn, stream };
+        self.calls.insert(call, CallKind::ToMember(member));
+        self.group_links.streams.insert(member, call);
+    }
+
+    pub(super) fn on_member_lost(&mut self, member: u32) {
+        if let Some(call) = self.group_links.streams.remove(&member) {
+            self.calls.remove(&call);
+            self.hub.close(call.conn, false);
+        }
+    }
+}
--- /dev/null
+++ b/crates/xds-supervisor/src/daemon/health_checks.rs
@@ -0,0 +1,67 @@
+//! Health checks of servers: one call on a connection of its own each, by `grpc.health.v1`.
+
+use std::net::SocketAddr;
+
+use prost::Message;
+use shalereel::interface::{HealthCheckOutcome, Nanos, ServerId};
+use shalereel_reactor::now;
+use shalereel_rpc::{ConnId, Status};
+use shalereel_xds::HEALTH;
+
+use super::{CallId, CallKind, Daemon, TimerKind};
+
+/// `HealthCheckResponse.ServingStatus.SERVING`.
+const SERVING: i32 = 1;
+
+/// `grpc.health.v1.HealthCheckResponse`.
+#[derive(Clone, PartialEq, Message)]
+pub(super) struct HealthCheckResponse {
+    #[prost(int32, tag = "1")]
+    status: i32,
+}
+
+impl HealthCheckResponse {
+    pub(super) fn serving() -> Self {
+        HealthCheckResponse { status: SERVING }
+    }
+}
+
+/// A health check that awaits its response.
+pub(super) struct HealthCheck {
+    server: ServerId,
+    sent_at: Nanos,
+}
+
+impl Daemon {
+    pub(super) fn start_health_check(&mut self, server: ServerId, address: SocketAddr) {
+        let Some(call) = self.call_health_check(address) else {
+            return self.core.probed(server, HealthCheckOutcome::Unreachable, 0);
+        };
+        self.calls.insert(call, CallKind::HealthCheck);
+        self.health_checks.insert(call.conn, HealthCheck { server, sent_at: now() });
+        self.hub.set(self.limits.probed_by(now()), TimerKind::HealthCheckTimeout(call.conn));
+    }
+
+    fn call_health_check(&mut self, address: SocketAddr) -> Option<CallId> {
+        let conn = self.hub.dial(address).ok()?;
+        let stream = self.hub.call(conn, HEALTH, None)?;
+        self.hub.send(conn, stream, &[]);
+        self.hub.finish(conn, stream, Status::OK);
+        Some(CallId { conn, stream })
+    }
+
+    pub(super) fn on_health_check_response(&mut self, conn: ConnId, message: &[u8]) {
+        let serving = HealthCheckResponse::decode(message).is_ok_and(|response| response.status == SERVING);
+        let outcome = if serving { HealthCheckOutcome::Answered } else { HealthCheckOutcome::Rejected };
+        self.finish_health_check(conn, outcome);
+    }
+
+    /// Reports the outcome of a connection's health check, if it has one that is not finished.
+    pub(super) fn finish_health_check(&mut self, conn: ConnId, outcome: HealthCheckOutcome) {
+        if let Some(check) = self.health_checks.remove(&conn) {
+            self.forget_calls_of(conn);
+            self.hub.close(conn, false);
+            self.core.probed(check.server, outcome, now() - check.sent_at);
+        }
+    }
+}
--- /dev/null
+++ b/crates/xds-supervisor/src/daemon/registry.rs
@@ -0,0 +1,120 @@
+//! The endpoint list: a stream to the registry, subscribed or polled.
+
+use shalereel_reactor::now;
+use shalereel_rpc::{ConnId, Status};
+use shalereel_xds::{types, Assignment, ClientStream, NodeInfo, Variant, ADS};
+
+use super::{CallId, CallKind, Daemon, TimerKind};
+use crate::deployment::Deployment;
+
+/// Resource name of the fleet's endpoint list at the registry.
+pub const FLEET: &str = "fleet";
+
+/// State of the stream to the registry.
+pub(super) struct RegistryWatch {
+    pub(super) conn: Option<ConnId>,
+    client: ClientStream,
+    /// The stream stays open for changes; otherwise it is closed after one list.
+    subscribed: bool,
+}
+
+impl RegistryWatch {
+    /// Not dialled yet; subscribed unless the deployment polls.
+    pub(super) fn new(deployment: &Deployment) -> Self {
+        let config = &deployment.facts;
+        let node = NodeInfo {
+            id: format!("supervisor-{}", config.supervisor_index),
+            zone: deployment.localities[usize::from(config.locality)].clone(),
+            ..NodeInfo::default()
+        };
+        let mut client = ClientStream::new(Variant::StateOfTheWorld, node);
+        // Not sent now: `reopen` repeats the subscription on each new stream.
+        client.subscribe(types::ASSIGNMENT, [FLEET.to_owned()]);
+        RegistryWatch { conn: None, client, subscribed: !config.polls_endpoints }
+    }
+}
+
+impl Daemon {
+    pub(super) fn dial_registry(&mut self) {
+        if self.registry.conn.is_some() {
+            return;
+        }
+        match self.hub.dial(self.deployment.registry) {
+            Ok(conn) => {
+                self.registry.conn = Some(conn);
+                let Some(stream) = self.hub.call(conn, ADS, None) else { return };
+                self.calls.insert(CallId { conn, stream }, CallKind::EndpointList);
+                for message in self.registry.client.reopen() {
+                    self.hub.send(conn, stream, &message);
+                }
+            }
+            Err(error) => self.on_registry_lost(&error.to_string()),
+        }
+    }
+
+    fn close_registry(&mut self) {
+        if let Some(conn) = self.registry.conn.take() {
+            self.hub.close(conn, false);
+            self.forget_calls_of(conn);
+        }
+    }
+
+    /// Subscribes to the list, or stops doing so.
+    pub(super) fn set_subscribed(&mut self, subscribed: bool) {
+        self.registry.subscribed = subscribed;
+        self.close_registry();
+        if subscribed {
+            self.dial_registry();
+        }
+    }
+
+    /// Asks for the complete list on a new stream.
+    pub(super) fn poll_registry(&mut self) {
+        self.close_registry();
+        self.dial_registry();
+    }
+
+    /// Where the list is subscribed to, the registry is dialled again after a report interval; where it is polled, the
+    /// controller says when.
+    pub(super) fn on_registry_lost(&mut self, reason: &str) {
+        if self.registry.conn.take().is_none() {
+            return;
+        }
+        tracing::warn!(reason, "registry stream lost");
+        self.core.list_failed();
+        if !self.deployment.facts.polls_endpoints {
+            self.hub.set(self.limits.list_again(now()), TimerKind::DialRegistry);
+        }
+    }
+
+    pub(super) fn on_endpoint_list(&mut self, call: CallId, message: &[u8]) {
+        let update = match self.registry.client.handle(message) {
+            Ok(update) => update,
+            Err(status) => {
+                tracing::warn!(%status, "registry message malformed");
+                self.hub.cancel(call.conn, call.stream);
+                return self.on_call_ended(call, "unreadable");
+            }
+        };
+        let lists: Result<Vec<Assignment>, Status> =
+            update.resources.iter().map(Assignment::decode).collect();
+        let answer = match lists {
+            Ok(lists) => {
+                for list in lists.iter().filter(|list| list.cluster == FLEET) {
+                    self.core.listed(now(), list);
+                }
+                self.registry.client.ack(&update)
+            }
+            Err(status) => {
+                tracing::warn!(%status, version = update.version, "endpoint list rejected");
+                self.registry.client.nack(&update, status.text)
+            }
+        };
+        self.hub.send(call.conn, call.stream, &answer);
+        if !self.registry.subscribed {
+            self.calls.remove(&call);
+            self.hub.close(call.conn, false);
+            self.registry.conn = None;
+        }
+    }
+}
--- /dev/null
+++ b/crates/xds-supervisor/src/daemon/startup.rs
@@ -0,0 +1,78 @@
+//! Start of the daemon: listeners, stored files, first dial of the registry. Called by [`super::run`].
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::io;
+use std::net::SocketAddr;
+
+use shalereel_reactor::now;
+use shalereel_rpc::Hub;
+
+use super::group::GroupLinks;
+use super::persistence::{read_endpoint_list, Persistence};
+use super::registry::RegistryWatch;
+use super::{Daemon, DaemonError, ListenerKind, TimerKind};
+use crate::core::Core;
+use crate::deployment::Deployment;
+use crate::patience::Patience;
+
+impl Daemon {
+    /// Listens, reads what an earlier run stored, reports the addresses to `ready`, and dials the registry.
+    pub(super) fn start(
+        deployment: Deployment,
+        ready: impl FnOnce(Vec<SocketAddr>) -> io::Result<()>,
+    ) -> Result<Self, DaemonError> {
+        let stored_list = read_endpoint_list(&deployment.folder);
+        let limits = Patience::new(&deployment.facts);
+        let mut hub = Hub::new(limits.connection())?;
+        hub.stop_on_signals()?;
+        let addresses = listen(&mut hub, &deployment)?;
+        let subscribes = !deployment.facts.polls_endpoints;
+        let mut daemon = Daemon {
+            core: Core::new(deployment.clone(), now(), stored_list.as_deref()),
+            hub,
+            limits,
+            calls: BTreeMap::new(),
+            peers: BTreeMap::new(),
+            last_peer: 0,
+            registry: RegistryWatch::new(&deployment),
+            health_checks: BTreeMap::new(),
+            balancer_peers: BTreeMap::new(),
+            balancer_conns: BTreeMap::new(),
+            admin_conns: BTreeSet::new(),
+            group_links: GroupLinks::default(),
+            persistence: Persistence::default(),
+            stopping: false,
+            deployment,
+        };
+        let wake = daemon.hub.nudges()?;
+        daemon.join_group(wake.try_clone()?)?;
+        daemon.load_table_history(wake.try_clone()?);
+        daemon.load_snapshot(wake);
+        let supervisor = daemon.deployment.facts.supervisor_index;
+        tracing::info!(address = %addresses[0], supervisor, "serving");
+        ready(addresses)?;
+        if subscribes {
+            daemon.dial_registry();
+        }
+        Ok(daemon)
+    }
+}
+
+/// Opens the listeners that the file names; gives their addresses, that of gRPC first.
+fn listen(
+    hub: &mut Hub<ListenerKind, TimerKind>,
+    deployment: &Deployment,
+) -> Result<Vec<SocketAddr>, DaemonError> {
+    let failed = |setting, address| move |error| DaemonError::Listen { setting, address, error };
+    let address = deployment.listen;
+    let mut addresses = vec![hub.listen(address, ListenerKind::Grpc).map_err(failed("listen", address))?.1];
+    if let Some(address) = deployment.sasp {
+        let listening = hub.listen_plain(address, ListenerKind::Sasp);
+        addresses.push(listening.map_err(failed("sasp.listen", address))?.1);
+    }
+    if let Some(address) = deployment.admin {
+        let listening = hub.listen(address, ListenerKind::Admin);
+        addresses.push(listening.map_err(failed("admin.listen", address))?.1);
+    }
+    Ok(addresses)
+}
--- a/crates/xds-supervisor/src/lib.rs
+++ b/crates/xds-supervisor/src/lib.rs
@@ -7,20 +7,23 @@
 pub mod daemon;
 mod deployment;
 mod evidence;
-mod keeper;
 mod patience;
 mod reports;
 mod roster;
 mod shared;
+mod storage;
 mod tables;
 
 pub use crate::core::{Core, Effect, Peer, LISTENER, PREFIX};
 pub use channel::{Channel, Departure};
-pub use daemon::run;
+pub use daemon::{run, DaemonError};
 pub use deployment::{Deployment, FileError, Planted};
-pub use keeper::{Block, Keeper, LOG, MEMORY, TABLES};
+
 pub use patience::{Patience, Verdict};
 pub use reports::Reports;
 pub use roster::{MemberWord, Roster};
 pub use shared::{Shared, Wanted};
+pub use storage::{
+    FileWriter, StorageError, WriteRequest, GROUP_LOG_FILE, SNAPSHOT_FILE, TABLE_HISTORY_FILE,
+};
 pub use tables::{Facts, Reach, Tables};
