--- a/crates/cli/src/tables_measure.rs
+++ b/crates/cli/src/tables_measure.rs
@@ -212,7 +212,7 @@
     after.remove(&0);
     let size = Size { servers: count, forwarders: 1 };
     let text = deployment(size, "127.0.0.1:0", "127.0.0.1:1".parse()?, Path::new("."));
-    let facts = Deployment::parse(Path::new("measure"), &text)?.facts;
+    let facts = Deployment::parse(Path::new("measure"), &text)?.config;
     let mut guard = Guard::new(Limits::new(&facts));
     let (rounds, begun) = (200_000 / count, now());
     let held: usize =
--- a/crates/routing-checks/src/expectation.rs
+++ b/crates/routing-checks/src/expectation.rs
@@ -137,7 +137,7 @@
         }
         all.push(Expectation { name: one.name, from, group, each: one.each, bound });
     }
-    let servers = told.fleet.servers.unwrap_or(deployment.facts.proxy_count.max(LEAST));
+    let servers = told.fleet.servers.unwrap_or(deployment.config.proxy_count.max(LEAST));
     let sizes = if told.fleet.sizes.is_empty() { vec![1.0] } else { told.fleet.sizes };
     Ok(Expectations { all, servers: servers.clamp(1, 1000), sizes })
 }
--- a/crates/routing-checks/src/search.rs
+++ b/crates/routing-checks/src/search.rs
@@ -64,7 +64,7 @@
 
     /// The first table of a fleet that breaks an expectation, unless no table could keep it.
     fn breaks(&mut self, one: &Expectation, shape: Shape, servers: u32) -> Option<Found> {
-        let tip = self.deployment.facts.overload_ratio;
+        let tip = self.deployment.config.overload_ratio;
         let concerns = |view: &&View| one.from.is_none_or(|from| view.users.contains(&from));
         let mut views = self.views(shape, servers).iter().filter(concerns);
         views.find_map(|view| {
@@ -78,7 +78,7 @@
 pub fn run(deployment: &Deployment, told: &Expectations) -> Outcome {
     let mut run = Run { deployment, told, views: BTreeMap::new() };
     let mut outcome = Outcome::default();
-    let shapes = Shape::all(deployment.facts.locality_count);
+    let shapes = Shape::all(deployment.config.locality_count);
     let text = |shape: Shape| shape.text(&deployment.localities);
     for one in &told.all {
         let mut smallest: Option<(u32, Shape, Found)> = None;
@@ -86,7 +86,7 @@
         for times in TIMES {
             for &shape in &shapes {
                 let servers = times * told.servers;
-                let tip = deployment.facts.overload_ratio;
+                let tip = deployment.config.overload_ratio;
                 for view in run.views(shape, servers) {
                     if let Some((rule, allows)) =
                         contradicts(one, view, tip).filter(|_| contradiction.is_none())
--- a/crates/xds-supervisor/src/core.rs
+++ b/crates/xds-supervisor/src/core.rs
@@ -22,7 +22,7 @@
 use crate::admin;
 use crate::advice::{Advice, Outcome, View};
 use crate::channel::{Channel, Departure};
-use crate::deployment::{Deployment, Planted};
+use crate::deployment::{Deployment, InjectedFault};
 use crate::patience::{Patience, Verdict};
 use crate::reports::Reports;
 use crate::roster::Roster;
@@ -182,7 +182,7 @@
     now: Nanos,
     wall: Nanos,
 ) -> Facts<'a> {
-    Facts { roster, now, wall, cold_for: deployment.facts.slow_start_duration, parts }
+    Facts { roster, now, wall, cold_for: deployment.config.slow_start_duration, parts }
 }
 
 fn view<'a>(
@@ -192,7 +192,7 @@
     bound: &'a BTreeMap<u16, TableId>,
     now: Nanos,
 ) -> View<'a> {
-    let (operations, cold_for) = (&deployment.operations[..], deployment.facts.slow_start_duration);
+    let (operations, cold_for) = (&deployment.operations[..], deployment.config.slow_start_duration);
     View { tables, roster, operations, bound, now, cold_for }
 }
 
@@ -285,13 +285,13 @@
 impl Core {
     /// `kept`: the list that an earlier run left behind.
     pub fn new(deployment: Deployment, now: Nanos, kept: Option<&[u8]>) -> Self {
-        let facts = &deployment.facts;
+        let facts = &deployment.config;
         let keeping = DeliveryPolicy::new(facts);
-        let outranks = deployment.planted == Some(Planted::WayOutranks);
-        let bounds = deployment.history.bounds(RetentionLimits::new(facts));
+        let outranks = deployment.injected_fault == Some(InjectedFault::RollbackOverridesController);
+        let bounds = deployment.table_history.or_derived(RetentionLimits::new(facts));
         let mut core = Core {
             brain: Controller::new(facts),
-            tables: Tables::new(facts, bounds, outranks, !deployment.unguarded),
+            tables: Tables::new(facts, bounds, outranks, !deployment.guard_disabled),
             channel: Channel::new(facts, deployment.paced),
             keeping,
             wall: 0,
@@ -425,7 +425,7 @@
 
     /// Which servers could own a key range: warm, ready and not withdrawn by the module.
     fn fits(&self, now: Nanos) -> BTreeMap<u32, ServerAvailability> {
-        let cold_for = self.deployment.facts.slow_start_duration;
+        let cold_for = self.deployment.config.slow_start_duration;
         let fit = |(server, locality, ready): (ServerId, u16, bool)| {
             let warm = !self.roster.started_within(server, now, cold_for);
             let ready = ready && !self.tables.suspended(server);
@@ -470,7 +470,7 @@
             let first = self.loads.insert(peer, proxy.map(|proxy| (proxy, locality)));
             if first == Some(None) {
                 let answer =
-                    LoadReportConfig { interval: self.deployment.facts.report_interval, by_endpoint: true };
+                    LoadReportConfig { interval: self.deployment.config.report_interval, by_endpoint: true };
                 self.effects.push(Effect::Say { peer, message: frame(&answer.encode()) });
             }
         }
@@ -573,7 +573,7 @@
         match outcome {
             Outcome::Write(bytes) => self.effects.push(Effect::Write { peer, bytes }),
             Outcome::Joined { balancer } => {
-                let locality = self.deployment.facts.locality;
+                let locality = self.deployment.config.locality;
                 let zone = self.deployment.localities[usize::from(locality)].clone();
                 let node = NodeInfo {
                     id: format!("balancer {balancer}"),
@@ -588,7 +588,7 @@
             }
             Outcome::Member(mut word) => {
                 if self.roster.locality(&word.zone).is_none() {
-                    let own = usize::from(self.deployment.facts.locality);
+                    let own = usize::from(self.deployment.config.locality);
                     word.zone.clone_from(&self.deployment.localities[own]);
                 }
                 let news = self.roster.member(now, &word);
@@ -660,7 +660,7 @@
         if let Some(&number) = self.numbers.get(id) {
             return Ok(number);
         }
-        let most = self.deployment.facts.proxy_count as usize;
+        let most = self.deployment.config.proxy_count as usize;
         if self.proxies.len() >= 2 * most {
             let text = format!("{} proxies are joined, twice what the deployment is for", self.proxies.len());
             return Err(Status::new(Code::ResourceExhausted, text));
@@ -736,7 +736,7 @@
         let batch = self.decided.map_or(0, |at| at + self.deployment.tick);
         let pending = (!self.events.is_empty()).then_some(batch);
         let timer = self.timers.keys().next().map(|key| key.0.max(batch));
-        let cycle = self.reported + self.deployment.facts.report_interval;
+        let cycle = self.reported + self.deployment.config.report_interval;
         let again = self.proxies.values().filter_map(|proxy| proxy.again_at).min();
         let group = self.shared_with.as_ref().map(Shared::next);
         let tellings = self.proxies.values().flat_map(|proxy| proxy.telling.values());
@@ -751,7 +751,7 @@
     /// One turn: a batch for the module if one is due, and all that has left the channel. `blocked` tells which
     /// peers have not taken what was written before.
     pub fn turn(&mut self, now: Nanos, blocked: impl Fn(Peer) -> bool) -> Vec<Effect> {
-        if now >= self.reported + self.deployment.facts.report_interval {
+        if now >= self.reported + self.deployment.config.report_interval {
             self.reported = now;
             let reports = self.reports.take();
             if let Some(shared) = &mut self.shared_with {
@@ -787,7 +787,7 @@
         // What was learned before must not be written over by a run that has not met its servers yet.
         let met = self.decided.is_some() && (self.memory.is_none() || self.recalled);
         let due = now >= self.ageing.next_write(self.memorised);
-        if met && due && !self.deployment.forgets && self.roster.version() > 0 {
+        if met && due && !self.deployment.snapshot_disabled && self.roster.version() > 0 {
             self.memorised = now;
             let memory = self.memorise(now);
             self.effects.push(Effect::Memory(memory));
@@ -980,17 +980,20 @@
 
     /// Orders as a supervisor with a planted fault would give them; as they are in service.
     fn planted(&self, now: Nanos, orders: Vec<Action>) -> Vec<Action> {
-        let Some(fault) = self.deployment.planted else { return orders };
+        let Some(fault) = self.deployment.injected_fault else { return orders };
         let cold =
-            |server| self.roster.started_within(server, now, self.deployment.facts.slow_start_duration);
+            |server| self.roster.started_within(server, now, self.deployment.config.slow_start_duration);
         let bend = |order: Action| match (fault, order) {
-            (Planted::DropSuspensions, Action::Exclude { .. }) => vec![],
-            (Planted::DropSuspensions, Action::SetWeight { server, weight, .. })
+            (InjectedFault::IgnoreDraining, Action::Exclude { .. }) => vec![],
+            (InjectedFault::IgnoreDraining, Action::SetWeight { server, weight, .. })
                 if weight == 0.0 && self.roster.draining(server) =>
             {
                 vec![]
             }
-            (Planted::RepeatAll, Action::LimitAdmission { table, operations, limit: amount, .. }) => {
+            (
+                InjectedFault::RetryEverything,
+                Action::LimitAdmission { table, operations, limit: amount, .. },
+            ) => {
                 vec![Action::LimitAdmission {
                     table,
                     operations,
@@ -998,16 +1001,16 @@
                     retry_policy: RetryPolicy::Twice,
                 }]
             }
-            (Planted::ColdInFull, Action::SetWeight { table, server, .. }) if cold(server) => {
+            (InjectedFault::NoSlowStart, Action::SetWeight { table, server, .. }) if cold(server) => {
                 vec![Action::SetWeight { table, server, weight: 1e4 }]
             }
-            (Planted::EmptyTables, Action::SetWeight { table, server, .. }) => {
+            (InjectedFault::EmptyTables, Action::SetWeight { table, server, .. }) => {
                 vec![Action::SetWeight { table, server, weight: 0.0 }]
             }
             (_, order) => vec![order],
         };
         let mut orders: Vec<Action> = orders.into_iter().flat_map(bend).collect();
-        if fault == Planted::Flood {
+        if fault == InjectedFault::FloodUpdates {
             orders.extend(self.tables.lines(0).map(|(server, weight)| {
                 let weight = if weight > 1.2 { 1.0 } else { 1.3 };
                 Action::SetWeight { table: 0, server, weight }
--- a/crates/xds-supervisor/src/daemon/group.rs
+++ b/crates/xds-supervisor/src/daemon/group.rs
@@ -24,7 +24,7 @@
 impl Daemon {
     /// Joins the group that the deployment names, if any.
     pub(super) fn join_group(&mut self, wake: UnixStream) -> Result<(), DaemonError> {
-        let Some((group_config, range_count)) = self.deployment.shared.clone() else { return Ok(()) };
+        let Some(group) = self.deployment.group.clone() else { return Ok(()) };
         let folder = &self.deployment.folder;
         let path = folder.join(GROUP_LOG_FILE);
         let file = read_file(folder, GROUP_LOG_FILE)?;
@@ -41,7 +41,7 @@
         self.persistence.group_log =
             Some(FileWriter::open(folder, GROUP_LOG_FILE, LOG_FILE_HEAD, complete_bytes, wake)?);
         let names = (&self.deployment.operations[..], &self.deployment.localities[..]);
-        self.core.share(Shared::new(group_config, now(), log, names, range_count));
+        self.core.share(Shared::new(group.config, now(), log, names, group.range_count));
         Ok(())
     }
 
--- a/crates/xds-supervisor/src/daemon/persistence.rs
+++ b/crates/xds-supervisor/src/daemon/persistence.rs
@@ -84,7 +84,7 @@
 
     /// Loads the snapshot of an earlier run, and opens its file for this run's.
     pub(super) fn load_snapshot(&mut self, wake: UnixStream) {
-        if self.deployment.forgets {
+        if self.deployment.snapshot_disabled {
             return;
         }
         let folder = self.deployment.folder.clone();
--- a/crates/xds-supervisor/src/daemon/registry.rs
+++ b/crates/xds-supervisor/src/daemon/registry.rs
@@ -21,7 +21,7 @@
 impl RegistryWatch {
     /// Not dialled yet; subscribed unless the deployment polls.
     pub(super) fn new(deployment: &Deployment) -> Self {
-        let config = &deployment.facts;
+        let config = &deployment.config;
         let node = NodeInfo {
             id: format!("supervisor-{}", config.supervisor_index),
             zone: deployment.localities[usize::from(config.locality)].clone(),
@@ -82,7 +82,7 @@
         }
         tracing::warn!(reason, "registry stream lost");
         self.core.list_failed();
-        if !self.deployment.facts.polls_endpoints {
+        if !self.deployment.config.polls_endpoints {
             self.hub.set(self.limits.list_again(now()), TimerKind::DialRegistry);
         }
     }
--- a/crates/xds-supervisor/src/daemon/startup.rs
+++ b/crates/xds-supervisor/src/daemon/startup.rs
@@ -22,11 +22,11 @@
         ready: impl FnOnce(Vec<SocketAddr>) -> io::Result<()>,
     ) -> Result<Self, DaemonError> {
         let stored_list = read_endpoint_list(&deployment.folder);
-        let limits = Patience::new(&deployment.facts);
+        let limits = Patience::new(&deployment.config);
         let mut hub = Hub::new(limits.connection())?;
         hub.stop_on_signals()?;
         let addresses = listen(&mut hub, &deployment)?;
-        let subscribes = !deployment.facts.polls_endpoints;
+        let subscribes = !deployment.config.polls_endpoints;
         let mut daemon = Daemon {
             core: Core::new(deployment.clone(), now(), stored_list.as_deref()),
             hub,
@@ -48,7 +48,7 @@
         daemon.join_group(wake.try_clone()?)?;
         daemon.load_table_history(wake.try_clone()?);
         daemon.load_snapshot(wake);
-        let supervisor = daemon.deployment.facts.supervisor_index;
+        let supervisor = daemon.deployment.config.supervisor_index;
         tracing::info!(address = %addresses[0], supervisor, "serving");
         ready(addresses)?;
         if subscribes {
@@ -66,11 +66,11 @@
     let failed = |setting, address| move |error| DaemonError::Listen { setting, address, error };
     let address = deployment.listen;
     let mut addresses = vec![hub.listen(address, ListenerKind::Grpc).map_err(failed("listen", address))?.1];
-    if let Some(address) = deployment.sasp {
+    if let Some(address) = deployment.sasp_listen {
         let listening = hub.listen_plain(address, ListenerKind::Sasp);
         addresses.push(listening.map_err(failed("sasp.listen", address))?.1);
     }
-    if let Some(address) = deployment.admin {
+    if let Some(address) = deployment.admin_listen {
         let listening = hub.listen(address, ListenerKind::Admin);
         addresses.push(listening.map_err(failed("admin.listen", address))?.1);
     }
--- /dev/null
+++ b/crates/xds-supervisor/src/deployment/file.rs
@@ -0,0 +1,201 @@
+//! The file format: settings by their names, as `docs/supervisor.md` lists them. Times are milliseconds.
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+use serde::Deserialize;
+
+/// The file as it is written; fields have the names of the settings.
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(super) struct DeploymentFile {
+    pub(super) listen: SocketAddr,
+    pub(super) registry: SocketAddr,
+    pub(super) folder: PathBuf,
+    #[serde(default)]
+    pub(super) seed: u64,
+    pub(super) supervisor: u16,
+    pub(super) supervisors: u16,
+    pub(super) locality: String,
+    pub(super) localities: Vec<String>,
+    pub(super) tick_ms: f64,
+    #[serde(rename = "operation")]
+    pub(super) operations: Vec<OperationSection>,
+    pub(super) list: EndpointListSection,
+    /// Listener of SASP; none unless given.
+    pub(super) sasp: Option<ListenSection>,
+    /// Group of supervisors; none unless given.
+    pub(super) shared: Option<GroupSection>,
+    /// Limits of the table history; derived ones unless given.
+    #[serde(default)]
+    pub(super) tables: TableHistorySection,
+    /// No snapshot is read or written.
+    #[serde(default)]
+    pub(super) forgets: bool,
+    /// Operators' listener; none unless given.
+    pub(super) admin: Option<ListenSection>,
+    pub(super) forwarders: ForwardersSection,
+    pub(super) channel: ChannelSection,
+    pub(super) rules: RulesSection,
+    pub(super) planted: Option<InjectedFault>,
+    /// No guard inspects tables, so that injected faults show. Never in service.
+    #[serde(default)]
+    pub(super) unguarded: bool,
+}
+
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(super) struct OperationSection {
+    pub(super) name: String,
+    pub(super) effect: EffectSetting,
+    #[serde(default)]
+    pub(super) repeat_scope: RepeatScopeSetting,
+    #[serde(default)]
+    pub(super) repeat_window_ms: f64,
+    pub(super) latency_objective_ms: f64,
+    pub(super) integration_timeout_ms: f64,
+    pub(super) billed_value: f64,
+}
+
+#[derive(Clone, Copy, Debug, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub(super) enum EffectSetting {
+    Idempotent,
+    Fingerprinted,
+    SideEffecting,
+}
+
+#[derive(Clone, Copy, Debug, Default, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub(super) enum RepeatScopeSetting {
+    Everywhere,
+    Locality,
+    #[default]
+    Cell,
+}
+
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(super) struct ListenSection {
+    pub(super) listen: SocketAddr,
+}
+
+#[derive(Debug, Default, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(super) struct TableHistorySection {
+    pub(super) versions: Option<u32>,
+    pub(super) megabytes: Option<f64>,
+    pub(super) hours: Option<f64>,
+}
+
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(super) struct GroupSection {
+    pub(super) name: String,
+    /// Addresses of the members, by number; this supervisor's own among them.
+    pub(super) members: Vec<SocketAddr>,
+    #[serde(default)]
+    pub(super) joining: bool,
+    pub(super) election_ms: f64,
+    pub(super) drift: f64,
+    #[serde(default)]
+    pub(super) ranges: u32,
+    pub(super) tenure_ms: f64,
+    pub(super) in_flight_ms: f64,
+}
+
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(super) struct EndpointListSection {
+    pub(super) membership: MembershipSetting,
+    #[serde(default)]
+    pub(super) ask_every_ms: f64,
+    pub(super) sizes: SizesSetting,
+}
+
+#[derive(Debug, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub(super) enum MembershipSetting {
+    Pushed,
+    Asked,
+}
+
+#[derive(Debug, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub(super) enum SizesSetting {
+    Untold,
+    Rough,
+    Nominal,
+}
+
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(super) struct ForwardersSection {
+    pub(super) count: u32,
+    pub(super) admission: AdmissionSetting,
+    pub(super) report_cycle_ms: f64,
+    #[serde(default)]
+    pub(super) fails_to_avoid: u32,
+    pub(super) first_wait: f64,
+}
+
+#[derive(Debug, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub(super) enum AdmissionSetting {
+    Ignored,
+    Ratio,
+}
+
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(super) struct ChannelSection {
+    pub(super) lines_per_s: f64,
+    pub(super) backlog: f64,
+    pub(super) message_overhead: f64,
+    pub(super) mean_transit_ms: f64,
+    pub(super) worst_transit_ms: f64,
+    #[serde(default)]
+    pub(super) messages_max: u32,
+    #[serde(default)]
+    pub(super) messages_over_ms: f64,
+    pub(super) paced: bool,
+}
+
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(super) struct RulesSection {
+    pub(super) empty_for_ms: f64,
+    pub(super) drain_grace_ms: f64,
+    pub(super) cold_from: f64,
+    pub(super) cold_for_ms: f64,
+    pub(super) tip_multiple: f64,
+    pub(super) tip_after_ms: f64,
+    #[serde(default)]
+    pub(super) gone_does_not_bind: bool,
+}
+
+/// A fault injected into a supervisor on purpose, to show that checks of traffic find it. Never in service.
+#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
+#[serde(rename_all = "snake_case")]
+pub enum InjectedFault {
+    /// Draining servers keep their weights.
+    #[serde(rename = "drop_suspensions")]
+    IgnoreDraining,
+    /// Any failure is retried, twice.
+    #[serde(rename = "repeat_all")]
+    RetryEverything,
+    /// Servers that are warming up get many times their weight.
+    #[serde(rename = "cold_in_full")]
+    NoSlowStart,
+    /// Every line is sent again and again.
+    #[serde(rename = "flood")]
+    FloodUpdates,
+    /// Tables are sent with no line.
+    EmptyTables,
+    /// Neither epochs nor leases bind this member of a group.
+    #[serde(rename = "no_fence")]
+    NoFencing,
+    /// A rollback restores weights against the controller's decisions.
+    #[serde(rename = "way_outranks")]
+    RollbackOverridesController,
+}
--- a/crates/xds-supervisor/src/lib.rs
+++ b/crates/xds-supervisor/src/lib.rs
@@ -17,7 +17,7 @@
 pub use crate::core::{Core, Effect, Peer, LISTENER, PREFIX};
 pub use channel::{Channel, Departure};
 pub use daemon::{run, DaemonError};
-pub use deployment::{Deployment, FileError, Planted};
+pub use deployment::{Deployment, FileError, GroupDeployment, InjectedFault, TableHistoryLimits};
 
 pub use patience::{Patience, Verdict};
 pub use reports::Reports;
