--- a/crates/cli/src/tables_command.rs
+++ b/crates/cli/src/tables_command.rs
@@ -7,7 +7,9 @@
 use clap::{Args, Subcommand};
 use serde_json::Value;
 use shalereel_fault_scenarios::tables_at;
-use shalereel_xds_supervisor::admin::{Back, Diff, HoldOne, List, Onward, Question, Show};
+use shalereel_xds_supervisor::admin::{
+    AdminQuery, CapServer, DiffVersions, EndRollbacks, ListVersions, ShowVersion, StartRollback,
+};
 
 #[derive(Subcommand)]
 pub enum TablesCommand {
@@ -92,21 +94,27 @@
 
 pub fn tables(at: SocketAddr, command: &TablesCommand, json: bool) -> Result<()> {
     let question = match command {
-        TablesCommand::List { last } => Question::List(List { last: *last }),
-        TablesCommand::Show { version } => Question::Show(Show { version: *version }),
-        TablesCommand::Diff { from, to } => Question::Diff(Diff { from: *from, to: *to }),
+        TablesCommand::List { last } => AdminQuery::List(ListVersions { last: *last }),
+        TablesCommand::Show { version } => AdminQuery::Show(ShowVersion { version: *version }),
+        TablesCommand::Diff { from, to } => AdminQuery::Diff(DiffVersions { from: *from, to: *to }),
         TablesCommand::Back { version, given, dry_run } => {
-            let (for_ms, who, why) = given.told()?;
-            Question::Back(Back { version: *version, for_ms, dry_run: *dry_run, who, why })
+            let (duration_ms, actor, reason) = given.told()?;
+            AdminQuery::StartRollback(StartRollback {
+                version: *version,
+                duration_ms,
+                dry_run: *dry_run,
+                actor,
+                reason,
+            })
         }
         TablesCommand::Hold { server, part, given } => {
-            let (for_ms, who, why) = given.told()?;
-            Question::Hold(HoldOne { server: *server, part: *part, for_ms, who, why })
+            let (duration_ms, actor, reason) = given.told()?;
+            AdminQuery::CapServer(CapServer { server: *server, factor: *part, duration_ms, actor, reason })
         }
         TablesCommand::Release { server } => {
-            Question::Hold(HoldOne { server: *server, ..HoldOne::default() })
+            AdminQuery::CapServer(CapServer { server: *server, ..CapServer::default() })
         }
-        TablesCommand::Onward => Question::Onward(Onward {}),
+        TablesCommand::Onward => AdminQuery::EndRollbacks(EndRollbacks {}),
     };
     let told = tables_at(at, question)?;
     if json {
--- a/crates/fault-scenarios/src/control.rs
+++ b/crates/fault-scenarios/src/control.rs
@@ -10,7 +10,9 @@
 };
 use shalereel_reactor::{now, Nanos, SECOND};
 use shalereel_rpc::{Bounds, Code, Hub, Input, Status};
-use shalereel_xds_supervisor::admin::{AdminAnswer, AdminAsk, Back, List, Question, ADMIN};
+use shalereel_xds_supervisor::admin::{
+    AdminQuery, AdminRequest, AdminResponse, ListVersions, StartRollback, ADMIN_PATH,
+};
 
 /// An order that is not agreed on is given up by the supervisor before this.
 const PATIENCE: Nanos = 60 * SECOND;
@@ -38,14 +40,14 @@
 }
 
 /// Asks about tables, or orders a way back. Errors: it is not there, or refused, and why.
-pub fn tables_at(at: SocketAddr, question: Question) -> Result<Value> {
-    let answer = unary(at, ADMIN, &AdminAsk { question: Some(question) }.encode_to_vec())?;
-    Ok(serde_json::from_str(&AdminAnswer::decode(&answer[..])?.told)?)
+pub fn tables_at(at: SocketAddr, question: AdminQuery) -> Result<Value> {
+    let answer = unary(at, ADMIN_PATH, &AdminRequest { query: Some(question) }.encode_to_vec())?;
+    Ok(serde_json::from_str(&AdminResponse::decode(&answer[..])?.json)?)
 }
 
 /// The way back to what stood so long ago, or to the oldest that is kept. Errors: nothing is kept, or it was refused.
 pub fn way_back(at: SocketAddr, age: Nanos, span: Nanos) -> Result<Value> {
-    let told = tables_at(at, Question::List(List { last: u32::MAX }))?;
+    let told = tables_at(at, AdminQuery::List(ListVersions { last: u32::MAX }))?;
     let versions: Vec<&Value> = told["versions"].as_array().into_iter().flatten().collect();
     let newest = versions.iter().filter_map(|version| version["at_ms"].as_u64()).max().unwrap_or(0);
     let then = newest.saturating_sub(age / 1_000_000);
@@ -55,7 +57,16 @@
     let version = found.and_then(|version| version["version"].as_u64()).context("no version is kept")?;
     let (who, why) = ("drill".to_owned(), "a day's script".to_owned());
     let for_ms = span / 1_000_000;
-    tables_at(at, Question::Back(Back { version, for_ms, dry_run: false, who, why }))
+    tables_at(
+        at,
+        AdminQuery::StartRollback(StartRollback {
+            version,
+            duration_ms: for_ms,
+            dry_run: false,
+            actor: who,
+            reason: why,
+        }),
+    )
 }
 
 fn ask(at: SocketAddr, question: ControlRequest) -> Result<Value> {
--- a/crates/routing-checks/src/fleet.rs
+++ b/crates/routing-checks/src/fleet.rs
@@ -8,7 +8,7 @@
 use shalereel_guard::{Availability, Limits, Server};
 use shalereel_store::{Provenance, RetentionLimits};
 use shalereel_xds::{AssignedEndpoint, Assignment, Health, ServerInfo};
-use shalereel_xds_supervisor::{Deployment, Facts, InjectedFault, Roster, Tables};
+use shalereel_xds_supervisor::{Deployment, InjectedFault, Roster, TableContext, Tables};
 
 const SECOND: Nanos = 1_000_000_000;
 /// Batches of a run, and which of them sees the fleet change; four a second.
@@ -106,8 +106,7 @@
 /// Plays a fleet through the decisions; gives each table that forwarders would hold from the change on.
 pub(crate) fn play(deployment: &Deployment, sizes: &[f64], fleet: Fleet) -> Vec<View> {
     let facts = &deployment.config;
-    let outranks = deployment.injected_fault == Some(InjectedFault::RollbackOverridesController);
-    let mut tables = Tables::new(facts, RetentionLimits::new(facts), outranks, !deployment.guard_disabled);
+    let mut tables = Tables::new(deployment, RetentionLimits::new(facts));
     let mut roster = Roster::new(&deployment.localities);
     let mut brain = Controller::new(facts);
     let mut bound: BTreeMap<ProxyId, TableId> = BTreeMap::new();
@@ -150,9 +149,14 @@
             // The channel is as wide as it takes: what is ordered is confirmed at once.
             tables.apply(&order, deployment.operations.len());
         }
-        let facts_now =
-            Facts { roster: &roster, now, wall: 0, cold_for: facts.slow_start_duration, parts: &parts };
-        tables.publish(&facts_now, &Provenance::default());
+        let context = TableContext {
+            roster: &roster,
+            now,
+            wall_clock_offset: 0,
+            slow_start_duration: facts.slow_start_duration,
+            traffic_shares: &parts,
+        };
+        tables.publish(&context, &Provenance::default());
         if batch >= CHANGES {
             let users = |table: TableId| -> BTreeSet<u16> {
                 bound.iter().filter(|(_, of)| **of == table).map(|(&proxy, _)| proxy).collect()
--- a/crates/xds-supervisor/src/core.rs
+++ b/crates/xds-supervisor/src/core.rs
@@ -27,7 +27,7 @@
 use crate::reports::Reports;
 use crate::roster::Roster;
 use crate::shared::{Shared, Wanted};
-use crate::tables::{Facts, Reach, Tables};
+use crate::tables::{AffectedProxies, TableContext, Tables};
 
 /// A stream, numbered by the shell; never given twice.
 pub type Peer = u64;
@@ -117,14 +117,14 @@
     version: Version,
 ) -> Resource {
     let (name, any) = match part {
-        Part::Shunned => (EXCLUDED, tables.shunned(roster)),
+        Part::Shunned => (EXCLUDED, tables.excluded_assignment(roster)),
         Part::Table(table, at) => {
             let name = &operations[usize::from(*at)];
             (name.as_str(), tables.assignment(*table, *at, name, roster))
         }
         Part::Collection(table, at) => {
             let name = &operations[usize::from(*at)];
-            (name.as_str(), leds::assignment_of(name, *table, tables.admitted(*table, *at)))
+            (name.as_str(), leds::assignment_of(name, *table, tables.admission_limit(*table, *at)))
         }
         Part::Routes(ways) => {
             let each = operations.iter().map(String::as_str).zip(ways.iter().copied());
@@ -181,8 +181,14 @@
     parts: &'a BTreeMap<TableId, f64>,
     now: Nanos,
     wall: Nanos,
-) -> Facts<'a> {
-    Facts { roster, now, wall, cold_for: deployment.config.slow_start_duration, parts }
+) -> TableContext<'a> {
+    TableContext {
+        roster,
+        now,
+        wall_clock_offset: wall,
+        slow_start_duration: deployment.config.slow_start_duration,
+        traffic_shares: parts,
+    }
 }
 
 fn view<'a>(
@@ -287,11 +293,10 @@
     pub fn new(deployment: Deployment, now: Nanos, kept: Option<&[u8]>) -> Self {
         let facts = &deployment.config;
         let keeping = DeliveryPolicy::new(facts);
-        let outranks = deployment.injected_fault == Some(InjectedFault::RollbackOverridesController);
         let bounds = deployment.table_history.or_derived(RetentionLimits::new(facts));
         let mut core = Core {
             brain: Controller::new(facts),
-            tables: Tables::new(facts, bounds, outranks, !deployment.guard_disabled),
+            tables: Tables::new(&deployment, bounds),
             channel: Channel::new(facts, deployment.paced),
             keeping,
             wall: 0,
@@ -404,7 +409,7 @@
     fn ordered(&mut self, (drained, held): (BTreeSet<ServerId>, BTreeMap<ServerId, f64>)) {
         self.events.push(Event::Endpoints(self.roster.order(drained)));
         self.relisted = true;
-        self.tables.agree(held);
+        self.tables.set_group_caps(held);
     }
 
     /// What the group brought about, and what it is told in turn.
@@ -428,7 +433,7 @@
         let cold_for = self.deployment.config.slow_start_duration;
         let fit = |(server, locality, ready): (ServerId, u16, bool)| {
             let warm = !self.roster.started_within(server, now, cold_for);
-            let ready = ready && !self.tables.suspended(server);
+            let ready = ready && !self.tables.is_excluded(server);
             let open = ready && warm;
             (
                 server,
@@ -624,7 +629,7 @@
 
     /// A proxy's tables, without those that are not to be told.
     fn told(&self, tables: &BTreeMap<u16, TableId>) -> BTreeMap<u16, TableId> {
-        let told = tables.iter().filter(|(_, &table)| self.tables.told(table));
+        let told = tables.iter().filter(|(_, &table)| !self.tables.is_withheld(table));
         told.map(|(&at, &table)| (at, table)).collect()
     }
 
@@ -743,7 +748,7 @@
         let repeat = tellings
             .filter_map(|told| told.unacknowledged().map(|sent| self.keeping.retransmit_at(sent)))
             .min();
-        let way = self.tables.next();
+        let way = self.tables.next_timeout();
         let parts = [pending, timer, Some(cycle), self.channel.next(), again, group, repeat, way];
         parts.into_iter().flatten().min().unwrap_or(cycle)
     }
@@ -814,14 +819,14 @@
         }
         self.shared.clear();
         self.shared_lines.clear();
-        self.effects.extend(self.tables.words().into_iter().map(Effect::Odd));
+        self.effects.extend(self.tables.take_guard_log().into_iter().map(Effect::Odd));
         self.effects.extend(self.tables.store.take_writes().into_iter().map(Effect::History));
         std::mem::take(&mut self.effects)
     }
 
     /// What the guard has shut by itself: no order concerns its users, and the next one may come after the grace.
     fn owe_corrections(&mut self) {
-        for (table, lines) in self.tables.corrected() {
+        for (table, lines) in self.tables.take_drained_by_guard() {
             let uses = |proxy: &Proxy| proxy.tables.values().any(|&at| at == table);
             for (&id, _) in self.proxies.iter().filter(|(_, proxy)| uses(proxy)) {
                 owe(&mut self.owed, id, lines);
@@ -844,7 +849,7 @@
 
     /// What operators' constraints have changed, and lines owed to single proxies, as the channel has room.
     fn put_beside(&mut self, now: Nanos) {
-        self.tables.tick(now);
+        self.tables.on_timeout(now);
         loop {
             while let Some(&(id, lines)) = self.owed.front() {
                 let cost = self.keeping.message_cost(lines);
@@ -856,7 +861,7 @@
                 }
                 self.owed.pop_front();
             }
-            let Some(table) = self.tables.waiting() else { return };
+            let Some(table) = self.tables.next_with_pending_lines() else { return };
             let users: Vec<ProxyId> = self
                 .proxies
                 .iter()
@@ -864,7 +869,11 @@
                 .map(|(&id, _)| id)
                 .collect();
             let facts = facts(&self.roster, &self.deployment, &self.parts, now, self.wall);
-            let changed = self.tables.step(table, self.keeping.rollback_step_lines(users.len()), &facts);
+            let changed = self.tables.publish_pending_lines(
+                table,
+                self.keeping.rollback_step_lines(users.len()),
+                &facts,
+            );
             if changed > 0 {
                 self.owed.extend(users.into_iter().map(|id| (id, changed)));
             }
@@ -927,13 +936,15 @@
                     let reach = self.tables.apply(&order, self.deployment.operations.len());
                     for (&id, proxy) in &self.proxies {
                         let concerned = match reach {
-                            Reach::Nobody => false,
-                            Reach::Users(table) => proxy.tables.values().any(|&at| at == table),
-                            Reach::Holders(server) => {
+                            AffectedProxies::None => false,
+                            AffectedProxies::UsingTable(table) => {
+                                proxy.tables.values().any(|&at| at == table)
+                            }
+                            AffectedProxies::MayUseServer(server) => {
                                 proxy.tables.is_empty()
                                     || proxy.tables.values().any(|&at| self.tables.lists(at, server))
                             }
-                            Reach::Everyone => true,
+                            AffectedProxies::All => true,
                         };
                         if concerned {
                             *lines.entry(id).or_default() += 1.0;
@@ -1011,7 +1022,7 @@
         };
         let mut orders: Vec<Action> = orders.into_iter().flat_map(bend).collect();
         if fault == InjectedFault::FloodUpdates {
-            orders.extend(self.tables.lines(0).map(|(server, weight)| {
+            orders.extend(self.tables.weights(0).map(|(server, weight)| {
                 let weight = if weight > 1.2 { 1.0 } else { 1.3 };
                 Action::SetWeight { table: 0, server, weight }
             }));
@@ -1037,18 +1048,18 @@
         };
         let mut parts: Vec<(Part, Version)> = Vec::new();
         let mut collections = BTreeSet::new();
-        let shun = (self.tables.shunned_version(), self.roster.version());
+        let shun = (self.tables.excluded_version(), self.roster.version());
         if stream.serving.is_subscribed(types::ASSIGNMENT, EXCLUDED) && shun.0 > 0 && changed(EXCLUDED, shun)
         {
             parts.push((Part::Shunned, shun));
         }
         for (&at, &table) in &tables {
             let name = &self.deployment.operations[usize::from(at)];
-            if !stream.serving.is_subscribed(types::ASSIGNMENT, name) || !self.tables.told(table) {
+            if !stream.serving.is_subscribed(types::ASSIGNMENT, name) || self.tables.is_withheld(table) {
                 continue;
             }
             let (part, version) = if proxy.lines {
-                let admitted = self.tables.admitted(table, at).to_bits();
+                let admitted = self.tables.admission_limit(table, at).to_bits();
                 (Part::Collection(table, at), (admitted, table.into()))
             } else {
                 (Part::Table(table, at), (self.tables.version(table), self.roster.version()))
@@ -1060,7 +1071,9 @@
         }
         let operations = 0..self.deployment.operations.len() as u16;
         let ways: Vec<RetryPolicy> = operations
-            .map(|at| tables.get(&at).map_or(RetryPolicy::Never, |&table| self.tables.further(table, at)))
+            .map(|at| {
+                tables.get(&at).map_or(RetryPolicy::Never, |&table| self.tables.retry_policy(table, at))
+            })
             .collect();
         let number = ways.iter().fold(1, |sum, &way| sum * 4 + way as u64);
         let routed = !tables.is_empty() && stream.serving.is_subscribed(types::ROUTES, LISTENER);
--- a/crates/xds-supervisor/src/daemon/calls.rs
+++ b/crates/xds-supervisor/src/daemon/calls.rs
@@ -9,7 +9,7 @@
 
 use super::health_checks::HealthCheckResponse;
 use super::{CallId, CallKind, Daemon, ListenerKind, TimerKind};
-use crate::admin::ADMIN;
+use crate::admin::ADMIN_PATH;
 
 impl Daemon {
     pub(super) fn on_input(&mut self, input: Input<ListenerKind, TimerKind>) {
@@ -57,7 +57,7 @@
         let peer = self.next_peer();
         if self.admin_conns.contains(&call.conn) {
             return match path {
-                ADMIN => self.accept(call, peer, CallKind::Admin),
+                ADMIN_PATH => self.accept(call, peer, CallKind::Admin),
                 other => self.reject(call, format!("{other} is not served to operators")),
             };
         }
--- a/crates/xds-supervisor/src/lib.rs
+++ b/crates/xds-supervisor/src/lib.rs
@@ -26,4 +26,4 @@
 pub use storage::{
     FileWriter, StorageError, WriteRequest, GROUP_LOG_FILE, SNAPSHOT_FILE, TABLE_HISTORY_FILE,
 };
-pub use tables::{Facts, Reach, Tables};
+pub use tables::{AffectedProxies, TableContext, Tables};
--- /dev/null
+++ b/crates/xds-supervisor/src/tables/table.rs
@@ -0,0 +1,129 @@
+//! One table: what the controller and operators want of it, and how its lines are made from that.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use shalereel::interface::{Nanos, ServerId, TableId};
+use shalereel_guard::{Guard, Limits};
+use shalereel_store::{Line, Lines, Provenance, Store, WeightConstraints, UNIT_WEIGHT};
+
+use super::{OperationIndex, OperationPolicy, TableContext};
+
+/// Largest sum of a table's weights on the wire, which sums them in 32 bits.
+const MAX_WEIGHT_SUM: f64 = (u32::MAX / 2) as f64;
+/// Factor of one step of scaling a table's weights down.
+const SCALE_STEP: f64 = 0.0625;
+const MAX_SCALE_STEPS: i32 = 8;
+
+#[derive(Clone, Debug, Default)]
+pub(super) struct Table {
+    /// Weights as the controller set them.
+    pub(super) weights: BTreeMap<ServerId, f64>,
+    pub(super) policies: BTreeMap<OperationIndex, OperationPolicy>,
+    pub(super) version: u64,
+    pub(super) constraints: WeightConstraints,
+    /// Lines whose constraints have changed, until the channel has capacity for them.
+    pub(super) pending_lines: BTreeSet<ServerId>,
+    /// Servers whose lines may differ from the last version's.
+    pub(super) changed: BTreeSet<ServerId>,
+    /// Factor on servers that are warming up, where constraints lower the others.
+    slow_start_factor: f64,
+    scale_steps: i32,
+    /// Who ordered the rollback, and why.
+    pub(super) rollback_provenance: Provenance,
+    /// Injected fault: lines that a rollback restores against the controller's decisions.
+    pub(super) overriding_lines: Lines,
+    /// `None` where the guard is disabled.
+    pub(super) guard: Option<Guard>,
+    pub(super) withheld: bool,
+    /// Lines that the guard has reverted.
+    pub(super) reverted: BTreeSet<ServerId>,
+    /// When the guard inspects those again.
+    pub(super) inspect_at: Option<Nanos>,
+}
+
+impl Table {
+    pub(super) fn new(guard: Option<Guard>, caps: BTreeMap<ServerId, f64>) -> Self {
+        let mut table = Table { slow_start_factor: 1.0, guard, ..Table::default() };
+        table.constraints.set_caps(caps);
+        table
+    }
+
+    pub(super) fn mark_all_changed(&mut self) {
+        self.changed.extend(self.weights.keys());
+    }
+
+    /// Guards against draining servers whose lines stay open: nothing else may have the table inspected before their
+    /// grace is over.
+    pub(super) fn schedule_drain_check(
+        &mut self,
+        id: TableId,
+        store: &Store,
+        limits: Limits,
+        context: &TableContext,
+    ) {
+        let usable = store.lines(id).filter(|(_, line)| !line.draining).map(|(server, _)| server);
+        self.reverted.extend(usable.filter(|&server| context.roster.draining(server)));
+        let check_at = limits.drain_check_at(context.now);
+        self.inspect_at = Some(self.inspect_at.map_or(check_at, |at| at.min(check_at)));
+    }
+
+    /// Tries reverted lines again, with any change and when an inspection is due.
+    pub(super) fn retry_reverted(&mut self, now: Nanos) {
+        if self.inspect_at.is_some_and(|at| at <= now) || !self.changed.is_empty() {
+            self.inspect_at = None;
+            self.changed.append(&mut self.reverted);
+        }
+    }
+
+    /// The lines that may have changed; `None` where a server has none any more.
+    pub(super) fn take_changed_lines(
+        &mut self,
+        context: &TableContext,
+        excluded: &BTreeSet<ServerId>,
+    ) -> BTreeMap<ServerId, Option<Line>> {
+        self.update_factors(context);
+        let changed = std::mem::take(&mut self.changed);
+        changed.into_iter().map(|server| (server, self.line(server, context, excluded))).collect()
+    }
+
+    /// Recomputes the factors that concern many lines, and marks those lines where a factor has changed.
+    fn update_factors(&mut self, context: &TableContext) {
+        let sum: f64 = self.weights.values().sum();
+        let fits = |&steps: &i32| sum * UNIT_WEIGHT * SCALE_STEP.powi(steps) < MAX_WEIGHT_SUM;
+        let scale_steps = (0..MAX_SCALE_STEPS).find(fits).unwrap_or(MAX_SCALE_STEPS);
+        let mut slow_start_factor = 1.0;
+        if self.constraints.is_active() {
+            let warm = self.weights.iter().filter(|(server, _)| !context.is_warming_up(**server));
+            slow_start_factor =
+                self.constraints.slow_start_factor(warm.map(|(&server, &weight)| (server, weight)));
+        }
+        if scale_steps != self.scale_steps {
+            self.mark_all_changed();
+        } else if slow_start_factor != self.slow_start_factor {
+            let warming_up = self.weights.keys().filter(|server| context.is_warming_up(**server));
+            self.changed.extend(warming_up);
+        }
+        self.scale_steps = scale_steps;
+        self.slow_start_factor = slow_start_factor;
+    }
+
+    fn line(&self, server: ServerId, context: &TableContext, excluded: &BTreeSet<ServerId>) -> Option<Line> {
+        if let Some(&line) = self.overriding_lines.get(&server) {
+            return Some(Line { draining: false, ..line });
+        }
+        let place = context.roster.place(server)?;
+        let factor = if context.is_warming_up(server) {
+            self.slow_start_factor
+        } else {
+            self.constraints.factor(server)
+        };
+        let unit = UNIT_WEIGHT * SCALE_STEP.powi(self.scale_steps);
+        let weight = self.weights.get(&server)? * factor * unit;
+        Some(Line {
+            address: place.address,
+            weight: (weight.round() as u32).max(1),
+            draining: excluded.contains(&server),
+            incarnation: context.roster.life(server),
+        })
+    }
+}
--- a/crates/xds-supervisor/tests/core.rs
+++ b/crates/xds-supervisor/tests/core.rs
@@ -730,14 +730,20 @@
     use prost::Message as _;
     use shalereel_xds_supervisor::admin::*;
 
-    fn ask(world: &mut World, question: Question) -> Result<serde_json::Value, String> {
-        let message = AdminAsk { question: Some(question) }.encode_to_vec();
+    fn ask(world: &mut World, question: AdminQuery) -> Result<serde_json::Value, String> {
+        let message = AdminRequest { query: Some(question) }.encode_to_vec();
         let answer = world.core.admin(world.now, &message).map_err(|status| status.text)?;
-        Ok(serde_json::from_str(&AdminAnswer::decode(&answer[..]).unwrap().told).unwrap())
+        Ok(serde_json::from_str(&AdminResponse::decode(&answer[..]).unwrap().json).unwrap())
     }
 
-    fn back(version: u64, for_ms: u64, dry_run: bool) -> Question {
-        Question::Back(Back { version, for_ms, dry_run, who: "night".into(), why: "a test".into() })
+    fn back(version: u64, for_ms: u64, dry_run: bool) -> AdminQuery {
+        AdminQuery::StartRollback(StartRollback {
+            version,
+            duration_ms: for_ms,
+            dry_run,
+            actor: "night".into(),
+            reason: "a test".into(),
+        })
     }
 
     #[test]
@@ -747,16 +753,16 @@
         world.run(100);
         world.list(&[3]);
         world.run(100);
-        let told = ask(&mut world, Question::List(List { last: 10 })).unwrap();
+        let told = ask(&mut world, AdminQuery::List(ListVersions { last: 10 })).unwrap();
         assert_eq!((told["kept"].as_u64(), told["versions"][0]["lines"].as_u64()), (Some(2), Some(4)));
         let (old, new) = (&told["versions"][1]["version"], &told["versions"][0]["version"]);
         let (from, to) = (old.as_u64().unwrap(), new.as_u64().unwrap());
-        let told = ask(&mut world, Question::Diff(Diff { from, to })).unwrap();
+        let told = ask(&mut world, AdminQuery::Diff(DiffVersions { from, to })).unwrap();
         assert_eq!(
             (told["lines"][0]["server"].as_u64(), told["lines"].as_array().unwrap().len()),
             (Some(3), 1)
         );
-        let told = ask(&mut world, Question::Show(Show { version: from })).unwrap();
+        let told = ask(&mut world, AdminQuery::Show(ShowVersion { version: from })).unwrap();
         assert_eq!(told["lines"].as_array().unwrap().len(), 5);
         // What drained since stays out; the others have their weights already.
         let told = ask(&mut world, back(from, 1000, true)).unwrap();
@@ -774,16 +780,25 @@
         world.list(&[]);
         world.run(100);
         let hold = |part, for_ms| {
-            Question::Hold(HoldOne { server: 2, part, for_ms, who: "night".into(), why: "hot".into() })
+            AdminQuery::CapServer(CapServer {
+                server: 2,
+                factor: part,
+                duration_ms: for_ms,
+                actor: "night".into(),
+                reason: "hot".into(),
+            })
         };
         let weight = |world: &mut World| {
-            let told = ask(world, Question::Show(Show { version: 0 })).unwrap();
+            let told = ask(world, AdminQuery::Show(ShowVersion { version: 0 })).unwrap();
             told["lines"][1]["line"]["weight"].as_f64().unwrap()
         };
         ask(&mut world, hold(0.5, 1000)).unwrap();
         world.run(100);
         assert_eq!(weight(&mut world), 0.5);
-        assert_eq!(ask(&mut world, Question::List(List { last: 1 })).unwrap()["holds"][0]["server"], 2);
+        assert_eq!(
+            ask(&mut world, AdminQuery::List(ListVersions { last: 1 })).unwrap()["holds"][0]["server"],
+            2
+        );
         world.run(1100);
         assert_eq!(weight(&mut world), 1.0);
         ask(&mut world, hold(0.25, 60_000)).unwrap();
@@ -792,8 +807,10 @@
         world.run(100);
         assert_eq!(weight(&mut world), 1.0);
         assert!(ask(&mut world, hold(0.0, 5)).unwrap_err().contains("no part"));
-        let nobody = HoldOne { server: 99, part: 0.5, for_ms: 5, ..HoldOne::default() };
-        assert!(ask(&mut world, Question::Hold(nobody)).unwrap_err().contains("no table has server 99"));
+        let nobody = CapServer { server: 99, factor: 0.5, duration_ms: 5, ..CapServer::default() };
+        assert!(ask(&mut world, AdminQuery::CapServer(nobody))
+            .unwrap_err()
+            .contains("no table has server 99"));
     }
 
     /// Five servers, one of which the module has come to give less; a way back that waits its turn in the channel, is
@@ -813,7 +830,7 @@
         };
         world.run(500);
         assert_eq!(weights(&mut world, &mut client).unwrap().values().sum::<u32>(), 500);
-        let told = ask(&mut world, Question::List(List { last: 1 })).unwrap();
+        let told = ask(&mut world, AdminQuery::List(ListVersions { last: 1 })).unwrap();
         let from = told["versions"][0]["version"].as_u64().unwrap();
         world.resize(&[1.5, 1.0, 0.75, 1.0, 1.0]);
         world.run(2000);
@@ -824,7 +841,7 @@
         world.run(500);
         let back_then = weights(&mut world, &mut client).unwrap();
         assert!(back_then.values().all(|weight| *weight == 105), "{back_then:?}");
-        let told = ask(&mut world, Question::List(List { last: 1 })).unwrap();
+        let told = ask(&mut world, AdminQuery::List(ListVersions { last: 1 })).unwrap();
         assert_eq!(
             (told["versions"][0]["who"].as_str(), told["ways"][0]["lines_to_move"].as_u64()),
             (Some("night"), Some(0))
@@ -837,7 +854,7 @@
         world.run(3000);
         let over = weights(&mut world, &mut client).unwrap();
         assert_eq!((over["127.1.0.3:80"], over.len()), (75, 4));
-        let told = ask(&mut world, Question::List(List { last: 1 })).unwrap();
+        let told = ask(&mut world, AdminQuery::List(ListVersions { last: 1 })).unwrap();
         assert!(told["ways"].as_array().unwrap().is_empty());
         assert!(world.core.backlog().0 < 200.0);
     }
