--- a/crates/xds-supervisor/src/core.rs
+++ b/crates/xds-supervisor/src/core.rs
@@ -20,12 +20,12 @@
 };
 
 use crate::admin;
-use crate::advice::{Advice, Outcome, View};
 use crate::channel::{Channel, Departure};
+use crate::client_limits::{ClientLimits, NackResponse};
 use crate::deployment::{Deployment, InjectedFault};
-use crate::patience::{Patience, Verdict};
 use crate::reports::Reports;
 use crate::roster::Roster;
+use crate::sasp_front::{BalancerView, SaspEvent, SaspFront};
 use crate::shared::{Shared, Wanted};
 use crate::tables::{AffectedProxies, TableContext, Tables};
 
@@ -197,9 +197,9 @@
     deployment: &'a Deployment,
     bound: &'a BTreeMap<u16, TableId>,
     now: Nanos,
-) -> View<'a> {
+) -> BalancerView<'a> {
     let (operations, cold_for) = (&deployment.operations[..], deployment.config.slow_start_duration);
-    View { tables, roster, operations, bound, now, cold_for }
+    BalancerView { tables, roster, operations, assigned_tables: bound, now, slow_start_duration: cold_for }
 }
 
 /// How a proxy is spoken to. What is decided for it does not depend on it.
@@ -263,10 +263,10 @@
     /// Part of all invocations that goes by each table.
     parts: BTreeMap<TableId, f64>,
     memorised: Nanos,
-    patience: Patience,
+    patience: ClientLimits,
     roster: Roster,
     reports: Reports,
-    advice: Advice,
+    advice: SaspFront,
     shared_with: Option<Shared>,
     /// The list has changed since the group was told of it.
     relisted: bool,
@@ -307,10 +307,10 @@
             rates: BTreeMap::new(),
             parts: BTreeMap::new(),
             memorised: now,
-            patience: Patience::new(facts),
+            patience: ClientLimits::new(facts),
             roster: Roster::new(&deployment.localities),
             reports: Reports::default(),
-            advice: Advice::new(Patience::new(facts).balancer()),
+            advice: SaspFront::new(ClientLimits::new(facts).balancer()),
             shared_with: None,
             relisted: true,
             streams: BTreeMap::new(),
@@ -561,7 +561,7 @@
 
     /// A connection of the second front was opened.
     pub fn advised(&mut self, peer: Peer) {
-        self.advice.opened(peer);
+        self.advice.on_opened(peer);
     }
 
     /// Bytes on a connection of the second front.
@@ -569,15 +569,15 @@
         let member = self.proxies.values().find(|proxy| proxy.peer == peer);
         let bound = member.map(|proxy| self.told(&proxy.tables)).unwrap_or_default();
         let view = view(&self.tables, &self.roster, &self.deployment, &bound, now);
-        for outcome in self.advice.heard(peer, bytes, &view) {
+        for outcome in self.advice.on_bytes(peer, bytes, &view) {
             self.follow(now, peer, outcome);
         }
     }
 
-    fn follow(&mut self, now: Nanos, peer: Peer, outcome: Outcome) {
+    fn follow(&mut self, now: Nanos, peer: Peer, outcome: SaspEvent) {
         match outcome {
-            Outcome::Write(bytes) => self.effects.push(Effect::Write { peer, bytes }),
-            Outcome::Joined { balancer } => {
+            SaspEvent::Write(bytes) => self.effects.push(Effect::Write { peer, bytes }),
+            SaspEvent::Joined { balancer } => {
                 let locality = self.deployment.config.locality;
                 let zone = self.deployment.localities[usize::from(locality)].clone();
                 let node = NodeInfo {
@@ -591,7 +591,7 @@
                     self.effects.push(Effect::End { peer, status });
                 }
             }
-            Outcome::Member(mut word) => {
+            SaspEvent::MemberUpdate(mut word) => {
                 if self.roster.locality(&word.zone).is_none() {
                     let own = usize::from(self.deployment.config.locality);
                     word.zone.clone_from(&self.deployment.localities[own]);
@@ -603,13 +603,13 @@
                     self.events.push(Event::Endpoints(news));
                 }
             }
-            Outcome::Taken => {
+            SaspEvent::WeightsTaken => {
                 let id = self.proxies.iter().find(|(_, proxy)| proxy.peer == peer).map(|(&id, _)| id);
                 if let Some(id) = id {
                     self.held(now, id);
                 }
             }
-            Outcome::End(why) => {
+            SaspEvent::Close(why) => {
                 self.ended(peer);
                 let status = Status::new(Code::InvalidArgument, why);
                 self.effects.push(Effect::End { peer, status });
@@ -654,7 +654,7 @@
             return self.held(now, id);
         }
         let view = view(&self.tables, &self.roster, &self.deployment, &bound, now);
-        if self.advice.pushes(peer) {
+        if self.advice.wants_push(peer) {
             let bytes = self.advice.push(peer, &view);
             self.effects.extend(bytes.map(|bytes| Effect::Write { peer, bytes }));
             self.held(now, id);
@@ -682,9 +682,9 @@
     /// The stream is over, whoever ended it.
     pub fn ended(&mut self, peer: Peer) {
         self.loads.remove(&peer);
-        let proxy = if self.advice.knows(peer) {
-            for outcome in self.advice.closed(peer) {
-                if let Outcome::Member(word) = outcome {
+        let proxy = if self.advice.is_connected(peer) {
+            for outcome in self.advice.on_closed(peer) {
+                if let SaspEvent::MemberUpdate(word) = outcome {
                     let news = self.roster.member(self.decided.unwrap_or(0), &word);
                     self.events.extend(word.itself.then_some(Event::Endpoints(news)));
                 }
@@ -776,7 +776,7 @@
             let word = || Effect::Odd(format!("{strangers} rows of load name servers that no list ever had"));
             self.effects.extend((strangers > 0).then(word));
             self.part_with_silent(now);
-            self.advice.tick();
+            self.advice.on_report_interval();
         }
         self.group_turn(now);
         if self.decided.is_none_or(|at| now >= at + self.deployment.tick) {
@@ -1295,16 +1295,16 @@
         proxy.turned_down += 1;
         proxy.told.clear();
         proxy.telling.values_mut().for_each(Subscription::retransmit);
-        let verdict = patience.turned_down(now, proxy.turned_down);
+        let verdict = patience.on_nack(now, proxy.turned_down);
         let mut text = format!("proxy {id} turned down response {nonce} of {type_url}: {why}");
         match verdict {
-            Verdict::Again(at) => {
+            NackResponse::ResendAt(at) => {
                 // What was said and not answered is said anew as a whole, marks included.
                 proxy.parked.extend(proxy.said.drain(..).flat_map(|said| said.serials));
                 proxy.again_at = Some(at);
                 text.push_str("; said again later");
             }
-            Verdict::Part => {
+            NackResponse::Terminate => {
                 let status =
                     Status::new(Code::FailedPrecondition, format!("turned down again and again: {why}"));
                 self.ended(peer);
@@ -1321,7 +1321,7 @@
             let said = proxy.said.front().map(|said| said.at);
             said.into_iter().chain(proxy.due.as_ref().map(|due| due.0)).min()
         };
-        let late = |proxy: &Proxy| since(proxy).is_some_and(|since| self.patience.answer_by(since) < now);
+        let late = |proxy: &Proxy| since(proxy).is_some_and(|since| self.patience.ack_deadline(since) < now);
         let silent: Vec<Peer> =
             self.proxies.values().filter(|proxy| late(proxy)).map(|proxy| proxy.peer).collect();
         for peer in silent {
--- a/crates/xds-supervisor/src/daemon.rs
+++ b/crates/xds-supervisor/src/daemon.rs
@@ -18,9 +18,9 @@
 use shalereel_rpc::{Code, ConnId, Hub, Status, StreamId};
 use thiserror::Error;
 
+use crate::client_limits::ClientLimits;
 use crate::core::{Core, Peer};
 use crate::deployment::Deployment;
-use crate::patience::Patience;
 use crate::storage::{lock_folder, StorageError};
 
 use group::GroupLinks;
@@ -113,7 +113,7 @@
     hub: Hub<ListenerKind, TimerKind>,
     core: Core,
     deployment: Deployment,
-    limits: Patience,
+    limits: ClientLimits,
     calls: BTreeMap<CallId, CallKind>,
     /// Calls that messages to a peer go out on.
     peers: BTreeMap<Peer, CallId>,
--- a/crates/xds-supervisor/src/daemon/effects.rs
+++ b/crates/xds-supervisor/src/daemon/effects.rs
@@ -52,7 +52,7 @@
     /// Delays the write, so that what follows from the list is sent first.
     fn schedule_endpoint_list_write(&mut self) {
         if !std::mem::replace(&mut self.persistence.endpoint_list_due, true) {
-            self.hub.set(self.limits.keep_by(now()), TimerKind::StoreEndpointList);
+            self.hub.set(self.limits.list_write_at(now()), TimerKind::StoreEndpointList);
         }
     }
 }
--- a/crates/xds-supervisor/src/daemon/group.rs
+++ b/crates/xds-supervisor/src/daemon/group.rs
@@ -127,7 +127,7 @@
         if self.group_links.dial_after.get(&member).is_some_and(|&after| now() < after) {
             return;
         }
-        self.group_links.dial_after.insert(member, self.limits.member_again(now()));
+        self.group_links.dial_after.insert(member, self.limits.member_redial_at(now()));
         let Ok(address) = address.parse() else { return };
         let Ok(conn) = self.hub.dial(address) else { return };
         let Some(stream) = self.hub.call(conn, MEMBER_STREAM_PATH, None) else { return };
--- a/crates/xds-supervisor/src/daemon/health_checks.rs
+++ b/crates/xds-supervisor/src/daemon/health_checks.rs
@@ -39,7 +39,7 @@
         };
         self.calls.insert(call, CallKind::HealthCheck);
         self.health_checks.insert(call.conn, HealthCheck { server, sent_at: now() });
-        self.hub.set(self.limits.probed_by(now()), TimerKind::HealthCheckTimeout(call.conn));
+        self.hub.set(self.limits.health_check_deadline(now()), TimerKind::HealthCheckTimeout(call.conn));
     }
 
     fn call_health_check(&mut self, address: SocketAddr) -> Option<CallId> {
--- a/crates/xds-supervisor/src/daemon/registry.rs
+++ b/crates/xds-supervisor/src/daemon/registry.rs
@@ -83,7 +83,7 @@
         tracing::warn!(reason, "registry stream lost");
         self.core.list_failed();
         if !self.deployment.config.polls_endpoints {
-            self.hub.set(self.limits.list_again(now()), TimerKind::DialRegistry);
+            self.hub.set(self.limits.registry_redial_at(now()), TimerKind::DialRegistry);
         }
     }
 
--- a/crates/xds-supervisor/src/daemon/startup.rs
+++ b/crates/xds-supervisor/src/daemon/startup.rs
@@ -11,9 +11,9 @@
 use super::persistence::{read_endpoint_list, Persistence};
 use super::registry::RegistryWatch;
 use super::{Daemon, DaemonError, ListenerKind, TimerKind};
+use crate::client_limits::ClientLimits;
 use crate::core::Core;
 use crate::deployment::Deployment;
-use crate::patience::Patience;
 
 impl Daemon {
     /// Listens, reads what an earlier run stored, reports the addresses to `ready`, and dials the registry.
@@ -22,7 +22,7 @@
         ready: impl FnOnce(Vec<SocketAddr>) -> io::Result<()>,
     ) -> Result<Self, DaemonError> {
         let stored_list = read_endpoint_list(&deployment.folder);
-        let limits = Patience::new(&deployment.config);
+        let limits = ClientLimits::new(&deployment.config);
         let mut hub = Hub::new(limits.connection())?;
         hub.stop_on_signals()?;
         let addresses = listen(&mut hub, &deployment)?;
--- a/crates/xds-supervisor/src/deployment/group.rs
+++ b/crates/xds-supervisor/src/deployment/group.rs
@@ -7,7 +7,7 @@
 use super::checks::{Checker, Section};
 use super::error::FileError;
 use super::file::{DeploymentFile, GroupSection, InjectedFault};
-use crate::patience::Patience;
+use crate::client_limits::ClientLimits;
 
 /// Most members that a group may begin with.
 const MAX_MEMBERS: usize = 9;
@@ -38,7 +38,7 @@
             max_clock_drift: group.drift,
             tenure: section.duration("tenure_ms", group.tenure_ms, 50.0)?,
             max_in_flight: section.duration("in_flight_ms", group.in_flight_ms, 0.0)?,
-            max_batch_entries: Patience::new(config).entries(),
+            max_batch_entries: ClientLimits::new(config).max_log_entries(),
         };
         let voters = group.members.iter().enumerate();
         let no_fencing = settings.planted == Some(InjectedFault::NoFencing);
