--- a/crates/standins/src/forwarders.rs
+++ b/crates/standins/src/forwarders.rs
@@ -12,7 +12,9 @@
 use shalereel_group::{LeaseClient, RangeRoute, RouteTenure};
 use shalereel_reactor::{now, TimerId, Token, SECOND};
 use shalereel_rpc::{Code, ConnId, Hub, Input, Status, StreamId};
-use shalereel_sasp::{Body, Frames, Group, LbFlags, Member, MemberState, Message, ReturnCode, WeightEntry};
+use shalereel_sasp::{
+    Body, Group, LbFlags, Member, MemberState, Message, MessageFramer, ReturnCode, WeightEntry,
+};
 use shalereel_store::{Check, Delta, DeltaOutcome, Replica, ResyncBackoff, UNIT_WEIGHT};
 use shalereel_xds::{
     decode_retries, leds, types, Assignment, ClientStream, ClusterLoad, EndpointLoad, Health, LoadReport,
@@ -104,7 +106,7 @@
     supervisor: usize,
     link: Option<(ConnId, StreamId, StreamId)>,
     /// Where it takes weights by SASP: what is not whole yet of a message.
-    frames: Frames,
+    frames: MessageFramer,
     up: bool,
     list: ClientStream,
     generation: u64,
@@ -253,7 +255,7 @@
             stalled: false,
             supervisor: supervisor % self.plan.supervisors.len().max(1),
             link: None,
-            frames: Frames::new(4 << 20),
+            frames: MessageFramer::new(4 << 20),
             up: false,
             list,
             generation: self.last,
@@ -371,7 +373,7 @@
         let Some(&address) = self.plan.sasp.get(forwarder.supervisor) else { return };
         let Ok(conn) = self.hub.dial_plain(address) else { return self.redial(id) };
         forwarder.link = Some((conn, 0, 0));
-        forwarder.frames = Frames::new(4 << 20);
+        forwarder.frames = MessageFramer::new(4 << 20);
         self.links.insert(conn, id);
         let balancer = format!("balancer-{id}").into_bytes();
         let flags = LbFlags { push: true, trust: false, no_change: true };
@@ -395,7 +397,7 @@
         forwarder.frames.push(bytes);
         loop {
             let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
-            match forwarder.frames.take() {
+            match forwarder.frames.next_message() {
                 Ok(None) => return,
                 Err(error) => {
                     eprintln!("balancer {id}: {error}");
