--- a/crates/cli/src/measure_command.rs
+++ b/crates/cli/src/measure_command.rs
@@ -685,7 +685,7 @@
 /// A balancer of the measurement on a blocking socket.
 struct Balancer {
     socket: TcpStream,
-    frames: shalereel_sasp::MessageFramer,
+    frames: shalereel_sasp::Frames,
 }
 
 impl Balancer {
@@ -698,7 +698,7 @@
         let mut piece = vec![0; 1 << 16];
         let mut bytes = 0;
         loop {
-            if let Some(message) = self.frames.next_message()? {
+            if let Some(message) = self.frames.take()? {
                 return Ok((now(), message.body, bytes));
             }
             let count = self.socket.read(&mut piece)?;
@@ -732,7 +732,7 @@
         let group = SaspGroup { balancer: b"m".to_vec(), name: OPERATIONS[0].into() };
         let socket = TcpStream::connect(front)?;
         socket.set_read_timeout(Some(std::time::Duration::from_nanos(PATIENCE)))?;
-        let mut balancer = Balancer { socket, frames: shalereel_sasp::MessageFramer::new(8 << 20) };
+        let mut balancer = Balancer { socket, frames: shalereel_sasp::Frames::new(8 << 20) };
         let flags = LbFlags { push: true, trust: false, no_change: true };
         balancer.say(Body::SetLbState { balancer: b"m".to_vec(), health: 0, flags })?;
         let all = (0..size.servers).map(member_at).collect();
--- a/crates/cli/tests/sasp.rs
+++ b/crates/cli/tests/sasp.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, ChildStdin, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use shalereel_sasp::{Body, Group, LbFlags, Member, Message, MessageFramer, ReturnCode};
+use shalereel_sasp::{Body, Frames, Group, LbFlags, Member, Message, ReturnCode};
 use shalereel_standins::{Listed, ListedAs, Ready, RegistryPlan};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_shalereel");
@@ -37,14 +37,14 @@
 
 struct Balancer {
     socket: TcpStream,
-    frames: MessageFramer,
+    frames: Frames,
 }
 
 impl Balancer {
     fn dial(address: SocketAddr) -> Self {
         let socket = TcpStream::connect(address).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
-        Balancer { socket, frames: MessageFramer::new(4 << 20) }
+        Balancer { socket, frames: Frames::new(4 << 20) }
     }
 
     fn say(&mut self, body: Body) {
@@ -56,7 +56,7 @@
         let end = Instant::now() + Duration::from_secs(10);
         let mut piece = [0; 65536];
         while Instant::now() < end {
-            while let Some(message) = self.frames.next_message().unwrap() {
+            while let Some(message) = self.frames.take().unwrap() {
                 if let Some(found) = wanted(message.body) {
                     return Some(found);
                 }
--- a/crates/sasp/src/lib.rs
+++ b/crates/sasp/src/lib.rs
@@ -1,11 +1,9 @@
-//! SASP, the Server/Application State Protocol, version 1 (RFC 4678): what load balancers and members send to a workload
-//! manager, and what it sends back. Free of I/O.
+//! SASP, the Server/Application State Protocol, version 1 (RFC 4678): what balancers and members say to a
+//! workload manager and what it says back. Free of I/O.
 //!
-//! [`MessageFramer`] cuts a stream into messages, [`Message`] is decoded and encoded, [`WorkloadManager`] keeps all
-//! connections to the protocol, [`weights`] rounds a table to the 16-bit weights that balancers take. `docs/sasp.md` has
-//! the table of numbers and says which of them are certain.
-
-#![deny(missing_docs)]
+//! [`Frames`] cuts a stream into messages, [`Message`] reads and writes them, [`Advisor`] keeps all peers to the
+//! protocol, [`weights`] turns a table into the 16-bit weights that balancers take. `docs/sasp.md` has the table of
+//! numbers and says which of them are certain.
 
 mod codec;
 mod message;
@@ -13,6 +11,6 @@
 mod session;
 pub mod weights;
 
-pub use codec::{DecodeError, MessageFramer};
+pub use codec::{DecodeError, Frames};
 pub use message::{Body, Group, LbFlags, Member, MemberState, Message, ReturnCode, WeightEntry};
-pub use session::{Peer, Reply, SessionEvent, SessionLimits, WeightLookup, WorkloadManager};
+pub use session::{Advisor, Answer, Bounds, Change, Lookup, Peer};
--- a/crates/sasp/src/weights.rs
+++ b/crates/sasp/src/weights.rs
@@ -1,69 +1,86 @@
-//! Rounding of weights to the 16 bits of a weight entry. Free of I/O.
+//! How weights become whole numbers of 16 bits. A decision, free of I/O.
 
 /// What the tables say of one member.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct MemberWeight {
-    /// Weight in its table; 0: it takes nothing new.
+pub struct Figure {
+    /// As told to forwarders; 0: nothing may go there.
     pub weight: f64,
-    /// It is warming up: its share must not grow by rounding.
-    pub warming_up: bool,
+    /// It has just started, and its share of the whole must not grow by rounding.
+    pub cold: bool,
 }
 
-impl MemberWeight {
-    fn is_usable(&self) -> bool {
-        self.weight.is_finite() && self.weight > 0.0
-    }
-}
-
-/// Weights of 16 bits, in the order given.
+/// Whole weights in the order given.
 ///
-/// The largest becomes 65,535, so that rounding loses least. A usable member that is not warming up keeps at least 1:
-/// rounding must not drain it. One that is warming up is rounded down, and further down while its share of the sum
-/// exceeds the share that it was given: rounding in a small pool must not overload it. Where all usable members are warming up,
-/// the largest keeps its weight, since shares then say nothing of load.
-pub fn to_wire_weights(members: &[MemberWeight]) -> Vec<u16> {
-    let usable = || members.iter().filter(|member| member.is_usable());
-    let largest = usable().map(|member| member.weight).fold(0.0, f64::max);
-    if largest <= 0.0 {
-        return vec![0; members.len()];
-    }
-    let scale = f64::from(u16::MAX) / largest;
-    let mut rounded: Vec<u16> = members.iter().map(|member| round(member, scale)).collect();
-    if usable().any(|member| !member.warming_up) {
-        let sum: f64 = usable().map(|member| member.weight).sum();
-        lower_warming_up(members, sum, &mut rounded);
+/// The largest becomes 65,535, so that what is lost is least. A warm member with any weight keeps at least 1: a
+/// sound server must not become nothing. A cold one is rounded down, and further down as long as its share of
+/// the whole would exceed what it was given: a pool with few members must not push it over. Where only cold
+/// ones are left, the largest keeps its weight, since shares then say nothing of load.
+pub fn whole(figures: &[Figure]) -> Vec<u16> {
+    let usable = |figure: &Figure| figure.weight.is_finite() && figure.weight > 0.0;
+    let most = figures.iter().filter(|f| usable(f)).map(|f| f.weight).fold(0.0, f64::max);
+    if most <= 0.0 {
+        return vec![0; figures.len()];
     }
-    rounded
-}
-
-fn round(member: &MemberWeight, scale: f64) -> u16 {
-    if !member.is_usable() {
-        0
-    } else if member.warming_up {
-        (member.weight * scale) as u16
-    } else {
-        (member.weight * scale).round().max(1.0) as u16
+    let scale = f64::from(u16::MAX) / most;
+    let sum: f64 = figures.iter().filter(|f| usable(f)).map(|f| f.weight).sum();
+    let first = figures.iter().map(|figure| match figure {
+        figure if !usable(figure) => 0,
+        Figure { weight, cold: true } => (weight * scale) as u16,
+        Figure { weight, .. } => (weight * scale).round().max(1.0) as u16,
+    });
+    let mut whole: Vec<u16> = first.collect();
+    if !figures.iter().any(|figure| usable(figure) && !figure.cold) {
+        return whole;
     }
-}
-
-/// Lowers members that are warming up to the shares that they were given. Each step lowers the sum, and so raises all
-/// other shares: repeated until nothing changes.
-fn lower_warming_up(members: &[MemberWeight], sum: f64, rounded: &mut [u16]) {
+    // Each step makes the whole smaller, and with it every other share larger: until nothing moves.
     loop {
-        let total: f64 = rounded.iter().map(|&weight| f64::from(weight)).sum();
-        let mut changed = false;
-        for (member, weight) in members.iter().zip(&mut *rounded).filter(|(member, _)| member.warming_up) {
-            let fair = (member.weight / sum * total) as u16;
+        let total: f64 = whole.iter().map(|&weight| f64::from(weight)).sum();
+        let mut moved = false;
+        for (figure, weight) in figures.iter().zip(&mut whole).filter(|(figure, _)| figure.cold) {
+            let fair = (figure.weight / sum * total) as u16;
             if *weight > fair {
                 *weight = fair;
-                changed = true;
+                moved = true;
             }
         }
-        if !changed {
-            return;
+        if !moved {
+            return whole;
         }
     }
 }
 
 #[cfg(test)]
-mod tests;
+mod tests {
+    use super::*;
+    use proptest::prelude::*;
+    use proptest::test_runner::RngSeed;
+
+    #[test]
+    fn a_sound_server_never_becomes_nothing_and_a_drained_one_always_is() {
+        let figure = |weight, cold| Figure { weight, cold };
+        let told = [figure(1e6, false), figure(1e-6, false), figure(0.0, false), figure(f64::NAN, false)];
+        assert_eq!(whole(&told), [u16::MAX, 1, 0, 0]);
+        assert_eq!(whole(&[figure(0.0, false); 2]), [0, 0]);
+        assert_eq!(whole(&[figure(0.5, true), figure(1.0, true)]), [32767, 65535]);
+    }
+
+    proptest! {
+        #![proptest_config(ProptestConfig {
+            cases: 256, failure_persistence: None, rng_seed: RngSeed::Fixed(11), ..ProptestConfig::default()
+        })]
+        #[test]
+        fn a_cold_share_never_grows(figures in prop::collection::vec((1e-6..1e3_f64, any::<bool>()), 1..60)) {
+            let mut told: Vec<Figure> =
+                figures.into_iter().map(|(weight, cold)| Figure { weight, cold }).collect();
+            told[0].cold = false;
+            let got = whole(&told);
+            let total: f64 = got.iter().map(|&weight| f64::from(weight)).sum();
+            let sum: f64 = told.iter().map(|figure| figure.weight).sum();
+            for (figure, weight) in told.iter().zip(got) {
+                let (share, fair) = (f64::from(weight) / total, figure.weight / sum);
+                prop_assert!(!figure.cold || share <= fair * (1.0 + 1e-12));
+                prop_assert!(figure.cold || weight > 0);
+            }
+        }
+    }
+}
--- a/crates/sasp/tests/protocol.rs
+++ b/crates/sasp/tests/protocol.rs
@@ -1,11 +1,11 @@
-//! Every message assembled by hand, truncated and malformed ones, and what peers may and may not do.
+//! Hand-assembled frames of every message, cuts and nonsense, and what peers may and may not do.
 
 use std::net::Ipv6Addr;
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
-use shalereel_sasp::weights::MemberWeight;
+use shalereel_sasp::weights::Figure;
 use shalereel_sasp::*;
 
 fn member(port: u16) -> Member {
@@ -85,43 +85,43 @@
     [&[0x10, 0x60, 0, 7, 1, 0, 1][..], &[0x40, 0x12, 0, 6, 0, 1], GROUP, &[0x30, 0x13, 0, 6, 1, 0x02], MEMBER].concat()
 )]
 #[case::member_state_set(Body::MemberStateSet(ReturnCode::TryLater), [&[0x10, 0x65, 0, 5, 0x61][..]].concat())]
-fn every_message_encodes_and_decodes_as_assembled_by_hand(#[case] body: Body, #[case] content: Vec<u8>) {
+fn each_message_by_hand_both_ways(#[case] body: Body, #[case] content: Vec<u8>) {
     let wire = [header(content.len()), content].concat();
     let message = Message { id: 7, body };
     assert_eq!(message.encode(), wire);
     // One message over many reads, and two in one; cut at every byte it waits.
     for cut in 0..wire.len() {
-        let mut frames = MessageFramer::new(1024);
+        let mut frames = Frames::new(1024);
         frames.push(&wire[..cut]);
-        assert_eq!(frames.next_message(), Ok(None), "cut at {cut}");
+        assert_eq!(frames.take(), Ok(None), "cut at {cut}");
         frames.push(&wire[cut..]);
         frames.push(&wire);
-        assert_eq!(frames.next_message(), Ok(Some(message.clone())));
-        assert_eq!(frames.next_message(), Ok(Some(message.clone())));
-        assert_eq!((frames.next_message(), frames.buffered_bytes()), (Ok(None), 0));
+        assert_eq!(frames.take(), Ok(Some(message.clone())));
+        assert_eq!(frames.take(), Ok(Some(message.clone())));
+        assert_eq!((frames.take(), frames.unfinished()), (Ok(None), 0));
     }
 }
 
 #[rstest]
-#[case::no_header(vec![0x10, 0x10], DecodeError::UnexpectedComponent { found: 0x1010, expected: 0x2010 })]
+#[case::no_header(vec![0x10, 0x10], DecodeError::Component { found: 0x1010, wanted: 0x2010 })]
 #[case::header_length(vec![0x20, 0x10, 0, 12], DecodeError::HeaderLength(12))]
-#[case::version(vec![0x20, 0x10, 0, 13, 2], DecodeError::UnsupportedVersion(2))]
+#[case::version(vec![0x20, 0x10, 0, 13, 2], DecodeError::Version(2))]
 #[case::too_long(
     [&[0x20, 0x10, 0, 13, 1, 0x7f, 0xff, 0xff, 0xff][..], &[0; 4]].concat(),
-    DecodeError::TooLong { bytes: 0x7fff_ffff, max_bytes: 1024 }
+    DecodeError::TooLong { size: 0x7fff_ffff, most: 1024 }
 )]
-#[case::too_short([header(0)].concat(), DecodeError::Truncated(0x2010))]
+#[case::too_short([header(0)].concat(), DecodeError::CutShort(0x2010))]
 #[case::unknown([header(4), vec![0x99, 0x99, 0, 4]].concat(), DecodeError::UnknownMessage(0x9999))]
 #[case::component_length(
     [header(5), vec![0x10, 0x15, 0, 9, 0]].concat(),
-    DecodeError::ComponentLength { component: 0x1015, stated: 9, actual: 5 }
+    DecodeError::Length { component: 0x1015, said: 9, has: 5 }
 )]
-#[case::promises_more([header(6), vec![0x10, 0x30, 0, 6, 0xff, 0xff]].concat(), DecodeError::Truncated(0x3011))]
-#[case::left([header(6), vec![0x10, 0x15, 0, 5, 0, 1]].concat(), DecodeError::TrailingBytes(1))]
-fn malformed_messages_are_rejected_by_kind(#[case] wire: Vec<u8>, #[case] error: DecodeError) {
-    let mut frames = MessageFramer::new(1024);
+#[case::promises_more([header(6), vec![0x10, 0x30, 0, 6, 0xff, 0xff]].concat(), DecodeError::CutShort(0x3011))]
+#[case::left([header(6), vec![0x10, 0x15, 0, 5, 0, 1]].concat(), DecodeError::Left(1))]
+fn departures_are_refused_by_name(#[case] wire: Vec<u8>, #[case] error: DecodeError) {
+    let mut frames = Frames::new(1024);
     frames.push(&wire);
-    assert_eq!(frames.next_message(), Err(error));
+    assert_eq!(frames.take(), Err(error));
 }
 
 fn members() -> impl Strategy<Value = Vec<Member>> {
@@ -140,47 +140,44 @@
         cases: 128, failure_persistence: None, rng_seed: RngSeed::Fixed(12), ..ProptestConfig::default()
     })]
     #[test]
-    fn registrations_round_trip(id: u32, from_balancer: bool, members in members(), name in "[a-z]{0,30}") {
+    fn registrations_come_back(id: u32, from_balancer: bool, members in members(), name in "[a-z]{0,30}") {
         let message =
             Message { id, body: Body::Register { from_balancer, groups: vec![(group("lb", &name), members)] } };
-        let mut frames = MessageFramer::new(1 << 16);
+        let mut frames = Frames::new(1 << 16);
         frames.push(&message.encode());
-        prop_assert_eq!(frames.next_message(), Ok(Some(message)));
+        prop_assert_eq!(frames.take(), Ok(Some(message)));
     }
 
     #[test]
-    fn no_bytes_cause_a_panic(kind in 0_u16..0x70, bytes in prop::collection::vec(any::<u8>(), 0..120)) {
+    fn nothing_that_comes_is_a_panic(kind in 0_u16..0x70, bytes in prop::collection::vec(any::<u8>(), 0..120)) {
         let body = [&(0x1000 + kind).to_be_bytes()[..], &bytes].concat();
-        let mut frames = MessageFramer::new(1024);
+        let mut frames = Frames::new(1024);
         frames.push(&[header(body.len()), body].concat());
-        let _ = frames.next_message();
+        let _ = frames.take();
     }
 }
 
-const LIMITS: SessionLimits =
-    SessionLimits { max_members: 100, max_groups: 10, max_weight_requests: 3, poll_interval: 5 };
+const BOUNDS: Bounds = Bounds { members: 100, groups: 10, asks: 3, interval: 5 };
 
 struct World {
-    manager: WorkloadManager,
-    events: Vec<SessionEvent>,
+    advisor: Advisor,
+    changes: Vec<Change>,
     /// By port.
-    table: Vec<(u16, MemberWeight)>,
+    table: Vec<(u16, Figure)>,
 }
 
 impl World {
     /// Balancer "lb" on peer 1 with two members, a second connection on peer 2.
     fn new() -> Self {
-        let mut world = World { manager: WorkloadManager::new(LIMITS), events: vec![], table: vec![] };
-        [1, 2].into_iter().for_each(|peer| world.manager.on_opened(peer));
+        let mut world = World { advisor: Advisor::new(BOUNDS), changes: vec![], table: vec![] };
+        [1, 2].into_iter().for_each(|peer| world.advisor.opened(peer));
         let groups = vec![(group("lb", "view"), vec![member(1), member(2)])];
         assert_eq!(
             world.ask(1, Body::Register { from_balancer: true, groups }),
             Body::Registered(ReturnCode::Successful)
         );
-        world.table = vec![
-            (1, MemberWeight { weight: 2.0, warming_up: false }),
-            (2, MemberWeight { weight: 1.0, warming_up: false }),
-        ];
+        world.table =
+            vec![(1, Figure { weight: 2.0, cold: false }), (2, Figure { weight: 1.0, cold: false })];
         world
     }
 
@@ -188,9 +185,9 @@
         let table = self.table.clone();
         let lookup =
             move |_: &Group, member: &Member| table.iter().find(|row| row.0 == member.port).map(|row| row.1);
-        let answers = self.manager.on_message(peer, Message { id: 3, body }, &lookup, &mut self.events);
+        let answers = self.advisor.hear(peer, Message { id: 3, body }, &lookup, &mut self.changes);
         match &answers[..] {
-            [Reply::Send(to, message)] if *to == peer && message.id == 3 => message.body.clone(),
+            [Answer::Say(to, message)] if *to == peer && message.id == 3 => message.body.clone(),
             other => panic!("{other:?}"),
         }
     }
@@ -199,7 +196,7 @@
         let table = self.table.clone();
         let lookup =
             move |_: &Group, member: &Member| table.iter().find(|row| row.0 == member.port).map(|row| row.1);
-        match self.manager.push(peer, &lookup).map(|message| message.body) {
+        match self.advisor.push(peer, &lookup).map(|message| message.body) {
             Some(Body::SendWeights { groups }) => entries(&groups),
             None => vec![],
             other => panic!("{other:?}"),
@@ -216,7 +213,7 @@
 }
 
 #[test]
-fn weights_are_polled_and_member_out_of_tables_is_quiesced() {
+fn weights_are_answered_and_a_drained_member_is_quiesced() {
     let mut world = World::new();
     let ask = || Body::GetWeights { groups: vec![group("lb", "view")] };
     let Body::Weights { code, interval, groups } = world.ask(1, ask()) else { panic!() };
@@ -230,12 +227,12 @@
     // Asking again and again costs the asker.
     world.ask(1, ask());
     assert!(matches!(world.ask(1, ask()), Body::Weights { code: ReturnCode::TryLater, .. }));
-    world.manager.on_report_interval();
+    world.advisor.tick();
     assert!(matches!(world.ask(1, ask()), Body::Weights { code: ReturnCode::Successful, .. }));
 }
 
 #[test]
-fn pushes_go_to_subscribers_and_carry_changes() {
+fn pushes_go_where_wanted_and_say_what_changed() {
     let mut world = World::new();
     assert_eq!(world.push(1), [], "not asked for");
     world.ask(1, lb_state(true, false, true));
@@ -250,7 +247,7 @@
 }
 
 #[test]
-fn trusted_members_register_and_quiesce_themselves() {
+fn members_speak_for_themselves_where_they_are_trusted() {
     let mut world = World::new();
     let register = |port| Body::Register {
         from_balancer: false,
@@ -268,21 +265,14 @@
     };
     assert_eq!(world.ask(2, quiesce(9, true)), Body::MemberStateSet(ReturnCode::Successful));
     assert_eq!(world.ask(2, quiesce(1, true)), Body::MemberStateSet(ReturnCode::WillNotAccept), "not itself");
-    let member_9 = |registered, quiesce| SessionEvent::MemberUpdated {
-        group: group("lb", "view"),
-        member: member(9),
-        registered,
-        quiesce,
-    };
-    assert_eq!(world.events.last(), Some(&member_9(true, true)));
+    let member_9 =
+        |there, quiesce| Change::Member { group: group("lb", "view"), member: member(9), there, quiesce };
+    assert_eq!(world.changes.last(), Some(&member_9(true, true)));
     // It takes itself away by ending its connection.
-    world.manager.on_closed(2, &mut world.events);
-    assert_eq!((world.events.last(), world.manager.member_count()), (Some(&member_9(false, false)), 2));
-    world.manager.on_closed(1, &mut world.events);
-    assert_eq!(
-        (world.events.last(), world.manager.member_count()),
-        (Some(&SessionEvent::BalancerLeft { peer: 1 }), 0)
-    );
+    world.advisor.closed(2, &mut world.changes);
+    assert_eq!((world.changes.last(), world.advisor.members()), (Some(&member_9(false, false)), 2));
+    world.advisor.closed(1, &mut world.changes);
+    assert_eq!((world.changes.last(), world.advisor.members()), (Some(&Change::Left { peer: 1 }), 0));
 }
 
 #[rstest]
@@ -292,7 +282,7 @@
 #[case::no_name(1, true, vec![("lb", "", vec![1])], ReturnCode::InvalidGroupNameSize)]
 #[case::no_uid(2, true, vec![("", "view", vec![1])], ReturnCode::InvalidUidSize)]
 #[case::half_wrong(1, true, vec![("lb", "view", vec![1, 8])], ReturnCode::NotRegistered)]
-fn rejected_deregistration_removes_nothing(
+fn a_wrong_deregistration_takes_nothing_away(
     #[case] peer: u64,
     #[case] from_balancer: bool,
     #[case] groups: Vec<(&str, &str, Vec<u16>)>,
@@ -304,14 +294,14 @@
         .map(|(balancer, name, ports)| (group(balancer, name), ports.into_iter().map(member).collect()));
     let groups = groups.collect();
     let answer = world.ask(peer, Body::Deregister { from_balancer, reason: 0, groups });
-    assert_eq!((answer, world.manager.member_count()), (Body::Deregistered(code), 2));
+    assert_eq!((answer, world.advisor.members()), (Body::Deregistered(code), 2));
 }
 
 #[rstest]
 #[case::again(1, 1..2, ReturnCode::AlreadyRegistered)]
 #[case::anothers(2, 5..6, ReturnCode::WillNotAccept)]
 #[case::too_many(1, 10..109, ReturnCode::TryLater)]
-fn rejected_registration_adds_nothing(
+fn a_wrong_registration_adds_nothing(
     #[case] peer: u64,
     #[case] ports: std::ops::Range<u16>,
     #[case] code: ReturnCode,
@@ -319,13 +309,13 @@
     let mut world = World::new();
     let groups = vec![(group("lb", "view"), ports.map(member).collect())];
     let answer = world.ask(peer, Body::Register { from_balancer: true, groups });
-    assert_eq!((answer, world.manager.member_count()), (Body::Registered(code), 2));
+    assert_eq!((answer, world.advisor.members()), (Body::Registered(code), 2));
 }
 
 #[test]
-fn reply_instead_of_request_closes_the_connection() {
+fn a_reply_where_a_request_is_due_ends_the_connection() {
     let mut world = World::new();
     let message = Message { id: 1, body: Body::Registered(ReturnCode::Successful) };
-    let answers = world.manager.on_message(1, message, &|_, _| None, &mut world.events);
-    assert!(matches!(answers[..], [Reply::Close(1, _)]));
+    let answers = world.advisor.hear(1, message, &|_, _| None, &mut world.changes);
+    assert!(matches!(answers[..], [Answer::End(1, _)]));
 }
--- a/crates/standins/src/forwarders.rs
+++ b/crates/standins/src/forwarders.rs
@@ -12,9 +12,7 @@
 use shalereel_group::{LeaseClient, RangeRoute, RouteTenure};
 use shalereel_reactor::{now, TimerId, Token, SECOND};
 use shalereel_rpc::{Code, ConnId, Hub, Input, Status, StreamId};
-use shalereel_sasp::{
-    Body, Group, LbFlags, Member, MemberState, Message, MessageFramer, ReturnCode, WeightEntry,
-};
+use shalereel_sasp::{Body, Frames, Group, LbFlags, Member, MemberState, Message, ReturnCode, WeightEntry};
 use shalereel_store::{Check, Delta, DeltaOutcome, Replica, ResyncBackoff, UNIT_WEIGHT};
 use shalereel_xds::{
     decode_retries, leds, types, Assignment, ClientStream, ClusterLoad, EndpointLoad, Health, LoadReport,
@@ -106,7 +104,7 @@
     supervisor: usize,
     link: Option<(ConnId, StreamId, StreamId)>,
     /// Where it takes weights by SASP: what is not whole yet of a message.
-    frames: MessageFramer,
+    frames: Frames,
     up: bool,
     list: ClientStream,
     generation: u64,
@@ -255,7 +253,7 @@
             stalled: false,
             supervisor: supervisor % self.plan.supervisors.len().max(1),
             link: None,
-            frames: MessageFramer::new(4 << 20),
+            frames: Frames::new(4 << 20),
             up: false,
             list,
             generation: self.last,
@@ -373,7 +371,7 @@
         let Some(&address) = self.plan.sasp.get(forwarder.supervisor) else { return };
         let Ok(conn) = self.hub.dial_plain(address) else { return self.redial(id) };
         forwarder.link = Some((conn, 0, 0));
-        forwarder.frames = MessageFramer::new(4 << 20);
+        forwarder.frames = Frames::new(4 << 20);
         self.links.insert(conn, id);
         let balancer = format!("balancer-{id}").into_bytes();
         let flags = LbFlags { push: true, trust: false, no_change: true };
@@ -397,7 +395,7 @@
         forwarder.frames.push(bytes);
         loop {
             let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
-            match forwarder.frames.next_message() {
+            match forwarder.frames.take() {
                 Ok(None) => return,
                 Err(error) => {
                     eprintln!("balancer {id}: {error}");
--- a/crates/xds-supervisor/src/client_limits.rs
+++ b/crates/xds-supervisor/src/client_limits.rs
@@ -111,14 +111,14 @@
     }
 
     /// What one balancer may cost.
-    pub fn balancer(&self) -> shalereel_sasp::SessionLimits {
+    pub fn balancer(&self) -> shalereel_sasp::Bounds {
         // SASP counts whole seconds.
-        let poll_interval = self.report_interval.div_ceil(NANOS_PER_S).clamp(1, 3600) as u16;
-        shalereel_sasp::SessionLimits {
-            max_members: MAX_MEMBERS_PER_BALANCER,
-            max_groups: MAX_GROUPS_PER_BALANCER,
-            max_weight_requests: MAX_WEIGHT_REQUESTS_PER_INTERVAL,
-            poll_interval,
+        let interval = self.report_interval.div_ceil(NANOS_PER_S).clamp(1, 3600) as u16;
+        shalereel_sasp::Bounds {
+            members: MAX_MEMBERS_PER_BALANCER,
+            groups: MAX_GROUPS_PER_BALANCER,
+            asks: MAX_WEIGHT_REQUESTS_PER_INTERVAL,
+            interval,
         }
     }
 }
--- a/crates/xds-supervisor/src/client_limits/tests.rs
+++ b/crates/xds-supervisor/src/client_limits/tests.rs
@@ -13,5 +13,5 @@
     assert_eq!(limits.list_write_at(1000), 1010);
     assert_eq!(limits.health_check_deadline(1000), 1040);
     assert_eq!(limits.connection().silence, 600);
-    assert_eq!(limits.balancer().poll_interval, 1);
+    assert_eq!(limits.balancer().interval, 1);
 }
--- a/crates/xds-supervisor/src/sasp_front.rs
+++ b/crates/xds-supervisor/src/sasp_front.rs
@@ -4,11 +4,8 @@
 use std::collections::BTreeMap;
 
 use shalereel::interface::{Nanos, TableId};
-use shalereel_sasp::weights::MemberWeight;
-use shalereel_sasp::{
-    Body, Group, Member, Message, MessageFramer, Reply, ReturnCode, SessionEvent, SessionLimits,
-    WorkloadManager,
-};
+use shalereel_sasp::weights::Figure;
+use shalereel_sasp::{Advisor, Answer, Body, Bounds, Change, Frames, Group, Member, Message, ReturnCode};
 
 use crate::client_limits::MAX_MESSAGE_BYTES;
 use crate::core::Peer;
@@ -33,13 +30,13 @@
 
 impl BalancerView<'_> {
     /// Weight of a member; `None` where the group is no operation or the member is not listed.
-    fn weight(&self, group: &Group, member: &Member) -> Option<MemberWeight> {
+    fn figure(&self, group: &Group, member: &Member) -> Option<Figure> {
         let operation = self.operations.iter().position(|name| name.as_bytes() == group.name)? as u16;
         let table = *self.assigned_tables.get(&operation)?;
         let server = self.roster.server_at(member.socket())?;
-        Some(MemberWeight {
+        Some(Figure {
             weight: self.tables.weight(table, server),
-            warming_up: self.roster.started_within(server, self.now, self.slow_start_duration),
+            cold: self.roster.started_within(server, self.now, self.slow_start_duration),
         })
     }
 }
@@ -65,47 +62,41 @@
 /// All SASP connections.
 #[derive(Debug)]
 pub struct SaspFront {
-    manager: WorkloadManager,
+    advisor: Advisor,
     /// Interval that balancers are told to ask at, s.
     interval: u16,
-    framers: BTreeMap<Peer, MessageFramer>,
+    frames: BTreeMap<Peer, Frames>,
 }
 
 impl SaspFront {
     /// No connections yet.
-    pub fn new(limits: SessionLimits) -> Self {
-        SaspFront {
-            manager: WorkloadManager::new(limits),
-            interval: limits.poll_interval,
-            framers: BTreeMap::new(),
-        }
+    pub fn new(bounds: Bounds) -> Self {
+        SaspFront { advisor: Advisor::new(bounds), interval: bounds.interval, frames: BTreeMap::new() }
     }
 
     /// A connection was opened.
     pub fn on_opened(&mut self, peer: Peer) {
-        self.framers.insert(peer, MessageFramer::new(MAX_MESSAGE_BYTES));
-        self.manager.on_opened(peer);
+        self.frames.insert(peer, Frames::new(MAX_MESSAGE_BYTES));
+        self.advisor.opened(peer);
     }
 
     /// Whether a peer is a SASP connection.
     pub fn is_connected(&self, peer: Peer) -> bool {
-        self.framers.contains_key(&peer)
+        self.frames.contains_key(&peer)
     }
 
     /// To be called once a report interval: balancers may ask again.
     pub fn on_report_interval(&mut self) {
-        self.manager.on_report_interval();
+        self.advisor.tick();
     }
 
     /// Takes bytes from a connection, in pieces of any size.
     pub fn on_bytes(&mut self, peer: Peer, bytes: &[u8], view: &BalancerView<'_>) -> Vec<SaspEvent> {
-        let Some(framer) = self.framers.get_mut(&peer) else { return Vec::new() };
-        framer.push(bytes);
+        let Some(frames) = self.frames.get_mut(&peer) else { return Vec::new() };
+        frames.push(bytes);
         let mut events = Vec::new();
         let mut changes = Vec::new();
-        while let Some(next) =
-            self.framers.get_mut(&peer).and_then(|framer| framer.next_message().transpose())
-        {
+        while let Some(next) = self.frames.get_mut(&peer).and_then(|frames| frames.take().transpose()) {
             match next {
                 Ok(message) => self.on_message(peer, message, view, &mut events, &mut changes),
                 Err(error) => {
@@ -124,7 +115,7 @@
         message: Message,
         view: &BalancerView<'_>,
         events: &mut Vec<SaspEvent>,
-        changes: &mut Vec<SessionEvent>,
+        changes: &mut Vec<Change>,
     ) {
         let asks_weights = matches!(message.body, Body::GetWeights { .. });
         // Guards against weights of 0 that empty a balancer which has no table yet.
@@ -132,10 +123,10 @@
             let reply = try_later(message.id, self.interval);
             return events.push(SaspEvent::Write(reply.encode().to_vec()));
         }
-        let lookup = |group: &Group, member: &Member| view.weight(group, member);
-        for reply in self.manager.on_message(peer, message, &lookup, changes) {
-            match reply {
-                Reply::Send(_, reply) => {
+        let lookup = |group: &Group, member: &Member| view.figure(group, member);
+        for answer in self.advisor.hear(peer, message, &lookup, changes) {
+            match answer {
+                Answer::Say(_, reply) => {
                     if asks_weights
                         && matches!(reply.body, Body::Weights { code: ReturnCode::Successful, .. })
                     {
@@ -143,46 +134,44 @@
                     }
                     events.push(SaspEvent::Write(reply.encode().to_vec()));
                 }
-                Reply::Close(_, reason) => events.push(SaspEvent::Close(reason.to_owned())),
+                Answer::End(_, reason) => events.push(SaspEvent::Close(reason.to_owned())),
             }
         }
     }
 
     /// The connection is closed: what its members said of themselves is void.
     pub fn on_closed(&mut self, peer: Peer) -> Vec<SaspEvent> {
-        self.framers.remove(&peer);
+        self.frames.remove(&peer);
         let mut changes = Vec::new();
-        self.manager.on_closed(peer, &mut changes);
+        self.advisor.closed(peer, &mut changes);
         self.events_of(peer, changes)
     }
 
     /// Weights to be pushed to a balancer; `None` where it polls, or nothing has changed.
     pub fn push(&mut self, peer: Peer, view: &BalancerView<'_>) -> Option<Vec<u8>> {
-        let lookup = |group: &Group, member: &Member| view.weight(group, member);
-        self.manager.push(peer, &lookup).map(|message| message.encode().to_vec())
+        let lookup = |group: &Group, member: &Member| view.figure(group, member);
+        self.advisor.push(peer, &lookup).map(|message| message.encode().to_vec())
     }
 
     /// Whether a balancer wants weights pushed.
     pub fn wants_push(&self, peer: Peer) -> bool {
-        self.manager.wants_push(peer)
+        self.advisor.pushes(peer)
     }
 
-    fn events_of(&self, peer: Peer, changes: Vec<SessionEvent>) -> Vec<SaspEvent> {
-        let itself = !self.manager.is_balancer(peer);
+    fn events_of(&self, peer: Peer, changes: Vec<Change>) -> Vec<SaspEvent> {
+        let itself = !self.advisor.speaks_for_balancer(peer);
         let event = |change| match change {
-            SessionEvent::BalancerJoined { balancer, .. } => {
+            Change::Joined { balancer, .. } => {
                 Some(SaspEvent::Joined { balancer: String::from_utf8_lossy(&balancer).into_owned() })
             }
-            SessionEvent::BalancerLeft { .. } => None,
-            SessionEvent::MemberUpdated { member, registered, quiesce, .. } => {
-                Some(SaspEvent::MemberUpdate(MemberWord {
-                    address: member.socket(),
-                    zone: String::from_utf8_lossy(&member.label).into_owned(),
-                    itself,
-                    there: registered,
-                    quiesce,
-                }))
-            }
+            Change::Left { .. } => None,
+            Change::Member { member, there, quiesce, .. } => Some(SaspEvent::MemberUpdate(MemberWord {
+                address: member.socket(),
+                zone: String::from_utf8_lossy(&member.label).into_owned(),
+                itself,
+                there,
+                quiesce,
+            })),
         };
         changes.into_iter().filter_map(event).collect()
     }
--- a/crates/xds-supervisor/tests/core.rs
+++ b/crates/xds-supervisor/tests/core.rs
@@ -404,7 +404,7 @@
 mod second_front {
     use super::*;
     use shalereel_sasp::{
-        Body, Group, LbFlags, Member, MemberState, Message, MessageFramer, ReturnCode, WeightEntry,
+        Body, Frames, Group, LbFlags, Member, MemberState, Message, ReturnCode, WeightEntry,
     };
 
     fn member(server: u8) -> Member {
@@ -430,12 +430,12 @@
     }
 
     fn bodies(world: &mut World, peer: Peer) -> Vec<Body> {
-        let mut frames = MessageFramer::new(1 << 20);
+        let mut frames = Frames::new(1 << 20);
         for (to, bytes) in std::mem::take(&mut world.written) {
             assert_eq!(to, peer);
             frames.push(&bytes);
         }
-        std::iter::from_fn(|| frames.next_message().unwrap().map(|message| message.body)).collect()
+        std::iter::from_fn(|| frames.take().unwrap().map(|message| message.body)).collect()
     }
 
     /// What the last weights say of one group: by server.
