--- a/crates/platform-supervisor/src/runtime.rs
+++ b/crates/platform-supervisor/src/runtime.rs
@@ -8,7 +8,7 @@
 
 use shalereel::interface::Nanos;
 use shalereel_reactor::{now, reload_signals, stop_signals};
-use shalereel_rpc::{Bounds, ConnId, Hub, Input};
+use shalereel_rpc::{ConnId, ConnectionLimits, Hub, Input};
 use thiserror::Error;
 
 use crate::clocks::Clocks;
@@ -37,7 +37,8 @@
     Io(#[from] io::Error),
 }
 
-/// Timers are attempts to read the configuration file again; listeners need no name.
+/// The hub of `shalereel node`. A timer carries how often the configuration file was read in vain; the only listener needs
+/// no name.
 type PlatformHub = Hub<(), u32>;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -87,18 +88,20 @@
     reload: UnixStream,
 ) -> Result<PlatformHub, RunError> {
     let limits = Limits::new(&config.controller, config.resources);
-    let mut hub: PlatformHub = Hub::new(Bounds {
-        message: limits.max_message_bytes(),
-        calls: 0,
-        unread: limits.max_unread_bytes(),
-        silence: limits.proxy_silence_timeout(),
-        retry: limits.kernel_retry_delay(),
+    let mut hub: PlatformHub = Hub::new(ConnectionLimits {
+        max_message_bytes: limits.max_message_bytes(),
+        // No gRPC is served here.
+        max_concurrent_calls: 0,
+        max_unsent_bytes: limits.max_unread_bytes(),
+        // Also for discovery and health checks.
+        user_timeout: limits.proxy_silence_timeout(),
+        retry_delay: limits.kernel_retry_delay(),
     })?;
     hub.stop_on(stop)?;
     hub.reload_on(reload)?;
-    hub.hold_at_most(limits.max_client_connections());
+    hub.limit_connections(limits.max_client_connections());
     let address = config.listen;
-    hub.listen_given(address, ()).map_err(|source| RunError::Listen {
+    hub.listen_plain_any_address(address, ()).map_err(|source| RunError::Listen {
         path: config_path.into(),
         address,
         source,
@@ -118,10 +121,11 @@
         match input {
             Input::Opened { conn, .. } => supervisor.opened(conn, now()),
             Input::Bytes { conn, bytes } => supervisor.received(conn, &bytes, clocks()),
-            Input::Closed { conn, why } => supervisor.closed(conn, &why, now()),
+            Input::Closed { conn, reason } => supervisor.closed(conn, &reason.to_string(), now()),
             Input::Reload => reload_config(config_path, 0, supervisor, hub),
-            Input::Due(attempts) => reload_config(config_path, attempts, supervisor, hub),
+            Input::Timer(attempts) => reload_config(config_path, attempts, supervisor, hub),
             Input::Stop => flow = Flow::Stop,
+            // Inputs of gRPC, standard input and threads, which this hub does not have.
             _ => {}
         }
     }
@@ -166,10 +170,10 @@
         Ok(config) => supervisor.move_discovery(config.discovery, now()),
         Err(error) => {
             if attempts == 0 {
-                tracing::warn!(%error, "config reload failed, the previous config stays in force");
+                tracing::warn!(%error, "config reload failed, the previous config stays in force; retrying for 4 s");
             }
             if let Some(at) = supervisor.limits().config_reread_at(now(), attempts) {
-                hub.set(at, attempts + 1);
+                hub.set_timer(at, attempts + 1);
             }
         }
     }
@@ -184,10 +188,11 @@
         for command in commands {
             match command {
                 Command::Write(connection, bytes) => hub.write_shared(connection, bytes),
-                Command::Close { connection, reset } => hub.close(connection, reset),
+                Command::Close { connection, reset: true } => hub.reset(connection),
+                Command::Close { connection, reset: false } => hub.close(connection),
                 Command::Log(line) => tracing::info!("{line}"),
                 Command::Dial(target) => {
-                    let result = hub.dial_given(target.address());
+                    let result = hub.dial_plain_any_address(target.address());
                     supervisor.dialled(target, result, now());
                 }
             }
--- a/crates/platform-supervisor/src/supervisor/controller_runs.rs
+++ b/crates/platform-supervisor/src/supervisor/controller_runs.rs
@@ -4,8 +4,8 @@
 use std::fmt::Debug;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use shalereel::brain::Controller;
 use shalereel::interface::{Action, ControllerConfig, Event, Nanos, WatchEvent};
+use shalereel::Controller;
 use shalereel_reactor::Timers;
 use thiserror::Error;
 
@@ -119,6 +119,7 @@
             }
             Action::CheckHealth { server } => self.start_health_check(server),
             Action::FetchEndpoints => self.request_full_list(now),
+            // Tables were handled above; the watch is always on, and there are no peers here.
             _ => {}
         }
     }
--- a/crates/routing-checks/src/fleet.rs
+++ b/crates/routing-checks/src/fleet.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde_json::Value;
-use shalereel::brain::Controller;
 use shalereel::interface::{Action, EndpointReport, Event, Nanos, ProxyId, ServerId, TableId};
+use shalereel::Controller;
 use shalereel_guard::{Availability, Limits, Server};
 use shalereel_store::{Provenance, RetentionLimits};
 use shalereel_xds::{AssignedEndpoint, Assignment, Health, ServerInfo};
-use shalereel_xds_supervisor::{Deployment, InjectedFault, Roster, TableContext, Tables};
+use shalereel_xds_supervisor::{Deployment, EndpointList, InjectedFault, TableContext, Tables};
 
 const SECOND: Nanos = 1_000_000_000;
 /// Batches of a run, and which of them sees the fleet change; four a second.
@@ -107,7 +107,7 @@
 pub(crate) fn play(deployment: &Deployment, sizes: &[f64], fleet: Fleet) -> Vec<View> {
     let facts = &deployment.config;
     let mut tables = Tables::new(deployment, RetentionLimits::new(facts));
-    let mut roster = Roster::new(&deployment.localities);
+    let mut roster = EndpointList::new(&deployment.localities);
     let mut brain = Controller::new(facts);
     let mut bound: BTreeMap<ProxyId, TableId> = BTreeMap::new();
     let parts = BTreeMap::new();
@@ -117,7 +117,7 @@
         let mut events = Vec::new();
         if batch == 0 || batch == CHANGES {
             let list = listed(deployment, sizes, fleet, batch > 0);
-            events.push(Event::Endpoints(roster.hear(now, &list, &mut Vec::new())));
+            events.push(Event::Endpoints(roster.apply_list(now, &list).event));
         }
         if batch == 0 {
             events.extend((0..facts.locality_count).map(|locality| Event::Joined {
@@ -150,7 +150,7 @@
             tables.apply(&order, deployment.operations.len());
         }
         let context = TableContext {
-            roster: &roster,
+            endpoints: &roster,
             now,
             wall_clock_offset: 0,
             slow_start_duration: facts.slow_start_duration,
@@ -173,7 +173,7 @@
 }
 
 /// Injected faults of a supervisor's orders that show without traffic.
-fn bend(deployment: &Deployment, roster: &Roster, now: Nanos, order: Action) -> Action {
+fn bend(deployment: &Deployment, roster: &EndpointList, now: Nanos, order: Action) -> Action {
     match (deployment.injected_fault, order) {
         (Some(InjectedFault::NoSlowStart), Action::SetWeight { table, server, .. })
             if roster.started_within(server, now, deployment.config.slow_start_duration) =>
@@ -187,14 +187,20 @@
     }
 }
 
-fn seen(deployment: &Deployment, roster: &Roster, tables: &Tables, table: TableId, now: Nanos) -> Vec<Seen> {
+fn seen(
+    deployment: &Deployment,
+    roster: &EndpointList,
+    tables: &Tables,
+    table: TableId,
+    now: Nanos,
+) -> Vec<Seen> {
     let facts = &deployment.config;
     let limits = Limits::new(facts);
     let place = |(server, known): (ServerId, Server)| {
         let line = tables.store.line(table, server);
         Some(Seen {
             server,
-            locality: roster.locality(&roster.place(server)?.zone)?,
+            locality: roster.locality(&roster.endpoint(server)?.zone)?,
             weight: line.map_or(0.0, |line| f64::from(line.weight)),
             draining: line.is_some_and(|line| line.draining),
             out: known.availability == Availability::Unavailable,
@@ -202,7 +208,10 @@
             listed: known.capacity,
         })
     };
-    roster.pool(now, facts.slow_start_duration, !facts.removal_is_advisory).filter_map(place).collect()
+    roster
+        .guard_servers(now, facts.slow_start_duration, !facts.removal_is_advisory)
+        .filter_map(place)
+        .collect()
 }
 
 fn listed(deployment: &Deployment, sizes: &[f64], fleet: Fleet, changed: bool) -> Assignment {
--- a/crates/xds-supervisor/src/admin/json.rs
+++ b/crates/xds-supervisor/src/admin/json.rs
@@ -73,7 +73,7 @@
         let unavailable = |availability| availability == Availability::Unavailable;
         json!({
             "server": server, "line": line(published),
-            "locality": context.roster.place(*server).map(|place| place.zone.clone()),
+            "locality": context.endpoints.endpoint(*server).map(|place| place.zone.clone()),
             "out": listed.is_none_or(|listed| unavailable(listed.server.availability)),
             "able": listed.map_or(0.0, |listed| listed.warmed_part),
             "listed": listed.map_or(0.0, |listed| listed.server.capacity),
--- a/crates/xds-supervisor/src/client_limits.rs
+++ b/crates/xds-supervisor/src/client_limits.rs
@@ -100,13 +100,13 @@
     }
 
     /// What one connection may cost.
-    pub fn connection(&self) -> shalereel_rpc::Bounds {
-        shalereel_rpc::Bounds {
-            message: MAX_MESSAGE_BYTES,
-            calls: MAX_CALLS_PER_CONNECTION,
-            unread: MAX_BUFFERED_MESSAGES * MAX_MESSAGE_BYTES,
-            silence: self.ack_deadline(0),
-            retry: KERNEL_RETRY_DELAY,
+    pub fn connection(&self) -> shalereel_rpc::ConnectionLimits {
+        shalereel_rpc::ConnectionLimits {
+            max_message_bytes: MAX_MESSAGE_BYTES,
+            max_concurrent_calls: MAX_CALLS_PER_CONNECTION,
+            max_unsent_bytes: MAX_BUFFERED_MESSAGES * MAX_MESSAGE_BYTES,
+            user_timeout: self.ack_deadline(0),
+            retry_delay: KERNEL_RETRY_DELAY,
         }
     }
 
--- a/crates/xds-supervisor/src/daemon.rs
+++ b/crates/xds-supervisor/src/daemon.rs
@@ -155,16 +155,16 @@
 impl Daemon {
     /// Takes one batch of inputs and carries out what follows from it.
     fn turn(&mut self) -> io::Result<()> {
-        for input in self.hub.wait(Some(self.core.next().max(now())))? {
+        for input in self.hub.wait(Some(self.core.next_deadline().max(now())))? {
             self.on_input(input);
         }
         let (hub, peers, balancers) = (&self.hub, &self.peers, &self.balancer_conns);
         let blocked = |peer: Peer| match peers.get(&peer) {
-            Some(call) => hub.unread(call.conn, call.stream) > 0,
-            None => balancers.get(&peer).is_some_and(|&conn| hub.unwritten(conn) > 0),
+            Some(call) => hub.unsent_call_bytes(call.conn, call.stream) > 0,
+            None => balancers.get(&peer).is_some_and(|&conn| hub.unsent_plain_bytes(conn) > 0),
         };
-        for effect in self.core.turn(now(), blocked) {
-            self.carry_out(effect);
+        for command in self.core.poll(now(), blocked) {
+            self.carry_out(command);
         }
         Ok(())
     }
@@ -177,9 +177,9 @@
     /// Ends all streams with a status, so that proxies dial another supervisor at once.
     fn shut_down(&mut self) {
         self.store_endpoint_list();
-        if let Some((shared, _)) = self.core.shared() {
-            for wanted in shared.leave(now()) {
-                self.carry_out_for_group(wanted);
+        if let Some((group, _)) = self.core.group() {
+            for command in group.leave(now()) {
+                self.carry_out_for_group(command);
             }
         }
         for call in std::mem::take(&mut self.peers).into_values() {
@@ -187,7 +187,7 @@
             self.hub.finish(call.conn, call.stream, status);
         }
         let _ = self.hub.wait(Some(now()));
-        let (max_queued_lines, _) = self.core.backlog();
+        let max_queued_lines = self.core.backlog().peak_lines;
         tracing::info!(max_queued_lines, "stopped");
     }
 }
--- a/crates/xds-supervisor/src/daemon/calls.rs
+++ b/crates/xds-supervisor/src/daemon/calls.rs
@@ -20,19 +20,19 @@
             Input::Message { conn, stream, message } => self.on_message(CallId { conn, stream }, &message),
             Input::Bytes { conn, bytes } => {
                 if let Some(&peer) = self.balancer_peers.get(&conn) {
-                    self.core.advice_heard(now(), peer, &bytes);
+                    self.core.handle_sasp(now(), peer, &bytes);
                 }
             }
             Input::HalfClosed { conn, stream } => self.on_half_closed(CallId { conn, stream }),
             Input::Ended { conn, stream, status } => {
                 self.on_call_ended(CallId { conn, stream }, &status.to_string());
             }
-            Input::Closed { conn, why } => self.on_connection_closed(conn, &why),
-            Input::Due(timer) => self.on_timer(timer),
-            Input::Nudged => self.on_writes_done(),
+            Input::Closed { conn, reason } => self.on_connection_closed(conn, &reason.to_string()),
+            Input::Timer(timer) => self.on_timer(timer),
+            Input::Woken => self.on_writes_done(),
             Input::Stop => self.stopping = true,
             // SIGHUP is not subscribed to: the deployment file is read once.
-            Input::Opened { .. } | Input::Reload | Input::Line(_) | Input::NoMoreLines => {}
+            Input::Opened { .. } | Input::Reload | Input::Line(_) | Input::EndOfLines => {}
         }
     }
 
@@ -48,7 +48,7 @@
 
     fn on_balancer_connected(&mut self, conn: ConnId) {
         let peer = self.next_peer();
-        self.core.advised(peer);
+        self.core.sasp_opened(peer);
         self.balancer_peers.insert(conn, peer);
         self.balancer_conns.insert(peer, conn);
     }
@@ -63,15 +63,15 @@
         }
         match path {
             ADS | EDS => {
-                self.core.opened(peer, Variant::StateOfTheWorld);
+                self.core.stream_opened(peer, Variant::StateOfTheWorld);
                 self.accept(call, peer, CallKind::Proxy(peer));
             }
             DELTA_ADS | DELTA_EDS | DELTA_LEDS => {
-                self.core.opened(peer, Variant::Incremental);
+                self.core.stream_opened(peer, Variant::Incremental);
                 self.accept(call, peer, CallKind::Proxy(peer));
             }
             LRS => {
-                self.core.reporting(peer);
+                self.core.load_stream_opened(peer);
                 self.accept(call, peer, CallKind::Proxy(peer));
             }
             MEMBER_STREAM_PATH | RANGES_STREAM_PATH | CONTROL_PATH => self.on_group_call(call, peer, path),
@@ -97,7 +97,7 @@
     fn on_message(&mut self, call: CallId, message: &[u8]) {
         let Some(&kind) = self.calls.get(&call) else { return };
         match kind {
-            CallKind::Proxy(peer) => self.core.said(now(), peer, message),
+            CallKind::Proxy(peer) => self.core.handle_message(now(), peer, message),
             CallKind::EndpointList => self.on_endpoint_list(call, message),
             CallKind::FromMember | CallKind::RangeClient(_) | CallKind::GroupOrder(_) => {
                 self.on_group_message(call, kind, message);
@@ -111,7 +111,7 @@
     /// Answers the one message of an operator's call.
     fn on_admin_request(&mut self, call: CallId, message: &[u8]) {
         self.calls.remove(&call);
-        let status = match self.core.admin(now(), message) {
+        let status = match self.core.handle_admin(now(), message) {
             Ok(answer) => {
                 self.hub.send(call.conn, call.stream, &answer);
                 Status::OK
@@ -137,10 +137,10 @@
             Some(CallKind::Proxy(peer)) => {
                 tracing::debug!(peer, reason, "stream ended");
                 self.peers.remove(&peer);
-                self.core.ended(peer);
+                self.core.stream_closed(peer);
             }
             Some(CallKind::EndpointList) => {
-                self.hub.close(call.conn, false);
+                self.hub.close(call.conn);
                 self.on_registry_lost(reason);
             }
             Some(CallKind::HealthCheck) => {
@@ -149,8 +149,8 @@
             Some(CallKind::ToMember(member)) => self.on_member_lost(member),
             Some(CallKind::RangeClient(peer) | CallKind::GroupOrder(peer)) => {
                 self.peers.remove(&peer);
-                if let Some((shared, _)) = self.core.shared() {
-                    shared.ended(peer);
+                if let Some((group, _)) = self.core.group() {
+                    group.stream_closed(peer);
                 }
             }
             Some(CallKind::FromMember | CallKind::Admin) | None => {}
@@ -162,7 +162,7 @@
         if let Some(peer) = self.balancer_peers.remove(&conn) {
             tracing::debug!(peer, reason, "balancer connection closed");
             self.balancer_conns.remove(&peer);
-            return self.core.ended(peer);
+            return self.core.stream_closed(peer);
         }
         for call in self.calls_of(conn) {
             self.on_call_ended(call, reason);
--- a/crates/xds-supervisor/src/daemon/group.rs
+++ b/crates/xds-supervisor/src/daemon/group.rs
@@ -10,7 +10,7 @@
 
 use super::{CallId, CallKind, Daemon, DaemonError};
 use crate::core::Peer;
-use crate::shared::{Shared, Wanted};
+use crate::group_member::{GroupCommand, GroupMember, GroupSettings};
 use crate::storage::{read_file, FileWriter, WriteRequest, GROUP_LOG_FILE};
 
 /// Streams to the other members, by their number.
@@ -40,19 +40,23 @@
         }
         self.persistence.group_log =
             Some(FileWriter::open(folder, GROUP_LOG_FILE, LOG_FILE_HEAD, complete_bytes, wake)?);
-        let names = (&self.deployment.operations[..], &self.deployment.localities[..]);
-        self.core.share(Shared::new(group.config, now(), log, names, group.range_count));
+        let settings = GroupSettings {
+            operations: self.deployment.operations.clone(),
+            localities: self.deployment.localities.clone(),
+            range_count: group.range_count,
+        };
+        self.core.join_group(GroupMember::new(group.config, now(), log, settings));
         Ok(())
     }
 
     pub(super) fn on_group_call(&mut self, call: CallId, peer: Peer, path: &str) {
-        let Some((shared, _)) = self.core.shared() else {
+        let Some((group, _)) = self.core.group() else {
             return self.reject(call, "this supervisor shares nothing: its file has no [shared]");
         };
         let kind = match path {
             MEMBER_STREAM_PATH => CallKind::FromMember,
             RANGES_STREAM_PATH => {
-                shared.holds(peer);
+                group.range_stream_opened(peer);
                 CallKind::RangeClient(peer)
             }
             CONTROL_PATH => CallKind::GroupOrder(peer),
@@ -62,11 +66,11 @@
     }
 
     pub(super) fn on_group_message(&mut self, call: CallId, kind: CallKind, message: &[u8]) {
-        let Some((shared, roster)) = self.core.shared() else { return };
+        let Some((group, endpoints)) = self.core.group() else { return };
         let result = match kind {
-            CallKind::FromMember => shared.heard(now(), message),
-            CallKind::RangeClient(peer) => shared.ranges_asked(now(), peer, message, roster),
-            CallKind::GroupOrder(peer) => shared.control(now(), peer, message),
+            CallKind::FromMember => group.handle_member_message(now(), message),
+            CallKind::RangeClient(peer) => group.handle_ranges_request(now(), peer, message, endpoints),
+            CallKind::GroupOrder(peer) => group.handle_control(now(), peer, message),
             _ => Ok(()),
         };
         if let Err(status) = result {
@@ -75,10 +79,12 @@
         }
     }
 
-    pub(super) fn carry_out_for_group(&mut self, wanted: Wanted) {
-        match wanted {
-            Wanted::Tell { to, address, message } => self.send_to_member(to, &address, &message),
-            Wanted::Keep(write) => {
+    pub(super) fn carry_out_for_group(&mut self, command: GroupCommand) {
+        match command {
+            GroupCommand::SendToMember { to, address, message } => {
+                self.send_to_member(to, &address, &message)
+            }
+            GroupCommand::StoreLog(write) => {
                 if let Some(writer) = &self.persistence.group_log {
                     writer.write(WriteRequest {
                         sequence: write.sequence,
@@ -87,13 +93,13 @@
                     });
                 }
             }
-            Wanted::Answer { peer, result } => self.answer_group_order(peer, result),
-            Wanted::Ranges { peer, message } => {
+            GroupCommand::AnswerOperator { peer, result } => self.answer_group_order(peer, result),
+            GroupCommand::SendRanges { peer, message } => {
                 if let Some(call) = self.peers.get(&peer) {
                     self.hub.send(call.conn, call.stream, &message);
                 }
             }
-            Wanted::Remark(line) => tracing::info!(group = line),
+            GroupCommand::Log(line) => tracing::info!(group = line),
         }
     }
 
@@ -117,7 +123,8 @@
         }
         if let Some(call) = self.group_links.streams.get(&member) {
             // Guards against unbounded buffering for a member that does not read.
-            if self.hub.unread(call.conn, call.stream) < self.limits.connection().message {
+            if self.hub.unsent_call_bytes(call.conn, call.stream) < self.limits.connection().max_message_bytes
+            {
                 self.hub.send(call.conn, call.stream, message);
             }
         }
@@ -139,7 +146,7 @@
     pub(super) fn on_member_lost(&mut self, member: u32) {
         if let Some(call) = self.group_links.streams.remove(&member) {
             self.calls.remove(&call);
-            self.hub.close(call.conn, false);
+            self.hub.close(call.conn);
         }
     }
 }
--- a/crates/xds-supervisor/src/daemon/health_checks.rs
+++ b/crates/xds-supervisor/src/daemon/health_checks.rs
@@ -35,11 +35,12 @@
 impl Daemon {
     pub(super) fn start_health_check(&mut self, server: ServerId, address: SocketAddr) {
         let Some(call) = self.call_health_check(address) else {
-            return self.core.probed(server, HealthCheckOutcome::Unreachable, 0);
+            return self.core.health_checked(server, HealthCheckOutcome::Unreachable, 0);
         };
         self.calls.insert(call, CallKind::HealthCheck);
         self.health_checks.insert(call.conn, HealthCheck { server, sent_at: now() });
-        self.hub.set(self.limits.health_check_deadline(now()), TimerKind::HealthCheckTimeout(call.conn));
+        self.hub
+            .set_timer(self.limits.health_check_deadline(now()), TimerKind::HealthCheckTimeout(call.conn));
     }
 
     fn call_health_check(&mut self, address: SocketAddr) -> Option<CallId> {
@@ -60,8 +61,8 @@
     pub(super) fn finish_health_check(&mut self, conn: ConnId, outcome: HealthCheckOutcome) {
         if let Some(check) = self.health_checks.remove(&conn) {
             self.forget_calls_of(conn);
-            self.hub.close(conn, false);
-            self.core.probed(check.server, outcome, now() - check.sent_at);
+            self.hub.close(conn);
+            self.core.health_checked(check.server, outcome, now() - check.sent_at);
         }
     }
 }
--- a/crates/xds-supervisor/src/daemon/persistence.rs
+++ b/crates/xds-supervisor/src/daemon/persistence.rs
@@ -65,7 +65,7 @@
             tracing::warn!(%error, "table history unreadable");
             None
         });
-        let complete_bytes = match self.core.recall(wall_clock_offset(), file.as_deref()) {
+        let complete_bytes = match self.core.load_tables(wall_clock_offset(), file.as_deref()) {
             Ok(complete_bytes) => file.map(|_| complete_bytes),
             Err(error) => {
                 let path = folder.join(TABLE_HISTORY_FILE);
@@ -103,7 +103,7 @@
     fn restore_snapshot(&mut self, file: &[u8]) -> Option<usize> {
         match StoredSnapshot::decode_file(file) {
             Ok(snapshot) => {
-                match self.core.reminisce(now(), snapshot) {
+                match self.core.restore_snapshot(now(), snapshot) {
                     Ok(age) => tracing::info!(age_ms = age / MILLI, "snapshot restored"),
                     Err(reason) => tracing::warn!(%reason, "snapshot not restored"),
                 }
@@ -120,8 +120,8 @@
     /// Takes the results of finished writes.
     pub(super) fn on_writes_done(&mut self) {
         let group_log = self.persistence.group_log.as_ref().and_then(FileWriter::take_result);
-        if let Some((result, (shared, _))) = group_log.zip(self.core.shared()) {
-            shared.stored(now(), result.map_err(|error| error.to_string()));
+        if let Some((result, (group, _))) = group_log.zip(self.core.group()) {
+            group.handle_log_write(now(), result.map_err(|error| error.to_string()));
         }
         let table_history = self.persistence.table_history.as_ref().and_then(FileWriter::take_result);
         if let Some(result) = table_history {
@@ -137,7 +137,7 @@
         let was_failing = std::mem::replace(&mut self.persistence.table_history_failing, result.is_err());
         match result {
             Err(error) => {
-                self.core.unkept();
+                self.core.table_write_failed();
                 if !was_failing {
                     tracing::warn!(%error, "table history write failed, retried with each version");
                 }
@@ -163,7 +163,7 @@
         if !std::mem::take(&mut self.persistence.endpoint_list_due) {
             return;
         }
-        if let Err(error) = write_endpoint_list(&self.deployment.folder, &self.core.remember()) {
+        if let Err(error) = write_endpoint_list(&self.deployment.folder, &self.core.endpoint_list_json()) {
             tracing::warn!(%error, "endpoint list not persisted");
         }
     }
--- a/crates/xds-supervisor/src/daemon/registry.rs
+++ b/crates/xds-supervisor/src/daemon/registry.rs
@@ -54,7 +54,7 @@
 
     fn close_registry(&mut self) {
         if let Some(conn) = self.registry.conn.take() {
-            self.hub.close(conn, false);
+            self.hub.close(conn);
             self.forget_calls_of(conn);
         }
     }
@@ -81,9 +81,9 @@
             return;
         }
         tracing::warn!(reason, "registry stream lost");
-        self.core.list_failed();
+        self.core.endpoint_list_failed();
         if !self.deployment.config.polls_endpoints {
-            self.hub.set(self.limits.registry_redial_at(now()), TimerKind::DialRegistry);
+            self.hub.set_timer(self.limits.registry_redial_at(now()), TimerKind::DialRegistry);
         }
     }
 
@@ -101,19 +101,19 @@
         let answer = match lists {
             Ok(lists) => {
                 for list in lists.iter().filter(|list| list.cluster == FLEET) {
-                    self.core.listed(now(), list);
+                    self.core.handle_endpoint_list(now(), list);
                 }
                 self.registry.client.ack(&update)
             }
             Err(status) => {
                 tracing::warn!(%status, version = update.version, "endpoint list rejected");
-                self.registry.client.nack(&update, status.text)
+                self.registry.client.nack(&update, status.message)
             }
         };
         self.hub.send(call.conn, call.stream, &answer);
         if !self.registry.subscribed {
             self.calls.remove(&call);
-            self.hub.close(call.conn, false);
+            self.hub.close(call.conn);
             self.registry.conn = None;
         }
     }
--- a/crates/xds-supervisor/src/daemon/startup.rs
+++ b/crates/xds-supervisor/src/daemon/startup.rs
@@ -44,7 +44,7 @@
             stopping: false,
             deployment,
         };
-        let wake = daemon.hub.nudges()?;
+        let wake = daemon.hub.wake_stream()?;
         daemon.join_group(wake.try_clone()?)?;
         daemon.load_table_history(wake.try_clone()?);
         daemon.load_snapshot(wake);
--- a/crates/xds-supervisor/src/lib.rs
+++ b/crates/xds-supervisor/src/lib.rs
@@ -1,4 +1,5 @@
-//! The running supervisor. [`Core`] is all of it but the sockets; [`run`] is the daemon.
+//! The supervisor on published protocols: xDS, load reporting and SASP. [`Core`] is all of it but the sockets; [`run`] is
+//! the daemon round it. Called by `shalereel daemon` (`crates/cli`).
 
 pub mod admin;
 mod channel;
@@ -6,23 +7,24 @@
 mod core;
 pub mod daemon;
 mod deployment;
-mod evidence;
-mod reports;
-mod roster;
+mod endpoints;
+mod group_member;
+mod load_reports;
+mod peer_reports;
 mod sasp_front;
-mod shared;
 mod storage;
 mod tables;
 
-pub use crate::core::{Core, Effect, Peer, LISTENER, PREFIX};
-pub use channel::{Channel, Departure};
+pub use crate::core::{Core, Peer, ShellCommand, Warning, LISTENER, PREFIX};
+pub use channel::{Backlog, Channel, Departure};
 pub use client_limits::{ClientLimits, NackResponse};
 pub use daemon::{run, DaemonError};
 pub use deployment::{Deployment, FileError, GroupDeployment, InjectedFault, TableHistoryLimits};
-
-pub use reports::Reports;
-pub use roster::{MemberWord, Roster};
-pub use shared::{Shared, Wanted};
+pub use endpoints::{
+    AppliedList, EndpointList, ListedEndpoint, MemberReport, Reporter, ServerSummary, SkipReason, SkippedRow,
+};
+pub use group_member::{AppliedChanges, GroupCommand, GroupMember, GroupSettings, OperatorOrders};
+pub use load_reports::{LoadReports, ReportingProxy};
 pub use storage::{
     FileWriter, StorageError, WriteRequest, GROUP_LOG_FILE, SNAPSHOT_FILE, TABLE_HISTORY_FILE,
 };
--- a/crates/xds-supervisor/src/sasp_front.rs
+++ b/crates/xds-supervisor/src/sasp_front.rs
@@ -9,7 +9,7 @@
 
 use crate::client_limits::MAX_MESSAGE_BYTES;
 use crate::core::Peer;
-use crate::roster::{MemberWord, Roster};
+use crate::endpoints::{EndpointList, MemberReport, Reporter};
 use crate::tables::Tables;
 
 /// What a balancer's weights are made from.
@@ -17,7 +17,7 @@
     /// Published tables.
     pub tables: &'a Tables,
     /// Listed servers.
-    pub roster: &'a Roster,
+    pub endpoints: &'a EndpointList,
     /// Names of the operations: a balancer's groups are named by them.
     pub operations: &'a [String],
     /// The balancer's table by operation; empty where it has none yet.
@@ -33,10 +33,10 @@
     fn figure(&self, group: &Group, member: &Member) -> Option<Figure> {
         let operation = self.operations.iter().position(|name| name.as_bytes() == group.name)? as u16;
         let table = *self.assigned_tables.get(&operation)?;
-        let server = self.roster.server_at(member.socket())?;
+        let server = self.endpoints.server_at(member.socket())?;
         Some(Figure {
             weight: self.tables.weight(table, server),
-            cold: self.roster.started_within(server, self.now, self.slow_start_duration),
+            cold: self.endpoints.started_within(server, self.now, self.slow_start_duration),
         })
     }
 }
@@ -52,7 +52,7 @@
         balancer: String,
     },
     /// A member, or its balancer, has said whether the member is there and takes new work.
-    MemberUpdate(MemberWord),
+    MemberUpdate(MemberReport),
     /// The peer has asked for the weights as they are, and gets them: they count as acknowledged.
     WeightsTaken,
     /// The connection is to be closed, and why.
@@ -159,18 +159,19 @@
     }
 
     fn events_of(&self, peer: Peer, changes: Vec<Change>) -> Vec<SaspEvent> {
-        let itself = !self.advisor.speaks_for_balancer(peer);
+        let by_balancer = self.advisor.speaks_for_balancer(peer);
+        let reporter = if by_balancer { Reporter::Balancer } else { Reporter::Member };
         let event = |change| match change {
             Change::Joined { balancer, .. } => {
                 Some(SaspEvent::Joined { balancer: String::from_utf8_lossy(&balancer).into_owned() })
             }
             Change::Left { .. } => None,
-            Change::Member { member, there, quiesce, .. } => Some(SaspEvent::MemberUpdate(MemberWord {
+            Change::Member { member, there, quiesce, .. } => Some(SaspEvent::MemberUpdate(MemberReport {
                 address: member.socket(),
                 zone: String::from_utf8_lossy(&member.label).into_owned(),
-                itself,
-                there,
-                quiesce,
+                reporter,
+                present: there,
+                quiesced: quiesce,
             })),
         };
         changes.into_iter().filter_map(event).collect()
--- a/crates/xds-supervisor/src/tables.rs
+++ b/crates/xds-supervisor/src/tables.rs
@@ -15,7 +15,7 @@
 use shalereel_store::{RetentionLimits, Store, VersionNumber, WeightCap, UNIT_WEIGHT};
 
 use crate::deployment::{Deployment, InjectedFault};
-use crate::roster::Roster;
+use crate::endpoints::EndpointList;
 
 use resources::RenderedTable;
 use table::Table;
@@ -41,7 +41,7 @@
 /// What a line is made from, besides the controller's actions.
 pub struct TableContext<'a> {
     /// Addresses and starts of the servers.
-    pub roster: &'a Roster,
+    pub endpoints: &'a EndpointList,
     /// Monotonic time, ns.
     pub now: Nanos,
     /// The wall clock less the monotonic one, ns.
@@ -54,7 +54,7 @@
 
 impl TableContext<'_> {
     fn is_warming_up(&self, server: ServerId) -> bool {
-        self.roster.started_within(server, self.now, self.slow_start_duration)
+        self.endpoints.started_within(server, self.now, self.slow_start_duration)
     }
 }
 
@@ -83,10 +83,10 @@
     effective_caps: BTreeMap<ServerId, f64>,
     /// Versions of the tables.
     pub store: Store,
-    /// Version of the roster at the last publication.
-    roster_version: u64,
-    /// Count of the roster's drains at the last publication.
-    roster_closings: u64,
+    /// Address version of the endpoint list at the last publication.
+    address_version: u64,
+    /// Drain version of the endpoint list at the last publication.
+    drain_version: u64,
     /// Injected fault: a rollback restores weights against the controller's decisions.
     rollback_overrides_controller: bool,
     /// Limits of the guard; `None` where it is disabled.
@@ -115,8 +115,8 @@
             local_caps: BTreeMap::new(),
             effective_caps: BTreeMap::new(),
             store: Store::new(retention, config.seed),
-            roster_version: 0,
-            roster_closings: 0,
+            address_version: 0,
+            drain_version: 0,
             rollback_overrides_controller: injected_fault == Some(InjectedFault::RollbackOverridesController),
             guard_limits: (!deployment.guard_disabled).then(|| Limits::new(config)),
             capacity_listed: config.listed_capacity == shalereel::interface::ListedCapacity::Nominal,
--- a/crates/xds-supervisor/src/tables/constraints.rs
+++ b/crates/xds-supervisor/src/tables/constraints.rs
@@ -150,7 +150,7 @@
             weight: weight * self.effective_caps.get(&server).copied().unwrap_or(1.0),
             draining: self.excluded.contains(&server),
             warming_up: context.is_warming_up(server),
-            incarnation: context.roster.life(server),
+            incarnation: context.endpoints.incarnation(server),
         };
         Some(self.tables.get(&id)?.weights.iter().map(endpoint).collect())
     }
--- a/crates/xds-supervisor/src/tables/inspection.rs
+++ b/crates/xds-supervisor/src/tables/inspection.rs
@@ -56,7 +56,7 @@
     removal_is_binding: bool,
     capacity_listed: bool,
 ) -> BTreeMap<ServerId, Server> {
-    let pool = context.roster.pool(context.now, context.slow_start_duration, removal_is_binding);
+    let pool = context.endpoints.guard_servers(context.now, context.slow_start_duration, removal_is_binding);
     let with_capacity = |(id, server): (ServerId, Server)| {
         let capacity = if capacity_listed { server.capacity } else { 1.0 };
         (id, Server { capacity, ..server })
--- a/crates/xds-supervisor/src/tables/publication.rs
+++ b/crates/xds-supervisor/src/tables/publication.rs
@@ -10,7 +10,7 @@
 impl Tables {
     /// Publishes a version of each table whose lines have changed, as far as the guard lets it.
     pub fn publish(&mut self, context: &TableContext, provenance: &Provenance) {
-        self.mark_roster_changes(context);
+        self.mark_endpoint_changes(context);
         let mut pool = None;
         let ids: Vec<TableId> = self.tables.keys().copied().collect();
         for id in ids {
@@ -19,11 +19,11 @@
     }
 
     /// Marks lines whose addresses may have changed, and has draining servers checked.
-    fn mark_roster_changes(&mut self, context: &TableContext) {
-        let moved = self.roster_version != context.roster.version();
-        let drained = self.roster_closings != context.roster.closings();
-        self.roster_version = context.roster.version();
-        self.roster_closings = context.roster.closings();
+    fn mark_endpoint_changes(&mut self, context: &TableContext) {
+        let moved = self.address_version != context.endpoints.address_version();
+        let drained = self.drain_version != context.endpoints.drain_version();
+        self.address_version = context.endpoints.address_version();
+        self.drain_version = context.endpoints.drain_version();
         for (&id, table) in &mut self.tables {
             if moved {
                 table.mark_all_changed();
--- a/crates/xds-supervisor/src/tables/table.rs
+++ b/crates/xds-supervisor/src/tables/table.rs
@@ -62,7 +62,7 @@
         context: &TableContext,
     ) {
         let usable = store.lines(id).filter(|(_, line)| !line.draining).map(|(server, _)| server);
-        self.reverted.extend(usable.filter(|&server| context.roster.draining(server)));
+        self.reverted.extend(usable.filter(|&server| context.endpoints.is_draining(server)));
         let check_at = limits.drain_check_at(context.now);
         self.inspect_at = Some(self.inspect_at.map_or(check_at, |at| at.min(check_at)));
     }
@@ -111,7 +111,7 @@
         if let Some(&line) = self.overriding_lines.get(&server) {
             return Some(Line { draining: false, ..line });
         }
-        let place = context.roster.place(server)?;
+        let place = context.endpoints.endpoint(server)?;
         let factor = if context.is_warming_up(server) {
             self.slow_start_factor
         } else {
@@ -123,7 +123,7 @@
             address: place.address,
             weight: (weight.round() as u32).max(1),
             draining: excluded.contains(&server),
-            incarnation: context.roster.life(server),
+            incarnation: context.endpoints.incarnation(server),
         })
     }
 }
--- a/src/channel/changes.rs
+++ b/src/channel/changes.rs
@@ -46,6 +46,7 @@
 }
 
 impl Change {
+    /// Whether a rule depends on it.
     pub(super) fn is_urgent(&self) -> bool {
         self.priority == Priority::Urgent
     }
@@ -132,7 +133,8 @@
             return None;
         }
         let desired = channel.desired_weights.get(&line.server).copied().unwrap_or_default();
-        // Draining servers go first, out of tables before they are excluded: users of a table exclude what it has.
+        // Draining servers go first, out of tables before they are excluded: users of a table exclude what it
+        // has.
         let weight_change =
             if desired.must_exclude { f64::MAX / (1.0 + f64::from(line.table)) } else { weight_change };
         let priority = self.priority(line, sent, weight, desired.urgent);
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -2,7 +2,7 @@
 //! [`Controller::decide`] with each batch of events, and carries out the actions in their order.
 //!
 //! Inside, the endpoint list, each server, the fleet and the channel are components with a mailbox each. They exchange
-//! [`Message`]s only; `decide` turns events into messages and empties the mailboxes.
+//! `Message`s only; `decide` turns events into messages and empties the mailboxes.
 
 use std::collections::BTreeMap;
 
@@ -24,10 +24,10 @@
 /// Decides for one supervisor which weights, limits and exclusions its proxies are sent.
 #[derive(Debug)]
 pub struct Controller {
-    pub(crate) mailboxes: Mailboxes,
-    pub(crate) endpoints: EndpointList,
-    pub(crate) servers: BTreeMap<ServerId, Server>,
-    pub(crate) server_config: ServerConfig,
+    mailboxes: Mailboxes,
+    endpoints: EndpointList,
+    servers: BTreeMap<ServerId, Server>,
+    server_config: ServerConfig,
     pub(crate) fleet: Fleet,
     pub(crate) channel: Channel,
     tick_interval: Nanos,
@@ -121,7 +121,7 @@
             match component {
                 Component::Endpoints => self.endpoints.handle(message, &mut self.mailboxes),
                 Component::Server(server) => self.deliver_to_server(server, message),
-                Component::Fleet => self.fleet.handle(message, &mut self.mailboxes),
+                Component::Fleet => self.deliver_to_fleet(message),
                 Component::Channel => self.channel.handle(message, &mut self.mailboxes),
             }
         }
@@ -132,8 +132,19 @@
         if let Message::Listed(endpoint) = message {
             self.servers.entry(id).or_insert_with(|| Server::new(endpoint, self.mailboxes.now));
         }
-        if let Some(server) = self.servers.get_mut(&id) {
-            server.handle(message, &self.server_config, &mut self.mailboxes);
+        let Some(server) = self.servers.get_mut(&id) else { return };
+        match message {
+            Message::RestoredServer { snapshot, age } => {
+                server.restore(&snapshot, age, self.server_config.feedback_delay, self.mailboxes.now)
+            }
+            message => server.handle(message, &self.server_config, &mut self.mailboxes),
+        }
+    }
+
+    fn deliver_to_fleet(&mut self, message: Message) {
+        match message {
+            Message::Restored { snapshot, age } => self.fleet.restore(&snapshot, age, self.mailboxes.now),
+            message => self.fleet.handle(message, &mut self.mailboxes),
         }
     }
 
