--- a/crates/routing-checks/src/fleet.rs
+++ b/crates/routing-checks/src/fleet.rs
@@ -8,7 +8,7 @@
 use shalereel_guard::{Availability, Limits, Server};
 use shalereel_store::{Provenance, RetentionLimits};
 use shalereel_xds::{AssignedEndpoint, Assignment, Health, ServerInfo};
-use shalereel_xds_supervisor::{Deployment, EndpointList, Facts, Planted, Tables};
+use shalereel_xds_supervisor::{Deployment, EndpointList, InjectedFault, TableContext, Tables};
 
 const SECOND: Nanos = 1_000_000_000;
 /// Batches of a run, and which of them sees the fleet change; four a second.
@@ -105,9 +105,8 @@
 
 /// Plays a fleet through the decisions; gives each table that forwarders would hold from the change on.
 pub(crate) fn play(deployment: &Deployment, sizes: &[f64], fleet: Fleet) -> Vec<View> {
-    let facts = &deployment.facts;
-    let outranks = deployment.planted == Some(Planted::WayOutranks);
-    let mut tables = Tables::new(facts, RetentionLimits::new(facts), outranks, !deployment.unguarded);
+    let facts = &deployment.config;
+    let mut tables = Tables::new(deployment, RetentionLimits::new(facts));
     let mut roster = EndpointList::new(&deployment.localities);
     let mut brain = Controller::new(facts);
     let mut bound: BTreeMap<ProxyId, TableId> = BTreeMap::new();
@@ -150,9 +149,14 @@
             // The channel is as wide as it takes: what is ordered is confirmed at once.
             tables.apply(&order, deployment.operations.len());
         }
-        let facts_now =
-            Facts { roster: &roster, now, wall: 0, cold_for: facts.slow_start_duration, parts: &parts };
-        tables.publish(&facts_now, &Provenance::default());
+        let context = TableContext {
+            endpoints: &roster,
+            now,
+            wall_clock_offset: 0,
+            slow_start_duration: facts.slow_start_duration,
+            traffic_shares: &parts,
+        };
+        tables.publish(&context, &Provenance::default());
         if batch >= CHANGES {
             let users = |table: TableId| -> BTreeSet<u16> {
                 bound.iter().filter(|(_, of)| **of == table).map(|(&proxy, _)| proxy).collect()
@@ -168,15 +172,15 @@
     views
 }
 
-/// Planted faults of a supervisor's orders that show without traffic.
+/// Injected faults of a supervisor's orders that show without traffic.
 fn bend(deployment: &Deployment, roster: &EndpointList, now: Nanos, order: Action) -> Action {
-    match (deployment.planted, order) {
-        (Some(Planted::ColdInFull), Action::SetWeight { table, server, .. })
-            if roster.started_within(server, now, deployment.facts.slow_start_duration) =>
+    match (deployment.injected_fault, order) {
+        (Some(InjectedFault::NoSlowStart), Action::SetWeight { table, server, .. })
+            if roster.started_within(server, now, deployment.config.slow_start_duration) =>
         {
             Action::SetWeight { table, server, weight: 1e4 }
         }
-        (Some(Planted::EmptyTables), Action::SetWeight { table, server, .. }) => {
+        (Some(InjectedFault::EmptyTables), Action::SetWeight { table, server, .. }) => {
             Action::SetWeight { table, server, weight: 0.0 }
         }
         (_, order) => order,
@@ -190,7 +194,7 @@
     table: TableId,
     now: Nanos,
 ) -> Vec<Seen> {
-    let facts = &deployment.facts;
+    let facts = &deployment.config;
     let limits = Limits::new(facts);
     let place = |(server, known): (ServerId, Server)| {
         let line = tables.store.line(table, server);
@@ -261,5 +265,5 @@
     };
     let servers: Option<Vec<Seen>> = rows.iter().map(row).collect();
     let servers = servers.ok_or("a line lacks its locality, or is of another deployment")?;
-    Ok(View { servers, users: (0..deployment.facts.locality_count).collect(), at_ms: 0 })
+    Ok(View { servers, users: (0..deployment.config.locality_count).collect(), at_ms: 0 })
 }
--- a/crates/xds-supervisor/src/core.rs
+++ b/crates/xds-supervisor/src/core.rs
@@ -32,14 +32,14 @@
 use snapshot::RestoredSnapshot;
 
 use crate::admin;
-use crate::advice::Advice;
 use crate::channel::{Backlog, Channel};
-use crate::deployment::{Deployment, Planted};
+use crate::client_limits::ClientLimits;
+use crate::deployment::Deployment;
 use crate::endpoints::EndpointList;
 use crate::group_member::GroupMember;
 use crate::load_reports::{LoadReports, ReportingProxy};
-use crate::patience::Patience;
-use crate::tables::{Facts, Tables};
+use crate::sasp_front::SaspFront;
+use crate::tables::{TableContext, Tables};
 
 /// Number of a stream, given by the shell; never given twice.
 pub type Peer = u64;
@@ -81,11 +81,11 @@
     /// Identifier of this control plane in responses.
     identity: String,
 
-    limits: Patience,
+    limits: ClientLimits,
     streams: BTreeMap<Peer, Stream>,
     /// LRS streams, and the proxy whose first report named it.
     load_streams: BTreeMap<Peer, Option<ReportingProxy>>,
-    sasp: Advice,
+    sasp: SaspFront,
     proxies: BTreeMap<ProxyId, Proxy>,
     /// By node id; ids stay given while their proxies are away.
     proxy_ids: BTreeMap<String, ProxyId>,
@@ -113,12 +113,11 @@
 impl Core {
     /// A supervisor that starts now. `stored_list`: the endpoint list that an earlier run stored.
     pub fn new(deployment: Deployment, now: Nanos, stored_list: Option<&[u8]>) -> Self {
-        let config = deployment.facts.clone();
-        let retention = deployment.history.bounds(RetentionLimits::new(&config));
-        let outranks = deployment.planted == Some(Planted::WayOutranks);
+        let config = deployment.config.clone();
+        let retention = deployment.table_history.or_derived(RetentionLimits::new(&config));
         let mut core = Core {
             controller: Controller::new(&config),
-            tables: Tables::new(&config, retention, outranks, !deployment.unguarded),
+            tables: Tables::new(&deployment, retention),
             endpoints: EndpointList::new(&deployment.localities),
             wall_offset: 0,
             table_shares: BTreeMap::new(),
@@ -128,10 +127,10 @@
             cache: ResponseCache::default(),
             last_nonce: 0,
             identity: format!("shalereel/{}", config.supervisor_index),
-            limits: Patience::new(&config),
+            limits: ClientLimits::new(&config),
             streams: BTreeMap::new(),
             load_streams: BTreeMap::new(),
-            sasp: Advice::new(Patience::new(&config).balancer()),
+            sasp: SaspFront::new(ClientLimits::new(&config).balancer()),
             proxies: BTreeMap::new(),
             proxy_ids: BTreeMap::new(),
             load_reports: LoadReports::default(),
@@ -176,8 +175,8 @@
     ///
     /// It cannot be decoded or carried out; the call ends with this status.
     pub fn handle_admin(&mut self, now: Nanos, message: &[u8]) -> Result<Vec<u8>, Status> {
-        let facts = facts(&self.endpoints, &self.table_shares, &self.config, self.wall_offset, now);
-        admin::answer(&mut self.tables, &facts, message)
+        let context = table_context(&self.endpoints, &self.table_shares, &self.config, self.wall_offset, now);
+        admin::answer(&mut self.tables, &context, message)
     }
 
     /// A health check that the shell made is over, after `elapsed`.
@@ -207,7 +206,7 @@
             self.proxies.values().filter_map(|proxy| proxy.retry_at).min(),
             self.group.as_ref().map(GroupMember::next_deadline),
             self.next_retransmission(),
-            self.tables.next(),
+            self.tables.next_timeout(),
         ];
         deadlines.into_iter().flatten().min().unwrap_or(next_report)
     }
@@ -230,7 +229,7 @@
         }
         self.write_updates(now, blocked);
         self.cache.clear();
-        let warnings = self.tables.words().into_iter().map(Warning::Guard);
+        let warnings = self.tables.take_guard_log().into_iter().map(Warning::Guard);
         self.commands.extend(warnings.map(ShellCommand::Warn));
         let writes = self.tables.store.take_writes();
         self.commands.extend(writes.into_iter().map(ShellCommand::StoreTables));
@@ -255,8 +254,8 @@
 
     /// Makes versions of all tables that differ from their last ones.
     fn publish(&mut self, now: Nanos, provenance: &Provenance) {
-        let facts = facts(&self.endpoints, &self.table_shares, &self.config, self.wall_offset, now);
-        self.tables.publish(&facts, provenance);
+        let context = table_context(&self.endpoints, &self.table_shares, &self.config, self.wall_offset, now);
+        self.tables.publish(&context, provenance);
     }
 
     fn next_nonce(&mut self) -> u64 {
@@ -276,18 +275,18 @@
 }
 
 /// What tables are made from, beside the controller's actions.
-fn facts<'a>(
+fn table_context<'a>(
     endpoints: &'a EndpointList,
     table_shares: &'a BTreeMap<TableId, f64>,
     config: &ControllerConfig,
     wall_offset: Nanos,
     now: Nanos,
-) -> Facts<'a> {
-    Facts {
-        roster: endpoints,
+) -> TableContext<'a> {
+    TableContext {
+        endpoints,
         now,
-        wall: wall_offset,
-        cold_for: config.slow_start_duration,
-        parts: table_shares,
+        wall_clock_offset: wall_offset,
+        slow_start_duration: config.slow_start_duration,
+        traffic_shares: table_shares,
     }
 }
--- a/crates/xds-supervisor/src/core/actions.rs
+++ b/crates/xds-supervisor/src/core/actions.rs
@@ -7,7 +7,7 @@
 
 use super::proxy::Proxy;
 use super::{Core, ShellCommand};
-use crate::tables::Reach;
+use crate::tables::AffectedProxies;
 
 /// What the actions of one decision cost, and why they were decided.
 #[derive(Default)]
@@ -113,15 +113,15 @@
         }
     }
 
-    fn is_reached(&self, proxy: &Proxy, reach: Reach) -> bool {
+    fn is_reached(&self, proxy: &Proxy, reach: AffectedProxies) -> bool {
         match reach {
-            Reach::Nobody => false,
-            Reach::Users(table) => proxy.uses(table),
-            Reach::Holders(server) => {
+            AffectedProxies::None => false,
+            AffectedProxies::UsingTable(table) => proxy.uses(table),
+            AffectedProxies::MayUseServer(server) => {
                 proxy.tables.is_empty()
                     || proxy.tables.values().any(|&table| self.tables.lists(table, server))
             }
-            Reach::Everyone => true,
+            AffectedProxies::All => true,
         }
     }
 }
--- a/crates/xds-supervisor/src/core/delivery.rs
+++ b/crates/xds-supervisor/src/core/delivery.rs
@@ -4,7 +4,7 @@
 use shalereel::interface::{Nanos, ProxyId, TableId};
 
 use super::proxy::{Mark, PendingUpdate};
-use super::{facts, Core};
+use super::{table_context, Core};
 use crate::channel::Departure;
 
 /// An update that waits for capacity of the channel.
@@ -34,7 +34,7 @@
 
     /// Queues what the guard has changed by itself: no action concerns its users, and the next may come after the grace.
     pub(super) fn queue_guard_corrections(&mut self) {
-        for (table, lines) in self.tables.corrected() {
+        for (table, lines) in self.tables.take_drained_by_guard() {
             for id in self.users(table) {
                 self.queue_own_update(id, lines);
             }
@@ -72,13 +72,14 @@
 
     /// Puts queued updates and what operators' constraints have changed into the channel, as far as it has capacity.
     pub(super) fn enqueue_own_updates(&mut self, now: Nanos) {
-        self.tables.tick(now);
+        self.tables.on_timeout(now);
         while self.drain_own_updates(now) {
-            let Some(table) = self.tables.waiting() else { return };
+            let Some(table) = self.tables.next_with_pending_lines() else { return };
             let users = self.users(table);
             let max_lines = self.delivery.rollback_step_lines(users.len());
-            let facts = facts(&self.endpoints, &self.table_shares, &self.config, self.wall_offset, now);
-            let changed = self.tables.step(table, max_lines, &facts);
+            let context =
+                table_context(&self.endpoints, &self.table_shares, &self.config, self.wall_offset, now);
+            let changed = self.tables.publish_pending_lines(table, max_lines, &context);
             if changed > 0 {
                 let updates = users.into_iter().map(|proxy| OwnUpdate { proxy, lines: changed });
                 self.own_updates.extend(updates);
--- a/crates/xds-supervisor/src/core/faults.rs
+++ b/crates/xds-supervisor/src/core/faults.rs
@@ -3,7 +3,7 @@
 use shalereel::interface::{Action, Nanos, RetryPolicy};
 
 use super::Core;
-use crate::deployment::Planted;
+use crate::deployment::InjectedFault;
 
 /// Weight of a server in slow start: many times what any server has.
 const SLOW_START_WEIGHT: f64 = 1e4;
@@ -16,11 +16,11 @@
 impl Core {
     /// Actions as a faulty supervisor would give them; unchanged in service.
     pub(super) fn inject_fault(&self, now: Nanos, actions: Vec<Action>) -> Vec<Action> {
-        let Some(fault) = self.deployment.planted else { return actions };
+        let Some(fault) = self.deployment.injected_fault else { return actions };
         let mut actions: Vec<Action> =
             actions.into_iter().filter_map(|action| self.faulty(now, fault, action)).collect();
-        if fault == Planted::Flood {
-            actions.extend(self.tables.lines(0).map(|(server, weight)| {
+        if fault == InjectedFault::FloodUpdates {
+            actions.extend(self.tables.weights(0).map(|(server, weight)| {
                 let weight = if weight > FLOOD_THRESHOLD { LOW_FLOOD_WEIGHT } else { HIGH_FLOOD_WEIGHT };
                 Action::SetWeight { table: 0, server, weight }
             }));
@@ -28,24 +28,24 @@
         actions
     }
 
-    fn faulty(&self, now: Nanos, fault: Planted, action: Action) -> Option<Action> {
+    fn faulty(&self, now: Nanos, fault: InjectedFault, action: Action) -> Option<Action> {
         let slow_start = self.config.slow_start_duration;
         match (fault, action) {
-            (Planted::DropSuspensions, Action::Exclude { .. }) => None,
-            (Planted::DropSuspensions, Action::SetWeight { server, weight, .. })
+            (InjectedFault::IgnoreDraining, Action::Exclude { .. }) => None,
+            (InjectedFault::IgnoreDraining, Action::SetWeight { server, weight, .. })
                 if weight == 0.0 && self.endpoints.is_draining(server) =>
             {
                 None
             }
-            (Planted::RepeatAll, Action::LimitAdmission { table, operations, limit, .. }) => {
+            (InjectedFault::RetryEverything, Action::LimitAdmission { table, operations, limit, .. }) => {
                 Some(Action::LimitAdmission { table, operations, limit, retry_policy: RetryPolicy::Twice })
             }
-            (Planted::ColdInFull, Action::SetWeight { table, server, .. })
+            (InjectedFault::NoSlowStart, Action::SetWeight { table, server, .. })
                 if self.endpoints.started_within(server, now, slow_start) =>
             {
                 Some(Action::SetWeight { table, server, weight: SLOW_START_WEIGHT })
             }
-            (Planted::EmptyTables, Action::SetWeight { table, server, .. }) => {
+            (InjectedFault::EmptyTables, Action::SetWeight { table, server, .. }) => {
                 Some(Action::SetWeight { table, server, weight: 0.0 })
             }
             (_, action) => Some(action),
--- a/crates/xds-supervisor/src/core/group.rs
+++ b/crates/xds-supervisor/src/core/group.rs
@@ -27,7 +27,7 @@
     fn apply_orders(&mut self, orders: OperatorOrders) {
         self.events.push(Event::Endpoints(self.endpoints.set_operator_drains(orders.drained)));
         self.servers_changed = true;
-        self.tables.agree(orders.weight_caps);
+        self.tables.set_group_caps(orders.weight_caps);
     }
 
     /// Takes what the group has decided, and gives it the servers if they have changed.
@@ -51,7 +51,7 @@
     fn server_availability(&self, now: Nanos) -> BTreeMap<u32, ServerAvailability> {
         let slow_start = self.config.slow_start_duration;
         let availability = |ServerSummary { server, locality, ready }| {
-            let listed = ready && !self.tables.suspended(server);
+            let listed = ready && !self.tables.is_excluded(server);
             let accepts_ranges = listed && !self.endpoints.started_within(server, now, slow_start);
             (server, ServerAvailability { server, locality: locality.into(), accepts_ranges, listed })
         };
--- a/crates/xds-supervisor/src/core/load_streams.rs
+++ b/crates/xds-supervisor/src/core/load_streams.rs
@@ -52,7 +52,7 @@
             self.warn(Warning::UnlistedServersReported { rows });
         }
         self.close_unresponsive(now);
-        self.sasp.tick();
+        self.sasp.on_report_interval();
     }
 
     fn update_request_rates(&mut self, reports: &[Event]) {
--- a/crates/xds-supervisor/src/core/requests.rs
+++ b/crates/xds-supervisor/src/core/requests.rs
@@ -8,7 +8,7 @@
 use super::command::Consequence;
 use super::proxy::{Proxy, SentUpdate};
 use super::{Core, Peer, Stream, Warning, LISTENER};
-use crate::patience::Verdict;
+use crate::client_limits::NackResponse;
 
 /// Names that a client has subscribed to; `None`: all that there are.
 type RequestedNames = Option<Vec<String>>;
@@ -174,14 +174,14 @@
         proxy.consecutive_rejections += 1;
         proxy.sent_versions.clear();
         proxy.subscriptions.values_mut().for_each(Subscription::retransmit);
-        let consequence = match limits.turned_down(now, proxy.consecutive_rejections) {
-            Verdict::Again(at) => {
+        let consequence = match limits.on_nack(now, proxy.consecutive_rejections) {
+            NackResponse::ResendAt(at) => {
                 // All that is not acknowledged is sent again as a whole, marks included.
                 proxy.rejected_marks.extend(proxy.unacknowledged.drain(..).flat_map(|update| update.marks));
                 proxy.retry_at = Some(at);
                 Consequence::SentAgainLater
             }
-            Verdict::Part => {
+            NackResponse::Terminate => {
                 let text = format!("turned down again and again: {reason}");
                 self.close_stream(peer, Status::new(Code::FailedPrecondition, text));
                 Consequence::StreamClosed
--- a/crates/xds-supervisor/src/core/resources.rs
+++ b/crates/xds-supervisor/src/core/resources.rs
@@ -94,14 +94,14 @@
 ) -> Resource {
     let name_of = |operation: u16| operations[usize::from(operation)].as_str();
     let (name, any) = match versioned.content {
-        Content::ExcludedServers => (EXCLUDED, tables.shunned(endpoints)),
+        Content::ExcludedServers => (EXCLUDED, tables.excluded_assignment(endpoints)),
         Content::Assignment { table, operation } => {
             let name = name_of(operation);
             (name, tables.assignment(table, operation, name, endpoints))
         }
         Content::Collection { table, operation } => {
             let name = name_of(operation);
-            (name, leds::assignment_of(name, table, tables.admitted(table, operation)))
+            (name, leds::assignment_of(name, table, tables.admission_limit(table, operation)))
         }
         Content::Routes(ref policies) => {
             let policies = operations.iter().map(String::as_str).zip(policies.iter().copied());
--- a/crates/xds-supervisor/src/core/sasp.rs
+++ b/crates/xds-supervisor/src/core/sasp.rs
@@ -8,43 +8,43 @@
 
 use super::proxy::{Protocol, SentUpdate};
 use super::{Core, Peer, ShellCommand};
-use crate::advice::{Outcome, View};
 use crate::endpoints::{MemberReport, Reporter};
+use crate::sasp_front::{BalancerView, SaspEvent};
 
 impl Core {
     /// A SASP connection is open.
     pub fn sasp_opened(&mut self, peer: Peer) {
-        self.sasp.opened(peer);
+        self.sasp.on_opened(peer);
     }
 
     /// Takes bytes on a SASP connection.
     pub fn handle_sasp(&mut self, now: Nanos, peer: Peer, bytes: &[u8]) {
         let proxy = self.proxies.values().find(|proxy| proxy.peer == peer);
         let bound = proxy.map(|proxy| self.published_tables(&proxy.tables)).unwrap_or_default();
-        let view = View {
+        let view = BalancerView {
             tables: &self.tables,
-            roster: &self.endpoints,
+            endpoints: &self.endpoints,
             operations: &self.deployment.operations,
-            bound: &bound,
+            assigned_tables: &bound,
             now,
-            cold_for: self.config.slow_start_duration,
+            slow_start_duration: self.config.slow_start_duration,
         };
-        for outcome in self.sasp.heard(peer, bytes, &view) {
-            self.handle_sasp_outcome(now, peer, outcome);
+        for event in self.sasp.on_bytes(peer, bytes, &view) {
+            self.handle_sasp_event(now, peer, event);
         }
     }
 
-    fn handle_sasp_outcome(&mut self, now: Nanos, peer: Peer, outcome: Outcome) {
-        match outcome {
-            Outcome::Write(bytes) => self.commands.push(ShellCommand::WriteSasp { peer, bytes }),
-            Outcome::Joined { balancer } => self.join_balancer(peer, &balancer),
-            Outcome::Member(report) => self.member_reported(now, report),
-            Outcome::Taken => {
+    fn handle_sasp_event(&mut self, now: Nanos, peer: Peer, event: SaspEvent) {
+        match event {
+            SaspEvent::Write(bytes) => self.commands.push(ShellCommand::WriteSasp { peer, bytes }),
+            SaspEvent::Joined { balancer } => self.join_balancer(peer, &balancer),
+            SaspEvent::MemberUpdate(report) => self.member_reported(now, report),
+            SaspEvent::WeightsTaken => {
                 if let Some(id) = self.proxy_of_peer(peer) {
                     self.acknowledge_all(now, id);
                 }
             }
-            Outcome::End(reason) => self.close_stream(peer, Status::new(Code::InvalidArgument, reason)),
+            SaspEvent::Close(reason) => self.close_stream(peer, Status::new(Code::InvalidArgument, reason)),
         }
     }
 
@@ -76,8 +76,8 @@
 
     /// Reports that a connection's members made of themselves do not hold any more.
     pub(super) fn sasp_connection_closed(&mut self, peer: Peer) {
-        for outcome in self.sasp.closed(peer) {
-            if let Outcome::Member(report) = outcome {
+        for event in self.sasp.on_closed(peer) {
+            if let SaspEvent::MemberUpdate(report) = event {
                 let event = self.endpoints.apply_member_state(self.decided_at.unwrap_or(0), &report);
                 let by_itself = report.reporter == Reporter::Member;
                 self.events.extend(by_itself.then_some(Event::Endpoints(event)));
@@ -95,7 +95,7 @@
 
     /// Those of a proxy's tables that were published.
     fn published_tables(&self, tables: &BTreeMap<u16, TableId>) -> BTreeMap<u16, TableId> {
-        let published = tables.iter().filter(|(_, &table)| self.tables.told(table));
+        let published = tables.iter().filter(|(_, &table)| !self.tables.is_withheld(table));
         published.map(|(&operation, &table)| (operation, table)).collect()
     }
 
@@ -112,16 +112,16 @@
         if bound.is_empty() {
             return self.acknowledge_all(now, id);
         }
-        if !self.sasp.pushes(peer) {
+        if !self.sasp.wants_push(peer) {
             return;
         }
-        let view = View {
+        let view = BalancerView {
             tables: &self.tables,
-            roster: &self.endpoints,
+            endpoints: &self.endpoints,
             operations: &self.deployment.operations,
-            bound: &bound,
+            assigned_tables: &bound,
             now,
-            cold_for: self.config.slow_start_duration,
+            slow_start_duration: self.config.slow_start_duration,
         };
         let bytes = self.sasp.push(peer, &view);
         self.commands.extend(bytes.map(|bytes| ShellCommand::WriteSasp { peer, bytes }));
--- a/crates/xds-supervisor/src/core/snapshot.rs
+++ b/crates/xds-supervisor/src/core/snapshot.rs
@@ -53,7 +53,7 @@
         let restore_pending = self.restored.is_some() && !self.snapshot_applied;
         let has_learned = self.decided_at.is_some() && self.endpoints.address_version() > 0;
         let is_due = now >= self.freshness.next_write(self.snapshot_taken_at);
-        if !is_due || !has_learned || restore_pending || self.deployment.forgets {
+        if !is_due || !has_learned || restore_pending || self.deployment.snapshot_disabled {
             return;
         }
         self.snapshot_taken_at = now;
--- a/crates/xds-supervisor/src/core/streams.rs
+++ b/crates/xds-supervisor/src/core/streams.rs
@@ -41,7 +41,7 @@
     /// A stream is closed, by whichever side.
     pub fn stream_closed(&mut self, peer: Peer) {
         self.load_streams.remove(&peer);
-        let proxy = if self.sasp.knows(peer) {
+        let proxy = if self.sasp.is_connected(peer) {
             self.sasp_connection_closed(peer);
             self.proxy_of_peer(peer)
         } else {
@@ -126,7 +126,7 @@
     /// Closes the streams of proxies that have not acknowledged for too long: they join again if they live.
     pub(super) fn close_unresponsive(&mut self, now: Nanos) {
         let late = |proxy: &&Proxy| {
-            proxy.unacknowledged_since().is_some_and(|since| self.limits.answer_by(since) < now)
+            proxy.unacknowledged_since().is_some_and(|since| self.limits.ack_deadline(since) < now)
         };
         let late: Vec<Peer> = self.proxies.values().filter(late).map(|proxy| proxy.peer).collect();
         for peer in late {
--- a/crates/xds-supervisor/src/core/updates.rs
+++ b/crates/xds-supervisor/src/core/updates.rs
@@ -101,13 +101,13 @@
     fn assigned_tables(&self) -> Vec<(u16, TableId)> {
         let is_sent = |&(operation, table): &(u16, TableId)| {
             let name = &self.operations[usize::from(operation)];
-            self.stream.is_subscribed(types::ASSIGNMENT, name) && self.tables.told(table)
+            self.stream.is_subscribed(types::ASSIGNMENT, name) && !self.tables.is_withheld(table)
         };
         self.proxy.tables.iter().map(|(&operation, &table)| (operation, table)).filter(is_sent).collect()
     }
 
     fn changed_exclusions(&mut self) -> Vec<VersionedContent> {
-        let version = (self.tables.shunned_version(), self.endpoints.address_version());
+        let version = (self.tables.excluded_version(), self.endpoints.address_version());
         let is_sent = self.stream.is_subscribed(types::ASSIGNMENT, EXCLUDED) && version.0 > 0;
         if is_sent && self.proxy.update_version(EXCLUDED, version) {
             vec![VersionedContent { content: Content::ExcludedServers, version }]
@@ -130,7 +130,7 @@
 
     fn assignment(&self, operation: u16, table: TableId) -> VersionedContent {
         if self.proxy.supports_lines {
-            let admitted = self.tables.admitted(table, operation).to_bits();
+            let admitted = self.tables.admission_limit(table, operation).to_bits();
             let content = Content::Collection { table, operation };
             return VersionedContent { content, version: (admitted, table.into()) };
         }
@@ -140,7 +140,7 @@
 
     fn changed_routes(&mut self) -> Vec<VersionedContent> {
         let policy = |operation: u16| match self.proxy.tables.get(&operation) {
-            Some(&table) => self.tables.further(table, operation),
+            Some(&table) => self.tables.retry_policy(table, operation),
             None => RetryPolicy::Never,
         };
         let policies: Vec<RetryPolicy> = (0..self.operations.len() as u16).map(policy).collect();
--- a/crates/xds-supervisor/src/lib.rs
+++ b/crates/xds-supervisor/src/lib.rs
@@ -2,27 +2,30 @@
 //! the daemon round it. Called by `shalereel daemon` (`crates/cli`).
 
 pub mod admin;
-mod advice;
 mod channel;
+mod client_limits;
 mod core;
 pub mod daemon;
 mod deployment;
 mod endpoints;
 mod group_member;
-mod keeper;
 mod load_reports;
-mod patience;
 mod peer_reports;
+mod sasp_front;
+mod storage;
 mod tables;
 
 pub use crate::core::{Core, Peer, ShellCommand, Warning, LISTENER, PREFIX};
 pub use channel::Backlog;
-pub use daemon::run;
-pub use deployment::{Deployment, FileError, Planted};
+pub use client_limits::{ClientLimits, NackResponse};
+pub use daemon::{run, DaemonError};
+pub use deployment::{Deployment, FileError, GroupDeployment, InjectedFault, TableHistoryLimits};
 pub use endpoints::{
     AppliedList, EndpointList, ListedEndpoint, MemberReport, Reporter, ServerSummary, SkipReason, SkippedRow,
 };
 pub use group_member::{AppliedChanges, GroupCommand, GroupMember, GroupSettings, OperatorOrders};
-pub use keeper::{Block, Keeper, LOG, MEMORY, TABLES};
 pub use load_reports::{LoadReports, ReportingProxy};
-pub use tables::{Facts, Tables};
+pub use storage::{
+    FileWriter, StorageError, WriteRequest, GROUP_LOG_FILE, SNAPSHOT_FILE, TABLE_HISTORY_FILE,
+};
+pub use tables::{TableContext, Tables};
--- a/crates/xds-supervisor/tests/core/operators.rs
+++ b/crates/xds-supervisor/tests/core/operators.rs
@@ -5,14 +5,20 @@
 
 use super::*;
 
-fn request(harness: &mut Harness, question: Question) -> Result<serde_json::Value, String> {
-    let message = AdminAsk { question: Some(question) }.encode_to_vec();
+fn request(harness: &mut Harness, query: AdminQuery) -> Result<serde_json::Value, String> {
+    let message = AdminRequest { query: Some(query) }.encode_to_vec();
     let answer = harness.core.handle_admin(harness.now, &message).map_err(|status| status.message)?;
-    Ok(serde_json::from_str(&AdminAnswer::decode(&answer[..]).unwrap().told).unwrap())
+    Ok(serde_json::from_str(&AdminResponse::decode(&answer[..]).unwrap().json).unwrap())
 }
 
-fn roll_back(version: u64, for_ms: u64, dry_run: bool) -> Question {
-    Question::Back(Back { version, for_ms, dry_run, who: "night".into(), why: "a test".into() })
+fn roll_back(version: u64, for_ms: u64, dry_run: bool) -> AdminQuery {
+    AdminQuery::StartRollback(StartRollback {
+        version,
+        duration_ms: for_ms,
+        dry_run,
+        actor: "night".into(),
+        reason: "a test".into(),
+    })
 }
 
 #[test]
@@ -22,16 +28,16 @@
     harness.run_ms(100);
     harness.list_draining(&[3]);
     harness.run_ms(100);
-    let answer = request(&mut harness, Question::List(List { last: 10 })).unwrap();
+    let answer = request(&mut harness, AdminQuery::List(ListVersions { last: 10 })).unwrap();
     assert_eq!((answer["kept"].as_u64(), answer["versions"][0]["lines"].as_u64()), (Some(2), Some(4)));
     let (old, new) = (&answer["versions"][1]["version"], &answer["versions"][0]["version"]);
     let (from, to) = (old.as_u64().unwrap(), new.as_u64().unwrap());
-    let answer = request(&mut harness, Question::Diff(Diff { from, to })).unwrap();
+    let answer = request(&mut harness, AdminQuery::Diff(DiffVersions { from, to })).unwrap();
     assert_eq!(
         (answer["lines"][0]["server"].as_u64(), answer["lines"].as_array().unwrap().len()),
         (Some(3), 1)
     );
-    let answer = request(&mut harness, Question::Show(Show { version: from })).unwrap();
+    let answer = request(&mut harness, AdminQuery::Show(ShowVersion { version: from })).unwrap();
     assert_eq!(answer["lines"].as_array().unwrap().len(), 5);
     // What drained since stays out; the others have their weights already.
     let answer = request(&mut harness, roll_back(from, 1000, true)).unwrap();
@@ -49,16 +55,25 @@
     harness.list_draining(&[]);
     harness.run_ms(100);
     let pin = |part, for_ms| {
-        Question::Hold(HoldOne { server: 2, part, for_ms, who: "night".into(), why: "hot".into() })
+        AdminQuery::CapServer(CapServer {
+            server: 2,
+            factor: part,
+            duration_ms: for_ms,
+            actor: "night".into(),
+            reason: "hot".into(),
+        })
     };
     let weight = |harness: &mut Harness| {
-        let answer = request(harness, Question::Show(Show { version: 0 })).unwrap();
+        let answer = request(harness, AdminQuery::Show(ShowVersion { version: 0 })).unwrap();
         answer["lines"][1]["line"]["weight"].as_f64().unwrap()
     };
     request(&mut harness, pin(0.5, 1000)).unwrap();
     harness.run_ms(100);
     assert_eq!(weight(&mut harness), 0.5);
-    assert_eq!(request(&mut harness, Question::List(List { last: 1 })).unwrap()["holds"][0]["server"], 2);
+    assert_eq!(
+        request(&mut harness, AdminQuery::List(ListVersions { last: 1 })).unwrap()["holds"][0]["server"],
+        2
+    );
     harness.run_ms(1100);
     assert_eq!(weight(&mut harness), 1.0);
     request(&mut harness, pin(0.25, 60_000)).unwrap();
@@ -67,8 +82,10 @@
     harness.run_ms(100);
     assert_eq!(weight(&mut harness), 1.0);
     assert!(request(&mut harness, pin(0.0, 5)).unwrap_err().contains("no part"));
-    let nobody = HoldOne { server: 99, part: 0.5, for_ms: 5, ..HoldOne::default() };
-    assert!(request(&mut harness, Question::Hold(nobody)).unwrap_err().contains("no table has server 99"));
+    let nobody = CapServer { server: 99, factor: 0.5, duration_ms: 5, ..CapServer::default() };
+    assert!(request(&mut harness, AdminQuery::CapServer(nobody))
+        .unwrap_err()
+        .contains("no table has server 99"));
 }
 
 /// Five servers, one of which was given less; a rollback that waits for capacity of the channel, goes on over a drain, and
@@ -86,7 +103,7 @@
     };
     harness.run_ms(500);
     assert_eq!(weights(&mut harness, &mut client).unwrap().values().sum::<u32>(), 500);
-    let answer = request(&mut harness, Question::List(List { last: 1 })).unwrap();
+    let answer = request(&mut harness, AdminQuery::List(ListVersions { last: 1 })).unwrap();
     let from = answer["versions"][0]["version"].as_u64().unwrap();
     harness.list_capacities(&[1.5, 1.0, 0.75, 1.0, 1.0]);
     harness.run_ms(2000);
@@ -97,7 +114,7 @@
     harness.run_ms(500);
     let rolled_back = weights(&mut harness, &mut client).unwrap();
     assert!(rolled_back.values().all(|weight| *weight == 105), "{rolled_back:?}");
-    let answer = request(&mut harness, Question::List(List { last: 1 })).unwrap();
+    let answer = request(&mut harness, AdminQuery::List(ListVersions { last: 1 })).unwrap();
     assert_eq!(
         (answer["versions"][0]["who"].as_str(), answer["ways"][0]["lines_to_move"].as_u64()),
         (Some("night"), Some(0))
@@ -110,7 +127,7 @@
     harness.run_ms(3000);
     let expired = weights(&mut harness, &mut client).unwrap();
     assert_eq!((expired["127.1.0.3:80"], expired.len()), (75, 4));
-    let answer = request(&mut harness, Question::List(List { last: 1 })).unwrap();
+    let answer = request(&mut harness, AdminQuery::List(ListVersions { last: 1 })).unwrap();
     assert!(answer["ways"].as_array().unwrap().is_empty());
     assert!(harness.core.backlog().peak_lines < 200.0);
 }
