--- a/crates/cli/src/daemon_command.rs
+++ b/crates/cli/src/daemon_command.rs
@@ -40,7 +40,7 @@
     run(deployment, |addresses| {
         let mut out = std::io::stdout().lock();
         writeln!(out, "{}", serde_json::to_string(&Ready { addresses })?)?;
-        Ok(out.flush()?)
+        out.flush()
     })?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/group/src/group/action.rs
+++ b/crates/group/src/group/action.rs
@@ -44,7 +44,7 @@
 pub enum OrderError {
     /// Nobody can commit anything now.
     #[error(
-        "no leader is known: {reachable} of {configured} supervisors are reached, {quorum} are needed; nothing was \
+        "no leader is known: {reachable} of {configured} controllers are reached, {quorum} are needed; nothing was \
          ordered"
     )]
     NoLeader {
@@ -64,6 +64,6 @@
     #[error("{0}")]
     Rejected(Rejection),
     /// This member's log cannot be written.
-    #[error("this supervisor's log cannot be written; order by another one")]
+    #[error("this controller's log cannot be written; order by another one")]
     StorageFailed,
 }
--- a/crates/store/src/constraints.rs
+++ b/crates/store/src/constraints.rs
@@ -27,10 +27,10 @@
     #[error("no server of version {0} has stood in the table ever since; its weights say nothing about those that do")]
     NoServerLeft(VersionNumber),
     /// A duration of 0.
-    #[error("a rollback (tables back) or a cap (tables hold) must end: give it a time above 0")]
+    #[error("a way back or a hold must end: give it a time above 0")]
     NoDuration,
     /// A cap's factor that is not above 0 and up to 1.
-    #[error("{0} is not a valid factor; give a number above 0 and up to 1, or drain the server")]
+    #[error("{0} is no part; give a number above 0 and up to 1, or drain the server")]
     InvalidFactor(f64),
     /// No table has the server now.
     #[error("no table has server {0} now")]
