--- a/crates/xds-supervisor/src/lib.rs
+++ b/crates/xds-supervisor/src/lib.rs
@@ -1,6 +1,8 @@
 //! The supervisor on published protocols: xDS, load reporting and SASP. [`Core`] is all of it but the sockets; [`run`] is
 //! the daemon round it. Called by `shalereel daemon` (`crates/cli`).
 
+#![deny(missing_docs)]
+
 pub mod admin;
 mod channel;
 mod client_limits;
