--- a/crates/xds-supervisor/src/client_limits.rs
+++ b/crates/xds-supervisor/src/client_limits.rs
@@ -117,7 +117,7 @@
         shalereel_sasp::Bounds {
             members: MAX_MEMBERS_PER_BALANCER,
             groups: MAX_GROUPS_PER_BALANCER,
-            asks: MAX_WEIGHT_REQUESTS_PER_INTERVAL,
+            weight_requests: MAX_WEIGHT_REQUESTS_PER_INTERVAL,
             interval,
         }
     }
--- a/crates/xds-supervisor/src/sasp_front.rs
+++ b/crates/xds-supervisor/src/sasp_front.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use shalereel::interface::{Nanos, TableId};
-use shalereel_sasp::weights::Figure;
+use shalereel_sasp::weights::TableWeight;
 use shalereel_sasp::{Advisor, Answer, Body, Bounds, Change, Frames, Group, Member, Message, ReturnCode};
 
 use crate::client_limits::MAX_MESSAGE_BYTES;
@@ -30,13 +30,13 @@
 
 impl BalancerView<'_> {
     /// Weight of a member; `None` where the group is no operation or the member is not listed.
-    fn figure(&self, group: &Group, member: &Member) -> Option<Figure> {
+    fn weight(&self, group: &Group, member: &Member) -> Option<TableWeight> {
         let operation = self.operations.iter().position(|name| name.as_bytes() == group.name)? as u16;
         let table = *self.assigned_tables.get(&operation)?;
         let server = self.endpoints.server_at(member.socket())?;
-        Some(Figure {
+        Some(TableWeight {
             weight: self.tables.weight(table, server),
-            cold: self.endpoints.started_within(server, self.now, self.slow_start_duration),
+            warming_up: self.endpoints.started_within(server, self.now, self.slow_start_duration),
         })
     }
 }
@@ -123,10 +123,10 @@
             let reply = try_later(message.id, self.interval);
             return events.push(SaspEvent::Write(reply.encode().to_vec()));
         }
-        let lookup = |group: &Group, member: &Member| view.figure(group, member);
-        for answer in self.advisor.hear(peer, message, &lookup, changes) {
+        let lookup = |group: &Group, member: &Member| view.weight(group, member);
+        for answer in self.advisor.handle_message(peer, message, &lookup, changes) {
             match answer {
-                Answer::Say(_, reply) => {
+                Answer::Send(_, reply) => {
                     if asks_weights
                         && matches!(reply.body, Body::Weights { code: ReturnCode::Successful, .. })
                     {
@@ -134,7 +134,7 @@
                     }
                     events.push(SaspEvent::Write(reply.encode().to_vec()));
                 }
-                Answer::End(_, reason) => events.push(SaspEvent::Close(reason.to_owned())),
+                Answer::Close(_, reason) => events.push(SaspEvent::Close(reason.to_owned())),
             }
         }
     }
@@ -149,7 +149,7 @@
 
     /// Weights to be pushed to a balancer; `None` where it polls, or nothing has changed.
     pub fn push(&mut self, peer: Peer, view: &BalancerView<'_>) -> Option<Vec<u8>> {
-        let lookup = |group: &Group, member: &Member| view.figure(group, member);
+        let lookup = |group: &Group, member: &Member| view.weight(group, member);
         self.advisor.push(peer, &lookup).map(|message| message.encode().to_vec())
     }
 
@@ -159,20 +159,22 @@
     }
 
     fn events_of(&self, peer: Peer, changes: Vec<Change>) -> Vec<SaspEvent> {
-        let by_balancer = self.advisor.speaks_for_balancer(peer);
+        let by_balancer = self.advisor.is_balancer(peer);
         let reporter = if by_balancer { Reporter::Balancer } else { Reporter::Member };
         let event = |change| match change {
             Change::Joined { balancer, .. } => {
                 Some(SaspEvent::Joined { balancer: String::from_utf8_lossy(&balancer).into_owned() })
             }
             Change::Left { .. } => None,
-            Change::Member { member, there, quiesce, .. } => Some(SaspEvent::MemberUpdate(MemberReport {
-                address: member.socket(),
-                zone: String::from_utf8_lossy(&member.label).into_owned(),
-                reporter,
-                present: there,
-                quiesced: quiesce,
-            })),
+            Change::Member { member, registered, quiesce, .. } => {
+                Some(SaspEvent::MemberUpdate(MemberReport {
+                    address: member.socket(),
+                    zone: String::from_utf8_lossy(&member.label).into_owned(),
+                    reporter,
+                    present: registered,
+                    quiesced: quiesce,
+                }))
+            }
         };
         changes.into_iter().filter_map(event).collect()
     }
