--- a/crates/xds-supervisor/src/daemon.rs
+++ b/crates/xds-supervisor/src/daemon.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use shalereel_journal::JournalError;
+use shalereel_group::StoredLogError;
 use shalereel_reactor::now;
 use shalereel_rpc::{Code, ConnId, Hub, Status, StreamId};
 use thiserror::Error;
@@ -55,12 +55,12 @@
     #[error(transparent)]
     Storage(#[from] StorageError),
     /// The group's log is damaged or of another kind.
-    #[error("{}: {error}", path.display())]
+    #[error("{} (move the file away only to add this supervisor as a new member): {error}", path.display())]
     GroupLog {
         /// Which file.
         path: PathBuf,
         /// What is wrong with it.
-        error: JournalError,
+        error: StoredLogError,
     },
     /// Sockets or signals cannot be used.
     #[error(transparent)]
--- a/crates/xds-supervisor/src/lib.rs
+++ b/crates/xds-supervisor/src/lib.rs
@@ -16,8 +16,7 @@
 mod tables;
 
 pub use crate::core::{Core, Peer, ShellCommand, Warning, LISTENER, PREFIX};
-pub use channel::{Backlog, Channel, Departure};
-pub use client_limits::{ClientLimits, NackResponse};
+pub use channel::Backlog;
 pub use daemon::{run, DaemonError};
 pub use deployment::{Deployment, FileError, GroupDeployment, InjectedFault, TableHistoryLimits};
 pub use endpoints::{
@@ -28,4 +27,4 @@
 pub use storage::{
     FileWriter, StorageError, WriteRequest, GROUP_LOG_FILE, SNAPSHOT_FILE, TABLE_HISTORY_FILE,
 };
-pub use tables::{AffectedProxies, TableContext, Tables};
+pub use tables::{TableContext, Tables};
