--- a/crates/xds-supervisor/src/daemon.rs
+++ b/crates/xds-supervisor/src/daemon.rs
@@ -55,7 +55,7 @@
     #[error(transparent)]
     Storage(#[from] StorageError),
     /// The group's log is damaged or of another kind.
-    #[error("{} (move the file away only to add this supervisor as a new member): {error}", path.display())]
+    #[error("{}: {error}; move the file away only to add this supervisor as a new member", path.display())]
     GroupLog {
         /// Which file.
         path: PathBuf,
