--- a/crates/xds-supervisor/src/lib.rs
+++ b/crates/xds-supervisor/src/lib.rs
@@ -19,7 +19,6 @@
 
 pub use crate::core::{Core, Peer, ShellCommand, Warning, LISTENER, PREFIX};
 pub use channel::Backlog;
-pub use client_limits::{ClientLimits, NackResponse};
 pub use daemon::{run, DaemonError};
 pub use deployment::{Deployment, FileError, GroupDeployment, InjectedFault, TableHistoryLimits};
 pub use endpoints::{
--- a/crates/xds-supervisor/src/sasp_front.rs
+++ b/crates/xds-supervisor/src/sasp_front.rs
@@ -30,7 +30,7 @@
 
 impl BalancerView<'_> {
     /// Weight of a member; `None` where the group is no operation or the member is not listed.
-    fn figure(&self, group: &Group, member: &Member) -> Option<TableWeight> {
+    fn weight(&self, group: &Group, member: &Member) -> Option<TableWeight> {
         let operation = self.operations.iter().position(|name| name.as_bytes() == group.name)? as u16;
         let table = *self.assigned_tables.get(&operation)?;
         let server = self.endpoints.server_at(member.socket())?;
@@ -123,7 +123,7 @@
             let reply = try_later(message.id, self.interval);
             return events.push(SaspEvent::Write(reply.encode().to_vec()));
         }
-        let lookup = |group: &Group, member: &Member| view.figure(group, member);
+        let lookup = |group: &Group, member: &Member| view.weight(group, member);
         for answer in self.advisor.handle_message(peer, message, &lookup, changes) {
             match answer {
                 Answer::Send(_, reply) => {
@@ -149,7 +149,7 @@
 
     /// Weights to be pushed to a balancer; `None` where it polls, or nothing has changed.
     pub fn push(&mut self, peer: Peer, view: &BalancerView<'_>) -> Option<Vec<u8>> {
-        let lookup = |group: &Group, member: &Member| view.figure(group, member);
+        let lookup = |group: &Group, member: &Member| view.weight(group, member);
         self.advisor.push(peer, &lookup).map(|message| message.encode().to_vec())
     }
 
