--- a/src/admission.rs
+++ b/src/admission.rs
@@ -14,15 +14,16 @@
 
 /// Mean response time from which the fleet counts as overloaded, as a share of the mean latency objective.
 const OVERLOAD_LATENCY_SHARE: f64 = 0.65;
-/// Overload below which the load limit is raised; between it and 1 the limit holds.
+/// Overload below which the load limit is raised; between it and 1 the limit never falls and rises only to the load
+/// that is served.
 const LOW_OVERLOAD: f64 = 0.7;
 /// Factor per report interval by which a limit falls or, inverted, rises, and the peak load is forgotten.
 const LIMIT_STEP: f64 = 0.95;
 /// Least share of the load limit that is admitted while queues are worked off.
-const MIN_DRAIN_SHARE: f64 = 0.5;
+const MIN_CATCH_UP_SHARE: f64 = 0.5;
 /// Least share of an operation that is admitted.
 const MIN_ADMITTED_SHARE: f64 = 0.1;
-/// A limit is left as it is where it would move by less.
+/// A limit is left as it is where it would move by less (absolute, 0 to 1).
 const MIN_LIMIT_CHANGE: f64 = MIN_WEIGHT_CHANGE / 2.0;
 
 /// Mean response time from which the fleet counts as overloaded, ns: most of the value is still kept at it.
@@ -73,7 +74,7 @@
     /// See [`overload_response_time`].
     pub(crate) overload_response_time: f64,
     /// Weight of the servers in the table, warming ones up to their limit.
-    pub(crate) ready_weight: f64,
+    pub(crate) included_weight: f64,
     /// Proxies are isolated: failures then come from connections, not from load.
     pub(crate) isolated: bool,
 }
@@ -85,9 +86,9 @@
     demands: Vec<OperationDemand>,
     /// Time between two reports of a proxy, ns.
     report_interval: Nanos,
-    /// Cost served in a report interval by a unit of ready weight: the most of late.
+    /// The most cost served of late, in ns of latency objective per unit of weight per report interval.
     pub(crate) peak_load: f64,
-    /// Cost per unit of ready weight that is admitted in a report interval, while load is shed.
+    /// Cost per unit of included weight that is admitted in a report interval, while load is shed.
     pub(crate) load_limit: Option<f64>,
     /// Last measured overload: from 1 on the fleet is overloaded.
     overload: f64,
@@ -125,9 +126,9 @@
         self.adjusted_at = now;
         let overload = self.expected_overload(inputs);
         let was_limited = self.load_limit.is_some();
-        let served_load = self.served_cost(limits, now) / inputs.ready_weight.max(f64::MIN_POSITIVE);
+        let served_load = self.served_cost(limits, now) / inputs.included_weight.max(f64::MIN_POSITIVE);
         self.move_load_limit(overload, served_load);
-        let all_admitted = self.share_out(self.budget(overload, inputs.ready_weight), limits);
+        let all_admitted = self.share_out(self.budget(overload, inputs.included_weight), limits);
         if all_admitted && overload < LOW_OVERLOAD {
             self.load_limit = None;
         }
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Overload: mean response time or failure rate over what counts as overload. Reports are late, so that it is taken
-    /// as where its last change leads in a report interval.
+    /// Overload: mean response time or failure rate over what counts as overload. Reports are late, so that it is
+    /// taken as where its last change leads in a report interval.
     fn expected_overload(&mut self, inputs: &AdmissionInputs) -> f64 {
         let failing = if inputs.isolated { 0.0 } else { inputs.recent.failure_rate() / GENERAL_FAILURE_RATE };
         let overload = (inputs.recent.mean_response_time() / inputs.overload_response_time).max(failing);
@@ -174,9 +175,9 @@
     }
 
     /// Cost that may be admitted in a report interval; less while queues are to be worked off.
-    fn budget(&self, overload: f64, ready_weight: f64) -> f64 {
-        let drain_share = overload.max(1.0).powi(-2).max(MIN_DRAIN_SHARE);
-        self.load_limit.map_or(f64::MAX, |limit| limit * ready_weight * drain_share)
+    fn budget(&self, overload: f64, included_weight: f64) -> f64 {
+        let catch_up_share = overload.max(1.0).powi(-2).max(MIN_CATCH_UP_SHARE);
+        self.load_limit.map_or(f64::MAX, |limit| limit * included_weight * catch_up_share)
     }
 
     /// Shares the budget out among the operations, the most valuable first; true if all is admitted.
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -10,9 +10,9 @@
     let mut mailboxes = Mailboxes::default();
     for (interval, response_time) in response_times.into_iter().enumerate() {
         mailboxes.now = START + interval as u64 * 10 * SECOND;
-        let response_time = 50.0 * response_time as f64;
+        let response_time_sum = 50.0 * response_time as f64;
         fleet.handle(
-            Message::Observed { attempts: 50.0, failures: 0.0, response_time, window: 0.0 },
+            Message::Observed { attempts: 50.0, failures: 0.0, response_time_sum, window: 0.0 },
             &mut mailboxes,
         );
         for operation in 0..2 {
--- a/src/channel.rs
+++ b/src/channel.rs
@@ -57,7 +57,7 @@
     /// When deferrable changes were last sent; 0: never.
     deferrable_sent_at: Nanos,
     /// When the channel could last not carry full tables in time.
-    overloaded_at: Option<Nanos>,
+    last_behind_at: Option<Nanos>,
     /// Lines of table assignments that go before the next deferrable changes.
     assignment_quota: f64,
     deadlines: DeadlineStatistics,
@@ -124,7 +124,7 @@
     fn join(&mut self, proxy: ProxyId, rate: f64, is_new: bool, now: Nanos) {
         let subset = if self.isolated { self.subsets.least_loaded(&self.proxies) } else { None };
         self.proxies.join(proxy, rate, is_new, subset.unwrap_or(FULL_TABLE), now);
-        self.sent.repeat_exclusions();
+        self.sent.mark_exclusions_for_repeat();
     }
 
     /// Forgets a removed server unless a table still has it; returns whether it is forgotten.
@@ -153,18 +153,22 @@
         changes.retain(|change| change.priority == Priority::Urgent && change.audience == Audience::All);
         let mut all_urgent_sent = self.send_updates(changes, mailboxes);
         self.assign_tables(AssignmentScope::Urgent, mailboxes);
+        // Assignments go before deferrable changes while they have a quota left from the last batch, or nothing
+        // urgent waits.
         if self.assignment_quota > 0.0 || all_urgent_sent {
             let capacity_share = ASSIGNMENT_CAPACITY_SHARE;
             self.assign_tables(AssignmentScope::All { capacity_share }, mailboxes);
         }
         all_urgent_sent &= self.send_updates(self.differing_lines(now), mailboxes);
+        // With urgent changes left over, assignments leave them more of the capacity.
         let capacity_share =
             if all_urgent_sent { ASSIGNMENT_CAPACITY_SHARE } else { DEFERRABLE_CAPACITY_SHARE };
         self.assign_tables(AssignmentScope::All { capacity_share }, mailboxes);
         self.log_deadlines(mailboxes);
     }
 
-    /// Newly joined proxies hold what was sent to them before, so their deadline may be the earliest.
+    /// Whether the earliest deadline of an assignment to a newly joined proxy is before that of any removal; also where
+    /// removals are due and no proxy has newly joined.
     fn assignments_are_due_before_updates(&self) -> bool {
         let newly_joined = self.proxies.newly_joined();
         let assignments = newly_joined.map(|proxy| self.newly_joined_deadline(proxy)).min();
--- a/src/channel/assignment.rs
+++ b/src/channel/assignment.rs
@@ -1,5 +1,5 @@
 //! Assignments of tables to proxies that joined or are to change theirs: the earliest deadline first, then
-//! those without a table, then those with the most requests.
+//! unassigned proxies, then those with the most requests.
 
 use std::collections::BTreeSet;
 
--- a/src/channel/batch.rs
+++ b/src/channel/batch.rs
@@ -48,7 +48,7 @@
         self.users_by_table.get(&table).copied().unwrap_or_default()
     }
 
-    /// Whether there are proxies without an assigned table.
+    /// Whether there are unassigned proxies.
     pub(super) fn has_unassigned_proxies(&self) -> bool {
         self.users_by_table.contains_key(&EXCLUSIONS)
     }
--- a/src/channel/capacity_shares.rs
+++ b/src/channel/capacity_shares.rs
@@ -3,7 +3,8 @@
 
 use crate::pacing::Pacing;
 
-/// Least share for deferrable changes.
+/// Share of the channel's capacity, 0 to 1, that deferrable changes may fill where overhead is large; the share
+/// until the next batch may allow less.
 pub(super) const DEFERRABLE_CAPACITY_SHARE: f64 = 0.3;
 /// Share for table assignments and admission limits.
 pub(super) const ASSIGNMENT_CAPACITY_SHARE: f64 = 0.5;
--- a/src/channel/changes.rs
+++ b/src/channel/changes.rs
@@ -30,7 +30,7 @@
 pub(super) enum Audience {
     /// All users of the table.
     All,
-    /// It was sent before: only the proxies that joined since.
+    /// Unassigned proxies that joined since it was sent to all.
     NewlyJoined,
 }
 
@@ -40,8 +40,9 @@
     pub(super) line: TableLine,
     pub(super) weight: f64,
     pub(super) priority: Priority,
-    /// Orders changes of one priority, the largest first.
-    pub(super) weight_change: f64,
+    /// Orders changes of one priority, the largest first: the change of weight, or more where the server must be
+    /// excluded.
+    pub(super) sort_key: f64,
     pub(super) audience: Audience,
 }
 
@@ -64,7 +65,7 @@
     channel: &'a Channel,
     exclusions_are_due: bool,
     usable: BTreeMap<TableId, UsableServers>,
-    /// Subsets are replenished before they have next to nothing left: the channel is not overloaded.
+    /// Subsets are replenished before they have next to nothing left: proxies are isolated, or the channel keeps up.
     replenishes_early: bool,
 }
 
@@ -75,11 +76,11 @@
             channel: self,
             exclusions_are_due: self.exclusions_are_due(now),
             usable: self.usable_servers(),
-            replenishes_early: self.isolated || self.has_no_recent_overload(now),
+            replenishes_early: self.isolated || self.keeps_up(now),
         };
         let lines = comparison.lines().into_iter();
         let mut changes: Vec<Change> = lines.filter_map(|line| comparison.change(line)).collect();
-        changes.sort_by(|a, b| a.priority.cmp(&b.priority).then(b.weight_change.total_cmp(&a.weight_change)));
+        changes.sort_by(|a, b| a.priority.cmp(&b.priority).then(b.sort_key.total_cmp(&a.sort_key)));
         changes
     }
 
@@ -88,7 +89,7 @@
         let desired = self.desired_weights.get(&line.server).copied().unwrap_or_default();
         match line.table {
             FULL_TABLE => desired.weight,
-            EXCLUSIONS if desired.urgent && desired.weight == 0.0 => 1.0,
+            EXCLUSIONS if desired.unstable && desired.weight == 0.0 => 1.0,
             EXCLUSIONS => 0.0,
             _ => self.subsets.desired_weight(line, &desired),
         }
@@ -111,7 +112,7 @@
     fn lines(&self) -> BTreeSet<TableLine> {
         let channel = self.channel;
         let mut lines: BTreeSet<TableLine> =
-            channel.sent.weights.keys().chain(&channel.subsets.endpoints).copied().collect();
+            channel.sent.weights.keys().chain(&channel.subsets.lines).copied().collect();
         let in_table = |table| move |server: &ServerId| TableLine { table, server: *server };
         lines.extend(channel.desired_weights.keys().map(in_table(FULL_TABLE)));
         if self.exclusions_are_due {
@@ -133,21 +134,21 @@
             return None;
         }
         let desired = channel.desired_weights.get(&line.server).copied().unwrap_or_default();
-        // Draining servers go first, out of tables before they are excluded: users of a table exclude what it
-        // has.
-        let weight_change =
+        // Servers that must be excluded go first; of those the full table, then subsets, then exclusions: an
+        // exclusion also reaches users of a table that still has the server.
+        let sort_key =
             if desired.must_exclude { f64::MAX / (1.0 + f64::from(line.table)) } else { weight_change };
-        let priority = self.priority(line, sent, weight, desired.urgent);
+        let priority = self.priority(line, sent, weight, desired.unstable);
         let audience = if repeats { Audience::NewlyJoined } else { Audience::All };
-        Some(Change { line, weight, priority, weight_change, audience })
+        Some(Change { line, weight, priority, sort_key, audience })
     }
 
-    fn priority(&self, line: TableLine, sent: f64, weight: f64, server_is_urgent: bool) -> Priority {
+    fn priority(&self, line: TableLine, sent: f64, weight: f64, server_is_unstable: bool) -> Priority {
         let joins_subset = sent == 0.0 && weight > 0.0 && line.table > FULL_TABLE;
         let is_needed = self.lacks_servers(line.table)
-            || (self.replenishes_early && self.lacks_weight(line.table) && !server_is_urgent);
+            || (self.replenishes_early && self.lacks_weight(line.table) && !server_is_unstable);
         let excludes = line.table == EXCLUSIONS && weight > sent;
-        let reduces_urgently = server_is_urgent && weight < sent;
+        let reduces_urgently = server_is_unstable && weight < sent;
         if reduces_urgently || (joins_subset && is_needed) || excludes {
             Priority::Urgent
         } else if weight > 0.0 && (self.channel.isolated || !joins_subset) {
@@ -163,6 +164,6 @@
 
     fn lacks_weight(&self, table: TableId) -> bool {
         let weight = self.usable.get(&table).map_or(0.0, |usable| usable.weight);
-        self.channel.subsets.is_too_light(table, weight)
+        self.channel.subsets.lacks_weight(table, weight)
     }
 }
--- a/src/channel/exclusions.rs
+++ b/src/channel/exclusions.rs
@@ -1,4 +1,4 @@
-//! When proxies without an assigned table are sent the servers that they must not send to.
+//! When unassigned proxies are sent the servers that they must not send to.
 
 use super::Channel;
 use crate::interface::*;
@@ -8,11 +8,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Share of the drain grace since it joined after which a proxy without a table is sent the exclusions.
+/// Share of the drain grace since it joined after which an unassigned proxy is sent the exclusions.
 const EXCLUSION_DELAY_GRACE_SHARE: f64 = 0.25;
 
 impl Channel {
-    /// Whether proxies without a table are to be sent the exclusions. A table serves as well, and is waited
+    /// Whether unassigned proxies are to be sent the exclusions. A table serves as well, and is waited
     /// for until it can no longer be there in time; exclusions are sent only where a stand-in takes no fewer
     /// lines or there is none.
     pub(super) fn exclusions_are_due(&self, now: Nanos) -> bool {
--- a/src/channel/obligations.rs
+++ b/src/channel/obligations.rs
@@ -30,6 +30,7 @@
 
     /// By when a newly joined proxy must have left the servers that are not ready, whatever it holds.
     pub(super) fn newly_joined_deadline(&self, proxy: &Proxy) -> Nanos {
+        // Half of the range, so that adding the grace cannot overflow.
         let first = self.unready_since.values().min().copied().unwrap_or(Nanos::MAX / 2);
         proxy.joined_at.max(first) + self.drain_grace
     }
--- a/src/channel/sent.rs
+++ b/src/channel/sent.rs
@@ -7,8 +7,8 @@
 use crate::message::{AdmissionLimit, DesiredWeight, Mailboxes};
 use crate::tables::{DesiredWeights, TableLine, EXCLUSIONS, FULL_TABLE};
 
-/// Lines of a table beside its servers and admission limits, the mark that requests acknowledgement among
-/// them.
+/// Lines of an assignment beside the table's servers and admission limits: the assignment itself, and the mark that
+/// requests acknowledgement.
 pub(super) const FIXED_TABLE_LINES: f64 = 2.0;
 
 /// An admission limit for the users of a table.
@@ -31,7 +31,8 @@
 /// What was sent to proxies.
 #[derive(Debug, Default)]
 pub(crate) struct SentState {
-    /// Weights by line. Those of [`EXCLUSIONS`] are 0 for a server that may be sent to again.
+    /// Weights by line. In [`EXCLUSIONS`]: 1, all unassigned proxies were sent it; between 0 and 1, some joined since
+    /// (halved at each join so that it differs from 1); 0, readmitted.
     pub(crate) weights: BTreeMap<TableLine, f64>,
     /// Limits by table and operation.
     admission_limits: BTreeMap<(TableId, usize), AdmissionLimit>,
@@ -82,13 +83,13 @@
         desired: &DesiredWeights,
     ) -> BTreeMap<TableId, TableSize> {
         let empty = TableSize { lines: FIXED_TABLE_LINES + admission_limits as f64, readmissions: 0.0 };
-        let has_restarted =
-            |server| desired.get(server).is_some_and(|desired: &DesiredWeight| desired.restarted);
+        let has_known_start =
+            |server| desired.get(server).is_some_and(|desired: &DesiredWeight| desired.has_known_start);
         let mut sizes: BTreeMap<TableId, TableSize> = BTreeMap::new();
         for TableLine { table, server } in self.lines_in_use() {
             let size = sizes.entry(*table).or_insert(empty);
             size.lines += 1.0;
-            size.readmissions += f64::from(u8::from(has_restarted(server)));
+            size.readmissions += f64::from(u8::from(has_known_start(server)));
         }
         sizes
     }
@@ -97,8 +98,8 @@
         self.weights.iter().filter(|(_, &weight)| weight > 0.0).map(|(line, _)| line)
     }
 
-    /// Has all exclusions differ from what was sent: a newly joined proxy has none of them.
-    pub(super) fn repeat_exclusions(&mut self) {
+    /// Has all exclusions differ from what was sent: a proxy that joins has none of them.
+    pub(super) fn mark_exclusions_for_repeat(&mut self) {
         let exclusions = self.weights.range_mut(TableLine::first_of(EXCLUSIONS)..);
         exclusions.for_each(|(_, weight)| *weight /= 2.0);
     }
--- a/src/channel/table_choice.rs
+++ b/src/channel/table_choice.rs
@@ -17,7 +17,7 @@
 mod tests;
 
 /// Stand-ins are used for so many drain graces after the channel could last not carry full tables in time.
-const OVERLOAD_HOLD_GRACES: Nanos = 4;
+const BEHIND_HOLD_GRACES: Nanos = 4;
 /// Share of what the channel sends within a drain grace that moving all users of the full table to stand-ins
 /// may take.
 const MOVE_CAPACITY_SHARE: f64 = 0.8;
@@ -36,7 +36,7 @@
         if self.pacing.forecast(now).meets_all(&mut obligations) {
             return self.restore_full_table(now, urgent.is_empty());
         }
-        self.overloaded_at = Some(now);
+        self.last_behind_at = Some(now);
         let waiting = if newly_joined.is_empty() { Vec::new() } else { self.proxies.awaiting_full_table() };
         self.move_to_stand_ins(&waiting);
         if self.should_leave_full_table(&urgent, updates, &newly_joined, now) {
@@ -80,7 +80,7 @@
     /// first.
     fn limit_full_table(&mut self) {
         let max = self.max_full_table_users();
-        let count = self.proxies.count_for_full_table();
+        let count = self.proxies.count_intended_for_full_table();
         if count <= max {
             return;
         }
@@ -104,23 +104,23 @@
         }
     }
 
-    /// Whether the channel could carry full tables in time for a while.
-    pub(super) fn has_no_recent_overload(&self, now: Nanos) -> bool {
-        let hold = OVERLOAD_HOLD_GRACES * self.drain_grace;
-        self.overloaded_at.is_none_or(|at| now.saturating_sub(at) > hold)
+    /// Whether full tables could be carried in time for the last [`BEHIND_HOLD_GRACES`] drain graces.
+    pub(super) fn keeps_up(&self, now: Nanos) -> bool {
+        let hold = BEHIND_HOLD_GRACES * self.drain_grace;
+        self.last_behind_at.is_none_or(|at| now.saturating_sub(at) > hold)
     }
 
-    /// Brings proxies back to the full table after a while without overload, those with the most requests
+    /// Brings proxies back to the full table once the channel keeps up, those with the most requests
     /// first.
     fn restore_full_table(&mut self, now: Nanos, nothing_is_urgent: bool) {
         let has_newly_joined = self.proxies.newly_joined().next().is_some();
-        if !self.has_no_recent_overload(now) || !nothing_is_urgent || has_newly_joined {
+        if !self.keeps_up(now) || !nothing_is_urgent || has_newly_joined {
             return;
         }
         let mut on_stand_ins = self.proxies.ids_where(|proxy| proxy.intended_table != FULL_TABLE);
         let requests = |id: &ProxyId| self.proxies.by_id[id].requests.sum;
         on_stand_ins.sort_by(|a, b| requests(b).total_cmp(&requests(a)));
-        let count = self.proxies.count_for_full_table();
+        let count = self.proxies.count_intended_for_full_table();
         let more = self.max_full_table_users().saturating_sub(count);
         for id in on_stand_ins.into_iter().take(more) {
             if let Some(proxy) = self.proxies.by_id.get_mut(&id) {
--- a/src/channel/updates.rs
+++ b/src/channel/updates.rs
@@ -29,8 +29,8 @@
 const DEFERRABLE_MESSAGE_SHARE: f64 = 0.3;
 /// Lines of table assignments that may go, for each line of changes, before the next deferrable changes.
 const ASSIGNMENT_LINES_PER_LINE: f64 = 3.0;
-/// The same at most, as a share of what the channel sends within a drain grace: no table is worse than an old
-/// one.
+/// Most lines of assignments before the next deferrable changes, as a share of what the channel sends within a drain
+/// grace: no table is worse than an old one.
 const MAX_ASSIGNMENT_GRACE_SHARE: f64 = 0.125;
 
 /// What the channel takes in this flush; each figure is in lines.
@@ -57,12 +57,12 @@
         if (urgent == 0 && !allowance.takes_deferrable) || self.reaches_message_limit(urgent) {
             return urgent == 0;
         }
-        let tables = self.tables_worth_updating(&changes, &batch, &allowance);
+        let tables = self.tables_to_update(&changes, &batch, &allowance);
         if allowance.queue_is_long && self.may_gather(&changes, &batch, now) {
             return false;
         }
-        changes.retain(|change| fits(change, &tables, &allowance, &mut batch));
-        let limits = self.fitting_limits(&allowance, &mut batch);
+        changes.retain(|change| try_add_change(change, &tables, &allowance, &mut batch));
+        let limits = self.take_fitting_limits(&allowance, &mut batch);
         let urgent_sent = changes.iter().filter(|change| change.is_urgent()).count();
         let all_urgent_sent = urgent_sent == urgent;
         if changes.is_empty() && limits.is_empty() {
@@ -72,11 +72,10 @@
             self.deferrable_sent_at = now;
         }
         self.record_deadlines(&changes, &batch, now);
-        self.write(&changes, limits, mailboxes);
+        self.send_changes(&changes, limits, mailboxes);
         self.record_batch(&batch, mailboxes);
         if all_urgent_sent && batch.has_lines_of(EXCLUSIONS) {
-            let unassigned = self.proxies.by_id.values_mut().filter(|proxy| proxy.assigned_table.is_none());
-            unassigned.for_each(|proxy| proxy.has_exclusions = true);
+            self.mark_exclusions_sent();
         }
         all_urgent_sent
     }
@@ -113,11 +112,8 @@
     /// Share of the capacity that deferrable changes may fill: no more than is sent until the next batch,
     /// since what is urgent would stand behind it.
     fn deferrable_share_until_next_batch(&self, overhead_lines: f64, interval: Nanos, now: Nanos) -> f64 {
-        let until_next = if self.has_no_recent_overload(now) {
-            self.pacing.learned_lines_per_ns() * interval as f64
-        } else {
-            0.0
-        };
+        let until_next =
+            if self.keeps_up(now) { self.pacing.learned_lines_per_ns() * interval as f64 } else { 0.0 };
         let sent_by_then = (self.pacing.queue_target() + until_next) / self.pacing.capacity_lines;
         deferrable_share(&self.pacing, overhead_lines).min(sent_by_then)
     }
@@ -130,7 +126,7 @@
 
     /// Tables with urgent changes for which as many lines fit as their messages' overhead: smaller pieces are
     /// not worth it.
-    fn tables_worth_updating(
+    fn tables_to_update(
         &self,
         changes: &[Change],
         batch: &Batch,
@@ -155,7 +151,7 @@
     }
 
     /// Differing admission limits that the batch takes.
-    fn fitting_limits(&self, allowance: &Allowance, batch: &mut Batch) -> Vec<TableLimit> {
+    fn take_fitting_limits(&self, allowance: &Allowance, batch: &mut Batch) -> Vec<TableLimit> {
         if !allowance.takes_deferrable {
             return Vec::new();
         }
@@ -180,7 +176,13 @@
         }
     }
 
-    fn write(&mut self, changes: &[Change], limits: Vec<TableLimit>, mailboxes: &mut Mailboxes) {
+    /// Notes that all unassigned proxies were sent the exclusions.
+    fn mark_exclusions_sent(&mut self) {
+        let unassigned = self.proxies.by_id.values_mut().filter(|proxy| proxy.assigned_table.is_none());
+        unassigned.for_each(|proxy| proxy.has_exclusions = true);
+    }
+
+    fn send_changes(&mut self, changes: &[Change], limits: Vec<TableLimit>, mailboxes: &mut Mailboxes) {
         for change in changes {
             self.sent.send_weight(change.line, change.weight, mailboxes);
         }
@@ -202,9 +204,9 @@
     }
 }
 
-/// Adds a change to the batch if it may go now. Ordinary ones wait while there are proxies without a table
-/// beside those that have one.
-fn fits(
+/// Adds a change to the batch if it may go now. Ordinary ones wait while there are unassigned proxies beside
+/// assigned ones.
+fn try_add_change(
     change: &Change,
     worth_updating: &BTreeSet<TableId>,
     allowance: &Allowance,
--- a/src/channel/updates/tests.rs
+++ b/src/channel/updates/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[rstest]
-fn messages_stay_within_their_limit(mut config: ControllerConfig) {
+fn updates_stay_within_the_message_limit(mut config: ControllerConfig) {
     (config.message_limit, config.message_limit_window) = (4, 10 * SECOND);
     let mut controller = running(&config);
     let sends_message = |tenth: u64, controller: &mut Controller| {
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,8 +1,8 @@
 //! The controller: one instance of all decisions, free of I/O. A supervisor calls [`Controller::new`] once,
 //! [`Controller::decide`] with each batch of events, and carries out the actions in their order.
 //!
-//! Inside, the endpoint list, each server, the fleet and the channel are components with a mailbox each. They exchange
-//! `Message`s only; `decide` turns events into messages and empties the mailboxes.
+//! Inside, the endpoint list, each server, the fleet and the channel are components with a mailbox each. They
+//! exchange `Message`s only; `decide` turns events into messages and empties the mailboxes.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,8 @@
 
 /// Token of the timer that lets the controller evaluate everything at least once per tick.
 const TICK_TIMER: u64 = 1;
-/// Time after which a removed server is forgotten; a proxy that joins before is told to exclude it.
+/// Time from a server's last response or change of state until it is forgotten once removed. Until then joining
+/// proxies are told to exclude it if it drained; one removed without draining only while attempts there are recent.
 const REMOVED_SERVER_RETENTION: Nanos = 60 * SECOND;
 
 /// Decides for one supervisor which weights, limits and exclusions its proxies are sent.
@@ -74,7 +75,7 @@
         self.forget_removed_servers();
         for _ in 0..evaluations {
             let servers = self.servers.keys().copied().collect();
-            self.mailboxes.send(Component::Fleet, Message::Tick(servers));
+            self.mailboxes.send(Component::Fleet, Message::EvaluateAll(servers));
             self.empty_mailboxes();
         }
         self.mailboxes.send(Component::Channel, Message::Flush);
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Forgets servers that were removed long ago and that no table names. Guards memory where servers are replaced all
-    /// day under new ids.
+    /// Forgets servers that were removed long ago and that no table names. Guards memory where servers are replaced
+    /// all day under new ids.
     fn forget_removed_servers(&mut self) {
         let Controller { servers, endpoints, fleet, channel, mailboxes, .. } = self;
         servers.retain(|&id, server| {
--- a/src/deadlines.rs
+++ b/src/deadlines.rs
@@ -1,5 +1,5 @@
 //! Obligations with deadlines, whether the channel can still meet them (earliest deadline first), and the
-//! account of met and missed deadlines for the log. Used by the channel and its pacing.
+//! account of deadlines forecast to be met and missed for the log. Used by the channel and its pacing.
 
 use crate::interface::Nanos;
 
@@ -53,19 +53,21 @@
     }
 }
 
-/// Notifications that met and that missed their deadline since the last line in the log.
+/// Messages whose forecast arrival meets or misses their deadline, since the last line in the log; nothing here is
+/// measured, and a proxy that is sent two counts twice.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DeadlineStatistics {
-    /// Proxies notified in time.
+    /// Messages forecast to arrive in time.
     met: usize,
-    /// Proxies notified late.
+    /// Messages forecast to arrive late.
     missed: usize,
+    /// The longest forecast lateness, ns.
     max_lateness: Nanos,
     logged_at: Option<Nanos>,
 }
 
 impl DeadlineStatistics {
-    /// Counts a notification of `proxies` that arrives at `arrival`.
+    /// Counts a message to each of `proxies` proxies that is forecast to arrive at `arrival`.
     pub(crate) fn record(&mut self, proxies: usize, deadline: Nanos, arrival: Nanos) {
         if arrival > deadline {
             self.missed += proxies;
--- a/src/ejection.rs
+++ b/src/ejection.rs
@@ -1,10 +1,10 @@
 //! Outlier detection and ejection: which servers are outliers, how many of them may be ejected at once, for how long,
-//! and how a server returns. [`Server`](crate::server::Server) keeps the state, [`Fleet`](crate::fleet::Fleet) decides
-//! who is ejected.
+//! and how a server returns. [`Server`](crate::server::Server) keeps the state, [`Fleet`](crate::fleet::Fleet)
+//! decides who is ejected.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::health::{Health, HealthScore, HealthState};
+use crate::health::{FaultScores, Health, HealthState};
 use crate::interface::*;
 use crate::message::*;
 
@@ -17,12 +17,13 @@
 pub(crate) const MAX_EJECTION_TIME: Nanos = 4 * BASE_EJECTION_TIME;
 /// Share of the ready servers that may be ejected at once.
 const MAX_EJECTED_SHARE: f64 = 1.0 / 3.0;
-/// Share of its weight with which a server returns, and that an outlier keeps which may not be ejected.
+/// Share of its weight with which a server returns, and that an outlier keeps which may not be ejected, on top of
+/// what its health leaves it.
 pub(crate) const RETURN_SHARE: f64 = 0.1;
 /// Time of good reports in which a returned server's share would rise from 0 to 1.
 const RECOVERY_TIME: Nanos = 5 * SECOND;
-/// Healthy servers of the fleet that may look unresponsive by chance. A larger fleet needs more missing responses for
-/// it: 30 servers 5, 600 servers 8.
+/// Healthy servers that may look unresponsive by chance at one time, in the whole fleet. A server misses n expected
+/// responses by chance with probability e^-n: 30 servers need 5 missing responses, 600 need 8.
 pub(crate) const FALSE_POSITIVES: f64 = 0.2;
 
 /// Missing responses that make a server unresponsive in a fleet of so many ready servers.
@@ -72,20 +73,22 @@
         }
     }
 
-    /// Whether too many responses are missing, and a report with one could have come by now. `state_since`: since when
-    /// the server is listed, or back from an ejection.
-    pub(crate) fn is_unresponsive(&self, state_since: Nanos, fleet: &FleetStatistics, now: Nanos) -> bool {
+    /// Whether too many responses are missing, and a report with one could have come by now. `state_since`: since
+    /// when the server is listed, or back from an ejection.
+    pub(crate) fn is_unresponsive(&self, state_since: Nanos, fleet: &EvaluationInputs, now: Nanos) -> bool {
         let silent_for = now.saturating_sub(self.last_response.max(state_since)) as f64;
         self.missing_responses > fleet.unresponsive_after && silent_for > fleet.max_report_gap
     }
 }
 
 /// Why a server is an outlier, if it is one. While failures are general, errors and slowness are no fault of its own.
-pub(crate) fn detect_fault(
+///
+/// Updates `health` only where no other fault is found and failures are not general; otherwise it stays as it was.
+pub(crate) fn update_health_and_detect_fault(
     unresponsive: bool,
-    score: &HealthScore,
+    fault_scores: &FaultScores,
     health: &mut HealthState,
-    fleet: &FleetStatistics,
+    fleet: &EvaluationInputs,
     now: Nanos,
 ) -> Option<Fault> {
     if unresponsive {
@@ -94,10 +97,10 @@
     if fleet.general_failure {
         return None;
     }
-    if score.has_critical_errors() {
+    if fault_scores.has_critical_errors() {
         return Some(Fault::Errors);
     }
-    health.update(score.goodness(), now);
+    health.update(fault_scores.health_score(), now);
     (health.health == Health::Unhealthy).then_some(Fault::Score)
 }
 
@@ -141,8 +144,8 @@
         self.fault.unwrap_or(Fault::Score)
     }
 
-    /// Takes this evaluation's fault; recovery rises while reports are good. True: the ejection ends, since its time is
-    /// over, or an unresponsive server responds.
+    /// Takes this evaluation's fault; recovery rises while reports are good. True: the ejection ends, since its time
+    /// is over, or an unresponsive server responds.
     pub(crate) fn update(
         &mut self,
         fault: Option<Fault>,
@@ -172,8 +175,8 @@
     }
 }
 
-/// Servers that are to be ejected: outliers, the worst first, up to [`MAX_EJECTED_SHARE`] of the ready ones, and never
-/// the last warm one. Guards against empty tables where all servers fail for one cause.
+/// Servers that are to be ejected: outliers, the worst first, up to [`MAX_EJECTED_SHARE`] of the ready ones, and
+/// never the last warm one. Guards against empty tables where all servers fail for one cause.
 pub(crate) fn servers_to_eject(statuses: &BTreeMap<ServerId, ServerStatus>) -> BTreeSet<ServerId> {
     let ready = || statuses.values().filter(|status| status.is_ready());
     let mut outliers: Vec<&ServerStatus> =
--- a/src/ejection/tests.rs
+++ b/src/ejection/tests.rs
@@ -15,14 +15,14 @@
 ) {
     let mut server = Server::new(endpoint(1), START);
     record_report(&mut server, attempts, failures, START);
-    assert_eq!(server.evaluate(FleetStatistics::default(), &server_config(), START).fault, fault);
+    assert_eq!(server.evaluate(EvaluationInputs::default(), &server_config(), START).fault, fault);
 }
 
 #[rstest]
 fn failure_rate_that_all_servers_share_is_no_fault_of_one() {
     let mut server = Server::new(endpoint(1), START);
     record_report(&mut server, 40, 30, START);
-    let fleet = FleetStatistics { median_error_rate: 0.7, ..FleetStatistics::default() };
+    let fleet = EvaluationInputs { median_error_rate: 0.7, ..EvaluationInputs::default() };
     assert_eq!(server.evaluate(fleet, &server_config(), START).fault, None);
 }
 
@@ -30,7 +30,7 @@
 fn errors_are_no_fault_while_failures_are_general() {
     let mut server = Server::new(endpoint(1), START);
     record_report(&mut server, 40, 36, START);
-    let fleet = FleetStatistics { general_failure: true, ..FleetStatistics::default() };
+    let fleet = EvaluationInputs { general_failure: true, ..EvaluationInputs::default() };
     assert_eq!(server.evaluate(fleet, &server_config(), START).fault, None);
 }
 
@@ -45,11 +45,11 @@
 ) {
     let mut server = Server::new(endpoint(1), START);
     server.responsiveness.applied_share = 0.25;
-    let fleet = FleetStatistics {
+    let fleet = EvaluationInputs {
         responses,
         max_report_gap: (max_report_gap_s * SECOND) as f64,
         weight_share: 0.25,
-        ..FleetStatistics::default()
+        ..EvaluationInputs::default()
     };
     let status = server.evaluate(fleet, &server_config(), START + 10 * SECOND);
     assert_eq!(status.fault, fault);
@@ -68,7 +68,7 @@
     server.ejection.fault = Some(fault);
     server.handle(Message::Ejection(true), &server_config(), &mut Mailboxes::at(START));
     record_report(&mut server, 4, 1, START + after);
-    let status = server.evaluate(FleetStatistics::default(), &server_config(), START + after);
+    let status = server.evaluate(EvaluationInputs::default(), &server_config(), START + after);
     assert_eq!(status.ejected, still_ejected);
     if !still_ejected {
         assert!((status.weight - RETURN_SHARE).abs() < 1e-9);
@@ -79,10 +79,10 @@
 fn returned_server_recovers_only_with_good_reports() {
     let mut server = Server::new(endpoint(1), START);
     server.return_from_ejection(START);
-    let before = server.evaluate(FleetStatistics::default(), &server_config(), START + 3 * SECOND).weight;
+    let before = server.evaluate(EvaluationInputs::default(), &server_config(), START + 3 * SECOND).weight;
     assert_eq!(before, RETURN_SHARE);
     record_report(&mut server, 3, 0, START + 3 * SECOND);
-    let after = server.evaluate(FleetStatistics::default(), &server_config(), START + 4 * SECOND).weight;
+    let after = server.evaluate(EvaluationInputs::default(), &server_config(), START + 4 * SECOND).weight;
     assert!(after > before);
 }
 
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Compares the servers, and decides for all of them: collects their statuses at each evaluation and puts the rules of
-//! `ejection`, `slow_start`, `admission`, `retries` and `isolation` together. The controller hands it messages.
+//! Compares the servers, and decides for all of them: collects their statuses at each evaluation and puts the rules
+//! of `ejection`, `slow_start`, `admission`, `retries` and `isolation` together. The controller hands it messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
 use crate::isolation::Isolation;
 use crate::message::*;
 use crate::retries::Retries;
-use crate::slow_start::{SlowStartGuard, WeightInputs};
+use crate::slow_start::{TableWeights, WeightInputs};
 use crate::statistics::{
     median, AttemptSums, DecayingSum, OutcomeTotals, RecentOutcomes, OUTCOME_TIME_CONSTANT,
 };
@@ -61,7 +61,7 @@
     pub(crate) weights: BTreeMap<ServerId, f64>,
     /// Servers that our proxies use, while these are isolated on subsets.
     pub(crate) subset_servers: BTreeSet<ServerId>,
-    pub(crate) slow_start: SlowStartGuard,
+    pub(crate) table_weights: TableWeights,
     pub(crate) admission: Admission,
     pub(crate) retries: Retries,
     pub(crate) isolation: Isolation,
@@ -75,7 +75,7 @@
         Fleet {
             report_interval: config.report_interval,
             overload_response_time: overload_response_time(config),
-            slow_start: SlowStartGuard::new(config),
+            table_weights: TableWeights::new(config),
             admission: Admission::new(config),
             retries: Retries::new(config),
             limits,
@@ -86,15 +86,15 @@
     pub(crate) fn handle(&mut self, message: Message, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
         match message {
-            Message::Observed { attempts, failures, response_time, window } => {
-                self.record_report(attempts, failures, response_time, window, now)
+            Message::Observed { attempts, failures, response_time_sum, window } => {
+                self.record_report(attempts, failures, response_time_sum, window, now)
             }
             Message::Demand { operation, total, failures } => {
                 self.retries.record_demand(operation, total, failures, now);
                 self.admission.record_demand(operation, total, failures, now);
             }
             Message::SubsetServers(servers) => self.subset_servers = servers,
-            Message::Tick(servers) => self.request_statuses(servers, mailboxes),
+            Message::EvaluateAll(servers) => self.request_statuses(servers, mailboxes),
             Message::Status(status) => {
                 self.statuses.insert(status.endpoint.server, status);
                 self.pending_statuses = self.pending_statuses.saturating_sub(1);
@@ -107,20 +107,28 @@
     }
 
     /// Adds a report on one server: the time of all responses together and the window that it covers are in ns.
-    fn record_report(&mut self, attempts: f64, failures: f64, response_time: f64, window: f64, now: Nanos) {
-        self.slow_start.record_report(self.reports.last, now);
+    fn record_report(
+        &mut self,
+        attempts: f64,
+        failures: f64,
+        response_time_sum: f64,
+        window: f64,
+        now: Nanos,
+    ) {
+        self.table_weights.record_report(self.reports.last, now);
         self.reports.record(window, now);
         self.new_responses += attempts - failures;
-        self.recent_outcomes.add(now, self.report_interval, attempts, failures, response_time);
+        self.recent_outcomes.add(now, self.report_interval, attempts, failures, response_time_sum);
         self.outcomes.add(now, attempts, failures);
     }
 
     /// Asks each server for its status; the last answer leads to decisions.
     pub(crate) fn request_statuses(&mut self, servers: Vec<ServerId>, mailboxes: &mut Mailboxes) {
+        // Servers outside our subsets get no requests from our proxies: no response is expected of them.
         let subsets = &self.subset_servers;
         self.weights.retain(|server, _| subsets.is_empty() || subsets.contains(server));
         let total_weight: f64 = self.weights.values().sum();
-        let statistics = self.take_statistics();
+        let common_inputs = self.take_evaluation_inputs();
         let kinds = self.response_times_by_kind();
         self.pending_statuses = servers.len();
         if servers.is_empty() {
@@ -131,16 +139,16 @@
             let weight_share = weight.map_or(0.0, |weight| weight / total_weight.max(f64::MIN_POSITIVE));
             let kind = self.statuses.get(&server).map(|status| status.endpoint.kind);
             let kind_response_time = kind.and_then(|kind| kinds.get(&kind)).copied().unwrap_or(0.0);
-            let statistics = FleetStatistics { weight_share, kind_response_time, ..statistics };
-            mailboxes.send(Component::Server(server), Message::Evaluate(statistics));
+            let inputs = EvaluationInputs { weight_share, kind_response_time, ..common_inputs };
+            mailboxes.send(Component::Server(server), Message::Evaluate(inputs));
         }
     }
 
-    /// What all servers compare themselves with; counts responses anew.
-    fn take_statistics(&mut self) -> FleetStatistics {
+    /// What all servers are evaluated by in common; counts responses anew.
+    fn take_evaluation_inputs(&mut self) -> EvaluationInputs {
         let responses = std::mem::take(&mut self.new_responses);
         let ready = || self.statuses.values().filter(|status| status.is_ready());
-        FleetStatistics {
+        EvaluationInputs {
             median_response_time: median(ready().filter_map(|status| status.response_time).collect()),
             median_error_rate: median(ready().map(|status| status.error_rate).collect()),
             responses,
@@ -148,7 +156,7 @@
             unresponsive_after: unresponsive_after(ready().count()),
             // The time of a late response, and that until it is reported.
             max_report_gap: self.overload_response_time + self.reports.mean_window(),
-            ..FleetStatistics::default()
+            ..EvaluationInputs::default()
         }
     }
 
@@ -167,42 +175,44 @@
     /// Applies all rules to the statuses of this evaluation, and tells servers and channel what came of it.
     fn conclude_evaluation(&mut self, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
-        let ejected = servers_to_eject(&self.statuses);
+        let left_out = servers_to_eject(&self.statuses);
         let failure_rate = self.outcomes.failure_rate(now);
         let recent = self.recent_outcomes.read(now, self.report_interval);
-        self.update_admission(recent, self.included_weight(&ejected), mailboxes);
+        // Admission goes by the isolation of the evaluation before.
+        self.update_admission(recent, self.included_weight(&left_out), mailboxes);
+        // Where an operation is spared, isolation and retries go by no failures at all.
         let general_failure_rate = if self.retries.is_operation_spared(now) { 0.0 } else { failure_rate };
-        self.update_isolation(general_failure_rate, &recent, mailboxes);
-        self.update_retries(general_failure_rate, mailboxes);
-        self.update_weights(&ejected, 1.0 - failure_rate.max(recent.failure_rate()), now);
-        self.send_decisions(&ejected, mailboxes);
+        self.update_and_send_isolation(general_failure_rate, &recent, mailboxes);
+        self.update_retries_and_send_limits(general_failure_rate, mailboxes);
+        self.update_weights(&left_out, 1.0 - failure_rate.max(recent.failure_rate()), now);
+        self.send_decisions(&left_out, mailboxes);
     }
 
-    /// Weight of the servers that are ready and not ejected, warming ones up to their limit.
-    fn included_weight(&self, ejected: &BTreeSet<ServerId>) -> f64 {
+    /// Weight of the servers that are ready and not left out, warming ones up to their limit.
+    fn included_weight(&self, left_out: &BTreeSet<ServerId>) -> f64 {
         let included = self
             .statuses
             .values()
-            .filter(|status| status.is_ready() && !ejected.contains(&status.endpoint.server));
+            .filter(|status| status.is_ready() && !left_out.contains(&status.endpoint.server));
         included.map(|status| status.slow_start_limit.unwrap_or(status.listed_weight)).sum()
     }
 
     pub(crate) fn update_admission(
         &mut self,
         recent: OutcomeTotals,
-        ready_weight: f64,
+        included_weight: f64,
         mailboxes: &mut Mailboxes,
     ) {
         let inputs = AdmissionInputs {
             recent,
             overload_response_time: self.overload_response_time,
-            ready_weight,
+            included_weight,
             isolated: self.isolation.is_active(),
         };
         self.admission.update(&inputs, &mut self.limits, mailboxes);
     }
 
-    pub(crate) fn update_isolation(
+    pub(crate) fn update_and_send_isolation(
         &mut self,
         failure_rate: f64,
         recent: &OutcomeTotals,
@@ -213,33 +223,33 @@
         mailboxes.send(Component::Channel, Message::Isolate(self.isolation.is_active()));
     }
 
-    pub(crate) fn update_retries(&mut self, failure_rate: f64, mailboxes: &mut Mailboxes) {
+    pub(crate) fn update_retries_and_send_limits(&mut self, failure_rate: f64, mailboxes: &mut Mailboxes) {
         let isolated = self.isolation.is_active();
         self.retries.update(failure_rate, isolated, &mut self.limits, mailboxes);
         mailboxes.send(Component::Channel, Message::AdmissionLimits(self.limits.clone()));
     }
 
-    pub(crate) fn update_weights(&mut self, ejected: &BTreeSet<ServerId>, success_rate: f64, now: Nanos) {
+    pub(crate) fn update_weights(&mut self, left_out: &BTreeSet<ServerId>, success_rate: f64, now: Nanos) {
         let statuses = &self.statuses;
         let last_report = self.reports.last;
         self.weights =
-            self.slow_start.weights(&WeightInputs { statuses, ejected, success_rate, last_report, now });
+            self.table_weights.weights(&WeightInputs { statuses, left_out, success_rate, last_report, now });
     }
 
-    /// Tells each server whether it is ejected, and the channel its weight.
-    fn send_decisions(&self, ejected: &BTreeSet<ServerId>, mailboxes: &mut Mailboxes) {
+    /// Tells each server whether it is left out, and the channel its weight.
+    fn send_decisions(&self, left_out: &BTreeSet<ServerId>, mailboxes: &mut Mailboxes) {
         for (&server, status) in &self.statuses {
-            let is_ejected = ejected.contains(&server);
-            mailboxes.send(Component::Server(server), Message::Ejection(is_ejected));
-            let included = status.is_ready() && !is_ejected;
+            let is_left_out = left_out.contains(&server);
+            mailboxes.send(Component::Server(server), Message::Ejection(is_left_out));
+            let included = status.is_ready() && !is_left_out;
             let weight = self.weights.get(&server).copied().unwrap_or(status.weight);
             let desired = DesiredWeight {
                 weight: if included { weight } else { 0.0 },
-                urgent: !status.is_ready() || !status.warm,
+                unstable: !status.is_ready() || !status.warm,
                 must_exclude: status.must_exclude,
                 unready: !status.is_ready(),
                 locality: status.endpoint.locality,
-                restarted: status.endpoint.started_at > 0,
+                has_known_start: status.endpoint.started_at > 0,
             };
             mailboxes.send(Component::Channel, Message::DesiredWeight(server, desired));
         }
--- a/src/health.rs
+++ b/src/health.rs
@@ -8,53 +8,54 @@
 #[cfg(test)]
 mod tests;
 
-/// Goodness, one minus the mean score, below which a server is unhealthy.
-const UNHEALTHY_GOODNESS: f64 = 0.3;
-/// Goodness above which a server is healthy.
-const HEALTHY_GOODNESS: f64 = 0.7;
+/// Health score, one minus the mean fault score, below which a server is unhealthy.
+const UNHEALTHY_SCORE: f64 = 0.3;
+/// Health score above which a server is healthy.
+const HEALTHY_SCORE: f64 = 0.7;
 /// Error rate above the fleet's median at which the error score is 1.
 const CRITICAL_ERROR_RATE: f64 = 0.5;
 /// Multiple of the fleet's median response time at which the latency score is 1.
 const CRITICAL_LATENCY_RATIO: f64 = 3.0;
-/// Goodness must stay beyond a threshold for this long before the state changes.
+/// The health score must stay beyond a threshold for this long before the state changes.
 pub(crate) const STATE_CHANGE_DELAY: Nanos = 3 * SECOND;
-/// Least share of its weight that a degraded server keeps.
-const MIN_DEGRADED_SHARE: f64 = 0.1;
+/// Least share of its weight that health leaves a degraded or unhealthy server.
+const MIN_HEALTH_SHARE: f64 = 0.1;
 
 /// Time constant of learned response times: capacity changes slower than health.
 pub(crate) const RESPONSE_TIME_CONSTANT: Nanos = 10 * SECOND;
-/// Responses of the servers of its kind that a server's mean response time is computed with in addition.
+/// Responses of the servers of its kind that a server's mean response time is computed with in addition; also
+/// the responses from which a kind's mean is known at all.
 pub(crate) const KIND_PRIOR_RESPONSES: f64 = 24.0;
 /// Responses from which a mean response time is known at all.
 const MIN_RESPONSES: f64 = 1.0;
 /// Power of the response time ratio in the capacity factor: below 1, since slow responses are partly queueing.
 pub(crate) const CAPACITY_EXPONENT: f64 = 0.75;
-/// The same between kinds of servers, where listed weights are nominal capacities.
+/// Power of the ratio of kinds' response times, where listed weights are nominal capacities.
 pub(crate) const NOMINAL_KIND_EXPONENT: f64 = 0.5;
 /// The learned capacity factor stays within this and its inverse.
 const MAX_CAPACITY_FACTOR: f64 = 3.0;
 
-/// Scores of a server against the fleet, each from 0, as good as the median, to 1, critical.
+/// Fault scores of a server against the fleet, each from 0, as good as the median, to 1, critical.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct HealthScore {
+pub(crate) struct FaultScores {
     pub(crate) errors: f64,
     pub(crate) latency: f64,
 }
 
-impl HealthScore {
+impl FaultScores {
     /// Scores an error rate, 0 to 1, and a mean response time, ns.
-    pub(crate) fn new(error_rate: f64, response_time: Option<f64>, fleet: &FleetStatistics) -> Self {
+    pub(crate) fn new(error_rate: f64, response_time: Option<f64>, fleet: &EvaluationInputs) -> Self {
         let latency_ratio = response_time
             .filter(|_| fleet.median_response_time > 0.0)
             .map_or(1.0, |time| time / fleet.median_response_time);
-        HealthScore {
+        FaultScores {
             errors: ((error_rate - fleet.median_error_rate) / CRITICAL_ERROR_RATE).clamp(0.0, 1.0),
             latency: ((latency_ratio - 1.0) / (CRITICAL_LATENCY_RATIO - 1.0)).clamp(0.0, 1.0),
         }
     }
 
-    /// One minus the mean score: 1 is as good as the fleet, 0 critical in all respects.
-    pub(crate) fn goodness(&self) -> f64 {
+    /// One minus the mean fault score: 1 is as good as the fleet, 0 critical in all respects.
+    pub(crate) fn health_score(&self) -> f64 {
         1.0 - (self.errors + self.latency) / 2.0
     }
 
@@ -82,11 +83,11 @@
         [Health::Healthy, Health::Degraded, Health::Unhealthy][usize::from(number.min(2))]
     }
 
-    /// The health that a goodness by itself stands for.
-    fn of(goodness: f64) -> Self {
-        match goodness {
-            g if g < UNHEALTHY_GOODNESS => Health::Unhealthy,
-            g if g > HEALTHY_GOODNESS => Health::Healthy,
+    /// The health that a health score by itself stands for.
+    fn of(health_score: f64) -> Self {
+        match health_score {
+            score if score < UNHEALTHY_SCORE => Health::Unhealthy,
+            score if score > HEALTHY_SCORE => Health::Healthy,
             _ => Health::Degraded,
         }
     }
@@ -96,14 +97,14 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct HealthState {
     pub(crate) health: Health,
-    /// Since when goodness has stood for another health.
+    /// Since when the health score has stood for another health.
     changing_since: Option<Nanos>,
 }
 
 impl HealthState {
-    /// Takes the goodness as of `now`.
-    pub(crate) fn update(&mut self, goodness: f64, now: Nanos) {
-        let next = Health::of(goodness);
+    /// Takes the health score as of `now`.
+    pub(crate) fn update(&mut self, health_score: f64, now: Nanos) {
+        let next = Health::of(health_score);
         if next == self.health {
             self.changing_since = None;
         } else if now.saturating_sub(*self.changing_since.get_or_insert(now)) >= STATE_CHANGE_DELAY {
@@ -111,13 +112,13 @@
         }
     }
 
-    /// Share of its weight that health leaves a server: all if healthy, else by goodness.
-    pub(crate) fn weight_share(&self, goodness: f64) -> f64 {
+    /// Share of its weight that health leaves a server: all if healthy, else by its health score.
+    pub(crate) fn weight_share(&self, health_score: f64) -> f64 {
         if self.health == Health::Healthy {
             return 1.0;
         }
-        let ratio = (goodness - UNHEALTHY_GOODNESS) / (HEALTHY_GOODNESS - UNHEALTHY_GOODNESS);
-        ratio.clamp(MIN_DEGRADED_SHARE, 1.0)
+        let ratio = (health_score - UNHEALTHY_SCORE) / (HEALTHY_SCORE - UNHEALTHY_SCORE);
+        ratio.clamp(MIN_HEALTH_SHARE, 1.0)
     }
 }
 
@@ -152,7 +153,7 @@
 /// to the power of `kind_exponent`, its kind among all.
 pub(crate) fn capacity_factor(
     response_time: Option<f64>,
-    fleet: &FleetStatistics,
+    fleet: &EvaluationInputs,
     kind_exponent: f64,
 ) -> f64 {
     let kind = fleet.kind_response_time;
--- a/src/health/tests.rs
+++ b/src/health/tests.rs
@@ -7,20 +7,20 @@
 #[case::healthy(0.9, Health::Healthy)]
 #[case::degraded(0.5, Health::Degraded)]
 #[case::unhealthy(0.1, Health::Unhealthy)]
-fn health_changes_after_the_state_change_delay(#[case] goodness: f64, #[case] health: Health) {
+fn health_changes_after_the_state_change_delay(#[case] health_score: f64, #[case] health: Health) {
     let mut state = HealthState::default();
-    state.update(goodness, START);
+    state.update(health_score, START);
     assert_eq!(state.health, Health::Healthy);
-    state.update(goodness, START + STATE_CHANGE_DELAY);
+    state.update(health_score, START + STATE_CHANGE_DELAY);
     assert_eq!(state.health, health);
 }
 
 #[rstest]
 fn capacity_factor_of_a_slow_server_among_its_kind_is_low_within_the_bound() {
-    let fleet = FleetStatistics {
+    let fleet = EvaluationInputs {
         median_response_time: 100.0,
         kind_response_time: 100.0,
-        ..FleetStatistics::default()
+        ..EvaluationInputs::default()
     };
     assert_eq!(capacity_factor(Some(100.0), &fleet, NOMINAL_KIND_EXPONENT), 1.0);
     assert!(capacity_factor(Some(200.0), &fleet, NOMINAL_KIND_EXPONENT) < 1.0);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -38,21 +38,21 @@
 /// An operation that clients invoke, with its objectives.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    /// Whether it may be executed more than once.
+    /// Whether it may be executed more than once. No rule uses it.
     pub idempotency: Idempotency,
-    /// Which servers recognise its idempotency keys.
+    /// Which servers recognise its idempotency keys. No rule uses it.
     pub deduplication_scope: DeduplicationScope,
-    /// How long they remember a key.
+    /// How long they remember a key. No rule uses it.
     pub deduplication_window: Nanos,
     /// Response time below which a response has its full value.
     pub latency_objective: Nanos,
-    /// Time after which a client gives up.
+    /// Time after which a client gives up. No rule uses it.
     pub timeout: Nanos,
     /// Value of a response in time, relative to other operations.
     pub priority_weight: f64,
-    /// It may go only to servers of the proxy's own locality.
+    /// It may go only to servers of the proxy's own locality. No rule uses it.
     pub local_only: bool,
-    /// It changes state on the server.
+    /// It changes state on the server. No rule uses it.
     pub writes: bool,
 }
 
@@ -113,9 +113,9 @@
     pub supervisor_index: u16,
     /// Supervisors that there are.
     pub supervisor_count: u16,
-    /// Locality of this supervisor.
+    /// Locality of this supervisor. No rule uses it.
     pub locality: LocalityId,
-    /// Localities that there are.
+    /// Localities that there are. No rule uses it.
     pub locality_count: u16,
     /// The operations, by position.
     pub operations: Vec<Operation>,
@@ -123,11 +123,11 @@
     pub polls_endpoints: bool,
     /// How proxies apply admission limits.
     pub admission_mode: AdmissionMode,
-    /// Where servers' load values come from.
+    /// Where servers' load values come from. No rule uses it.
     pub load_source: LoadSource,
-    /// What the values of a load report mean, by position.
+    /// What the values of a load report mean, by position. No rule uses it.
     pub load_columns: Vec<LoadColumn>,
-    /// Whether health checks may be sent.
+    /// Whether health checks may be sent. No rule uses it.
     pub health_checks_allowed: bool,
     /// What listed weights say.
     pub listed_capacity: ListedCapacity,
@@ -141,19 +141,19 @@
     pub message_overhead: f64,
     /// Time between two reports of a proxy.
     pub report_interval: Nanos,
-    /// How long a joined proxy may be without a usable server.
+    /// How long a joined proxy may be without a usable server. No rule uses it.
     pub max_unserved_time: Nanos,
-    /// Share of the latency objective that a first attempt may take where a retry may follow.
+    /// Share of the latency objective that a first attempt may take where a retry may follow. No rule uses it.
     pub first_wait: f64,
     /// A proxy avoids a server after so many consecutive failures of its own there; 0: never.
     pub failures_to_avoid: u32,
-    /// Key ranges that operations are partitioned into; 0: none.
+    /// Key ranges that operations are partitioned into; 0: none. No rule uses it.
     pub slices: u16,
-    /// A key range has one owner at a time.
+    /// A key range has one owner at a time. No rule uses it.
     pub sole_owner: bool,
-    /// How long a lease of a key range is valid.
+    /// How long a lease of a key range is valid. No rule uses it.
     pub lease_duration: Nanos,
-    /// Longest time that a request is in flight.
+    /// Longest time that a request is in flight. No rule uses it.
     pub in_flight_max: Nanos,
     /// Mean time from leaving the channel to the proxy.
     pub mean_transit: Nanos,
@@ -163,7 +163,7 @@
     pub message_limit: u32,
     /// Window of that limit.
     pub message_limit_window: Nanos,
-    /// Retries of a proxy that was told nothing.
+    /// Retries of a proxy that was told nothing. No rule uses it.
     pub retry_default: u8,
     /// Least time between two polls of the endpoint list.
     pub poll_interval: Nanos,
@@ -202,7 +202,7 @@
     pub locality: LocalityId,
     /// Hardware kind; servers of a kind are comparable.
     pub kind: u16,
-    /// Group of servers within a locality.
+    /// Group of servers within a locality. No rule uses it.
     pub cell: u16,
     /// Whether it takes requests.
     pub readiness: Readiness,
--- a/src/isolation.rs
+++ b/src/isolation.rs
@@ -11,14 +11,16 @@
 #[cfg(test)]
 mod tests;
 
-/// How long proxies are isolated the first time; each further time lasts twice as long.
+/// How long proxies are isolated the first time. Each further time and each extension lasts twice as long as the one
+/// before; nothing limits or resets it.
 const BASE_ISOLATION_TIME: Nanos = 30 * SECOND;
 /// Error rate above which a server counts as failing, 0 to 1.
 const FAILING_ERROR_RATE: f64 = 0.1;
 /// Share of the ready servers that must be failing, 0 to 1.
 const MIN_FAILING_SHARE: f64 = 0.4;
-/// The share of failing servers must also exceed the mean response time, as a multiple of what counts as overload,
-/// divided by this: in an overload as many servers fail, but responses are late.
+/// Lateness (mean response time over `overload_response_time`) from which proxies are not isolated however many
+/// servers fail; at half of it more than half of the servers must be failing. In an overload as many fail, but
+/// responses are late.
 const MAX_LATENESS_RATIO: f64 = 1.5;
 
 /// Isolates proxies while connections are hard to get.
@@ -39,9 +41,9 @@
     /// Begins, extends or ends isolation; nothing changes before its time is over.
     ///
     /// Guards against connections that are hard to get: servers accept few, or are slow to set them up. Attempts then
-    /// fail at most servers though responses are not late, and with a table of all servers nearly each request needs a
-    /// new connection. `failure_rate` is that of the fleet; `overload_response_time`, ns, is where responses count as
-    /// late.
+    /// fail at many servers at once though responses are not late, and with a table of all servers nearly each
+    /// request needs a new connection. `failure_rate` is that of the fleet; `overload_response_time`, ns, is where
+    /// responses count as late.
     pub(crate) fn update(
         &mut self,
         failure_rate: f64,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! The decisions of a control service that tells proxies, by weighted tables, which server their requests go to.
 //!
-//! A supervisor gives [`Controller`] batches of [`interface::Event`]s and carries out the [`interface::Action`]s that it
-//! returns. Nothing here does I/O or reads a clock: the same events lead to the same actions.
+//! A supervisor gives [`Controller`] batches of [`interface::Event`]s and carries out the [`interface::Action`]s that
+//! it returns. Nothing here does I/O or reads a clock: the same events lead to the same actions.
 
 #![deny(missing_docs)]
 
--- a/src/message.rs
+++ b/src/message.rs
@@ -46,19 +46,20 @@
     /// What proxies observed at it.
     Report(EndpointReport),
     /// It is to answer with its [`ServerStatus`].
-    Evaluate(FleetStatistics),
-    /// Whether the fleet ejects it.
+    Evaluate(EvaluationInputs),
+    /// The fleet leaves it out of the tables: `true` begins an ejection, `false` does nothing, since
+    /// `Ejection::update` ends them.
     Ejection(bool),
 
     // To the fleet.
     /// Requests of an operation, and those that got no response.
     Demand { operation: usize, total: f64, failures: f64 },
     /// What a report on one server said, in sum; the time of all responses together and the window are in ns.
-    Observed { attempts: f64, failures: f64, response_time: f64, window: f64 },
+    Observed { attempts: f64, failures: f64, response_time_sum: f64, window: f64 },
     /// A server's answer to `Evaluate`.
     Status(ServerStatus),
     /// Everything is to be evaluated; the servers that are known.
-    Tick(Vec<ServerId>),
+    EvaluateAll(Vec<ServerId>),
     /// Servers that stand in subsets which our proxies use.
     SubsetServers(BTreeSet<ServerId>),
 
@@ -83,9 +84,9 @@
     Flush,
 }
 
-/// What the fleet tells each server to compare itself with.
+/// What a server is evaluated by: the fleet as of the evaluation before, and its own share and kind.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct FleetStatistics {
+pub(crate) struct EvaluationInputs {
     /// Median of the servers' mean response times, ns; 0 where none is known.
     pub(crate) median_response_time: f64,
     /// Mean response time of servers of its kind, ns; 0 where too little is known.
@@ -111,7 +112,7 @@
     Errors,
     /// Responses are missing.
     Unresponsive,
-    /// Its health score is low.
+    /// Its health score was below `UNHEALTHY_SCORE` for `STATE_CHANGE_DELAY`.
     Score,
 }
 
@@ -138,7 +139,7 @@
 pub(crate) struct ServerStatus {
     /// As it is listed.
     pub(crate) endpoint: Endpoint,
-    /// No proxy may send to it, whatever its table says.
+    /// Proxies are to exclude it: it drains, or it was removed where that excludes and had requests lately.
     pub(crate) must_exclude: bool,
     /// Its slow start is over.
     pub(crate) warm: bool,
@@ -174,16 +175,18 @@
 pub(crate) struct DesiredWeight {
     /// Its weight; 0: none.
     pub(crate) weight: f64,
-    /// A rule depends on it: it does not wait for the next batch.
-    pub(crate) urgent: bool,
-    /// It drains or was removed: no joined proxy may send to it.
+    /// It warms up or is not ready: a reduction of its weight does not wait for the next batch, and subsets do not
+    /// count on it.
+    pub(crate) unstable: bool,
+    /// Proxies are to exclude it: it drains, or it was removed where that excludes and had requests lately.
     pub(crate) must_exclude: bool,
-    /// It is not ready, whether or not any proxy has sent to it.
+    /// It is not listed as ready: its removal from tables has a deadline, whether or not it must be excluded.
     pub(crate) unready: bool,
     /// Where it runs.
     pub(crate) locality: LocalityId,
-    /// It has started again since it was first listed: some proxies may exclude it since before.
-    pub(crate) restarted: bool,
+    /// Its start is known (`started_at` is not 0): a proxy that holds another supervisor's state may still exclude it
+    /// from before.
+    pub(crate) has_known_start: bool,
 }
 
 /// What is admitted of an operation, in the unit of [`AdmissionMode`], and when it is retried.
--- a/src/pacing.rs
+++ b/src/pacing.rs
@@ -21,8 +21,8 @@
 /// The queue that deferrable lines may stand behind, in multiples of what the channel sends within the
 /// longest transit.
 const QUEUE_TARGET_TRANSITS: f64 = 2.0;
-/// The same as a share of what can be delivered within a drain grace: what is due next must not stand behind
-/// it.
+/// The queue that deferrable lines may stand behind, as a share of what can be delivered within a drain grace: what
+/// is due next must not stand behind it.
 const QUEUE_TARGET_GRACE_SHARE: f64 = 0.25;
 
 /// Figures of the channel, and the estimate of its queue. Rates are in lines per nanosecond.
@@ -156,8 +156,8 @@
         self.queued_lines
     }
 
-    /// Drops marks that all have acknowledged, and those that count as lost: a full channel would have
-    /// emptied since even at the greatest slowdown.
+    /// Drops marks that all have acknowledged, and those older than [`MAX_SLOWDOWN`] times what a full channel takes
+    /// at the configured rate: they count as lost.
     fn drop_settled_marks(&mut self, now: Nanos) {
         let lines_per_ns = self.configured_lines_per_ns;
         let max_lines = MAX_SLOWDOWN * self.capacity_lines;
--- a/src/pacing/learned_rate.rs
+++ b/src/pacing/learned_rate.rs
@@ -1,8 +1,7 @@
 //! The rate of the channel that acknowledgements show: at most the configured one. Pacing has it learn from
 //! marks.
 
-/// Longest time by which the channel is taken to be slower than configured, in multiples of the configured
-/// time.
+/// Greatest slowdown, in multiples of the configured time on top of it: 12 means 13 times as long.
 pub(super) const MAX_SLOWDOWN: f64 = 12.0;
 /// Share by which an acknowledgement out of time moves the learned slowdown towards what it shows.
 const SLOWDOWN_GAIN: f64 = 0.5;
--- a/src/proxies.rs
+++ b/src/proxies.rs
@@ -9,7 +9,7 @@
 use crate::tables::{EXCLUSIONS, FULL_TABLE};
 
 /// Time constant over which each proxy's requests are summed.
-const REQUEST_MEMORY: Nanos = 10 * SECOND;
+const REQUEST_TIME_CONSTANT: Nanos = 10 * SECOND;
 
 /// A connected proxy.
 #[derive(Debug, Default)]
@@ -28,7 +28,7 @@
 }
 
 impl Proxy {
-    /// Whether it may hold anything: since it joined it was sent neither a table nor the exclusions.
+    /// Whether this supervisor has sent it neither a table nor the exclusions, however long ago it joined.
     pub(crate) fn is_newly_joined(&self) -> bool {
         self.assigned_table.is_none() && !self.has_exclusions
     }
@@ -52,7 +52,8 @@
 impl Proxies {
     /// Enters a proxy to which `rate` requests per second come.
     pub(crate) fn join(&mut self, id: ProxyId, rate: f64, is_new: bool, intended_table: TableId, now: Nanos) {
-        let requests = DecayingSum { sum: rate * REQUEST_MEMORY as f64 / SECOND as f64, updated_at: now };
+        let requests =
+            DecayingSum { sum: rate * REQUEST_TIME_CONSTANT as f64 / SECOND as f64, updated_at: now };
         let proxy = Proxy {
             requests,
             intended_table,
@@ -66,16 +67,16 @@
     /// Counts requests that came to a proxy.
     pub(crate) fn record_requests(&mut self, id: ProxyId, total: f64, now: Nanos) {
         if let Some(proxy) = self.by_id.get_mut(&id) {
-            proxy.requests.add(now, REQUEST_MEMORY, total);
+            proxy.requests.add(now, REQUEST_TIME_CONSTANT, total);
         }
     }
 
-    /// Proxies that may hold anything.
+    /// Proxies that were sent neither a table nor the exclusions, see [`Proxy::is_newly_joined`].
     pub(crate) fn newly_joined(&self) -> impl Iterator<Item = &Proxy> {
         self.by_id.values().filter(|proxy| proxy.is_newly_joined())
     }
 
-    /// Users of each table; those without one stand under [`EXCLUSIONS`].
+    /// Users of each table; unassigned proxies stand under [`EXCLUSIONS`].
     pub(crate) fn users_by_table(&self) -> BTreeMap<TableId, f64> {
         let mut users = BTreeMap::new();
         for proxy in self.by_id.values() {
@@ -89,7 +90,7 @@
         self.by_id.values().filter_map(|proxy| proxy.assigned_table).collect()
     }
 
-    /// Tables that proxies use or are to use.
+    /// Tables that proxies use or are to use; the full table too where a proxy has none yet.
     pub(crate) fn used_or_intended_tables(&self) -> BTreeSet<TableId> {
         let tables = |proxy: &Proxy| [proxy.intended_table, proxy.assigned_table.unwrap_or(FULL_TABLE)];
         self.by_id.values().flat_map(tables).collect()
@@ -105,8 +106,8 @@
         self.ids_where(Proxy::awaits_full_table)
     }
 
-    /// Number of proxies that use or are to use the full table.
-    pub(crate) fn count_for_full_table(&self) -> usize {
+    /// Number of proxies that are to use the full table, on it already or not.
+    pub(crate) fn count_intended_for_full_table(&self) -> usize {
         self.by_id.values().filter(|proxy| proxy.intended_table == FULL_TABLE).count()
     }
 }
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -48,8 +48,8 @@
     }
 
     /// Retries are allowed only where the first attempt provably was not executed, which is safe for every operation.
-    /// While failures are general, and proxies are not isolated, they are not allowed at all: they would add load, and
-    /// bring warming servers what warm ones rejected.
+    /// While failures are general, and proxies are not isolated, they are not allowed at all: they would add load,
+    /// and bring warming servers what warm ones rejected.
     pub(crate) fn update(
         &mut self,
         failure_rate: f64,
--- a/src/retries/tests.rs
+++ b/src/retries/tests.rs
@@ -15,7 +15,7 @@
         (0.15, RetryPolicy::Never),
         (0.05, RetryPolicy::IfNotExecuted),
     ] {
-        fleet.update_retries(failure_rate, &mut Mailboxes::default());
+        fleet.update_retries_and_send_limits(failure_rate, &mut Mailboxes::default());
         assert_eq!(fleet.limits[0].retry_policy, retry_policy);
     }
 }
--- a/src/server.rs
+++ b/src/server.rs
@@ -1,9 +1,9 @@
 //! What is known of one server, and its evaluation, put together from the rules in `health`, `ejection` and
 //! `slow_start`. The controller hands it messages; the fleet asks for its status at each evaluation.
 
-use crate::ejection::{detect_fault, Ejection, Responsiveness};
+use crate::ejection::{update_health_and_detect_fault, Ejection, Responsiveness};
 use crate::health::{
-    capacity_factor, HealthScore, HealthState, ResponseTimes, CAPACITY_EXPONENT, NOMINAL_KIND_EXPONENT,
+    capacity_factor, FaultScores, HealthState, ResponseTimes, CAPACITY_EXPONENT, NOMINAL_KIND_EXPONENT,
     RESPONSE_TIME_CONSTANT,
 };
 use crate::interface::*;
@@ -14,7 +14,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Recent attempts from which proxies count as sending to a server.
+/// Decayed attempts (time constant 5 s) above which proxies count as still sending to a removed server.
 const MIN_RECENT_ATTEMPTS: f64 = 0.1;
 /// Recent responses from which a server that is no longer listed still counts as ready, where a list may drop servers
 /// wrongly.
@@ -52,7 +52,8 @@
 pub(crate) struct Server {
     /// As it is listed.
     pub(crate) endpoint: Endpoint,
-    /// Since when it is listed, removed, or back from an ejection.
+    /// Since when it is listed, removed, or back from an ejection; after a restore it may lie before that, so that
+    /// missing responses count soon.
     pub(crate) state_since: Nanos,
     /// Recent attempts there and failures.
     pub(crate) outcomes: AttemptSums,
@@ -120,23 +121,23 @@
         let failures = f64::from(report.failures.min(report.attempts));
         let responses = attempts - failures;
         self.outcomes.add(now, attempts, failures);
-        let mut response_time = 0.0;
+        let mut response_time_sum = 0.0;
         if responses > 0.0 && report.response_time > 0 {
-            response_time = report.response_time as f64 * responses;
-            self.response_times.add(now, responses, response_time);
+            response_time_sum = report.response_time as f64 * responses;
+            self.response_times.add(now, responses, response_time_sum);
         }
         if responses > 0.0 {
             self.responsiveness.record_response(now);
         }
         self.ejection.last_report_good = responses > failures;
         let window = report.window as f64;
-        mailboxes.send(Component::Fleet, Message::Observed { attempts, failures, response_time, window });
+        mailboxes.send(Component::Fleet, Message::Observed { attempts, failures, response_time_sum, window });
     }
 
     /// Compares it with the fleet, follows its ejection, and gives its status.
     pub(crate) fn evaluate(
         &mut self,
-        fleet: FleetStatistics,
+        fleet: EvaluationInputs,
         config: &ServerConfig,
         now: Nanos,
     ) -> ServerStatus {
@@ -148,14 +149,15 @@
 
         let error_rate = self.outcomes.failure_rate(now);
         let response_time = self.response_times.mean(now, fleet.kind_response_time);
-        let score = HealthScore::new(error_rate, response_time, &fleet);
+        let fault_scores = FaultScores::new(error_rate, response_time, &fleet);
         let unresponsive = self.responsiveness.is_unresponsive(self.state_since, &fleet, now);
-        let fault = detect_fault(unresponsive, &score, &mut self.health, &fleet, now);
+        let fault =
+            update_health_and_detect_fault(unresponsive, &fault_scores, &mut self.health, &fleet, now);
         let missing_responses = self.responsiveness.missing_responses;
         if self.ejection.update(fault, missing_responses, elapsed, now) {
             self.return_from_ejection(now);
         }
-        let evaluation = Evaluation { error_rate, response_time, score };
+        let evaluation = Evaluation { error_rate, response_time, fault_scores };
         self.status(&evaluation, &fleet, config, now)
     }
 
@@ -168,16 +170,16 @@
     fn status(
         &mut self,
         evaluation: &Evaluation,
-        fleet: &FleetStatistics,
+        fleet: &EvaluationInputs,
         config: &ServerConfig,
         now: Nanos,
     ) -> ServerStatus {
-        let Evaluation { error_rate, response_time, score } = *evaluation;
+        let Evaluation { error_rate, response_time, fault_scores } = *evaluation;
         let slow_start_share = config.slow_start.weight_share(self.endpoint.started_at, now);
         let warm = slow_start_share >= 1.0;
         let listed_weight = if config.capacities_listed { self.endpoint.weight } else { 1.0 };
         let factor = capacity_factor(response_time, fleet, config.kind_exponent);
-        let health_share = self.health.weight_share(score.goodness());
+        let health_share = self.health.weight_share(fault_scores.health_score());
         let endpoint = self.effective_endpoint(config, now);
         let missing_share = self.responsiveness.missing_responses / fleet.unresponsive_after.max(1.0);
         ServerStatus {
@@ -186,7 +188,7 @@
             warm,
             ejected: self.ejection.is_active(),
             fault: self.ejection.fault,
-            severity: score.errors + score.latency + missing_share,
+            severity: fault_scores.errors + fault_scores.latency + missing_share,
             weight: listed_weight * factor * health_share * self.ejection.recovery.min(slow_start_share),
             listed_weight,
             slow_start_limit: (!warm).then_some(listed_weight * slow_start_share),
@@ -228,5 +230,5 @@
     error_rate: f64,
     /// Mean response time, ns.
     response_time: Option<f64>,
-    score: HealthScore,
+    fault_scores: FaultScores,
 }
--- a/src/server/tests.rs
+++ b/src/server/tests.rs
@@ -14,11 +14,11 @@
     record_report(&mut server, 9, 0, START);
     server.handle(Message::Removed, &server_config(), &mut Mailboxes::default());
     let config = ServerConfig { removal_is_advisory, ..server_config() };
-    assert_eq!(server.evaluate(FleetStatistics::default(), &config, START).is_ready(), ready);
+    assert_eq!(server.evaluate(EvaluationInputs::default(), &config, START).is_ready(), ready);
 }
 
 #[rstest]
-fn draining_binds_after_the_server_is_removed() {
+fn drained_server_stays_excluded_after_it_is_removed() {
     let config = ServerConfig { removal_is_advisory: true, ..server_config() };
     let mut server = Server::new(endpoint(1), START);
     record_report(&mut server, 9, 0, START);
@@ -26,6 +26,6 @@
         let listed = Endpoint { readiness, ..endpoint(1) };
         server.handle(Message::Listed(listed), &config, &mut Mailboxes::default());
     }
-    let status = server.evaluate(FleetStatistics::default(), &config, START);
+    let status = server.evaluate(EvaluationInputs::default(), &config, START);
     assert!(status.must_exclude && !status.is_ready());
 }
--- a/src/slow_start/tests.rs
+++ b/src/slow_start/tests.rs
@@ -8,11 +8,11 @@
 #[case(0, 0.2)]
 #[case(5, 0.6)]
 #[case(10, 1.0)]
-fn restarted_server_is_limited_by_the_slowest_warm_up(#[case] age_s: u64, #[case] share: f64) {
+fn restarted_server_gets_the_weight_share_of_its_age(#[case] age_s: u64, #[case] share: f64) {
     let mut server = Server::new(endpoint(1), 0);
     let restarted = Endpoint { started_at: START, ..endpoint(1) };
     server.handle(Message::Listed(restarted), &server_config(), &mut Mailboxes::at(START));
-    let status = server.evaluate(FleetStatistics::default(), &server_config(), START + age_s * SECOND);
+    let status = server.evaluate(EvaluationInputs::default(), &server_config(), START + age_s * SECOND);
     assert!((status.weight - share).abs() < 1e-9);
     assert_eq!(status.warm, share == 1.0);
 }
@@ -61,10 +61,11 @@
     let warm = (1..=8).map(|id| ServerStatus { error_rate: 0.2, ..status(id) });
     let mut fleet = fleet(warm.chain([warming(20, 0.5)]));
     fleet.report_interval = SECOND;
-    fleet.slow_start.report_interval = SECOND;
+    fleet.table_weights.report_interval = SECOND;
     fleet.reports.last = last_report;
     for now in [START, START + gap_s * SECOND] {
-        let observed = Message::Observed { attempts: 9.0, failures: 2.0, response_time: 0.0, window: 0.0 };
+        let observed =
+            Message::Observed { attempts: 9.0, failures: 2.0, response_time_sum: 0.0, window: 0.0 };
         fleet.handle(observed, &mut Mailboxes::at(now));
     }
     fleet.update_weights(&BTreeSet::new(), 0.75, START + gap_s * SECOND);
@@ -80,7 +81,7 @@
 ) {
     let warm = (1..=8).map(|id| ServerStatus { error_rate: 0.1, ..status(id) });
     let mut fleet = fleet(warm.chain([warming(40, 0.5)]));
-    fleet.slow_start.usual_weight.add(START, SECOND, f64::from(usual_weight));
+    fleet.table_weights.usual_weight.add(START, SECOND, f64::from(usual_weight));
     fleet.update_weights(&BTreeSet::new(), 0.9, START);
     assert_eq!(fleet.weights[&40] == 0.0, waits);
 }
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -20,6 +20,9 @@
 const RESTORED_SHARE: f64 = 0.8;
 /// States, such as health or a limit, are restored up to this age; sums always.
 const MAX_STATE_AGE: Nanos = 60 * SECOND;
+/// Missing responses of a restored ejected server: any positive number lets its first response end an ejection for
+/// being unresponsive.
+const RESTORED_MISSING_RESPONSES: f64 = 1.0 / FALSE_POSITIVES;
 
 /// What a restored sum weighs by its age.
 fn restored_share(age: Nanos, time_constant: Nanos) -> f64 {
@@ -94,8 +97,7 @@
         let fault = if snapshot.unresponsive { Fault::Unresponsive } else { Fault::Score };
         self.ejection.since = Some(now.saturating_sub(ejected_for));
         self.ejection.fault = Some(fault);
-        // It counts as silent, so that its first response ends the ejection.
-        self.responsiveness.missing_responses = 1.0 / FALSE_POSITIVES;
+        self.responsiveness.missing_responses = RESTORED_MISSING_RESPONSES;
     }
 }
 
@@ -107,7 +109,7 @@
             servers: Vec::new(),
             attempts: outcomes.attempts,
             failures: outcomes.failures,
-            usual_weight: self.slow_start.usual_weight.read(now, USUAL_WEIGHT_TIME_CONSTANT),
+            usual_weight: self.table_weights.usual_weight.read(now, USUAL_WEIGHT_TIME_CONSTANT),
             peak_load: self.admission.peak_load,
             load_limit: self.admission.load_limit,
             isolation_left: self.isolation.until.map_or(0, |until| until.saturating_sub(now)),
@@ -124,7 +126,7 @@
         }
         // The usual weight is no evidence of anything: it decays, and is not worth less beside.
         let usual_share = restored_share(age, USUAL_WEIGHT_TIME_CONSTANT);
-        self.slow_start.usual_weight =
+        self.table_weights.usual_weight =
             DecayingSum { sum: snapshot.usual_weight * usual_share / RESTORED_SHARE, updated_at: now };
         self.admission.peak_load = snapshot.peak_load;
         self.admission.load_limit = snapshot.load_limit;
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -1,4 +1,5 @@
-//! Sums that decay over time, totals of outcomes, and the median. Used by all decision rules; nothing is decided here.
+//! Sums that decay over time, totals of outcomes, and the median. Used by all decision rules; nothing is decided
+//! here.
 
 use crate::interface::Nanos;
 use crate::message::SECOND;
@@ -84,23 +85,23 @@
     failures: DecayingSum,
     successes: DecayingSum,
     /// Time of the successes together, ns.
-    response_time: DecayingSum,
+    response_time_sum: DecayingSum,
 }
 
 impl RecentOutcomes {
-    /// Adds what one report says; `response_time` is the time of all successes, ns.
+    /// Adds what one report says; `response_time_sum` is the time of all successes, ns.
     pub(crate) fn add(
         &mut self,
         now: Nanos,
         interval: Nanos,
         attempts: f64,
         failures: f64,
-        response_time: f64,
+        response_time_sum: f64,
     ) {
         self.attempts.add(now, interval, attempts);
         self.failures.add(now, interval, failures);
         self.successes.add(now, interval, attempts - failures);
-        self.response_time.add(now, interval, response_time);
+        self.response_time_sum.add(now, interval, response_time_sum);
     }
 
     /// The outcomes as of `now`.
@@ -109,7 +110,7 @@
             attempts: self.attempts.read(now, interval),
             failures: self.failures.read(now, interval),
             successes: self.successes.read(now, interval),
-            response_time: self.response_time.read(now, interval),
+            response_time_sum: self.response_time_sum.read(now, interval),
         }
     }
 }
@@ -121,7 +122,7 @@
     pub(crate) failures: f64,
     pub(crate) successes: f64,
     /// Time of the successes together, ns.
-    pub(crate) response_time: f64,
+    pub(crate) response_time_sum: f64,
 }
 
 impl OutcomeTotals {
@@ -132,7 +133,7 @@
 
     /// Mean response time, ns, drawn towards 0 by [`PRIOR_ATTEMPTS`].
     pub(crate) fn mean_response_time(&self) -> f64 {
-        self.response_time / (self.successes + PRIOR_ATTEMPTS)
+        self.response_time_sum / (self.successes + PRIOR_ATTEMPTS)
     }
 }
 
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -12,16 +12,16 @@
 
 pub(crate) use stand_ins::stand_in_servers;
 
-mod isolation;
+mod isolation_groups;
 mod replenishment;
 mod stand_ins;
 #[cfg(test)]
 mod tests;
 
-/// Table numbers of one assignment. Two assignments have them in turn: proxies on subsets of the last one
-/// keep these until they have moved.
-const NUMBERS_PER_ASSIGNMENT: TableId = 1 << 14;
-/// Share of its weight that a server that is warming up has in a subset, which may have lost half of its own.
+/// Table numbers of one generation of subsets. Two generations use them in turn, since proxies stay on subsets
+/// of the last one until they have moved.
+const NUMBERS_PER_GENERATION: TableId = 1 << 14;
+/// Share of its desired weight that a warming server gets on a subset: the subset may be down to half of its weight.
 pub(crate) const WARMING_UP_SHARE: f64 = 0.5;
 
 /// What the current subsets are for.
@@ -44,16 +44,16 @@
 /// The subsets of this supervisor's proxies.
 #[derive(Debug, Default)]
 pub(crate) struct Subsets {
-    /// Lines of all subsets, those of the last assignment too while they are in use.
-    pub(crate) endpoints: BTreeSet<TableLine>,
-    /// Weight that each subset of the current assignment should have.
+    /// Lines of all subsets, those of the last generation too while they are in use.
+    pub(crate) lines: BTreeSet<TableLine>,
+    /// Weight that each subset of the current generation should have.
     pub(crate) target_weights: BTreeMap<TableId, f64>,
     /// Subsets with so much warm weight that a server that is warming up gets a small share.
-    well_supplied: BTreeSet<TableId>,
+    has_enough_weight: BTreeSet<TableId>,
     /// Servers that were known when subsets were assigned or replenished.
     known_servers: BTreeSet<ServerId>,
     purpose: Purpose,
-    /// Table numbers of the current assignment follow this one.
+    /// Table numbers of the current generation follow this one.
     base_number: TableId,
     supervisor_index: f64,
     supervisor_count: f64,
@@ -63,7 +63,7 @@
 
 /// Whether a server is in service and warm.
 fn is_stable(desired: &DesiredWeight) -> bool {
-    desired.weight > 0.0 && !desired.urgent
+    desired.weight > 0.0 && !desired.unstable
 }
 
 /// Servers that are in service and warm, by number.
@@ -90,40 +90,40 @@
 
     /// Servers that stand on any subset.
     pub(crate) fn servers(&self) -> BTreeSet<ServerId> {
-        self.endpoints.iter().map(|line| line.server).collect()
+        self.lines.iter().map(|line| line.server).collect()
     }
 
     /// Forgets a server.
     pub(crate) fn forget_server(&mut self, server: ServerId) {
         self.known_servers.remove(&server);
-        self.endpoints.retain(|line| line.server != server);
+        self.lines.retain(|line| line.server != server);
     }
 
     /// The weight that a subset should have for a server. Servers that are warming up get a part of theirs,
     /// and none while the subset lacks warm weight, where their share would be large.
     pub(crate) fn desired_weight(&self, line: TableLine, desired: &DesiredWeight) -> f64 {
-        if !self.endpoints.contains(&line) {
+        if !self.lines.contains(&line) {
             0.0
-        } else if !desired.urgent {
+        } else if !desired.unstable {
             desired.weight
-        } else if self.well_supplied.contains(&line.table) {
+        } else if self.has_enough_weight.contains(&line.table) {
             desired.weight * WARMING_UP_SHARE
         } else {
             0.0
         }
     }
 
-    /// Begins a new assignment. Subsets of the last one are kept while proxies use them, older ones are
+    /// Begins a new generation. Subsets of the last one are kept while proxies use them, older ones are
     /// dropped.
-    fn begin_assignment(&mut self, proxies: &Proxies, desired: &DesiredWeights) {
+    fn begin_generation(&mut self, proxies: &Proxies, desired: &DesiredWeights) {
         let used = proxies.assigned_tables();
-        self.endpoints.retain(|line| used.contains(&line.table));
+        self.lines.retain(|line| used.contains(&line.table));
         self.target_weights.clear();
-        let first_numbers = 1..=NUMBERS_PER_ASSIGNMENT;
-        let first_in_use = self.endpoints.iter().any(|line| first_numbers.contains(&line.table));
-        self.base_number = if first_in_use { NUMBERS_PER_ASSIGNMENT } else { 0 };
-        let taken = self.base_number..=self.base_number + NUMBERS_PER_ASSIGNMENT;
-        self.endpoints.retain(|line| !(line.table > FULL_TABLE && taken.contains(&line.table)));
+        let first_numbers = 1..=NUMBERS_PER_GENERATION;
+        let first_in_use = self.lines.iter().any(|line| first_numbers.contains(&line.table));
+        self.base_number = if first_in_use { NUMBERS_PER_GENERATION } else { 0 };
+        let taken = self.base_number..=self.base_number + NUMBERS_PER_GENERATION;
+        self.lines.retain(|line| !(line.table > FULL_TABLE && taken.contains(&line.table)));
         self.known_servers = desired.keys().copied().collect();
     }
 
--- a/src/subsets/isolation.rs
+++ b/src/subsets/isolation_groups.rs
@@ -1,4 +1,5 @@
-//! Isolation: groups of proxies, each on few servers, where connections are hard to establish.
+//! How isolated proxies are grouped, and which servers each group gets; [`crate::isolation`] decides when. Called by
+//! the channel.
 
 use std::collections::BTreeMap;
 
@@ -7,9 +8,9 @@
 use crate::proxies::Proxies;
 use crate::tables::{DesiredWeights, TableLine};
 
-/// At least so many proxies share a subset.
+/// Proxies per subset on average, at least.
 const MIN_PROXIES_PER_SUBSET: usize = 2;
-/// At least so many servers stand on a subset.
+/// Servers per subset on average, at least.
 const MIN_SERVERS_PER_SUBSET: usize = 6;
 /// Least weight of a subset, in multiples of a server's mean weight.
 const MIN_WEIGHT_IN_MEANS: f64 = 3.0;
@@ -26,7 +27,7 @@
         if groups < 2 || requests <= 0.0 {
             return;
         }
-        self.begin_assignment(proxies, desired);
+        self.begin_generation(proxies, desired);
         self.purpose = Purpose::Isolation;
         let weight: f64 = window.iter().map(|stable| stable.weight).sum();
         let first_table = self.base_number + 1;
@@ -64,7 +65,7 @@
             let middle = (before + weight / 2.0) / total;
             before += weight;
             let subset = upper_bounds.iter().find(|(_, &bound)| bound >= middle);
-            self.endpoints.extend(subset.map(|(&table, _)| TableLine { table, server }));
+            self.lines.extend(subset.map(|(&table, _)| TableLine { table, server }));
         }
     }
 }
--- a/src/subsets/replenishment.rs
+++ b/src/subsets/replenishment.rs
@@ -4,14 +4,17 @@
 use crate::interface::*;
 use crate::tables::{DesiredWeights, TableLine};
 
+/// A subset with less than this share of its target weight is replenished.
+const MIN_TARGET_SHARE: f64 = 0.5;
+
 /// Weight below which a subset is replenished.
 fn min_weight(target: f64) -> f64 {
-    target / 2.0
+    target * MIN_TARGET_SHARE
 }
 
 impl Subsets {
-    /// Whether a table is a subset of the current assignment that lacks servers, with so much weight.
-    pub(crate) fn is_too_light(&self, table: TableId, weight: f64) -> bool {
+    /// Whether a table is a subset of the current generation that lacks servers, with so much weight.
+    pub(crate) fn lacks_weight(&self, table: TableId, weight: f64) -> bool {
         self.target_weights.get(&table).is_some_and(|target| weight < min_weight(*target))
     }
 
@@ -20,19 +23,19 @@
     pub(crate) fn replenish(&mut self, desired: &DesiredWeights) {
         self.add_new_servers(desired);
         let stable = stable_servers(desired);
-        self.well_supplied.clear();
+        self.has_enough_weight.clear();
         for (&table, target) in &self.target_weights {
-            let warm = |line: &TableLine| desired.get(&line.server).filter(|desired| !desired.urgent);
-            let lines = self.endpoints.range(TableLine::all_of(table));
+            let warm = |line: &TableLine| desired.get(&line.server).filter(|desired| !desired.unstable);
+            let lines = self.lines.range(TableLine::all_of(table));
             let mut weight: f64 = lines.filter_map(warm).map(|desired| desired.weight).sum();
             if weight >= min_weight(*target) {
-                self.well_supplied.insert(table);
+                self.has_enough_weight.insert(table);
                 continue;
             }
             let position = usize::from(table - self.base_number);
             for candidate in self.replenishing_order(&stable, position) {
                 let line = TableLine { table, server: candidate.server };
-                if weight < *target && self.endpoints.insert(line) {
+                if weight < *target && self.lines.insert(line) {
                     weight += candidate.weight;
                 }
             }
@@ -47,9 +50,10 @@
             !isolating || f64::from(server) % self.supervisor_count.max(1.0) == self.supervisor_index
         };
         let new = desired.keys().filter(|server| is_ours(**server) && !self.known_servers.contains(server));
+        // Starts at another subset each time, so that servers which are listed one by one spread over all subsets.
         let tables = self.target_weights.keys().cycle().skip(self.known_servers.len());
         for (&server, &table) in new.zip(tables) {
-            self.endpoints.insert(TableLine { table, server });
+            self.lines.insert(TableLine { table, server });
         }
         self.known_servers.extend(desired.keys());
     }
--- a/src/subsets/stand_ins.rs
+++ b/src/subsets/stand_ins.rs
@@ -52,14 +52,14 @@
         }
         let servers = stable_servers_by_locality(desired);
         let subsets = (servers.len() / STAND_IN_SERVERS).max(1);
-        self.begin_assignment(proxies, desired);
+        self.begin_generation(proxies, desired);
         self.purpose = Purpose::StandIn;
         let first_table = self.base_number + 1;
         // In turns, so that no subset loses all at once with a locality or with servers of neighbouring
         // numbers.
         for (position, WeightedServer { server, weight }) in servers.into_iter().enumerate() {
             let table = first_table + (position % subsets) as TableId;
-            self.endpoints.insert(TableLine { table, server });
+            self.lines.insert(TableLine { table, server });
             *self.target_weights.entry(table).or_default() += weight;
         }
     }
--- a/src/subsets/tests.rs
+++ b/src/subsets/tests.rs
@@ -35,7 +35,7 @@
     let proxies = &first.proxies.by_id;
     for proxy in proxies.values() {
         let table = proxy.intended_table;
-        let servers = first.subsets.endpoints.iter().filter(|line| line.table == table).count();
+        let servers = first.subsets.lines.iter().filter(|line| line.table == table).count();
         let sharing = proxies.values().filter(|other| other.intended_table == table).count();
         assert!(proxy.assigned_table == Some(table) && (3..13).contains(&servers) && sharing < 5);
     }
@@ -44,9 +44,9 @@
 #[rstest]
 fn only_the_subset_that_lost_its_servers_is_replenished(config: ControllerConfig) {
     let mut channel = isolated(config);
-    let before = channel.subsets.endpoints.clone();
+    let before = channel.subsets.lines.clone();
     let table = FULL_TABLE + 2;
-    let lost = DesiredWeight { urgent: true, ..DesiredWeight::default() };
+    let lost = DesiredWeight { unstable: true, ..DesiredWeight::default() };
     let of_table = before.iter().filter(|line| line.table == table);
     let lose = of_table.map(|line| Message::DesiredWeight(line.server, lost));
     let messages = lose.chain([Message::Isolate(true), Message::Flush]);
@@ -54,7 +54,7 @@
     let servers = sent_servers(&channel, table);
     assert!(servers >= 2, "{servers}");
     let others = |lines: &BTreeSet<TableLine>| lines.iter().filter(|line| line.table != table).count();
-    assert_eq!(others(&channel.subsets.endpoints), others(&before));
+    assert_eq!(others(&channel.subsets.lines), others(&before));
 }
 
 #[rstest]
@@ -67,7 +67,7 @@
 ) {
     (config.supervisor_count, config.drain_grace) = (2, 10 * SECOND);
     let mut channel = isolated(config);
-    let warming_up = DesiredWeight { weight: 0.2, urgent: true, ..DesiredWeight::default() };
+    let warming_up = DesiredWeight { weight: 0.2, unstable: true, ..DesiredWeight::default() };
     channel.pacing.pending_marks.clear();
     let messages = [Message::DesiredWeight(server, warming_up), Message::Isolate(true), Message::Flush];
     handle(&mut channel, START + 2 * SECOND, messages);
--- a/src/tables.rs
+++ b/src/tables.rs
@@ -9,8 +9,8 @@
 
 /// The table of all servers; subsets have the numbers after it.
 pub(crate) const FULL_TABLE: TableId = 0;
-/// Servers that proxies without an assigned table must not send to, whatever they hold, are kept as lines of
-/// this table.
+/// Servers that unassigned proxies (those without a table of ours) must not send to, whatever they hold, are kept as
+/// lines of this table.
 pub(crate) const EXCLUSIONS: TableId = TableId::MAX;
 
 /// A server's line in a table. Lines are ordered by table, then by server.
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -7,7 +7,7 @@
 use crate::interface::*;
 use crate::message::*;
 use crate::server::{Server, ServerConfig};
-use crate::slow_start::{SlowStart, SlowStartGuard, CAUTIOUS_FAILURE_SHARE};
+use crate::slow_start::{SlowStart, TableWeights, CAUTIOUS_FAILURE_SHARE};
 use crate::Controller;
 
 /// When tests begin.
@@ -149,11 +149,11 @@
         ..Fleet::default()
     };
     fleet.reports.last = START;
-    fleet.slow_start = SlowStartGuard {
+    fleet.table_weights = TableWeights {
         report_interval,
         avoidance_failure_rate: 0.4,
         cautious_failure_share: CAUTIOUS_FAILURE_SHARE,
-        ..SlowStartGuard::default()
+        ..TableWeights::default()
     };
     fleet
 }
