--- a/src/isolation.rs
+++ b/src/isolation.rs
@@ -63,7 +63,7 @@
             mailboxes.log("proxies isolated on subsets: connections fail".into());
         } else if self.is_active() {
             self.until = None;
-            mailboxes.log("proxies back on the shared table".into());
+            mailboxes.log("isolation ends: proxies return to the full table".into());
         }
     }
 }
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -61,7 +61,11 @@
         let threshold = if before { GENERAL_FAILURE_END_RATE } else { GENERAL_FAILURE_RATE };
         self.general_failure = failure_rate > threshold;
         if before != self.general_failure {
-            let line = if before { "retries enabled" } else { "retries disabled: general failure" };
+            let line = if before {
+                "general failure ends: retries enabled"
+            } else {
+                "general failure begins: retries disabled unless proxies are isolated"
+            };
             mailboxes.log(line.into());
         }
         let allowed = !self.general_failure || isolated;
