--- a/crates/sasp/src/session/mod.rs
+++ b/crates/sasp/src/session/mod.rs
@@ -22,7 +22,7 @@
     pub members: usize,
     /// Groups of one load balancer.
     pub groups: usize,
-    /// Get Weights Requests that a connection may send between two ticks; further ones are rejected with
+    /// Get Weights Requests that a connection may send in a report interval; further ones are rejected with
     /// [`ReturnCode::TryLater`].
     pub weight_requests: u32,
     /// Seconds until a load balancer that polls is to send its next request.
@@ -101,7 +101,7 @@
     /// The load balancer's id, once it has given one.
     balancer: Option<Vec<u8>>,
     flags: LbFlags,
-    /// Since the last tick.
+    /// Since the report interval began.
     weight_requests: u32,
 }
 
@@ -135,8 +135,8 @@
         self.remove_self_registered(peer, changes);
     }
 
-    /// Starts a new count of requests; called once a report cycle.
-    pub fn tick(&mut self) {
+    /// Starts a new count of requests; called once a report interval.
+    pub fn start_report_interval(&mut self) {
         self.connections.values_mut().for_each(|connection| connection.weight_requests = 0);
     }
 
--- a/crates/sasp/src/session/registration.rs
+++ b/crates/sasp/src/session/registration.rs
@@ -92,6 +92,7 @@
 
     /// Removes the groups of a load balancer whose connection `peer` has ended.
     pub(super) fn remove_balancer(&mut self, peer: Peer, balancer: &[u8], changes: &mut Vec<Change>) {
+        // Another connection has the id by now; its groups stay.
         if self.connection_of(balancer).is_some() {
             return;
         }
--- a/crates/sasp/tests/protocol/session.rs
+++ b/crates/sasp/tests/protocol/session.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn get_weights_replies_quiesce_a_drained_member_and_are_limited_per_tick() {
+fn get_weights_replies_quiesce_a_drained_member_and_are_limited_per_report_interval() {
     let mut harness = Harness::new();
     let get_weights = || Body::GetWeights { groups: vec![group("lb", "view")] };
     let Body::Weights { code, interval, groups } = harness.request(1, get_weights()) else { panic!() };
@@ -96,10 +96,10 @@
         [Weight { port: 1, weight: 0, quiesce: true }, Weight { port: 2, weight: 65535, quiesce: false }]
     );
     assert!(!groups[0].1[0].confident && groups[0].1[1].confident);
-    // Requests over the limit of a tick are rejected.
+    // Requests over the limit of a report interval are rejected.
     harness.request(1, get_weights());
     assert!(matches!(harness.request(1, get_weights()), Body::Weights { code: ReturnCode::TryLater, .. }));
-    harness.advisor.tick();
+    harness.advisor.start_report_interval();
     assert!(matches!(harness.request(1, get_weights()), Body::Weights { code: ReturnCode::Successful, .. }));
 }
 
--- a/crates/xds-supervisor/src/admin.rs
+++ b/crates/xds-supervisor/src/admin.rs
@@ -29,6 +29,7 @@
 /// It is no request, or what it asks for cannot be had, and why.
 pub fn answer(tables: &mut Tables, context: &TableContext, message: &[u8]) -> Result<Vec<u8>, Status> {
     let malformed = |text: String| Status::new(Code::InvalidArgument, text);
+    // The text names the message by its earlier name; clients may match it.
     let request =
         AdminRequest::decode(message).map_err(|error| malformed(format!("not an AdminAsk: {error}")))?;
     let query = request.query.ok_or_else(|| malformed("a question of a later version".into()))?;
--- a/crates/xds-supervisor/src/client_limits.rs
+++ b/crates/xds-supervisor/src/client_limits.rs
@@ -1,5 +1,6 @@
 //! Limits and time-outs of clients and other peers: how long a supervisor waits for them, and what they may cost it.
-//! The daemon and the [`Core`](crate::Core) ask; free of I/O and clock.
+//! The same for the registry, health checks, group members, balancers and the kernel's retries. The daemon and the
+//! [`Core`](crate::Core) ask; free of I/O and clock.
 
 use shalereel::interface::{ControllerConfig, Nanos};
 
@@ -45,7 +46,7 @@
 pub struct ClientLimits {
     report_interval: Nanos,
     /// From a message to the report after it: transit both ways, and a report interval.
-    round_trip: Nanos,
+    round_trip_and_report: Nanos,
     /// Time in which a full channel empties.
     channel_drain_time: Nanos,
 }
@@ -55,7 +56,7 @@
     pub fn new(config: &ControllerConfig) -> Self {
         ClientLimits {
             report_interval: config.report_interval,
-            round_trip: 2 * config.worst_transit + config.report_interval,
+            round_trip_and_report: 2 * config.worst_transit + config.report_interval,
             channel_drain_time: (config.channel_capacity / config.lines_per_s * 1e9) as Nanos,
         }
     }
@@ -66,15 +67,20 @@
         if count >= MAX_REJECTED_MESSAGES {
             return NackResponse::Terminate;
         }
-        NackResponse::ResendAt(now + Nanos::from(count) * self.round_trip)
+        NackResponse::ResendAt(now + Nanos::from(count) * self.round_trip_and_report)
     }
 
     /// Until when a message must be acknowledged, ns.
     pub fn ack_deadline(&self, sent_at: Nanos) -> Nanos {
-        sent_at + ACK_TIMEOUT_FACTOR * (self.round_trip + self.channel_drain_time)
+        sent_at + self.ack_timeout()
     }
 
-    /// When the registry is dialled again after its stream was lost, ns, where the list is subscribed to.
+    /// How long a message may stay unacknowledged, ns.
+    fn ack_timeout(&self) -> Nanos {
+        ACK_TIMEOUT_FACTOR * (self.round_trip_and_report + self.channel_drain_time)
+    }
+
+    /// When the registry is dialled again after its stream was lost, ns, where the list is watched.
     pub fn registry_redial_at(&self, lost_at: Nanos) -> Nanos {
         lost_at + self.report_interval
     }
@@ -105,7 +111,7 @@
             max_message_bytes: MAX_MESSAGE_BYTES,
             max_concurrent_calls: MAX_CALLS_PER_CONNECTION,
             max_unsent_bytes: MAX_BUFFERED_MESSAGES * MAX_MESSAGE_BYTES,
-            user_timeout: self.ack_deadline(0),
+            user_timeout: self.ack_timeout(),
             retry_delay: KERNEL_RETRY_DELAY,
         }
     }
--- a/crates/xds-supervisor/src/core.rs
+++ b/crates/xds-supervisor/src/core.rs
@@ -67,14 +67,14 @@
     controller: Controller,
     tables: Tables,
     endpoints: EndpointList,
-    /// The wall clock less the monotonic one.
-    wall_offset: Nanos,
+    /// The wall clock less the monotonic one, ns; 0 until the daemon has set it.
+    wall_clock_offset: Nanos,
     /// Share of all requests that goes by each table.
     table_shares: BTreeMap<TableId, f64>,
 
     channel: Channel,
     delivery: DeliveryPolicy,
-    /// Updates that the controller does not know of and that wait for capacity of the channel.
+    /// Updates that no action of the controller caused; they wait for the channel's spare capacity.
     own_updates: VecDeque<OwnUpdate>,
     cache: ResponseCache,
     last_nonce: u64,
@@ -83,7 +83,8 @@
 
     limits: ClientLimits,
     streams: BTreeMap<Peer, Stream>,
-    /// LRS streams, and the proxy whose first report named it.
+    /// LRS streams, and the proxy that each reports for; `None` until a report names a node that has joined a discovery
+    /// stream before, and reports are dropped until then.
     load_streams: BTreeMap<Peer, Option<ReportingProxy>>,
     sasp: SaspFront,
     proxies: BTreeMap<ProxyId, Proxy>,
@@ -104,6 +105,7 @@
     snapshot_applied: bool,
     snapshot_taken_at: Nanos,
 
+    /// Token of each timer, by when it fires.
     timers: BTreeMap<TimerKey, u64>,
     events: Vec<Event>,
     decided_at: Option<Nanos>,
@@ -119,7 +121,7 @@
             controller: Controller::new(&config),
             tables: Tables::new(&deployment, retention),
             endpoints: EndpointList::new(&deployment.localities),
-            wall_offset: 0,
+            wall_clock_offset: 0,
             table_shares: BTreeMap::new(),
             channel: Channel::new(&config, deployment.paced),
             delivery: DeliveryPolicy::new(&config),
@@ -153,18 +155,21 @@
         core
     }
 
-    /// Takes the tables' history that an earlier run stored, and by how much the wall clock is ahead of the monotonic
-    /// one. Gives how many bytes of the file are intact.
+    /// Sets by how much the wall clock is ahead of the monotonic one, ns.
+    pub fn set_wall_clock_offset(&mut self, offset: Nanos) {
+        self.wall_clock_offset = offset;
+    }
+
+    /// Takes the tables' history that an earlier run stored. Gives how many bytes of the file are intact.
     ///
     /// # Errors
     ///
     /// The file is damaged; nothing of it is used.
-    pub fn load_tables(&mut self, wall_offset: Nanos, file: Option<&[u8]>) -> Result<usize, StoreError> {
-        self.wall_offset = wall_offset;
+    pub fn load_tables(&mut self, file: Option<&[u8]>) -> Result<usize, StoreError> {
         file.map_or(Ok(0), |file| self.tables.store.load(file))
     }
 
-    /// Versions of tables were not written: they are written again with the next one.
+    /// Takes note that versions of tables were not written; the whole history is written again with the next one.
     pub fn table_write_failed(&mut self) {
         self.tables.store.write_failed();
     }
@@ -175,7 +180,8 @@
     ///
     /// It cannot be decoded or carried out; the call ends with this status.
     pub fn handle_admin(&mut self, now: Nanos, message: &[u8]) -> Result<Vec<u8>, Status> {
-        let context = table_context(&self.endpoints, &self.table_shares, &self.config, self.wall_offset, now);
+        let context =
+            table_context(&self.endpoints, &self.table_shares, &self.config, self.wall_clock_offset, now);
         admin::answer(&mut self.tables, &context, message)
     }
 
@@ -196,7 +202,7 @@
 
     /// When it has to be polled next, whatever comes.
     pub fn next_deadline(&self) -> Nanos {
-        let next_batch = self.decided_at.map_or(0, |at| at + self.deployment.tick);
+        let next_batch = self.decided_at.map_or(0, |at| at + self.deployment.min_batch_interval);
         let next_report = self.reported_at + self.config.report_interval;
         let deadlines = [
             (!self.events.is_empty()).then_some(next_batch),
@@ -211,8 +217,11 @@
         deadlines.into_iter().flatten().min().unwrap_or(next_report)
     }
 
-    /// Carries out all that is due: a batch of events for the controller, and messages that have left the channel.
-    /// `blocked`: whether a peer has not read what was written to it before.
+    /// Carries out all that is due, in this order: the report interval's end, the group, the controller's decision,
+    /// the snapshot, versions of changed tables, the supervisor's own updates (guard, retransmissions, constraints),
+    /// departures of the channel, writes to proxies; then gives the commands for the shell. Publishing comes before
+    /// writing, so that what is written is the newest version. `blocked`: whether a peer has not read what was
+    /// written to it before.
     pub fn poll(&mut self, now: Nanos, blocked: impl Fn(Peer) -> bool) -> Vec<ShellCommand> {
         if now >= self.reported_at + self.config.report_interval {
             self.end_report_interval(now);
@@ -220,10 +229,9 @@
         self.poll_group(now);
         self.decide(now);
         self.store_snapshot(now);
+        // Also versions from lines that the guard inspects again bear this reason.
         self.publish(now, &Provenance::new("list", "servers are met at other addresses"));
-        self.queue_guard_corrections();
-        self.queue_retransmissions(now);
-        self.enqueue_own_updates(now);
+        self.poll_own_updates(now);
         while let Some(departure) = self.channel.depart(now) {
             self.departed(departure);
         }
@@ -236,9 +244,9 @@
         std::mem::take(&mut self.commands)
     }
 
-    /// Gives the controller a batch of events, if there are any and the last batch is a tick ago.
+    /// Gives the controller a batch of events, if there are any and the least time since the last batch is over.
     fn decide(&mut self, now: Nanos) {
-        if self.decided_at.is_some_and(|at| now < at + self.deployment.tick) {
+        if self.decided_at.is_some_and(|at| now < at + self.deployment.min_batch_interval) {
             return;
         }
         while let Some(timer) = self.timers.first_entry().filter(|timer| timer.key().0 <= now) {
@@ -254,11 +262,13 @@
 
     /// Makes versions of all tables that differ from their last ones.
     fn publish(&mut self, now: Nanos, provenance: &Provenance) {
-        let context = table_context(&self.endpoints, &self.table_shares, &self.config, self.wall_offset, now);
+        let context =
+            table_context(&self.endpoints, &self.table_shares, &self.config, self.wall_clock_offset, now);
         self.tables.publish(&context, provenance);
     }
 
-    fn next_nonce(&mut self) -> u64 {
+    /// The next nonce of a response; it also numbers timers.
+    fn next_number(&mut self) -> u64 {
         self.last_nonce += 1;
         self.last_nonce
     }
@@ -279,13 +289,13 @@
     endpoints: &'a EndpointList,
     table_shares: &'a BTreeMap<TableId, f64>,
     config: &ControllerConfig,
-    wall_offset: Nanos,
+    wall_clock_offset: Nanos,
     now: Nanos,
 ) -> TableContext<'a> {
     TableContext {
         endpoints,
         now,
-        wall_clock_offset: wall_offset,
+        wall_clock_offset,
         slow_start_duration: config.slow_start_duration,
         traffic_shares: table_shares,
     }
--- a/crates/xds-supervisor/src/core/actions.rs
+++ b/crates/xds-supervisor/src/core/actions.rs
@@ -56,7 +56,7 @@
     fn perform(&mut self, now: Nanos, action: Action, batch: &mut Batch) {
         match action {
             Action::SetTimer { delay, token } => {
-                let number = self.next_nonce();
+                let number = self.next_number();
                 self.timers.insert((now + delay.max(1), number), token);
             }
             Action::CheckHealth { server } => {
--- a/crates/xds-supervisor/src/core/delivery.rs
+++ b/crates/xds-supervisor/src/core/delivery.rs
@@ -15,6 +15,14 @@
 }
 
 impl Core {
+    /// Queues all updates that no action of the controller caused, and puts them into the channel as far as it has
+    /// capacity.
+    pub(super) fn poll_own_updates(&mut self, now: Nanos) {
+        self.queue_guard_corrections();
+        self.queue_retransmissions(now);
+        self.enqueue_own_updates(now);
+    }
+
     /// Queues an update; one brings all that a proxy lacks, however often it is queued.
     fn queue_own_update(&mut self, proxy: ProxyId, lines: usize) {
         match self.own_updates.iter_mut().find(|update| update.proxy == proxy) {
@@ -33,7 +41,7 @@
     }
 
     /// Queues what the guard has changed by itself: no action concerns its users, and the next may come after the grace.
-    pub(super) fn queue_guard_corrections(&mut self) {
+    fn queue_guard_corrections(&mut self) {
         for (table, lines) in self.tables.take_drained_by_guard() {
             for id in self.users(table) {
                 self.queue_own_update(id, lines);
@@ -46,7 +54,7 @@
         self.proxies.iter().filter(|(_, proxy)| proxy.uses(table)).map(|(&id, _)| id).collect()
     }
 
-    /// When lines that nobody has acknowledged are to be sent again.
+    /// The time when the first unacknowledged lines are sent again, ns.
     pub(super) fn next_retransmission(&self) -> Option<Nanos> {
         let subscriptions = self.proxies.values().flat_map(|proxy| proxy.subscriptions.values());
         let outstanding = subscriptions.filter_map(|subscription| subscription.unacknowledged());
@@ -54,7 +62,7 @@
     }
 
     /// Queues lines that were sent and not acknowledged in time.
-    pub(super) fn queue_retransmissions(&mut self, now: Nanos) {
+    fn queue_retransmissions(&mut self, now: Nanos) {
         let mut due = Vec::new();
         for (&id, proxy) in &mut self.proxies {
             for (&table, subscription) in &mut proxy.subscriptions {
@@ -70,15 +78,16 @@
         }
     }
 
-    /// Puts queued updates and what operators' constraints have changed into the channel, as far as it has capacity.
-    pub(super) fn enqueue_own_updates(&mut self, now: Nanos) {
+    /// Ends expired caps and rollbacks, and puts queued updates and what operators' constraints have changed into the
+    /// channel, as far as it has capacity.
+    fn enqueue_own_updates(&mut self, now: Nanos) {
         self.tables.on_timeout(now);
-        while self.drain_own_updates(now) {
+        while self.enqueue_while_capacity(now) {
             let Some(table) = self.tables.next_with_pending_lines() else { return };
             let users = self.users(table);
             let max_lines = self.delivery.rollback_step_lines(users.len());
             let context =
-                table_context(&self.endpoints, &self.table_shares, &self.config, self.wall_offset, now);
+                table_context(&self.endpoints, &self.table_shares, &self.config, self.wall_clock_offset, now);
             let changed = self.tables.publish_pending_lines(table, max_lines, &context);
             if changed > 0 {
                 let updates = users.into_iter().map(|proxy| OwnUpdate { proxy, lines: changed });
@@ -88,7 +97,7 @@
     }
 
     /// Whether all queued updates found capacity.
-    fn drain_own_updates(&mut self, now: Nanos) -> bool {
+    fn enqueue_while_capacity(&mut self, now: Nanos) -> bool {
         while let Some(&OwnUpdate { proxy, lines }) = self.own_updates.front() {
             let cost = self.delivery.message_cost(lines);
             if self.proxies.contains_key(&proxy) {
--- a/crates/xds-supervisor/src/core/faults.rs
+++ b/crates/xds-supervisor/src/core/faults.rs
@@ -33,7 +33,7 @@
         match (fault, action) {
             (InjectedFault::IgnoreDraining, Action::Exclude { .. }) => None,
             (InjectedFault::IgnoreDraining, Action::SetWeight { server, weight, .. })
-                if weight == 0.0 && self.endpoints.is_draining(server) =>
+                if weight == 0.0 && self.endpoints.is_unlisted_or_listed_draining(server) =>
             {
                 None
             }
--- a/crates/xds-supervisor/src/core/group.rs
+++ b/crates/xds-supervisor/src/core/group.rs
@@ -1,4 +1,5 @@
-//! The group, where the deployment has one: its orders become changes of the endpoint list, and it is sent the servers.
+//! The group, where the deployment has one: its drains become changes of the endpoint list, its weight caps go
+//! to the tables, and it is sent the servers.
 
 use std::collections::BTreeMap;
 
--- a/crates/xds-supervisor/src/core/load_streams.rs
+++ b/crates/xds-supervisor/src/core/load_streams.rs
@@ -27,6 +27,7 @@
 
     /// Takes the node that a report names; the first one is answered with how to report.
     fn identify_load_stream(&mut self, peer: Peer, node: &NodeInfo) {
+        // An unknown zone counts as the first locality; discovery streams reject it.
         let locality = self.endpoints.locality(&node.zone).unwrap_or(0);
         let proxy = self.proxy_ids.get(&node.id).copied();
         let before = self.load_streams.insert(peer, proxy.map(|proxy| ReportingProxy { proxy, locality }));
--- a/crates/xds-supervisor/src/core/requests.rs
+++ b/crates/xds-supervisor/src/core/requests.rs
@@ -62,7 +62,7 @@
     }
 
     fn send_answer(&mut self, now: Nanos, peer: Peer, type_url: &str, answer: ImmediateAnswer) {
-        let nonce = self.next_nonce();
+        let nonce = self.next_number();
         let Some(stream) = self.streams.get_mut(&peer) else { return };
         let response = Response {
             type_url,
--- a/crates/xds-supervisor/src/core/resources.rs
+++ b/crates/xds-supervisor/src/core/resources.rs
@@ -12,7 +12,11 @@
 use crate::endpoints::EndpointList;
 use crate::tables::Tables;
 
-/// Version of a resource: of its table, and of its servers' addresses.
+/// Version of a resource, compared for equality alone. Its halves by content:
+/// - `Assignment`: version of the table, address version of the endpoint list.
+/// - `Collection`: bits of the admission limit, id of the table.
+/// - `Routes`: number of the policies, 0.
+/// - `ExcludedServers`: version of the exclusions, address version of the endpoint list.
 pub(super) type ResourceVersion = (u64, u64);
 
 /// What a resource is made from.
@@ -108,8 +112,8 @@
             (LISTENER, routes(LISTENER, PREFIX, policies))
         }
     };
-    let (table, addresses) = versioned.version;
-    Resource { name: name.to_owned(), version: format!("{table}.{addresses}"), any }
+    let (first, second) = versioned.version;
+    Resource { name: name.to_owned(), version: format!("{first}.{second}"), any }
 }
 
 /// Encodes the lines of a table that differ from a base version; `None` where the base is not stored any more.
--- a/crates/xds-supervisor/src/core/sasp.rs
+++ b/crates/xds-supervisor/src/core/sasp.rs
@@ -68,7 +68,9 @@
         }
         let event = self.endpoints.apply_member_state(now, &report);
         self.servers_changed = true;
-        // A balancer that registers its members, thousands of them at its start, changes nothing.
+        // A balancer's report of a member that is present and not quiesced goes to the controller with the next
+        // endpoint list alone, also where it ends a quiesce: a balancer registers thousands of members at its start,
+        // and a list for each would be too much.
         if report.reporter == Reporter::Member || report.quiesced || !report.present {
             self.events.push(Event::Endpoints(event));
         }
@@ -101,7 +103,7 @@
 
     /// Writes weights to a balancer that wants them pushed; another has them with its next request.
     pub(super) fn write_weights(&mut self, now: Nanos, id: ProxyId) {
-        let nonce = self.next_nonce();
+        let nonce = self.next_number();
         let Some(proxy) = self.proxies.get_mut(&id) else { return };
         let pending = proxy.take_pending(now);
         let update = SentUpdate { assignment: Some(nonce), ..SentUpdate::new(now, pending.marks) };
--- a/crates/xds-supervisor/src/core/snapshot.rs
+++ b/crates/xds-supervisor/src/core/snapshot.rs
@@ -21,7 +21,7 @@
     ///
     /// The snapshot is too old or of the future; nothing of it is restored.
     pub fn restore_snapshot(&mut self, now: Nanos, snapshot: StoredSnapshot) -> Result<Nanos, RejectReason> {
-        let age_at_start = self.freshness.age(snapshot.taken_at, now + self.wall_offset)?;
+        let age_at_start = self.freshness.age(snapshot.taken_at, now + self.wall_clock_offset)?;
         self.restored = Some(RestoredSnapshot { snapshot, age_at_start, started_at: now });
         if self.events.iter().any(|event| matches!(event, Event::Endpoints(_))) {
             self.apply_snapshot(now);
@@ -67,6 +67,6 @@
         let incarnations = learned.servers.iter().map(|learned| incarnation(learned.server)).collect();
         let rate = |(node, id): (&String, &ProxyId)| Some((node.clone(), *self.request_rates.get(id)?));
         let proxy_rates = self.proxy_ids.iter().filter_map(rate).collect();
-        StoredSnapshot { taken_at: now + self.wall_offset, learned, incarnations, proxy_rates }
+        StoredSnapshot { taken_at: now + self.wall_clock_offset, learned, incarnations, proxy_rates }
     }
 }
--- a/crates/xds-supervisor/src/core/streams.rs
+++ b/crates/xds-supervisor/src/core/streams.rs
@@ -9,7 +9,8 @@
 use super::proxy::{Protocol, Proxy};
 use super::{Core, Peer, ShellCommand, Stream};
 
-/// Proxies that may be joined at once, in multiples of what the deployment is for.
+/// Proxies that may be joined at once, in multiples of what the deployment is for. The error text below repeats this
+/// number.
 const MAX_JOINED_RATIO: usize = 2;
 /// Node ids that are remembered, in multiples of the same.
 const MAX_NODE_IDS_RATIO: usize = 4;
--- a/crates/xds-supervisor/src/core/updates.rs
+++ b/crates/xds-supervisor/src/core/updates.rs
@@ -16,7 +16,8 @@
 use crate::group_member::GroupMember;
 use crate::tables::Tables;
 
-/// A retry policy takes one of so many values.
+/// Number of variants of [`RetryPolicy`](shalereel::interface::RetryPolicy), the base of the policies' number: 16
+/// operations fit 64 bits.
 const RETRY_POLICIES: u64 = 4;
 
 impl Core {
--- a/crates/xds-supervisor/src/daemon/effects.rs
+++ b/crates/xds-supervisor/src/daemon/effects.rs
@@ -23,8 +23,8 @@
                 }
             }
             ShellCommand::CloseStream { peer, status } => self.terminate(peer, status),
-            ShellCommand::WatchEndpoints(subscribed) => self.set_subscribed(subscribed),
-            ShellCommand::FetchEndpoints => self.poll_registry(),
+            ShellCommand::WatchEndpoints(watching) => self.set_watching(watching),
+            ShellCommand::FetchEndpoints => self.fetch_list(),
             ShellCommand::CheckHealth { server, address } => self.start_health_check(server, address),
             ShellCommand::LogDecision(line) => tracing::info!(remark = line),
             ShellCommand::Warn(warning) => warning.log(),
--- a/crates/xds-supervisor/src/daemon/persistence.rs
+++ b/crates/xds-supervisor/src/daemon/persistence.rs
@@ -1,5 +1,6 @@
 //! Files of the daemon: endpoint list, table history and snapshot are read at the start and written while it runs.
-//! A file that cannot be read or written costs no service; it is logged.
+//! A file that cannot be read or written costs no service and is logged, but for the group's log: without it a member
+//! does not start.
 
 use std::fs;
 use std::io::{self, Write};
@@ -58,14 +59,15 @@
 }
 
 impl Daemon {
-    /// Loads the versions of an earlier run. A file that is rejected is moved aside.
+    /// Loads the versions of an earlier run, and sets the wall clock's offset. A file that is rejected is moved aside.
     pub(super) fn load_table_history(&mut self, wake: UnixStream) {
         let folder = self.deployment.folder.clone();
         let file = read_file(&folder, TABLE_HISTORY_FILE).unwrap_or_else(|error| {
             tracing::warn!(%error, "table history unreadable");
             None
         });
-        let complete_bytes = match self.core.load_tables(wall_clock_offset(), file.as_deref()) {
+        self.core.set_wall_clock_offset(wall_clock_offset());
+        let complete_bytes = match self.core.load_tables(file.as_deref()) {
             Ok(complete_bytes) => file.map(|_| complete_bytes),
             Err(error) => {
                 let path = folder.join(TABLE_HISTORY_FILE);
--- a/crates/xds-supervisor/src/daemon/registry.rs
+++ b/crates/xds-supervisor/src/daemon/registry.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: a stream to the registry, subscribed or polled.
+//! The endpoint list: a stream to the registry, watched or polled.
 
 use shalereel_reactor::now;
 use shalereel_rpc::{ConnId, Status};
@@ -15,11 +15,11 @@
     pub(super) conn: Option<ConnId>,
     client: ClientStream,
     /// The stream stays open for changes; otherwise it is closed after one list.
-    subscribed: bool,
+    watching: bool,
 }
 
 impl RegistryWatch {
-    /// Not dialled yet; subscribed unless the deployment polls.
+    /// Not dialled yet; watching unless the deployment polls.
     pub(super) fn new(deployment: &Deployment) -> Self {
         let config = &deployment.config;
         let node = NodeInfo {
@@ -30,7 +30,7 @@
         let mut client = ClientStream::new(Variant::StateOfTheWorld, node);
         // Not sent now: `reopen` repeats the subscription on each new stream.
         client.subscribe(types::ASSIGNMENT, [FLEET.to_owned()]);
-        RegistryWatch { conn: None, client, subscribed: !config.polls_endpoints }
+        RegistryWatch { conn: None, client, watching: !config.polls_endpoints }
     }
 }
 
@@ -48,6 +48,7 @@
                     self.hub.send(conn, stream, &message);
                 }
             }
+            // Has no effect, as no connection is open: nothing is logged and nothing dials again.
             Err(error) => self.on_registry_lost(&error.to_string()),
         }
     }
@@ -59,22 +60,22 @@
         }
     }
 
-    /// Subscribes to the list, or stops doing so.
-    pub(super) fn set_subscribed(&mut self, subscribed: bool) {
-        self.registry.subscribed = subscribed;
+    /// Watches the list, or stops doing so.
+    pub(super) fn set_watching(&mut self, watching: bool) {
+        self.registry.watching = watching;
         self.close_registry();
-        if subscribed {
+        if watching {
             self.dial_registry();
         }
     }
 
     /// Asks for the complete list on a new stream.
-    pub(super) fn poll_registry(&mut self) {
+    pub(super) fn fetch_list(&mut self) {
         self.close_registry();
         self.dial_registry();
     }
 
-    /// Where the list is subscribed to, the registry is dialled again after a report interval; where it is polled, the
+    /// Where the list is watched, the registry is dialled again after a report interval; where it is polled, the
     /// controller says when.
     pub(super) fn on_registry_lost(&mut self, reason: &str) {
         if self.registry.conn.take().is_none() {
@@ -111,7 +112,7 @@
             }
         };
         self.hub.send(call.conn, call.stream, &answer);
-        if !self.registry.subscribed {
+        if !self.registry.watching {
             self.calls.remove(&call);
             self.hub.close(call.conn);
             self.registry.conn = None;
--- a/crates/xds-supervisor/src/daemon/startup.rs
+++ b/crates/xds-supervisor/src/daemon/startup.rs
@@ -46,6 +46,7 @@
         };
         let wake = daemon.hub.wake_stream()?;
         daemon.join_group(wake.try_clone()?)?;
+        // Sets the wall clock's offset, by which the snapshot's age is computed.
         daemon.load_table_history(wake.try_clone()?);
         daemon.load_snapshot(wake);
         let supervisor = daemon.deployment.config.supervisor_index;
--- a/crates/xds-supervisor/src/deployment.rs
+++ b/crates/xds-supervisor/src/deployment.rs
@@ -36,7 +36,7 @@
     /// Folder of the stored files.
     pub folder: PathBuf,
     /// Least time between two batches of events, ns.
-    pub tick: Nanos,
+    pub min_batch_interval: Nanos,
     /// Names of the operations, by their number.
     pub operations: Vec<String>,
     /// Names of the localities, by their number.
@@ -91,7 +91,7 @@
             sasp_listen: settings.sasp.map(|section| section.listen),
             admin_listen: settings.admin.map(|section| section.listen),
             folder: settings.folder,
-            tick: check.top_level().duration("tick_ms", settings.tick_ms, 0.0)?,
+            min_batch_interval: check.top_level().duration("tick_ms", settings.tick_ms, 0.0)?,
             operations: settings.operations.into_iter().map(|operation| operation.name).collect(),
             localities: settings.localities,
             paced: settings.channel.paced,
--- a/crates/xds-supervisor/src/deployment/controller.rs
+++ b/crates/xds-supervisor/src/deployment/controller.rs
@@ -14,7 +14,7 @@
     SizesSetting,
 };
 
-/// Most operations of a deployment.
+/// Most operations of a deployment. The error text below repeats this number.
 const MAX_OPERATIONS: usize = 16;
 
 impl Checker<'_> {
--- a/crates/xds-supervisor/src/deployment/group.rs
+++ b/crates/xds-supervisor/src/deployment/group.rs
@@ -9,7 +9,7 @@
 use super::file::{DeploymentFile, GroupSection, InjectedFault};
 use crate::client_limits::ClientLimits;
 
-/// Most members that a group may begin with.
+/// Most members that a group may begin with. The error text below repeats this number.
 const MAX_MEMBERS: usize = 9;
 
 /// The group that a supervisor is a member of.
--- a/crates/xds-supervisor/src/endpoints.rs
+++ b/crates/xds-supervisor/src/endpoints.rs
@@ -261,14 +261,18 @@
             locality: self.locality(&endpoint.zone).unwrap_or(0),
             kind: endpoint.kind,
             cell: endpoint.cell,
-            readiness: if self.drains(server, endpoint) { Readiness::Draining } else { Readiness::Ready },
+            readiness: if self.is_drained_by_anyone(server, endpoint) {
+                Readiness::Draining
+            } else {
+                Readiness::Ready
+            },
             weight: endpoint.weight,
             started_at: endpoint.started_at,
         }
     }
 
-    /// By the registry, a report of a SASP member, or an operator.
-    fn drains(&self, server: ServerId, endpoint: &ListedEndpoint) -> bool {
+    /// Whether the registry, a SASP member's report, or an operator drains a server.
+    fn is_drained_by_anyone(&self, server: ServerId, endpoint: &ListedEndpoint) -> bool {
         endpoint.draining
             || self.quiesced.contains(&endpoint.address)
             || self.drained_by_operators.contains(&server)
@@ -284,7 +288,7 @@
     ) -> impl Iterator<Item = (ServerId, shalereel_guard::Server)> + '_ {
         self.endpoints.iter().map(move |(&server, endpoint)| {
             let availability = match endpoint.listed {
-                _ if self.drains(server, endpoint) => Availability::Unavailable,
+                _ if self.is_drained_by_anyone(server, endpoint) => Availability::Unavailable,
                 true => Availability::Ready,
                 false if removal_binds => Availability::Unavailable,
                 false => Availability::Unlisted,
@@ -315,8 +319,9 @@
         self.by_address.get(&address).copied()
     }
 
-    /// Whether the registry drains a server or does not list it.
-    pub fn is_draining(&self, server: ServerId) -> bool {
+    /// Whether a server's row is draining, not listed, or missing. Does not count operators' drains or quiesced
+    /// members.
+    pub fn is_unlisted_or_listed_draining(&self, server: ServerId) -> bool {
         self.endpoints.get(&server).is_none_or(|endpoint| !endpoint.accepts_requests())
     }
 
@@ -328,7 +333,8 @@
         self.endpoints.get(&server).is_some_and(young)
     }
 
-    /// Grows whenever a server begins to drain or is listed no more.
+    /// Grows whenever the list itself begins to drain a server or to leave it out; not by operators' drains or by
+    /// reports of SASP members.
     pub fn drain_version(&self) -> u64 {
         self.drain_version
     }
--- a/crates/xds-supervisor/src/group_member/forwarders.rs
+++ b/crates/xds-supervisor/src/group_member/forwarders.rs
@@ -30,6 +30,7 @@
         message: &[u8],
         endpoints: &EndpointList,
     ) -> Result<(), Status> {
+        // The text names the message by its earlier name; clients may match it.
         let decoded = RangesRequest::decode(message).map_err(|error| malformed("RangesAsk", &error))?;
         let request = RouteRequest { last_response_read: decoded.last_response_read, held: decoded.held };
         let response = self.group.handle_range_request(now, peer, &request);
--- a/crates/xds-supervisor/src/group_member/operators.rs
+++ b/crates/xds-supervisor/src/group_member/operators.rs
@@ -17,6 +17,7 @@
     ///
     /// It cannot be decoded, or is of a later version; the stream is to be closed with this status.
     pub fn handle_control(&mut self, now: Nanos, peer: Peer, message: &[u8]) -> Result<(), Status> {
+        // The text names the message by its earlier name; clients may match it.
         let request = ControlRequest::decode(message).map_err(|error| malformed("ControlAsk", &error))?;
         match request.command {
             None => {
--- a/crates/xds-supervisor/src/sasp_front.rs
+++ b/crates/xds-supervisor/src/sasp_front.rs
@@ -87,7 +87,7 @@
 
     /// To be called once a report interval: balancers may ask again.
     pub fn on_report_interval(&mut self) {
-        self.advisor.tick();
+        self.advisor.start_report_interval();
     }
 
     /// Takes bytes from a connection, in pieces of any size.
@@ -139,7 +139,9 @@
         }
     }
 
-    /// The connection is closed: what its members said of themselves is void.
+    /// Takes the end of a connection: what its members said of themselves is void, and so are the members that a
+    /// balancer registered. All of these reports name [`Reporter::Member`], as the advisor has forgotten by then who
+    /// the peer was.
     pub fn on_closed(&mut self, peer: Peer) -> Vec<SaspEvent> {
         self.frames.remove(&peer);
         let mut changes = Vec::new();
--- a/crates/xds-supervisor/src/storage.rs
+++ b/crates/xds-supervisor/src/storage.rs
@@ -86,7 +86,8 @@
     }
 }
 
-/// Guards against symbolic links that redirect reads and writes out of the folder.
+/// Opens a file, unless it is a symbolic link. Guards against links that redirect reads and writes out of the folder.
+/// Files that `replace` makes, and those of the endpoint list, are opened without this check.
 fn open_no_follow(options: &mut OpenOptions, path: &Path) -> io::Result<File> {
     options.custom_flags(OFlags::NOFOLLOW.bits() as i32).open(path)
 }
--- a/crates/xds-supervisor/src/tables.rs
+++ b/crates/xds-supervisor/src/tables.rs
@@ -91,8 +91,8 @@
     rollback_overrides_controller: bool,
     /// Limits of the guard; `None` where it is disabled.
     guard_limits: Option<Limits>,
-    /// The list gives capacities; otherwise all servers count as one.
-    capacity_listed: bool,
+    /// The list gives nominal capacities; where it gives rough ones or none, the guard counts every server as 1.
+    nominal_capacity_listed: bool,
     removal_is_binding: bool,
     /// Lines that the guard has drained by itself since they were last taken, by table.
     drained_by_guard: BTreeMap<TableId, usize>,
@@ -119,7 +119,7 @@
             drain_version: 0,
             rollback_overrides_controller: injected_fault == Some(InjectedFault::RollbackOverridesController),
             guard_limits: (!deployment.guard_disabled).then(|| Limits::new(config)),
-            capacity_listed: config.listed_capacity == shalereel::interface::ListedCapacity::Nominal,
+            nominal_capacity_listed: config.listed_capacity == shalereel::interface::ListedCapacity::Nominal,
             removal_is_binding: !config.removal_is_advisory,
             drained_by_guard: BTreeMap::new(),
             guard_log: Vec::new(),
--- a/crates/xds-supervisor/src/tables/constraints.rs
+++ b/crates/xds-supervisor/src/tables/constraints.rs
@@ -192,11 +192,14 @@
         self.tables.iter().find(|(_, table)| table.has_pending_lines()).map(|(&id, _)| id)
     }
 
-    /// Publishes at most so many pending lines of a table; gives how many lines that changed.
+    /// Marks at most so many pending lines of a table as changed, and publishes all changed tables with the order's
+    /// provenance; the caller has published all others before. Gives how many lines of this table have changed.
     pub fn publish_pending_lines(&mut self, id: TableId, max_lines: usize, context: &TableContext) -> usize {
-        let latest_cap = self.local_caps.values().next_back();
+        // Stands for all caps: which cap a pending line comes from is not recorded. A group cap's lines bear this
+        // name too.
+        let cap_of_highest_server = self.local_caps.values().next_back();
         let Some(table) = self.tables.get_mut(&id) else { return 0 };
-        let provenance = table.constraint_provenance(latest_cap);
+        let provenance = table.constraint_provenance(cap_of_highest_server);
         table.mark_pending_changed(max_lines);
         self.last_version += 1;
         table.version = self.last_version;
@@ -213,9 +216,10 @@
     }
 
     /// Who and what a version with pending lines comes from: a rollback, else a cap.
-    fn constraint_provenance(&self, latest_cap: Option<&WeightCap>) -> Provenance {
+    fn constraint_provenance(&self, cap_of_highest_server: Option<&WeightCap>) -> Provenance {
         let ordered = &self.rollback_provenance;
-        match (self.constraints.rollback(), latest_cap) {
+        // Operators' words: the way back is the rollback, held is capped.
+        match (self.constraints.rollback(), cap_of_highest_server) {
             (Some(rollback), _) if rollback.is_ending() => {
                 Provenance::new(&ordered.actor, format!("the way back ends: {}", ordered.reason))
             }
--- a/crates/xds-supervisor/src/tables/inspection.rs
+++ b/crates/xds-supervisor/src/tables/inspection.rs
@@ -31,7 +31,7 @@
 impl Tables {
     /// All listed servers as the guard sees them.
     pub fn pool(&self, context: &TableContext) -> BTreeMap<ServerId, PoolServer> {
-        let servers = pool_servers(context, self.removal_is_binding, self.capacity_listed);
+        let servers = pool_servers(context, self.removal_is_binding, self.nominal_capacity_listed);
         let with_part = |(id, server): (ServerId, Server)| {
             let warmed_part = self.guard_limits.map_or(1.0, |limits| limits.warmed_part(&server));
             (id, PoolServer { server, warmed_part })
@@ -54,11 +54,11 @@
 pub(super) fn pool_servers(
     context: &TableContext,
     removal_is_binding: bool,
-    capacity_listed: bool,
+    nominal_capacity_listed: bool,
 ) -> BTreeMap<ServerId, Server> {
     let pool = context.endpoints.guard_servers(context.now, context.slow_start_duration, removal_is_binding);
     let with_capacity = |(id, server): (ServerId, Server)| {
-        let capacity = if capacity_listed { server.capacity } else { 1.0 };
+        let capacity = if nominal_capacity_listed { server.capacity } else { 1.0 };
         (id, Server { capacity, ..server })
     };
     pool.map(with_capacity).collect()
@@ -88,7 +88,7 @@
         let usable = |server: &ServerId| store.line(id, *server).is_some_and(|line| !line.draining);
         let newly_drained = decision.drained.iter().filter(|server| usable(server)).count();
         let log = log_lines(id, &decision, now);
-        self.reverted = decision.reverted;
+        self.to_inspect_again = decision.reverted;
         Inspection { newly_drained, log }
     }
 
--- a/crates/xds-supervisor/src/tables/publication.rs
+++ b/crates/xds-supervisor/src/tables/publication.rs
@@ -43,7 +43,7 @@
         provenance: &Provenance,
     ) {
         let Some(table) = self.tables.get_mut(&id) else { return };
-        table.retry_reverted(context.now);
+        table.mark_lines_to_inspect(context.now);
         if table.changed.is_empty() {
             return;
         }
@@ -54,7 +54,7 @@
             return;
         }
         let pool = pool.get_or_insert_with(|| Pool {
-            servers: pool_servers(context, self.removal_is_binding, self.capacity_listed),
+            servers: pool_servers(context, self.removal_is_binding, self.nominal_capacity_listed),
             traffic_share: 1.0,
         });
         // Table 0 has all servers, and by default all traffic.
--- a/crates/xds-supervisor/src/tables/table.rs
+++ b/crates/xds-supervisor/src/tables/table.rs
@@ -8,10 +8,11 @@
 
 use super::{OperationIndex, OperationPolicy, TableContext};
 
-/// Largest sum of a table's weights on the wire, which sums them in 32 bits.
+/// Largest sum of a table's weights, in units of 1/`UNIT_WEIGHT`: half of what the wire's 32 bits hold.
 const MAX_WEIGHT_SUM: f64 = (u32::MAX / 2) as f64;
 /// Factor of one step of scaling a table's weights down.
 const SCALE_STEP: f64 = 0.0625;
+/// Most steps of scaling down; beyond them weights stay too large.
 const MAX_SCALE_STEPS: i32 = 8;
 
 #[derive(Clone, Debug, Default)]
@@ -35,8 +36,9 @@
     /// `None` where the guard is disabled.
     pub(super) guard: Option<Guard>,
     pub(super) withheld: bool,
-    /// Lines that the guard has reverted.
-    pub(super) reverted: BTreeSet<ServerId>,
+    /// Lines that the guard is to inspect again: those it has reverted, and those of draining servers that are still
+    /// usable.
+    pub(super) to_inspect_again: BTreeSet<ServerId>,
     /// When the guard inspects those again.
     pub(super) inspect_at: Option<Nanos>,
 }
@@ -52,8 +54,8 @@
         self.changed.extend(self.weights.keys());
     }
 
-    /// Guards against draining servers whose lines stay open: nothing else may have the table inspected before their
-    /// grace is over.
+    /// Schedules an inspection of draining servers whose published lines are still usable. Guards against lines that
+    /// stay usable: nothing else might have the table inspected before the servers' grace is over.
     pub(super) fn schedule_drain_check(
         &mut self,
         id: TableId,
@@ -62,16 +64,17 @@
         context: &TableContext,
     ) {
         let usable = store.lines(id).filter(|(_, line)| !line.draining).map(|(server, _)| server);
-        self.reverted.extend(usable.filter(|&server| context.endpoints.is_draining(server)));
+        self.to_inspect_again
+            .extend(usable.filter(|&server| context.endpoints.is_unlisted_or_listed_draining(server)));
         let check_at = limits.drain_check_at(context.now);
         self.inspect_at = Some(self.inspect_at.map_or(check_at, |at| at.min(check_at)));
     }
 
-    /// Tries reverted lines again, with any change and when an inspection is due.
-    pub(super) fn retry_reverted(&mut self, now: Nanos) {
+    /// Marks the lines that the guard is to inspect again as changed, with any change and when an inspection is due.
+    pub(super) fn mark_lines_to_inspect(&mut self, now: Nanos) {
         if self.inspect_at.is_some_and(|at| at <= now) || !self.changed.is_empty() {
             self.inspect_at = None;
-            self.changed.append(&mut self.reverted);
+            self.changed.append(&mut self.to_inspect_again);
         }
     }
 
--- a/crates/xds-supervisor/tests/core/lines.rs
+++ b/crates/xds-supervisor/tests/core/lines.rs
@@ -174,7 +174,7 @@
         .collect();
     let (list, held) = (harness.core.endpoint_list_json(), client.replica.verified().unwrap().number);
     let mut harness = Harness::new(Some(&list));
-    harness.core.load_tables(0, Some(&file)).unwrap();
+    harness.core.load_tables(Some(&file)).unwrap();
     client.received.clear();
     harness.list_draining(&[2]);
     client.reopen(&mut harness, 1);
@@ -184,7 +184,7 @@
     let mut damaged = file.clone();
     damaged[12] ^= 1;
     let mut harness = Harness::new(Some(&list));
-    assert!(harness.core.load_tables(0, Some(&damaged)).is_err());
+    assert!(harness.core.load_tables(Some(&damaged)).is_err());
     client.reopen(&mut harness, 1);
     client.run_ms(&mut harness, 200);
     assert_eq!(client.servers(), [1, 2, 3, 4, 5]);
