--- a/src/admission.rs
+++ b/src/admission.rs
@@ -4,8 +4,8 @@
 //! Guards against any lack of capacity: late responses are worth next to nothing and cost as much as others.
 
 use crate::channel::MIN_WEIGHT_CHANGE;
-use crate::interface::*;
-use crate::message::*;
+use crate::interface::{AdmissionMode, ControllerConfig, Nanos};
+use crate::message::{AdmissionLimit, Mailboxes};
 use crate::retries::GENERAL_FAILURE_RATE;
 use crate::statistics::{DecayingSum, OutcomeTotals};
 
@@ -127,8 +127,8 @@
         let overload = self.expected_overload(inputs);
         let was_limited = self.load_limit.is_some();
         let served_load = self.served_cost(limits, now) / inputs.included_weight.max(f64::MIN_POSITIVE);
-        self.move_load_limit(overload, served_load);
-        let all_admitted = self.share_out(self.budget(overload, inputs.included_weight), limits);
+        self.adjust_load_limit(overload, served_load);
+        let all_admitted = self.allocate(self.budget(overload, inputs.included_weight), limits);
         if all_admitted && overload < LOW_OVERLOAD {
             self.load_limit = None;
         }
@@ -164,7 +164,7 @@
     }
 
     /// Sets the limit to the load served at the peak once the fleet is overloaded, then lowers or raises it by steps.
-    fn move_load_limit(&mut self, overload: f64, served_load: f64) {
+    fn adjust_load_limit(&mut self, overload: f64, served_load: f64) {
         self.peak_load = served_load.max(self.peak_load * LIMIT_STEP);
         self.load_limit = match self.load_limit {
             None if overload > 1.0 => Some(self.peak_load),
@@ -181,7 +181,7 @@
     }
 
     /// Shares the budget out among the operations, the most valuable first; true if all is admitted.
-    fn share_out(&self, mut budget: f64, limits: &mut [AdmissionLimit]) -> bool {
+    fn allocate(&self, mut budget: f64, limits: &mut [AdmissionLimit]) -> bool {
         let mut all_admitted = true;
         for demand in &self.demands {
             let cost = demand.total_cost();
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -1,7 +1,8 @@
 use rstest::rstest;
 
 use super::*;
-use crate::testing::*;
+use crate::message::{Message, SECOND};
+use crate::testing::{config, START};
 use crate::Controller;
 
 /// Limits of both operations after two report intervals with these mean response times.
--- a/src/channel.rs
+++ b/src/channel.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 
 use crate::deadlines::DeadlineStatistics;
-use crate::interface::*;
-use crate::message::*;
+use crate::interface::{ControllerConfig, Nanos, ProxyId, ServerId};
+use crate::message::{AdmissionLimit, Component, DesiredWeight, Mailboxes, Message, SECOND};
 use crate::pacing::Pacing;
 use crate::proxies::Proxies;
 use crate::subsets::Subsets;
@@ -24,8 +24,8 @@
 mod batch;
 mod capacity_shares;
 mod changes;
+mod coalescing;
 mod exclusions;
-mod gathering;
 mod obligations;
 mod sent;
 mod table_choice;
--- a/src/channel/assignment.rs
+++ b/src/channel/assignment.rs
@@ -6,7 +6,7 @@
 use super::capacity_shares::{urgent_share, ASSIGNMENT_CAPACITY_SHARE};
 use super::sent::TableSize;
 use super::Channel;
-use crate::interface::*;
+use crate::interface::{Action, Nanos, ProxyId, TableId};
 use crate::message::Mailboxes;
 use crate::proxies::Proxy;
 use crate::tables::FULL_TABLE;
--- a/src/channel/assignment/tests.rs
+++ b/src/channel/assignment/tests.rs
@@ -1,13 +1,17 @@
 use rstest::rstest;
 
 use super::*;
+use crate::interface::ControllerConfig;
 use crate::message::SECOND;
-use crate::testing::*;
+use crate::testing::{
+    assignments, config, decide_acknowledged, draining, endpoint, joined, large_deployment, list_changes,
+    listed, running_controller, START,
+};
 use crate::Controller;
 
 #[rstest]
 fn newly_joined_proxy_is_assigned_the_full_table_at_once(config: ControllerConfig) {
-    let actions = running(&config).decide(START + 1, vec![joined(2)]);
+    let actions = running_controller(&config).decide(START + 1, vec![joined(2)]);
     assert!(actions.contains(&Action::AssignTable { proxy: 2, table: FULL_TABLE, operations: 0 }));
     assert!(!actions.iter().any(|action| matches!(action, Action::SetWeight { .. })));
 }
@@ -15,14 +19,14 @@
 #[rstest]
 fn assignments_are_spread_when_the_channel_is_full(mut config: ControllerConfig) {
     config.channel_capacity = 40.0;
-    let actions = running(&config).decide(START + 1, (2..30).map(joined).collect());
+    let actions = running_controller(&config).decide(START + 1, (2..30).map(joined).collect());
     let assigned = assignments(&actions);
     assert!(assigned < 4, "{assigned}");
 }
 
 #[rstest]
 fn hundred_newly_joined_proxies_are_assigned_a_large_table_in_turn(config: ControllerConfig) {
-    let mut controller = large(config, 400, 100);
+    let mut controller = large_deployment(config, 400, 100);
     let proxies = controller.channel.proxies.by_id.values();
     let mut assigned = proxies.filter(|proxy| proxy.assigned_table.is_some()).count();
     assert!((1..12).contains(&assigned), "{assigned}");
@@ -46,7 +50,7 @@
         controller.channel.pacing.pending_marks.clear();
         let now = START + Nanos::from(quarter) * SECOND / 4;
         let queued = controller.channel.pacing.update_queue(now);
-        let actions = controller.decide(now, changed([draining(1 + quarter / 4)]));
+        let actions = controller.decide(now, list_changes([draining(1 + quarter / 4)]));
         let changes = actions.iter().filter(|action| matches!(action, Action::SetWeight { .. })).count();
         assert!(changes == 0 || queued <= queue_target, "{changes} behind {queued}");
         removals += changes;
--- a/src/channel/batch.rs
+++ b/src/channel/batch.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::changes::Audience;
-use crate::interface::*;
+use crate::interface::{ProxyId, TableId};
 use crate::proxies::{Proxies, Proxy};
 use crate::tables::EXCLUSIONS;
 
--- a/src/channel/changes.rs
+++ b/src/channel/changes.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::Channel;
-use crate::interface::*;
+use crate::interface::{Nanos, ServerId, TableId};
 use crate::tables::{TableLine, EXCLUSIONS, FULL_TABLE};
 
 #[cfg(test)]
--- a/src/channel/changes/tests.rs
+++ b/src/channel/changes/tests.rs
@@ -1,8 +1,8 @@
 use rstest::rstest;
 
-use super::*;
+use crate::interface::ControllerConfig;
 use crate::message::DesiredWeight;
-use crate::testing::*;
+use crate::testing::{config, running_controller, START};
 
 #[rstest]
 #[case::by_a_twentieth(1.05, false)]
@@ -12,7 +12,7 @@
     #[case] weight: f64,
     #[case] differs: bool,
 ) {
-    let mut channel = running(&config).channel;
+    let mut channel = running_controller(&config).channel;
     let desired = DesiredWeight { weight, ..channel.desired_weights[&1] };
     channel.desired_weights.insert(1, desired);
     assert_eq!(!channel.differing_lines(START).is_empty(), differs);
--- a/src/channel/exclusions.rs
+++ b/src/channel/exclusions.rs
@@ -1,9 +1,9 @@
 //! When unassigned proxies are sent the servers that they must not send to.
 
 use super::Channel;
-use crate::interface::*;
+use crate::interface::Nanos;
 use crate::proxies::Proxy;
-use crate::subsets::stand_in_servers;
+use crate::subsets::fallback_subset_size;
 
 #[cfg(test)]
 mod tests;
@@ -17,8 +17,8 @@
     /// lines or there is none.
     pub(super) fn exclusions_are_due(&self, now: Nanos) -> bool {
         let excluded = self.desired_weights.values().filter(|desired| desired.must_exclude).count();
-        let stand_in = stand_in_servers(&self.desired_weights);
-        if stand_in > 0 && excluded > stand_in {
+        let fallback_servers = fallback_subset_size(&self.desired_weights);
+        if fallback_servers > 0 && excluded > fallback_servers {
             return false;
         }
         let queueing = (self.pacing.queued_lines / self.pacing.learned_lines_per_ns()) as Nanos;
--- a/src/channel/exclusions/tests.rs
+++ b/src/channel/exclusions/tests.rs
@@ -3,10 +3,12 @@
 use rstest::rstest;
 
 use crate::channel::capacity_shares::ASSIGNMENT_CAPACITY_SHARE;
-use crate::interface::*;
+use crate::interface::{Action, ControllerConfig, Endpoint, ProxyId, Readiness};
 use crate::message::SECOND;
 use crate::tables::FULL_TABLE;
-use crate::testing::*;
+use crate::testing::{
+    config, decide_acknowledged, draining, endpoint, joined, list_changes, listed, running_controller, START,
+};
 use crate::Controller;
 
 #[rstest]
@@ -18,12 +20,12 @@
     #[case] is_excluded: bool,
 ) {
     (config.removal_is_advisory, config.drain_grace) = (true, 4 * SECOND);
-    let mut controller = running(&config);
+    let mut controller = running_controller(&config);
     let queued = config.channel_capacity * ASSIGNMENT_CAPACITY_SHARE;
     let excludes = |actions: Vec<Action>| actions.contains(&Action::Exclude { server: 4, on: true });
     controller.channel.pacing.queued_lines = queued;
     controller.channel.pacing.updated_at = START;
-    let mut events = changed([Endpoint { readiness, ..endpoint(4) }]);
+    let mut events = list_changes([Endpoint { readiness, ..endpoint(4) }]);
     events.push(joined(2));
     let actions = controller.decide(START + 1, events);
     assert!(!excludes(actions), "its table may still come in time");
@@ -66,8 +68,8 @@
 
 #[rstest]
 fn full_table_takes_the_place_of_exclusions(config: ControllerConfig) {
-    let mut controller = running(&config);
-    controller.decide(START + 1, changed([draining(4)]));
+    let mut controller = running_controller(&config);
+    controller.decide(START + 1, list_changes([draining(4)]));
     let actions = decide_acknowledged(&mut controller, START + SECOND, vec![joined(7)]);
     let assigns = |action: &Action| matches!(action, Action::AssignTable { proxy: 7, .. });
     assert!(actions.iter().any(assigns));
@@ -87,7 +89,7 @@
     let proxies = controller.channel.proxies.by_id.values_mut();
     proxies.take(40).for_each(|proxy| proxy.assigned_table = Some(FULL_TABLE));
     let draining = (1..=50).map(|id| Endpoint { readiness: Readiness::Draining, ..warming_up(id) });
-    let mut events = changed(draining);
+    let mut events = list_changes(draining);
     let (mut removed, mut excluded) = (BTreeSet::new(), 0);
     for tenth in 1..100 {
         let now = START + tenth * SECOND / 10;
--- a/src/channel/obligations.rs
+++ b/src/channel/obligations.rs
@@ -6,9 +6,9 @@
 use super::sent::{TableSize, FIXED_TABLE_LINES};
 use super::Channel;
 use crate::deadlines::Obligation;
-use crate::interface::*;
+use crate::interface::{Nanos, ServerId, TableId};
 use crate::proxies::Proxy;
-use crate::subsets::stand_in_servers;
+use crate::subsets::fallback_subset_size;
 use crate::tables::{EXCLUSIONS, FULL_TABLE};
 
 /// As many more proxies are expected to join as did within this share of the drain grace.
@@ -87,7 +87,7 @@
     fn first_message_lines(&self, proxy: &Proxy, full_table: TableSize) -> f64 {
         let on_subset = proxy.intended_table != FULL_TABLE;
         let table = if on_subset {
-            self.stand_in_message_lines()
+            self.fallback_message_lines()
         } else {
             self.pacing.message_overhead + full_table.lines
         };
@@ -95,11 +95,11 @@
     }
 
     /// Lines of a message that assigns a stand-in.
-    pub(super) fn stand_in_message_lines(&self) -> f64 {
+    pub(super) fn fallback_message_lines(&self) -> f64 {
         self.pacing.message_overhead
             + FIXED_TABLE_LINES
             + self.admission_limits.len() as f64
-            + stand_in_servers(&self.desired_weights) as f64
+            + fallback_subset_size(&self.desired_weights) as f64
     }
 
     /// Cost of a message that updates a table beside its changes, in lines: its overhead and the mark.
--- a/src/channel/sent.rs
+++ b/src/channel/sent.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::interface::*;
+use crate::interface::{Action, ServerId, TableId};
 use crate::message::{AdmissionLimit, DesiredWeight, Mailboxes};
 use crate::tables::{DesiredWeights, TableLine, EXCLUSIONS, FULL_TABLE};
 
--- a/src/channel/table_choice.rs
+++ b/src/channel/table_choice.rs
@@ -8,16 +8,16 @@
 use super::obligations::UrgentLines;
 use super::Channel;
 use crate::deadlines::Obligation;
-use crate::interface::*;
+use crate::interface::{Nanos, ProxyId, TableId};
 use crate::proxies::Proxy;
-use crate::subsets::stand_in_servers;
+use crate::subsets::fallback_subset_size;
 use crate::tables::FULL_TABLE;
 
 #[cfg(test)]
 mod tests;
 
 /// Stand-ins are used for so many drain graces after the channel could last not carry full tables in time.
-const BEHIND_HOLD_GRACES: Nanos = 4;
+const FALLBACK_HOLD_GRACE_PERIODS: Nanos = 4;
 /// Share of what the channel sends within a drain grace that moving all users of the full table to stand-ins
 /// may take.
 const MOVE_CAPACITY_SHARE: f64 = 0.8;
@@ -25,7 +25,7 @@
 impl Channel {
     /// Chooses the table that each proxy should use.
     pub(super) fn choose_tables(&mut self, now: Nanos) {
-        if self.isolated || stand_in_servers(&self.desired_weights) == 0 {
+        if self.isolated || fallback_subset_size(&self.desired_weights) == 0 {
             return;
         }
         self.limit_full_table();
@@ -38,18 +38,18 @@
         }
         self.last_behind_at = Some(now);
         let waiting = if newly_joined.is_empty() { Vec::new() } else { self.proxies.awaiting_full_table() };
-        self.move_to_stand_ins(&waiting);
+        self.move_to_fallback_subsets(&waiting);
         if self.should_leave_full_table(&urgent, updates, &newly_joined, now) {
             let on_full_table = |proxy: &Proxy| {
                 proxy.assigned_table == Some(FULL_TABLE) && proxy.intended_table == FULL_TABLE
             };
-            self.move_to_stand_ins(&self.proxies.ids_where(on_full_table));
+            self.move_to_fallback_subsets(&self.proxies.ids_where(on_full_table));
         }
-        self.keep_stand_ins();
+        self.keep_fallback_subsets();
     }
 
-    fn move_to_stand_ins(&mut self, proxies: &[ProxyId]) {
-        self.subsets.move_to_stand_ins(proxies, &mut self.proxies, &self.desired_weights);
+    fn move_to_fallback_subsets(&mut self, proxies: &[ProxyId]) {
+        self.subsets.move_to_fallback_subsets(proxies, &mut self.proxies, &self.desired_weights);
     }
 
     /// Whether moving users of the full table to stand-ins takes fewer lines than its changes, and these are
@@ -61,11 +61,13 @@
         newly_joined: &[Obligation],
         now: Nanos,
     ) -> bool {
-        let stand_in = self.stand_in_message_lines();
+        let fallback_lines = self.fallback_message_lines();
         let changes = urgent.get(&FULL_TABLE).map_or(0.0, |urgent| urgent.lines);
-        let with_stand_ins = newly_joined.iter().map(|owed| Obligation { lines: stand_in, ..*owed });
-        let mut obligations: Vec<Obligation> = updates.into_iter().chain(with_stand_ins).collect();
-        changes + self.message_cost() > stand_in && !self.pacing.forecast(now).meets_all(&mut obligations)
+        let with_fallback_subsets =
+            newly_joined.iter().map(|obligation| Obligation { lines: fallback_lines, ..*obligation });
+        let mut obligations: Vec<Obligation> = updates.into_iter().chain(with_fallback_subsets).collect();
+        changes + self.message_cost() > fallback_lines
+            && !self.pacing.forecast(now).meets_all(&mut obligations)
     }
 
     /// Number of proxies that may use the full table: so many could be moved to stand-ins within a drain
@@ -73,7 +75,7 @@
     fn max_full_table_users(&self) -> usize {
         let deliverable = self.pacing.deliverable_lines(self.drain_grace);
         let sending = deliverable - self.pacing.configured_queue_target;
-        (MOVE_CAPACITY_SHARE * sending.max(0.0) / self.stand_in_message_lines()) as usize
+        (MOVE_CAPACITY_SHARE * sending.max(0.0) / self.fallback_message_lines()) as usize
     }
 
     /// Intends stand-ins for waiting proxies that the full table may not have, those with the fewest requests
@@ -88,25 +90,25 @@
         let requests = |id: &ProxyId| self.proxies.by_id[id].requests.sum;
         waiting.sort_by(|a, b| requests(a).total_cmp(&requests(b)));
         waiting.truncate(count - max);
-        self.move_to_stand_ins(&waiting);
+        self.move_to_fallback_subsets(&waiting);
     }
 
     /// Has proxies that were on their way back to the full table stay on their stand-ins.
-    fn keep_stand_ins(&mut self) {
+    fn keep_fallback_subsets(&mut self) {
         for proxy in self.proxies.by_id.values_mut() {
             if proxy.intended_table != FULL_TABLE {
                 continue;
             }
-            let stand_in = proxy
+            let fallback_subset = proxy
                 .assigned_table
                 .filter(|&table| table != FULL_TABLE && self.subsets.target_weights.contains_key(&table));
-            proxy.intended_table = stand_in.unwrap_or(FULL_TABLE);
+            proxy.intended_table = fallback_subset.unwrap_or(FULL_TABLE);
         }
     }
 
-    /// Whether full tables could be carried in time for the last [`BEHIND_HOLD_GRACES`] drain graces.
+    /// Whether full tables could be carried in time for the last [`FALLBACK_HOLD_GRACE_PERIODS`] drain graces.
     pub(super) fn keeps_up(&self, now: Nanos) -> bool {
-        let hold = BEHIND_HOLD_GRACES * self.drain_grace;
+        let hold = FALLBACK_HOLD_GRACE_PERIODS * self.drain_grace;
         self.last_behind_at.is_none_or(|at| now.saturating_sub(at) > hold)
     }
 
@@ -117,12 +119,12 @@
         if !self.keeps_up(now) || !nothing_is_urgent || has_newly_joined {
             return;
         }
-        let mut on_stand_ins = self.proxies.ids_where(|proxy| proxy.intended_table != FULL_TABLE);
+        let mut on_fallback_subsets = self.proxies.ids_where(|proxy| proxy.intended_table != FULL_TABLE);
         let requests = |id: &ProxyId| self.proxies.by_id[id].requests.sum;
-        on_stand_ins.sort_by(|a, b| requests(b).total_cmp(&requests(a)));
+        on_fallback_subsets.sort_by(|a, b| requests(b).total_cmp(&requests(a)));
         let count = self.proxies.count_intended_for_full_table();
         let more = self.max_full_table_users().saturating_sub(count);
-        for id in on_stand_ins.into_iter().take(more) {
+        for id in on_fallback_subsets.into_iter().take(more) {
             if let Some(proxy) = self.proxies.by_id.get_mut(&id) {
                 proxy.intended_table = FULL_TABLE;
             }
--- a/src/channel/tests.rs
+++ b/src/channel/tests.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 use crate::pacing::PendingMark;
-use crate::testing::*;
+use crate::testing::{config, running_controller, START};
 
 #[rstest]
 fn unacknowledged_lines_of_a_proxy_that_left_are_not_queued(config: ControllerConfig) {
-    let mut channel = running(&config).channel;
+    let mut channel = running_controller(&config).channel;
     let mark = PendingMark {
         sent_at: START,
         lines: 900.0,
--- a/src/channel/unused_tables.rs
+++ b/src/channel/unused_tables.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use super::Channel;
-use crate::interface::*;
+use crate::interface::TableId;
 use crate::message::Mailboxes;
 use crate::tables::EXCLUSIONS;
 
--- a/src/channel/updates.rs
+++ b/src/channel/updates.rs
@@ -12,7 +12,7 @@
 use super::changes::{Audience, Change, Priority};
 use super::sent::TableLimit;
 use super::Channel;
-use crate::interface::*;
+use crate::interface::{Nanos, TableId};
 use crate::message::{Mailboxes, SECOND};
 use crate::tables::{EXCLUSIONS, FULL_TABLE};
 
@@ -58,7 +58,7 @@
             return urgent == 0;
         }
         let tables = self.tables_to_update(&changes, &batch, &allowance);
-        if allowance.queue_is_long && self.may_gather(&changes, &batch, now) {
+        if allowance.queue_is_long && self.may_coalesce(&changes, &batch, now) {
             return false;
         }
         changes.retain(|change| try_add_change(change, &tables, &allowance, &mut batch));
--- a/src/channel/updates/tests.rs
+++ b/src/channel/updates/tests.rs
@@ -1,7 +1,11 @@
 use rstest::rstest;
 
 use super::*;
-use crate::testing::*;
+use crate::interface::{Action, ControllerConfig, Endpoint, Readiness, ServerId};
+use crate::testing::{
+    config, decide_acknowledged, draining, endpoint, joined, large_deployment, list_changes, listed,
+    running_controller, START,
+};
 use crate::Controller;
 
 #[rstest]
@@ -12,10 +16,10 @@
     #[case] readiness: Readiness,
     #[case] is_urgent: bool,
 ) {
-    let mut controller = running(&config);
+    let mut controller = running_controller(&config);
     let sends =
         |actions: Vec<Action>| actions.iter().any(|a| matches!(a, Action::SetWeight { server: 1, .. }));
-    let events = changed([Endpoint { readiness, weight: 3.0, ..endpoint(1) }]);
+    let events = list_changes([Endpoint { readiness, weight: 3.0, ..endpoint(1) }]);
     assert_eq!(sends(controller.decide(START + SECOND / 10, events)), is_urgent);
     assert_eq!(sends(controller.decide(START + 2 * SECOND, vec![])), !is_urgent);
 }
@@ -23,10 +27,10 @@
 #[rstest]
 fn updates_stay_within_the_message_limit(mut config: ControllerConfig) {
     (config.message_limit, config.message_limit_window) = (4, 10 * SECOND);
-    let mut controller = running(&config);
+    let mut controller = running_controller(&config);
     let sends_message = |tenth: u64, controller: &mut Controller| {
         let server = if tenth.is_multiple_of(2) { draining(1) } else { endpoint(1) };
-        let actions = controller.decide(START + tenth * SECOND / 10, changed([server]));
+        let actions = controller.decide(START + tenth * SECOND / 10, list_changes([server]));
         actions.iter().any(|action| matches!(action, Action::Exclude { .. } | Action::SetWeight { .. }))
     };
     let messages = (1..60).filter(|&tenth| sends_message(tenth, &mut controller)).count();
@@ -52,7 +56,7 @@
         // A new warm server each second; nothing is queued.
         controller.channel.pacing.queued_lines = 0.0;
         let now = START + second * SECOND;
-        let actions = decide_acknowledged(&mut controller, now, changed([warm(2 + second)]));
+        let actions = decide_acknowledged(&mut controller, now, list_changes([warm(2 + second)]));
         assert_eq!(updates_full_table(&actions), second % 5 == 0, "after {second} s");
     }
 }
@@ -108,10 +112,10 @@
     #[case] readiness: Readiness,
     #[case] started_at: Nanos,
 ) {
-    let mut controller = large(config, 400, 100);
+    let mut controller = large_deployment(config, 400, 100);
     let proxies = controller.channel.proxies.by_id.values_mut();
     proxies.for_each(|proxy| proxy.assigned_table = Some(FULL_TABLE));
-    let mut events = changed((1..=200).map(|id| Endpoint { readiness, started_at, ..endpoint(id) }));
+    let mut events = list_changes((1..=200).map(|id| Endpoint { readiness, started_at, ..endpoint(id) }));
     let (mut queued, mut sent) = (400.0 * 12.0 * ASSIGNMENT_CAPACITY_SHARE, 0);
     for tenth in 1..200 {
         queued = f64::max(queued - 320.0, 0.0);
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -9,8 +9,10 @@
 use crate::channel::Channel;
 use crate::endpoints::{EndpointList, WATCH_RETRY_TIMER};
 use crate::fleet::Fleet;
-use crate::interface::*;
-use crate::message::*;
+use crate::interface::{
+    Action, AdmissionMode, ControllerConfig, Event, Nanos, RetryPolicy, ServerId, Snapshot,
+};
+use crate::message::{tick_interval, AdmissionLimit, Component, Mailboxes, Message, SECOND};
 use crate::server::{Server, ServerConfig};
 
 #[cfg(test)]
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,13 +1,14 @@
 use rstest::rstest;
 
 use super::*;
+use crate::interface::{Endpoint, HealthCheckOutcome, Readiness, WatchEvent};
 use crate::tables::{TableLine, FULL_TABLE};
-use crate::testing::*;
+use crate::testing::{config, endpoint, report, running_controller, START};
 
 #[rstest]
 fn identical_events_lead_to_identical_actions(config: ControllerConfig) {
     let play = || {
-        let mut controller = running(&config);
+        let mut controller = running_controller(&config);
         let reports = |at: u64| {
             (1..5).map(move |server| Event::EndpointReport(report(server, 9, (at % server as u64) as u32)))
         };
@@ -32,7 +33,7 @@
         },
         Event::TimerFired { token: u64::MAX },
     ];
-    assert_eq!(running(&config).decide(START + 2 * SECOND, events), []);
+    assert_eq!(running_controller(&config).decide(START + 2 * SECOND, events), []);
 }
 
 #[rstest]
--- a/src/deadlines/tests.rs
+++ b/src/deadlines/tests.rs
@@ -1,8 +1,7 @@
 use rstest::rstest;
 
 use super::*;
-
-const SECOND: Nanos = 1_000_000_000;
+use crate::message::SECOND;
 
 /// A channel of 100 lines a second with 50 lines in its queue.
 fn forecast() -> DeliveryForecast {
--- a/src/ejection.rs
+++ b/src/ejection.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::health::{FaultScores, Health, HealthState};
-use crate::interface::*;
-use crate::message::*;
+use crate::interface::{Nanos, ServerId};
+use crate::message::{EvaluationInputs, Fault, ServerStatus, SECOND};
 
 #[cfg(test)]
 mod tests;
@@ -24,11 +24,11 @@
 const RECOVERY_TIME: Nanos = 5 * SECOND;
 /// Healthy servers that may look unresponsive by chance at one time, in the whole fleet. A server misses n expected
 /// responses by chance with probability e^-n: 30 servers need 5 missing responses, 600 need 8.
-pub(crate) const FALSE_POSITIVES: f64 = 0.2;
+pub(crate) const EXPECTED_FALSE_POSITIVES: f64 = 0.2;
 
 /// Missing responses that make a server unresponsive in a fleet of so many ready servers.
 pub(crate) fn unresponsive_after(ready_servers: usize) -> f64 {
-    (ready_servers.max(1) as f64 / FALSE_POSITIVES).ln()
+    (ready_servers.max(1) as f64 / EXPECTED_FALSE_POSITIVES).ln()
 }
 
 /// Whether a server responds as the reports on other servers lead to expect.
--- a/src/ejection/tests.rs
+++ b/src/ejection/tests.rs
@@ -1,8 +1,9 @@
 use rstest::rstest;
 
 use super::*;
+use crate::message::{Mailboxes, Message};
 use crate::server::Server;
-use crate::testing::*;
+use crate::testing::{endpoint, fleet, record_report, server_config, status, warming, START};
 
 #[rstest]
 #[case::few_attempts(1, 1, None)]
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -2,8 +2,10 @@
 
 use std::collections::BTreeSet;
 
-use crate::interface::*;
-use crate::message::*;
+use crate::interface::{
+    Action, ControllerConfig, Endpoint, Nanos, Readiness, ServerId, Snapshot, WatchEvent,
+};
+use crate::message::{Component, Mailboxes, Message, SECOND};
 
 #[cfg(test)]
 mod tests;
@@ -57,7 +59,7 @@
             Message::Endpoints(WatchEvent::Full(endpoints) | WatchEvent::Cached(endpoints)) => {
                 self.replace(endpoints, mailboxes)
             }
-            Message::Restored { snapshot, age } => distribute(snapshot, age, mailboxes),
+            Message::Restored { snapshot, age } => forward_snapshot(snapshot, age, mailboxes),
             Message::RetryWatch if self.polls => {
                 mailboxes.actions.push(Action::WatchEndpoints { on: true });
             }
@@ -101,7 +103,7 @@
 }
 
 /// Passes a snapshot on to servers and fleet: it comes after the list, so that servers are known by then.
-fn distribute(snapshot: Snapshot, age: Nanos, mailboxes: &mut Mailboxes) {
+fn forward_snapshot(snapshot: Snapshot, age: Nanos, mailboxes: &mut Mailboxes) {
     for &server in &snapshot.servers {
         let message = Message::RestoredServer { snapshot: server, age };
         mailboxes.send(Component::Server(server.server), message);
--- a/src/endpoints/tests.rs
+++ b/src/endpoints/tests.rs
@@ -1,12 +1,13 @@
 use rstest::rstest;
 
 use super::*;
-use crate::testing::*;
+use crate::interface::Event;
+use crate::testing::{config, endpoint, listed, running_controller, START};
 use crate::Controller;
 
 #[rstest]
 fn server_absent_from_a_full_list_leaves_the_table(config: ControllerConfig) {
-    let actions = running(&config).decide(START + SECOND / 10, vec![listed((1..4).map(endpoint))]);
+    let actions = running_controller(&config).decide(START + SECOND / 10, vec![listed((1..4).map(endpoint))]);
     assert!(actions.contains(&Action::SetWeight { table: 0, server: 4, weight: 0.0 }));
 }
 
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -6,9 +6,12 @@
 use crate::admission::{overload_response_time, Admission, AdmissionInputs};
 use crate::ejection::{servers_to_eject, unresponsive_after};
 use crate::health::KIND_PRIOR_RESPONSES;
-use crate::interface::*;
+use crate::interface::{ControllerConfig, Nanos, ServerId};
 use crate::isolation::Isolation;
-use crate::message::*;
+use crate::message::{
+    AdmissionLimit, Component, DesiredWeight, EvaluationInputs, Mailboxes, Message, ResponseTotals,
+    ServerStatus,
+};
 use crate::retries::Retries;
 use crate::slow_start::{TableWeights, WeightInputs};
 use crate::statistics::{
@@ -175,25 +178,26 @@
     /// Applies all rules to the statuses of this evaluation, and tells servers and channel what came of it.
     fn conclude_evaluation(&mut self, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
-        let left_out = servers_to_eject(&self.statuses);
+        let ejected_servers = servers_to_eject(&self.statuses);
         let failure_rate = self.outcomes.failure_rate(now);
         let recent = self.recent_outcomes.read(now, self.report_interval);
         // Admission goes by the isolation of the evaluation before.
-        self.update_admission(recent, self.included_weight(&left_out), mailboxes);
+        self.update_admission(recent, self.included_weight(&ejected_servers), mailboxes);
         // Where an operation is spared, isolation and retries go by no failures at all.
-        let general_failure_rate = if self.retries.is_operation_spared(now) { 0.0 } else { failure_rate };
+        let general_failure_rate =
+            if self.retries.has_unaffected_operation(now) { 0.0 } else { failure_rate };
         self.update_and_send_isolation(general_failure_rate, &recent, mailboxes);
         self.update_retries_and_send_limits(general_failure_rate, mailboxes);
-        self.update_weights(&left_out, 1.0 - failure_rate.max(recent.failure_rate()), now);
-        self.send_decisions(&left_out, mailboxes);
+        self.update_weights(&ejected_servers, 1.0 - failure_rate.max(recent.failure_rate()), now);
+        self.send_decisions(&ejected_servers, mailboxes);
     }
 
     /// Weight of the servers that are ready and not left out, warming ones up to their limit.
-    fn included_weight(&self, left_out: &BTreeSet<ServerId>) -> f64 {
+    fn included_weight(&self, ejected_servers: &BTreeSet<ServerId>) -> f64 {
         let included = self
             .statuses
             .values()
-            .filter(|status| status.is_ready() && !left_out.contains(&status.endpoint.server));
+            .filter(|status| status.is_ready() && !ejected_servers.contains(&status.endpoint.server));
         included.map(|status| status.slow_start_limit.unwrap_or(status.listed_weight)).sum()
     }
 
@@ -229,19 +233,29 @@
         mailboxes.send(Component::Channel, Message::AdmissionLimits(self.limits.clone()));
     }
 
-    pub(crate) fn update_weights(&mut self, left_out: &BTreeSet<ServerId>, success_rate: f64, now: Nanos) {
+    pub(crate) fn update_weights(
+        &mut self,
+        ejected_servers: &BTreeSet<ServerId>,
+        success_rate: f64,
+        now: Nanos,
+    ) {
         let statuses = &self.statuses;
         let last_report = self.reports.last;
-        self.weights =
-            self.table_weights.weights(&WeightInputs { statuses, left_out, success_rate, last_report, now });
+        self.weights = self.table_weights.weights(&WeightInputs {
+            statuses,
+            ejected_servers,
+            success_rate,
+            last_report,
+            now,
+        });
     }
 
     /// Tells each server whether it is left out, and the channel its weight.
-    fn send_decisions(&self, left_out: &BTreeSet<ServerId>, mailboxes: &mut Mailboxes) {
+    fn send_decisions(&self, ejected_servers: &BTreeSet<ServerId>, mailboxes: &mut Mailboxes) {
         for (&server, status) in &self.statuses {
-            let is_left_out = left_out.contains(&server);
-            mailboxes.send(Component::Server(server), Message::Ejection(is_left_out));
-            let included = status.is_ready() && !is_left_out;
+            let is_ejected = ejected_servers.contains(&server);
+            mailboxes.send(Component::Server(server), Message::Ejection(is_ejected));
+            let included = status.is_ready() && !is_ejected;
             let weight = self.weights.get(&server).copied().unwrap_or(status.weight);
             let desired = DesiredWeight {
                 weight: if included { weight } else { 0.0 },
--- a/src/health.rs
+++ b/src/health.rs
@@ -2,7 +2,7 @@
 //! response times. Evaluated by [`Server`](crate::server::Server).
 
 use crate::interface::Nanos;
-use crate::message::*;
+use crate::message::{EvaluationInputs, SECOND};
 use crate::statistics::DecayingSum;
 
 #[cfg(test)]
--- a/src/isolation.rs
+++ b/src/isolation.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use crate::interface::*;
-use crate::message::*;
+use crate::interface::{Nanos, ServerId};
+use crate::message::{Mailboxes, ServerStatus, SECOND};
 use crate::retries::GENERAL_FAILURE_RATE;
 use crate::statistics::OutcomeTotals;
 
--- a/src/isolation/tests.rs
+++ b/src/isolation/tests.rs
@@ -1,7 +1,8 @@
 use rstest::rstest;
 
 use super::*;
-use crate::testing::*;
+use crate::message::Message;
+use crate::testing::{fleet, status, START};
 
 #[rstest]
 #[case::rejected_at_once(0.2, true)]
--- a/src/message.rs
+++ b/src/message.rs
@@ -2,7 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::interface::*;
+use crate::interface::{
+    Action, ControllerConfig, Endpoint, EndpointReport, LocalityId, Nanos, ProxyId, Readiness, RetryPolicy,
+    ServerId, ServerSnapshot, Snapshot, WatchEvent,
+};
 
 /// One second, in [`Nanos`].
 pub(crate) const SECOND: Nanos = 1_000_000_000;
@@ -189,7 +192,7 @@
     pub(crate) has_known_start: bool,
 }
 
-/// What is admitted of an operation, in the unit of [`AdmissionMode`], and when it is retried.
+/// What is admitted of an operation, in the unit of [`AdmissionMode`](crate::interface::AdmissionMode), and when it is retried.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct AdmissionLimit {
     pub(crate) operation: usize,
--- a/src/pacing.rs
+++ b/src/pacing.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::deadlines::DeliveryForecast;
-use crate::interface::*;
+use crate::interface::{Action, ControllerConfig, Nanos, ProxyId};
 use crate::message::{tick_interval, Mailboxes, SECOND};
 
 use learned_rate::{LearnedRate, Observation, MAX_SLOWDOWN};
--- a/src/pacing/marks.rs
+++ b/src/pacing/marks.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::interface::*;
+use crate::interface::{Nanos, ProxyId};
 
 /// With fewer messages, half of them may be late by the proxies' own doing.
 const MIN_MESSAGES_TO_LEARN: usize = 4;
--- a/src/pacing/message_limit.rs
+++ b/src/pacing/message_limit.rs
@@ -1,6 +1,6 @@
 //! The limit on messages that a supervisor may write in a time. Updates ask it before they write.
 
-use crate::interface::*;
+use crate::interface::Nanos;
 
 /// Messages written of late, and their limit. Half of the limit may be written at once, the other half over
 /// its window.
--- a/src/pacing/tests.rs
+++ b/src/pacing/tests.rs
@@ -1,7 +1,7 @@
 use rstest::rstest;
 
 use super::*;
-use crate::testing::*;
+use crate::testing::{config, START};
 
 #[rstest]
 #[case::acknowledged(4, 1, 0.0)]
--- a/src/proxies.rs
+++ b/src/proxies.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::interface::*;
+use crate::interface::{Nanos, ProxyId, TableId};
 use crate::message::SECOND;
 use crate::statistics::DecayingSum;
 use crate::tables::{EXCLUSIONS, FULL_TABLE};
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -1,8 +1,8 @@
 //! Retries: when failures are general, and which retries proxies may make. Updated by [`Fleet`](crate::fleet::Fleet)
 //! at each evaluation.
 
-use crate::interface::*;
-use crate::message::*;
+use crate::interface::{ControllerConfig, Nanos, RetryPolicy};
+use crate::message::{AdmissionLimit, Mailboxes};
 use crate::statistics::{AttemptSums, PRIOR_ATTEMPTS};
 
 #[cfg(test)]
@@ -13,9 +13,9 @@
 /// Failure rate under which they are general no longer.
 const GENERAL_FAILURE_END_RATE: f64 = 0.1;
 /// An operation is spared by failures while at most this share of its requests gets no response.
-const SPARED_FAILURE_RATE: f64 = 0.05;
+const MAX_UNAFFECTED_FAILURE_RATE: f64 = 0.05;
 /// Recent requests from which an operation can count as spared.
-const MIN_SPARED_REQUESTS: f64 = 2.0 * PRIOR_ATTEMPTS;
+const MIN_UNAFFECTED_REQUESTS: f64 = 2.0 * PRIOR_ATTEMPTS;
 
 /// Knows whether failures are general.
 #[derive(Debug, Default)]
@@ -40,10 +40,11 @@
 
     /// Whether an operation hardly fails: then failures are not general, whatever their rate. Guards against taking
     /// servers that reject one operation for a lack of capacity or connections, which spares none.
-    pub(crate) fn is_operation_spared(&mut self, now: Nanos) -> bool {
+    pub(crate) fn has_unaffected_operation(&mut self, now: Nanos) -> bool {
         self.operations.iter_mut().any(|sums| {
             let totals = sums.read(now);
-            totals.attempts > MIN_SPARED_REQUESTS && totals.failures < SPARED_FAILURE_RATE * totals.attempts
+            totals.attempts > MIN_UNAFFECTED_REQUESTS
+                && totals.failures < MAX_UNAFFECTED_FAILURE_RATE * totals.attempts
         })
     }
 
--- a/src/retries/tests.rs
+++ b/src/retries/tests.rs
@@ -1,7 +1,9 @@
 use rstest::rstest;
 
 use super::*;
-use crate::testing::*;
+use crate::interface::{Event, WatchEvent};
+use crate::message::SECOND;
+use crate::testing::{config, endpoint, fleet, report, START};
 use crate::Controller;
 
 #[rstest]
@@ -21,12 +23,12 @@
 }
 
 #[rstest]
-#[case::one_operation_spared(0, true)]
+#[case::one_operation_unaffected(0, true)]
 #[case::all_operations_fail(12, false)]
-fn failures_that_spare_an_operation_are_not_general(
+fn failures_are_not_general_while_an_operation_is_unaffected(
     config: ControllerConfig,
     #[case] failures: u32,
-    #[case] spared: bool,
+    #[case] unaffected: bool,
 ) {
     let mut controller = Controller::new(&config);
     controller.decide(START, vec![Event::Endpoints(WatchEvent::Full((1..=5).map(endpoint).collect()))]);
@@ -42,5 +44,5 @@
     controller.decide(START + SECOND, events);
     controller.decide(START + SECOND + 1, Vec::new());
     let fleet = &controller.fleet;
-    assert_eq!((!fleet.isolation.is_active(), fleet.retries.general_failure), (spared, !spared));
+    assert_eq!((!fleet.isolation.is_active(), fleet.retries.general_failure), (unaffected, !unaffected));
 }
--- a/src/server.rs
+++ b/src/server.rs
@@ -6,8 +6,8 @@
     capacity_factor, FaultScores, HealthState, ResponseTimes, CAPACITY_EXPONENT, NOMINAL_KIND_EXPONENT,
     RESPONSE_TIME_CONSTANT,
 };
-use crate::interface::*;
-use crate::message::*;
+use crate::interface::{ControllerConfig, Endpoint, EndpointReport, ListedCapacity, Nanos, Readiness};
+use crate::message::{Component, EvaluationInputs, Mailboxes, Message, ResponseTotals, ServerStatus};
 use crate::slow_start::SlowStart;
 use crate::statistics::{AttemptSums, PRIOR_ATTEMPTS};
 
@@ -77,7 +77,7 @@
     pub(crate) fn handle(&mut self, message: Message, config: &ServerConfig, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
         match message {
-            Message::Listed(endpoint) => self.follow_list(endpoint, now),
+            Message::Listed(endpoint) => self.apply_listing(endpoint, now),
             Message::Removed => {
                 if self.endpoint.readiness == Readiness::Ready {
                     self.endpoint.readiness = Readiness::Removed;
@@ -98,7 +98,7 @@
     }
 
     /// Takes what the list says: a restarted server begins anew.
-    fn follow_list(&mut self, endpoint: Endpoint, now: Nanos) {
+    fn apply_listing(&mut self, endpoint: Endpoint, now: Nanos) {
         let before = self.endpoint.readiness;
         let became_ready = endpoint.readiness == Readiness::Ready && before != Readiness::Ready;
         if endpoint.started_at > self.endpoint.started_at || became_ready {
--- a/src/server/tests.rs
+++ b/src/server/tests.rs
@@ -1,7 +1,7 @@
 use rstest::rstest;
 
 use super::*;
-use crate::testing::*;
+use crate::testing::{endpoint, record_report, server_config, START};
 
 #[rstest]
 #[case::removal_is_advisory(true, true)]
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ejection::weight_in_table;
-use crate::interface::*;
-use crate::message::*;
+use crate::interface::{ControllerConfig, Nanos, ServerId};
+use crate::message::{ServerStatus, SECOND};
 use crate::statistics::{median, DecayingSum};
 
 #[cfg(test)]
@@ -69,7 +69,7 @@
     /// The last status of each server.
     pub(crate) statuses: &'a BTreeMap<ServerId, ServerStatus>,
     /// Servers that are ejected or begin to be.
-    pub(crate) left_out: &'a BTreeSet<ServerId>,
+    pub(crate) ejected_servers: &'a BTreeSet<ServerId>,
     /// Share of all attempts that succeed, 0 to 1.
     pub(crate) success_rate: f64,
     /// When the last report came; 0: none yet.
@@ -141,8 +141,9 @@
     pub(crate) fn weights(&mut self, inputs: &WeightInputs) -> BTreeMap<ServerId, f64> {
         let ready = inputs.statuses.values().filter(|status| status.is_ready());
         let weight_with_repeats = ready.map(|status| status.listed_weight).sum::<f64>() / inputs.success_rate;
-        let included =
-            |status: &ServerStatus| status.is_ready() && !inputs.left_out.contains(&status.endpoint.server);
+        let included = |status: &ServerStatus| {
+            status.is_ready() && !inputs.ejected_servers.contains(&status.endpoint.server)
+        };
         let (warming, warm): (Vec<&ServerStatus>, Vec<&ServerStatus>) = inputs
             .statuses
             .values()
--- a/src/slow_start/tests.rs
+++ b/src/slow_start/tests.rs
@@ -1,8 +1,10 @@
 use rstest::rstest;
 
 use super::*;
+use crate::interface::Endpoint;
+use crate::message::{EvaluationInputs, Mailboxes, Message};
 use crate::server::Server;
-use crate::testing::*;
+use crate::testing::{endpoint, fleet, server_config, status, warming, START};
 
 #[rstest]
 #[case(0, 0.2)]
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -4,11 +4,11 @@
 //! Guards callers against a controller that learns again, at their cost, which servers fail. Servers that recovered
 //! meanwhile return after [`MAX_EJECTION_TIME`] at the latest.
 
-use crate::ejection::{BASE_EJECTION_TIME, FALSE_POSITIVES, MAX_EJECTION_TIME, RETURN_SHARE};
+use crate::ejection::{BASE_EJECTION_TIME, EXPECTED_FALSE_POSITIVES, MAX_EJECTION_TIME, RETURN_SHARE};
 use crate::fleet::Fleet;
 use crate::health::{Health, RESPONSE_TIME_CONSTANT};
-use crate::interface::*;
-use crate::message::*;
+use crate::interface::{Nanos, ServerSnapshot, Snapshot};
+use crate::message::{Fault, SECOND};
 use crate::server::Server;
 use crate::slow_start::USUAL_WEIGHT_TIME_CONSTANT;
 use crate::statistics::{DecayingSum, OUTCOME_TIME_CONSTANT};
@@ -22,7 +22,7 @@
 const MAX_STATE_AGE: Nanos = 60 * SECOND;
 /// Missing responses of a restored ejected server: any positive number lets its first response end an ejection for
 /// being unresponsive.
-const RESTORED_MISSING_RESPONSES: f64 = 1.0 / FALSE_POSITIVES;
+const RESTORED_MISSING_RESPONSES: f64 = 1.0 / EXPECTED_FALSE_POSITIVES;
 
 /// What a restored sum weighs by its age.
 fn restored_share(age: Nanos, time_constant: Nanos) -> f64 {
--- a/src/snapshot/tests.rs
+++ b/src/snapshot/tests.rs
@@ -3,8 +3,9 @@
 use rstest::rstest;
 
 use super::*;
+use crate::interface::{Action, ControllerConfig, Event, ServerId, WatchEvent};
 use crate::tables::FULL_TABLE;
-use crate::testing::*;
+use crate::testing::{config, endpoint, report, START};
 use crate::Controller;
 
 /// A snapshot of six servers, of which 3 is ejected and 4 is slow.
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -5,16 +5,16 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::interface::*;
+use crate::interface::{ControllerConfig, ServerId, TableId};
 use crate::message::DesiredWeight;
 use crate::proxies::Proxies;
 use crate::tables::{DesiredWeights, TableLine, FULL_TABLE};
 
-pub(crate) use stand_ins::stand_in_servers;
+pub(crate) use fallback_subsets::fallback_subset_size;
 
+mod fallback_subsets;
 mod isolation_groups;
 mod replenishment;
-mod stand_ins;
 #[cfg(test)]
 mod tests;
 
@@ -29,7 +29,7 @@
 enum Purpose {
     /// They stand in for the full table.
     #[default]
-    StandIn,
+    Fallback,
     /// They isolate groups of proxies on few servers of this supervisor's own window.
     Isolation,
 }
--- a/src/subsets/stand_ins.rs
+++ b/src/subsets/fallback_subsets.rs
@@ -1,17 +1,17 @@
 //! Stand-ins: subsets in place of the full table where the channel cannot carry full tables in time.
 
 use super::{is_stable, least_loaded, stable_servers, Purpose, Subsets, WeightedServer};
-use crate::interface::*;
+use crate::interface::{ProxyId, TableId};
 use crate::proxies::{Proxies, Proxy};
 use crate::tables::{DesiredWeights, TableLine};
 
 /// Servers on a stand-in: enough to spread the load, few enough that a message costs little more than its
 /// overhead.
-const STAND_IN_SERVERS: usize = 8;
+const FALLBACK_SUBSET_SERVERS: usize = 8;
 
 /// Servers that a stand-in would have now; 0 where there can be none.
-pub(crate) fn stand_in_servers(desired: &DesiredWeights) -> usize {
-    desired.values().filter(|desired| is_stable(desired)).count().min(STAND_IN_SERVERS)
+pub(crate) fn fallback_subset_size(desired: &DesiredWeights) -> usize {
+    desired.values().filter(|desired| is_stable(desired)).count().min(FALLBACK_SUBSET_SERVERS)
 }
 
 /// Servers that are in service and warm, by locality.
@@ -23,13 +23,13 @@
 
 impl Subsets {
     /// Has proxies use stand-ins, each the one with the least load.
-    pub(crate) fn move_to_stand_ins(
+    pub(crate) fn move_to_fallback_subsets(
         &mut self,
         ids: &[ProxyId],
         proxies: &mut Proxies,
         desired: &DesiredWeights,
     ) {
-        self.ensure_stand_ins(proxies, desired);
+        self.ensure_fallback_subsets(proxies, desired);
         let mut loads = self.loads(proxies);
         for id in ids {
             let Some(table) = least_loaded(&loads) else { return };
@@ -44,16 +44,16 @@
     }
 
     /// Puts all stable servers on stand-ins, unless some are in use already.
-    fn ensure_stand_ins(&mut self, proxies: &Proxies, desired: &DesiredWeights) {
+    fn ensure_fallback_subsets(&mut self, proxies: &Proxies, desired: &DesiredWeights) {
         let in_use = |proxy: &Proxy| self.target_weights.contains_key(&proxy.intended_table);
-        let are_stand_ins = self.purpose == Purpose::StandIn && !self.target_weights.is_empty();
-        if are_stand_ins && proxies.by_id.values().any(in_use) {
+        let are_fallback_subsets = self.purpose == Purpose::Fallback && !self.target_weights.is_empty();
+        if are_fallback_subsets && proxies.by_id.values().any(in_use) {
             return;
         }
         let servers = stable_servers_by_locality(desired);
-        let subsets = (servers.len() / STAND_IN_SERVERS).max(1);
+        let subsets = (servers.len() / FALLBACK_SUBSET_SERVERS).max(1);
         self.begin_generation(proxies, desired);
-        self.purpose = Purpose::StandIn;
+        self.purpose = Purpose::Fallback;
         let first_table = self.base_number + 1;
         // In turns, so that no subset loses all at once with a locality or with servers of neighbouring
         // numbers.
--- a/src/subsets/isolation_groups.rs
+++ b/src/subsets/isolation_groups.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use super::{stable_servers, Purpose, Subsets, WeightedServer};
-use crate::interface::*;
+use crate::interface::TableId;
 use crate::proxies::Proxies;
 use crate::tables::{DesiredWeights, TableLine};
 
--- a/src/subsets/replenishment.rs
+++ b/src/subsets/replenishment.rs
@@ -1,7 +1,7 @@
 //! Replenishment: subsets that lost servers get more, and newly listed servers get on a subset.
 
 use super::{stable_servers, Purpose, Subsets, WeightedServer};
-use crate::interface::*;
+use crate::interface::{ServerId, TableId};
 use crate::tables::{DesiredWeights, TableLine};
 
 /// A subset with less than this share of its target weight is replenished.
@@ -67,7 +67,7 @@
                 let first = servers.len() * position / (subsets + 1);
                 servers.iter().cycle().skip(first).take(servers.len()).copied().collect()
             }
-            Purpose::StandIn => {
+            Purpose::Fallback => {
                 let every_nth = servers.iter().skip(position % subsets).step_by(subsets);
                 every_nth.chain(servers).copied().collect()
             }
--- a/src/subsets/tests.rs
+++ b/src/subsets/tests.rs
@@ -2,12 +2,13 @@
 
 use super::*;
 use crate::channel::Channel;
+use crate::interface::Nanos;
 use crate::message::{Mailboxes, Message, SECOND};
-use crate::testing::*;
+use crate::testing::{config, large_deployment, START};
 
 /// A channel whose 20 proxies are isolated on subsets of 120 servers.
 fn isolated(config: ControllerConfig) -> Channel {
-    let mut channel = large(ControllerConfig { proxy_count: 40, ..config }, 120, 20).channel;
+    let mut channel = large_deployment(ControllerConfig { proxy_count: 40, ..config }, 120, 20).channel;
     channel.pacing.pending_marks.clear();
     handle(&mut channel, START + SECOND, [Message::Isolate(true), Message::Flush]);
     channel
--- a/src/tables.rs
+++ b/src/tables.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-use crate::interface::*;
+use crate::interface::{ServerId, TableId};
 use crate::message::DesiredWeight;
 
 /// The table of all servers; subsets have the numbers after it.
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -4,8 +4,11 @@
 
 use crate::fleet::Fleet;
 use crate::health::CAPACITY_EXPONENT;
-use crate::interface::*;
-use crate::message::*;
+use crate::interface::{
+    Action, AdmissionMode, ControllerConfig, DeduplicationScope, Endpoint, EndpointReport, Event,
+    Idempotency, ListedCapacity, LoadSource, Nanos, Operation, ProxyId, Readiness, ServerId, WatchEvent,
+};
+use crate::message::{Mailboxes, ResponseTotals, ServerStatus, SECOND};
 use crate::server::{Server, ServerConfig};
 use crate::slow_start::{SlowStart, TableWeights, CAUTIOUS_FAILURE_SHARE};
 use crate::Controller;
@@ -81,7 +84,7 @@
 }
 
 /// An instance that knows four servers and has one proxy on its table.
-pub(crate) fn running(config: &ControllerConfig) -> Controller {
+pub(crate) fn running_controller(config: &ControllerConfig) -> Controller {
     let mut controller = Controller::new(config);
     controller.decide(START, vec![listed((1..5).map(endpoint)), joined(1)]);
     controller
@@ -159,7 +162,7 @@
 }
 
 /// Events of an endpoint list that changes.
-pub(crate) fn changed(endpoints: impl IntoIterator<Item = Endpoint>) -> Vec<Event> {
+pub(crate) fn list_changes(endpoints: impl IntoIterator<Item = Endpoint>) -> Vec<Event> {
     vec![Event::Endpoints(WatchEvent::Delta(endpoints.into_iter().collect()))]
 }
 
@@ -169,7 +172,7 @@
 }
 
 /// A large deployment: so many servers and proxies, and a channel that holds a dozen full tables.
-pub(crate) fn large(mut config: ControllerConfig, servers: u32, proxies: ProxyId) -> Controller {
+pub(crate) fn large_deployment(mut config: ControllerConfig, servers: u32, proxies: ProxyId) -> Controller {
     config.channel_capacity = f64::from(servers) * 12.0;
     config.lines_per_s = f64::from(servers) * 8.0;
     let mut controller = Controller::new(&config);
