--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,7 +1,9 @@
-//! Load shedding: how overloaded the fleet is, how much load it can serve, and what is admitted of each operation.
-//! Updated by [`Fleet`](crate::fleet::Fleet); only where proxies apply limits as ratios ([`AdmissionMode::Ratio`]).
+//! Load shedding: how overloaded the fleet is, how much load it can serve, and which share of each operation
+//! is admitted. [`Fleet`](crate::fleet::Fleet) updates it; it is active only where proxies apply limits as
+//! ratios ([`AdmissionMode::Ratio`]).
 //!
-//! Guards against any lack of capacity: late responses are worth next to nothing and cost as much as others.
+//! Guards against any lack of capacity: without shedding, responses are late, and a late response costs as
+//! much as others but has hardly any value.
 
 use crate::channel::MIN_WEIGHT_CHANGE;
 use crate::interface::{AdmissionMode, ControllerConfig, Nanos};
@@ -12,21 +14,23 @@
 #[cfg(test)]
 mod tests;
 
-/// Mean response time from which the fleet counts as overloaded, as a share of the mean latency objective.
+/// Mean response time above which the fleet counts as overloaded, as a share of the mean latency objective.
 const OVERLOAD_LATENCY_SHARE: f64 = 0.65;
-/// Overload below which the load limit is raised; between it and 1 the limit never falls and rises only to the load
-/// that is served.
+/// Overload below which the load limit is raised. Between this value and 1 the limit never falls and rises
+/// only to the load that is served.
 const LOW_OVERLOAD: f64 = 0.7;
-/// Factor per report interval by which a limit falls or, inverted, rises, and the peak load is forgotten.
+/// Factor per report interval by which the load limit falls or (inverted) rises, and by which the peak load
+/// decays.
 const LIMIT_STEP: f64 = 0.95;
-/// Least share of the load limit that is admitted while queues are worked off.
+/// Minimum share of the load limit that is admitted while queues are drained.
 const MIN_CATCH_UP_SHARE: f64 = 0.5;
-/// Least share of an operation that is admitted.
+/// Minimum share of an operation that is admitted.
 const MIN_ADMITTED_SHARE: f64 = 0.1;
-/// A limit is left as it is where it would move by less (absolute, 0 to 1).
+/// Minimum change of an admission limit (absolute, 0 to 1); smaller changes are not applied.
 const MIN_LIMIT_CHANGE: f64 = MIN_WEIGHT_CHANGE / 2.0;
 
-/// Mean response time from which the fleet counts as overloaded, ns: most of the value is still kept at it.
+/// Mean response time above which the fleet counts as overloaded, ns; responses still have most of their
+/// value at that time.
 pub(crate) fn overload_response_time(config: &ControllerConfig) -> f64 {
     let value: f64 = config.operations.iter().map(|operation| operation.priority_weight).sum();
     let weighted = config
@@ -36,24 +40,25 @@
     OVERLOAD_LATENCY_SHARE * weighted.sum::<f64>() / value.max(f64::MIN_POSITIVE)
 }
 
-/// Recent requests of one operation.
+/// Recent demand for one operation.
 #[derive(Debug, Default)]
 struct OperationDemand {
     operation: usize,
-    /// Cost of one request: its latency objective, ns, stands in for work, which is not reported.
+    /// Cost of one request: its latency objective, ns. It stands in for the work of a request, which is not
+    /// reported.
     cost: f64,
     requests: DecayingSum,
     failures: DecayingSum,
 }
 
 impl OperationDemand {
-    /// Cost of all recent requests, as of when they were last read.
+    /// Cost of all recent requests, as of the last time they were read.
     fn total_cost(&self) -> f64 {
         (self.cost * self.requests.sum).max(f64::MIN_POSITIVE)
     }
 }
 
-/// The operations in the order in which they are admitted: by value for their cost.
+/// Returns the operations in the order in which they are admitted: by value per cost, the highest first.
 fn operations_by_value(config: &ControllerConfig) -> Vec<OperationDemand> {
     if config.admission_mode != AdmissionMode::Ratio {
         return Vec::new();
@@ -67,30 +72,31 @@
     order.into_iter().map(demand).collect()
 }
 
-/// What the limits are computed from.
+/// Inputs of the computation of the limits.
 pub(crate) struct AdmissionInputs {
-    /// Outcomes of about the last report interval.
+    /// Outcomes over about the last report interval.
     pub(crate) recent: OutcomeTotals,
     /// See [`overload_response_time`].
     pub(crate) overload_response_time: f64,
-    /// Weight of the servers in the table, warming ones up to their limit.
+    /// Total weight of the servers in the table; warming servers count up to their limit.
     pub(crate) included_weight: f64,
-    /// Proxies are isolated: failures then come from connections, not from load.
+    /// Proxies are isolated: failures are then attributed to connections, not to load.
     pub(crate) isolated: bool,
 }
 
-/// Knows the load that the fleet can serve, and limits what is admitted.
+/// Estimates the load that the fleet can serve, and limits admission to it.
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
-    /// Operations in the order in which they are admitted; none where proxies apply no ratios.
+    /// Operations in the order in which they are admitted; empty where proxies do not apply ratios.
     demands: Vec<OperationDemand>,
     /// Time between two reports of a proxy, ns.
     report_interval: Nanos,
-    /// The most cost served of late, in ns of latency objective per unit of weight per report interval.
+    /// Highest cost served recently, in ns of latency objective per unit of weight per report interval; it
+    /// decays.
     pub(crate) peak_load: f64,
-    /// Cost per unit of included weight that is admitted in a report interval, while load is shed.
+    /// Cost per unit of included weight that is admitted in a report interval; `None` while no load is shed.
     pub(crate) load_limit: Option<f64>,
-    /// Last measured overload: from 1 on the fleet is overloaded.
+    /// Last measured overload; above 1 the fleet is overloaded.
     overload: f64,
     adjusted_at: Nanos,
 }
@@ -104,7 +110,7 @@
         }
     }
 
-    /// Adds requests of an operation and those that got no response.
+    /// Adds requests of an operation and the number of them that got no response.
     pub(crate) fn record_demand(&mut self, operation: usize, total: f64, failures: f64, now: Nanos) {
         for demand in self.demands.iter_mut().filter(|demand| demand.operation == operation) {
             demand.requests.add(now, self.report_interval, total);
@@ -112,7 +118,7 @@
         }
     }
 
-    /// Adjusts the limits, once a report interval.
+    /// Updates the limits once per report interval.
     pub(crate) fn update(
         &mut self,
         inputs: &AdmissionInputs,
@@ -139,8 +145,9 @@
         }
     }
 
-    /// Overload: mean response time or failure rate over what counts as overload. Reports are late, so that it is
-    /// taken as where its last change leads in a report interval.
+    /// Expected overload: the mean response time or the failure rate, relative to the value that counts as
+    /// overload, whichever is higher. Since reports are late, its last change is extrapolated by one report
+    /// interval.
     fn expected_overload(&mut self, inputs: &AdmissionInputs) -> f64 {
         let failing = if inputs.isolated { 0.0 } else { inputs.recent.failure_rate() / GENERAL_FAILURE_RATE };
         let overload = (inputs.recent.mean_response_time() / inputs.overload_response_time).max(failing);
@@ -163,7 +170,8 @@
         served
     }
 
-    /// Sets the limit to the load served at the peak once the fleet is overloaded, then lowers or raises it by steps.
+    /// Sets the load limit to the peak load when the fleet becomes overloaded, then lowers or raises it step
+    /// by step.
     fn adjust_load_limit(&mut self, overload: f64, served_load: f64) {
         self.peak_load = served_load.max(self.peak_load * LIMIT_STEP);
         self.load_limit = match self.load_limit {
@@ -174,13 +182,14 @@
         };
     }
 
-    /// Cost that may be admitted in a report interval; less while queues are to be worked off.
+    /// Cost that may be admitted in a report interval; lower while queues must be drained.
     fn budget(&self, overload: f64, included_weight: f64) -> f64 {
         let catch_up_share = overload.max(1.0).powi(-2).max(MIN_CATCH_UP_SHARE);
         self.load_limit.map_or(f64::MAX, |limit| limit * included_weight * catch_up_share)
     }
 
-    /// Shares the budget out among the operations, the most valuable first; true if all is admitted.
+    /// Allocates the budget to the operations in order of value per cost. Returns true if all requests are
+    /// admitted.
     fn allocate(&self, mut budget: f64, limits: &mut [AdmissionLimit]) -> bool {
         let mut all_admitted = true;
         for demand in &self.demands {
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -5,7 +5,7 @@
 use crate::testing::{config, START};
 use crate::Controller;
 
-/// Limits of both operations after two report intervals with these mean response times.
+/// Limits of both operations after two report intervals with the given mean response times.
 fn limits_after(config: &ControllerConfig, response_times: [Nanos; 2]) -> Vec<f64> {
     let mut fleet = Controller::new(config).fleet;
     let mut mailboxes = Mailboxes::default();
--- a/src/channel.rs
+++ b/src/channel.rs
@@ -1,8 +1,10 @@
-//! The channel: one first-in-first-out queue of limited rate and capacity from this supervisor to all its
-//! proxies. It knows the proxies, what each table should say, what was sent and what was acknowledged, and
-//! decides at each flush what is sent to whom. The controller hands it messages and flushes it once a batch.
+//! The channel: a single first-in-first-out queue of limited rate and capacity from this supervisor to all
+//! its proxies. This component tracks the connected proxies, the desired state of each table, and what was
+//! sent and acknowledged; at each flush it decides what is sent to which proxies. The controller delivers its
+//! messages and flushes it once per batch.
 //!
-//! Each rule stands in a module of its own; all that a flush puts into the queue stands before what follows.
+//! Each rule has a module of its own. Since the queue is first-in-first-out, whatever a flush adds is
+//! delivered before anything added later.
 
 use std::collections::BTreeMap;
 
@@ -34,37 +36,37 @@
 mod unused_tables;
 mod updates;
 
-/// Least time between two lines in the log about missed deadlines.
+/// Minimum time between two log lines about missed deadlines.
 const LOG_INTERVAL: Nanos = SECOND;
 
-/// Knows what was sent to the proxies, decides what is sent next, and keeps the queue short.
+/// Tracks what was sent to the proxies, decides what is sent next, and keeps the queue short.
 #[derive(Debug, Default)]
 pub(crate) struct Channel {
     pub(crate) pacing: Pacing,
     pub(crate) proxies: Proxies,
-    /// Proxies that all supervisors have together.
+    /// Number of proxies of all supervisors together.
     proxy_count: usize,
     pub(crate) desired_weights: DesiredWeights,
     admission_limits: Vec<AdmissionLimit>,
-    /// Servers that are not ready, and since when that is known.
+    /// Servers that are not ready, and when this became known.
     unready_since: BTreeMap<ServerId, Nanos>,
     pub(crate) subsets: Subsets,
-    /// Proxies are isolated: each has a subset because connections are hard to establish.
+    /// Proxies are isolated on subsets because connections are hard to establish.
     isolated: bool,
     pub(crate) sent: SentState,
-    /// Time within which a proxy must not send to a server any more that is not ready.
+    /// Grace period after which a proxy must not send to a server that is not ready.
     drain_grace: Nanos,
     /// When deferrable changes were last sent; 0: never.
     deferrable_sent_at: Nanos,
-    /// When the channel could last not carry full tables in time.
+    /// The last time when the channel could not deliver full tables before their deadlines.
     last_behind_at: Option<Nanos>,
-    /// Lines of table assignments that go before the next deferrable changes.
+    /// Lines of table assignments that may be sent before the next deferrable changes.
     assignment_quota: f64,
     deadlines: DeadlineStatistics,
 }
 
 impl Channel {
-    /// A channel without proxies, with the limits that proxies begin with.
+    /// Creates a channel without proxies; `admission_limits` are the limits that proxies start with.
     pub(crate) fn new(config: &ControllerConfig, admission_limits: Vec<AdmissionLimit>) -> Self {
         Channel {
             pacing: Pacing::new(config),
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Handles a message; all but [`Message::Flush`] only change what is known.
+    /// Handles a message; all messages except [`Message::Flush`] only update the state.
     pub(crate) fn handle(&mut self, message: Message, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
         match message {
@@ -105,8 +107,8 @@
         }
     }
 
-    /// Isolates proxies on subsets or brings them back to the full table. Subsets in use stand until the last
-    /// proxy has left them.
+    /// Isolates proxies on subsets, or moves them back to the full table. Subsets in use are kept until the
+    /// last proxy has left them.
     fn set_isolated(&mut self, isolated: bool, mailboxes: &mut Mailboxes) {
         if isolated != self.isolated {
             self.isolated = isolated;
@@ -120,14 +122,14 @@
         mailboxes.send(Component::Fleet, Message::SubsetServers(servers));
     }
 
-    /// Enters a proxy. While proxies are isolated it is to use the subset with the least load.
+    /// Adds a proxy. While proxies are isolated, it is given the subset with the lowest load.
     fn join(&mut self, proxy: ProxyId, rate: f64, is_new: bool, now: Nanos) {
         let subset = if self.isolated { self.subsets.least_loaded(&self.proxies) } else { None };
         self.proxies.join(proxy, rate, is_new, subset.unwrap_or(FULL_TABLE), now);
         self.sent.mark_exclusions_for_repeat();
     }
 
-    /// Forgets a removed server unless a table still has it; returns whether it is forgotten.
+    /// Forgets a removed server unless a table still contains it. Returns whether it was forgotten.
     pub(crate) fn forget_server(&mut self, server: ServerId) -> bool {
         if self.sent.is_in_a_table(server) {
             return false;
@@ -139,8 +141,8 @@
         true
     }
 
-    /// Sends what the channel takes. What has a deadline goes first, the earliest deadline in front; table
-    /// assignments and deferrable changes share the rest.
+    /// Sends as much as the channel takes. Obligations with a deadline are sent first, in order of deadline;
+    /// table assignments and deferrable changes share the rest.
     fn flush(&mut self, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
         self.pacing.update_queue(now);
@@ -153,28 +155,28 @@
         changes.retain(|change| change.priority == Priority::Urgent && change.audience == Audience::All);
         let mut all_urgent_sent = self.send_updates(changes, mailboxes);
         self.assign_tables(AssignmentScope::Urgent, mailboxes);
-        // Assignments go before deferrable changes while they have a quota left from the last batch, or nothing
-        // urgent waits.
+        // Assignments are sent before deferrable changes while their quota from the last batch is not used
+        // up, or when no urgent change is waiting.
         if self.assignment_quota > 0.0 || all_urgent_sent {
             let capacity_share = ASSIGNMENT_CAPACITY_SHARE;
             self.assign_tables(AssignmentScope::All { capacity_share }, mailboxes);
         }
         all_urgent_sent &= self.send_updates(self.differing_lines(now), mailboxes);
-        // With urgent changes left over, assignments leave them more of the capacity.
+        // If urgent changes are still waiting, assignments leave more of the capacity to them.
         let capacity_share =
             if all_urgent_sent { ASSIGNMENT_CAPACITY_SHARE } else { DEFERRABLE_CAPACITY_SHARE };
         self.assign_tables(AssignmentScope::All { capacity_share }, mailboxes);
         self.log_deadlines(mailboxes);
     }
 
-    /// Whether the earliest deadline of an assignment to a newly joined proxy is before that of any removal; also where
-    /// removals are due and no proxy has newly joined.
+    /// Whether the earliest deadline of an assignment to a newly joined proxy precedes that of any removal.
+    /// Also true if removals are pending and no proxy has newly joined.
     fn assignments_are_due_before_updates(&self) -> bool {
         let newly_joined = self.proxies.newly_joined();
         let assignments = newly_joined.map(|proxy| self.newly_joined_deadline(proxy)).min();
         let updates = self.unready_since.values().map(|since| since + self.drain_grace).min();
-        // `None`, where no proxy has newly joined, is before any deadline: proxies that move to stand-ins go
-        // first.
+        // `None` (no proxy has newly joined) sorts before any deadline: proxies that move to fallback subsets
+        // are served first.
         assignments < updates
     }
 
--- a/src/channel/assignment.rs
+++ b/src/channel/assignment.rs
@@ -1,5 +1,5 @@
-//! Assignments of tables to proxies that joined or are to change theirs: the earliest deadline first, then
-//! unassigned proxies, then those with the most requests.
+//! Assignments of tables to proxies that have newly joined or must change tables, ordered by deadline, then
+//! unassigned proxies first, then by number of requests.
 
 use std::collections::BTreeSet;
 
@@ -17,24 +17,24 @@
 /// Which assignments are sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AssignmentScope {
-    /// Those that a rule depends on.
+    /// Only urgent ones, which have a deadline.
     Urgent,
     /// All, within a share of the channel's capacity.
     All { capacity_share: f64 },
 }
 
-/// An assignment that waits.
+/// An assignment that is waiting to be sent.
 struct Assignment {
     proxy: ProxyId,
     table: TableId,
-    /// Urgent ones have one.
+    /// `None` unless the assignment is urgent.
     deadline: Option<Nanos>,
-    /// Lines of its message.
+    /// Number of lines of its message.
     lines: f64,
 }
 
 impl Channel {
-    /// Assigns tables to proxies, as many as the channel takes.
+    /// Sends as many waiting assignments as the channel takes.
     pub(super) fn assign_tables(&mut self, scope: AssignmentScope, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
         let waiting = self.waiting_assignments(scope, now);
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Assignments that wait, in the order in which they go.
+    /// Returns the waiting assignments in the order in which they are sent.
     fn waiting_assignments(&self, scope: AssignmentScope, now: Nanos) -> Vec<Assignment> {
         let sizes = self.table_sizes();
         let full_table_deadline = match scope {
@@ -97,15 +97,16 @@
         waiting.into_iter().map(|(assignment, _)| assignment).collect()
     }
 
-    /// Whether a rule depends on the assignment of a stand-in: the proxy may hold anything, or it uses the
-    /// full table, whose urgent changes it gets in this way.
+    /// Whether the assignment of a fallback subset is urgent: the proxy has no table from this supervisor and
+    /// may hold any servers, or it uses the full table and receives the table's urgent changes by this
+    /// assignment.
     fn is_urgent_assignment(&self, proxy: &Proxy) -> bool {
         let may_hold_unready = proxy.assigned_table.is_none() && !self.unready_since.is_empty();
         let leaves_full_table = proxy.assigned_table == Some(FULL_TABLE) && !self.isolated;
         proxy.intended_table != FULL_TABLE && (may_hold_unready || leaves_full_table)
     }
 
-    /// By when users of the full table must have its urgent changes.
+    /// Deadline by which users of the full table must receive its urgent changes.
     fn full_table_deadline(&self, now: Nanos) -> Nanos {
         let urgent = self.urgent_lines_by_table(now);
         urgent.get(&FULL_TABLE).map_or(now + self.drain_grace, |urgent| urgent.deadline)
@@ -116,7 +117,7 @@
         self.pacing.message_overhead + size.lines + readmissions
     }
 
-    /// Lines that assignments may put behind those in the queue.
+    /// Number of lines that assignments may add to the queue.
     fn max_assignment_lines(&self, scope: AssignmentScope, queued: f64) -> f64 {
         let capacity = self.pacing.capacity_lines;
         match scope {
@@ -127,8 +128,8 @@
         }
     }
 
-    /// Whether one assignment goes however long it is: nothing is queued, or a message has to show whether
-    /// the channel is slow or proxies are gone.
+    /// Whether one assignment is sent regardless of its size: the queue is empty, or a message is needed to
+    /// show whether the channel is slow or proxies are gone.
     fn takes_one_assignment(&self, queued: f64, now: Nanos) -> bool {
         let probes =
             self.pacing.is_probe_due(now) && self.pacing.capacity_lines * ASSIGNMENT_CAPACITY_SHARE > queued;
--- a/src/channel/assignment/tests.rs
+++ b/src/channel/assignment/tests.rs
@@ -46,7 +46,7 @@
     controller.decide(START + 1, (0..400).map(joined).collect());
     let (mut removals, mut most_assigned_lines) = (0, 0.0);
     for quarter in 1..120u32 {
-        // A server drains every second; all that is sent is acknowledged as the queue empties.
+        // One server starts draining each second; everything sent is acknowledged as the queue empties.
         controller.channel.pacing.pending_marks.clear();
         let now = START + Nanos::from(quarter) * SECOND / 4;
         let queued = controller.channel.pacing.update_queue(now);
@@ -59,7 +59,8 @@
     }
     let proxies = controller.channel.proxies.by_id.values();
     let assigned = proxies.filter(|proxy| proxy.assigned_table.is_some()).count();
-    // 30 s of 1,000 lines; a full table takes 109. At least half of that goes to newly joined proxies.
+    // The channel sends 1,000 lines per second for 30 s; a full table takes 109. At least half of that goes
+    // to newly joined proxies.
     assert!(assigned >= 130, "{assigned} have a table");
     assert!(removals >= 20, "{removals} removals sent");
     assert!(most_assigned_lines <= queue_target, "{most_assigned_lines} at once");
--- a/src/channel/batch.rs
+++ b/src/channel/batch.rs
@@ -1,4 +1,4 @@
-//! A batch: the changes and limits that one flush sends together, and what they cost the channel.
+//! A batch: the changes and limits that one flush sends together, and their cost to the channel.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,18 +7,18 @@
 use crate::proxies::{Proxies, Proxy};
 use crate::tables::EXCLUSIONS;
 
-/// Proxies that a message of the batch goes to.
+/// Recipients of one message of the batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Recipients {
     table: TableId,
     audience: Audience,
 }
 
-/// Changes and limits that are sent together. Its cost is in lines.
+/// Changes and limits that are sent together. Costs are in lines.
 pub(super) struct Batch {
     users_by_table: BTreeMap<TableId, f64>,
     newly_joined: f64,
-    /// Cost of each message beside its lines.
+    /// Cost of each message in addition to its lines.
     message_cost: f64,
     cost: f64,
     is_full: bool,
@@ -26,7 +26,7 @@
 }
 
 impl Batch {
-    /// An empty batch.
+    /// Creates an empty batch.
     pub(super) fn new(proxies: &Proxies, message_cost: f64) -> Self {
         Batch {
             users_by_table: proxies.users_by_table(),
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Cost of all that was added.
+    /// Total cost of the batch.
     pub(super) fn cost(&self) -> f64 {
         self.cost
     }
 
-    /// Users of a table.
+    /// Number of users of a table.
     pub(super) fn users(&self, table: TableId) -> f64 {
         self.users_by_table.get(&table).copied().unwrap_or_default()
     }
@@ -58,8 +58,8 @@
         self.users_by_table.len() > usize::from(self.has_unassigned_proxies())
     }
 
-    /// Adds a line to the messages of a table's users if the batch's cost stays within `max_cost`; returns
-    /// whether it was added. After the first that does not fit nothing is added.
+    /// Adds a line to the messages for a table's users if the cost of the batch stays within `max_cost`.
+    /// Returns whether it was added; once a line did not fit, nothing more is added.
     pub(super) fn try_add(&mut self, table: TableId, audience: Audience, max_cost: f64) -> bool {
         let readers = match audience {
             Audience::All => self.users(table),
@@ -67,21 +67,21 @@
         };
         let has_message = self.recipients.contains(&Recipients { table, audience: Audience::All })
             || self.recipients.contains(&Recipients { table, audience });
-        let more = readers * if has_message { 1.0 } else { 1.0 + self.message_cost };
-        self.is_full |= readers > 0.0 && self.cost + more > max_cost;
+        let added_cost = readers * if has_message { 1.0 } else { 1.0 + self.message_cost };
+        self.is_full |= readers > 0.0 && self.cost + added_cost > max_cost;
         if !self.is_full {
             self.recipients.insert(Recipients { table, audience });
-            self.cost += more;
+            self.cost += added_cost;
         }
         !self.is_full
     }
 
-    /// Whether it has lines of a table.
+    /// Whether the batch contains lines of a table.
     pub(super) fn has_lines_of(&self, table: TableId) -> bool {
         self.recipients.iter().any(|recipients| recipients.table == table)
     }
 
-    /// Proxies that it is sent to.
+    /// Proxies that receive the batch.
     pub(super) fn recipients(&self, proxies: &Proxies) -> BTreeSet<ProxyId> {
         proxies.ids_where(|proxy| self.is_sent_to(proxy)).into_iter().collect()
     }
--- a/src/channel/changes.rs
+++ b/src/channel/changes.rs
@@ -1,4 +1,4 @@
-//! Which lines of the tables differ from what was sent, and their priority.
+//! Changes: table lines that differ from what was sent, and their priorities.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,68 +9,70 @@
 #[cfg(test)]
 mod tests;
 
-/// A weight is sent again when it has changed by more than this share of what was sent.
+/// Relative change of a weight above which it is sent again.
 pub(crate) const MIN_WEIGHT_CHANGE: f64 = 0.1;
-/// A table with fewer usable servers gets more at once.
+/// Number of usable servers below which a table is given more servers at once.
 const MIN_USABLE_SERVERS: usize = 2;
 
-/// How soon a change is sent; the first goes first.
+/// How soon a change is sent, most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Priority {
-    /// A rule depends on it: a server drains, was removed or warms up, or a table lacks servers.
+    /// The change has a deadline or protects a server: a server drains, was removed or is warming up, or a
+    /// table lacks servers.
     Urgent,
-    /// Servers that leave a table, and those that join a subset while proxies are not isolated.
+    /// Removals of servers from a table, and additions to a subset while proxies are not isolated.
     Elevated,
-    /// Changes that only spread the load better.
+    /// Changes that only improve the distribution of load.
     Ordinary,
 }
 
-/// Who gets a change.
+/// Which proxies receive a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Audience {
     /// All users of the table.
     All,
-    /// Unassigned proxies that joined since it was sent to all.
+    /// Unassigned proxies that joined after the change was sent to all.
     NewlyJoined,
 }
 
-/// A line that differs from what was sent.
+/// A table line that differs from what was sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Change {
     pub(super) line: TableLine,
     pub(super) weight: f64,
     pub(super) priority: Priority,
-    /// Orders changes of one priority, the largest first: the change of weight, or more where the server must be
-    /// excluded.
+    /// Orders changes of equal priority, largest first: the change of weight, or a higher value if the server
+    /// must be excluded.
     pub(super) sort_key: f64,
     pub(super) audience: Audience,
 }
 
 impl Change {
-    /// Whether a rule depends on it.
+    /// Returns whether the change has [`Priority::Urgent`].
     pub(super) fn is_urgent(&self) -> bool {
         self.priority == Priority::Urgent
     }
 }
 
-/// Servers that a table has and should have.
+/// Servers of a table that were sent and are still desired.
 #[derive(Clone, Copy, Debug, Default)]
 struct UsableServers {
     count: usize,
     weight: f64,
 }
 
-/// What lines are compared by.
+/// Inputs of the comparison of desired and sent lines.
 struct Comparison<'a> {
     channel: &'a Channel,
     exclusions_are_due: bool,
     usable: BTreeMap<TableId, UsableServers>,
-    /// Subsets are replenished before they have next to nothing left: proxies are isolated, or the channel keeps up.
+    /// Subsets are replenished before they are almost empty: proxies are isolated, or the channel keeps up.
     replenishes_early: bool,
 }
 
 impl Channel {
-    /// Lines that differ enough from what was sent: by priority, then by how much weight they move.
+    /// Returns the lines that differ enough from what was sent, ordered by priority, then by the change of
+    /// weight.
     pub(super) fn differing_lines(&self, now: Nanos) -> Vec<Change> {
         let comparison = Comparison {
             channel: self,
@@ -84,7 +86,7 @@
         changes
     }
 
-    /// What a table should say of a server; in [`EXCLUSIONS`] 1 excludes it.
+    /// The weight that a server should have in a table; in [`EXCLUSIONS`], 1 excludes the server.
     fn desired_line(&self, line: TableLine) -> f64 {
         let desired = self.desired_weights.get(&line.server).copied().unwrap_or_default();
         match line.table {
@@ -108,7 +110,7 @@
 }
 
 impl Comparison<'_> {
-    /// All lines that may differ.
+    /// All lines that can differ.
     fn lines(&self) -> BTreeSet<TableLine> {
         let channel = self.channel;
         let mut lines: BTreeSet<TableLine> =
@@ -122,7 +124,7 @@
         lines
     }
 
-    /// The change that a line needs.
+    /// Returns the change that a line needs, if any.
     fn change(&self, line: TableLine) -> Option<Change> {
         let channel = self.channel;
         let sent = channel.sent.weights.get(&line).copied().unwrap_or_default();
@@ -134,8 +136,8 @@
             return None;
         }
         let desired = channel.desired_weights.get(&line.server).copied().unwrap_or_default();
-        // Servers that must be excluded go first; of those the full table, then subsets, then exclusions: an
-        // exclusion also reaches users of a table that still has the server.
+        // Changes for servers that must be excluded are sent first, in the order full table, subsets,
+        // exclusions: an exclusion also reaches users of a table that still contains the server.
         let sort_key =
             if desired.must_exclude { f64::MAX / (1.0 + f64::from(line.table)) } else { weight_change };
         let priority = self.priority(line, sent, weight, desired.unstable);
--- a/src/channel/coalescing.rs
+++ b/src/channel/coalescing.rs
@@ -1,5 +1,5 @@
-//! Whether urgent changes may wait and gather outside a long queue: they arrive no later, and in fewer
-//! messages.
+//! Coalescing of urgent changes: while the queue is long they may wait outside it, so that they arrive no
+//! later but in fewer messages.
 
 use std::collections::BTreeSet;
 
@@ -8,15 +8,14 @@
 use super::Channel;
 use crate::interface::{Nanos, TableId};
 
-/// Changes that gather must arrive this share of the drain grace before their deadline.
+/// Share of the drain grace period by which coalesced changes must arrive before their deadline.
 const COALESCING_MARGIN_GRACE_SHARE: f64 = 0.25;
 
 impl Channel {
-    /// Whether the urgent ones of the changes may wait: all of them would still arrive well before they are
-    /// due.
+    /// Whether the urgent changes may wait: all of them would still arrive well before their deadlines.
     pub(super) fn may_coalesce(&self, changes: &[Change], batch: &Batch, now: Nanos) -> bool {
         let urgent = || changes.iter().filter(|change| change.is_urgent());
-        // A table that lacks servers gets more at once.
+        // A table that lacks servers is given more without delay.
         if urgent().any(|change| change.weight > 0.0) {
             return false;
         }
--- a/src/channel/exclusions.rs
+++ b/src/channel/exclusions.rs
@@ -1,4 +1,4 @@
-//! When unassigned proxies are sent the servers that they must not send to.
+//! Exclusions: when unassigned proxies are sent the servers that they must not send requests to.
 
 use super::Channel;
 use crate::interface::Nanos;
@@ -8,13 +8,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Share of the drain grace since it joined after which an unassigned proxy is sent the exclusions.
+/// Time from a proxy's joining until it is sent the exclusions if it is still unassigned, as a share of the
+/// drain grace period.
 const EXCLUSION_DELAY_GRACE_SHARE: f64 = 0.25;
 
 impl Channel {
-    /// Whether unassigned proxies are to be sent the exclusions. A table serves as well, and is waited
-    /// for until it can no longer be there in time; exclusions are sent only where a stand-in takes no fewer
-    /// lines or there is none.
+    /// Whether unassigned proxies must be sent the exclusions now. A table serves the same purpose, so
+    /// exclusions are sent only when a table can no longer arrive in time, and only if a fallback subset
+    /// takes at least as many lines or there is none.
     pub(super) fn exclusions_are_due(&self, now: Nanos) -> bool {
         let excluded = self.desired_weights.values().filter(|desired| desired.must_exclude).count();
         let fallback_servers = fallback_subset_size(&self.desired_weights);
--- a/src/channel/exclusions/tests.rs
+++ b/src/channel/exclusions/tests.rs
@@ -29,7 +29,8 @@
     events.push(joined(2));
     let actions = controller.decide(START + 1, events);
     assert!(!excludes(actions), "its table may still come in time");
-    // No capacity for a table, as before; a quarter of the grace, less the time in the queue, has passed.
+    // There is still no capacity for a table; a quarter of the grace period, less the time in the queue, has
+    // passed.
     let later = START + config.drain_grace / 8 + 2;
     controller.channel.pacing.queued_lines = queued;
     controller.channel.pacing.updated_at = later;
@@ -40,10 +41,10 @@
 fn exclusions_are_repeated_to_newly_joined_proxies_only(mut config: ControllerConfig) {
     (config.proxy_count, config.channel_capacity) = (200, 5_000.0);
     let mut controller = Controller::new(&config);
-    // All others warm up: there can be no stand-in.
+    // All other servers are warming up, so no fallback subset can be formed.
     let warming_up = (1..=50).map(|id| Endpoint { started_at: START, ..endpoint(id) });
     controller.decide(START, vec![listed(warming_up.chain((51..=100).map(draining)))]);
-    // No capacity for full tables in time: all wait, and are sent the exclusions.
+    // Full tables cannot be sent in time, so all proxies wait and are sent the exclusions.
     let fill = |controller: &mut Controller, at: u64| {
         let pacing = &mut controller.channel.pacing;
         pacing.pending_marks.clear();
@@ -76,13 +77,13 @@
     assert!(!actions.iter().any(|action| matches!(action, Action::Exclude { .. })));
 }
 
-/// Guards against exclusions that users of a table receive too, since it still has the server, and that go
-/// unrecorded.
+/// Guards against sending exclusions while a table still contains the server: users of that table then
+/// receive them too, without a record of it.
 #[rstest]
 fn server_leaves_the_tables_before_it_is_excluded(mut config: ControllerConfig) {
     (config.proxy_count, config.channel_capacity, config.drain_grace) = (100, 2_000.0, SECOND / 10);
     let mut controller = Controller::new(&config);
-    // All warm up: there can be no stand-in.
+    // All servers are warming up, so no fallback subset can be formed.
     let warming_up = |id| Endpoint { started_at: START, ..endpoint(id) };
     controller.decide(START, vec![listed((1..=60).map(warming_up))]);
     controller.decide(START + 1, (0..60).map(joined).collect());
--- a/src/channel/obligations.rs
+++ b/src/channel/obligations.rs
@@ -1,5 +1,5 @@
-//! What proxies must have been sent by when: removals of servers that are not ready, and tables for newly
-//! joined proxies, whatever these hold. The choice of tables and the order of assignments go by it.
+//! Delivery obligations: removals of servers that are not ready, and tables for newly joined proxies,
+//! whatever these hold. They determine the choice of tables and the order of assignments.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +11,10 @@
 use crate::subsets::fallback_subset_size;
 use crate::tables::{EXCLUSIONS, FULL_TABLE};
 
-/// As many more proxies are expected to join as did within this share of the drain grace.
+/// As many more proxies are expected to join as have joined within this share of the drain grace period.
 const RECENT_JOINS_GRACE_SHARE: f64 = 0.25;
 
-/// Urgent changes of a table.
+/// Number of urgent changes of a table, and when they are due.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct UrgentLines {
     pub(super) lines: f64,
@@ -23,19 +23,20 @@
 }
 
 impl Channel {
-    /// By when no proxy may send to a server any more that is not ready.
+    /// Deadline after which no proxy may send to a server that is not ready.
     pub(super) fn removal_deadline(&self, server: ServerId, now: Nanos) -> Nanos {
         self.unready_since.get(&server).copied().unwrap_or(now) + self.drain_grace
     }
 
-    /// By when a newly joined proxy must have left the servers that are not ready, whatever it holds.
+    /// Deadline after which a newly joined proxy may not send to servers that are not ready, whatever it held
+    /// when it joined.
     pub(super) fn newly_joined_deadline(&self, proxy: &Proxy) -> Nanos {
-        // Half of the range, so that adding the grace cannot overflow.
+        // Half of the range of `Nanos`, so that adding the grace period cannot overflow.
         let first = self.unready_since.values().min().copied().unwrap_or(Nanos::MAX / 2);
         proxy.joined_at.max(first) + self.drain_grace
     }
 
-    /// Urgent changes, by table.
+    /// Returns the urgent changes of each table.
     pub(super) fn urgent_lines_by_table(&self, now: Nanos) -> BTreeMap<TableId, UrgentLines> {
         let mut urgent: BTreeMap<TableId, UrgentLines> = BTreeMap::new();
         for change in self.differing_lines(now) {
@@ -50,7 +51,7 @@
         urgent
     }
 
-    /// Obligations of the urgent changes to the users of each table.
+    /// Returns the obligations to send urgent changes to the users of each table.
     pub(super) fn update_obligations(&self, urgent: &BTreeMap<TableId, UrgentLines>) -> Vec<Obligation> {
         let users_by_table = self.proxies.users_by_table();
         let obligation = |(table, urgent): (&TableId, &UrgentLines)| {
@@ -60,8 +61,8 @@
         urgent.iter().map(obligation).collect()
     }
 
-    /// Obligations to newly joined proxies if they get the tables that are intended for them now, and to
-    /// those that are expected to join.
+    /// Returns the obligations to newly joined proxies if they are assigned their intended tables now, and to
+    /// proxies that are expected to join.
     pub(super) fn newly_joined_obligations(&self, now: Nanos) -> Vec<Obligation> {
         if self.unready_since.is_empty() {
             return Vec::new();
@@ -83,7 +84,7 @@
         obligations
     }
 
-    /// Lines of the message that assigns a proxy its first table.
+    /// Number of lines of the message that assigns a proxy its first table.
     fn first_message_lines(&self, proxy: &Proxy, full_table: TableSize) -> f64 {
         let on_subset = proxy.intended_table != FULL_TABLE;
         let table = if on_subset {
@@ -94,7 +95,7 @@
         table + if proxy.holds_foreign_state && !on_subset { full_table.readmissions } else { 0.0 }
     }
 
-    /// Lines of a message that assigns a stand-in.
+    /// Number of lines of a message that assigns a fallback subset.
     pub(super) fn fallback_message_lines(&self) -> f64 {
         self.pacing.message_overhead
             + FIXED_TABLE_LINES
@@ -102,12 +103,13 @@
             + fallback_subset_size(&self.desired_weights) as f64
     }
 
-    /// Cost of a message that updates a table beside its changes, in lines: its overhead and the mark.
+    /// Cost of a message that updates a table, in addition to its changes, in lines: its overhead and the
+    /// mark.
     pub(super) fn message_cost(&self) -> f64 {
         self.pacing.message_overhead + 1.0
     }
 
-    /// Lines that an assignment of each table takes.
+    /// Number of lines that an assignment of each table takes.
     pub(super) fn table_sizes(&self) -> BTreeMap<TableId, TableSize> {
         self.sent.table_sizes(self.admission_limits.len(), &self.desired_weights)
     }
--- a/src/channel/sent.rs
+++ b/src/channel/sent.rs
@@ -1,5 +1,5 @@
-//! What was sent to proxies: the weights of all tables, and the admission limits. The channel's rules compare
-//! it with what is desired, and write through it.
+//! State sent to proxies: the weights in all tables, and the admission limits. The channel's rules compare it
+//! with the desired state and send changes through it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,8 +7,8 @@
 use crate::message::{AdmissionLimit, DesiredWeight, Mailboxes};
 use crate::tables::{DesiredWeights, TableLine, EXCLUSIONS, FULL_TABLE};
 
-/// Lines of an assignment beside the table's servers and admission limits: the assignment itself, and the mark that
-/// requests acknowledgement.
+/// Number of lines of an assignment in addition to the table's servers and admission limits: the assignment
+/// itself and the mark that requests acknowledgement.
 pub(super) const FIXED_TABLE_LINES: f64 = 2.0;
 
 /// An admission limit for the users of a table.
@@ -18,23 +18,24 @@
     pub(super) limit: AdmissionLimit,
 }
 
-/// Lines of an assignment of a table.
+/// Number of lines of an assignment of a table.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TableSize {
-    /// Lines of the table itself.
+    /// Lines of the table itself, which every proxy receives.
     pub(super) lines: f64,
-    /// Further lines for a proxy with foreign state: servers that it may exclude since before they started
-    /// again.
+    /// Additional lines for a proxy with state from another supervisor: readmissions of servers that the
+    /// proxy may have excluded before they restarted.
     pub(super) readmissions: f64,
 }
 
-/// What was sent to proxies.
+/// State that was sent to proxies.
 #[derive(Debug, Default)]
 pub(crate) struct SentState {
-    /// Weights by line. In [`EXCLUSIONS`]: 1, all unassigned proxies were sent it; between 0 and 1, some joined since
-    /// (halved at each join so that it differs from 1); 0, readmitted.
+    /// Weights by line. In [`EXCLUSIONS`], 1 means that all unassigned proxies were sent the exclusion; a
+    /// value between 0 and 1 that some have joined since (it is halved at each join so that it differs from
+    /// 1); 0 that the server was readmitted.
     pub(crate) weights: BTreeMap<TableLine, f64>,
-    /// Limits by table and operation.
+    /// Admission limits by table and operation.
     admission_limits: BTreeMap<(TableId, usize), AdmissionLimit>,
 }
 
@@ -64,7 +65,7 @@
         self.admission_limits.insert((table, limit.operation), limit);
     }
 
-    /// Limits that differ from those sent, for each of the tables.
+    /// Returns the limits of the given tables that differ from those sent.
     pub(super) fn differing_limits(
         &self,
         tables: BTreeSet<TableId>,
@@ -76,7 +77,7 @@
         all.filter(|new| sent(new) != Some(&new.limit)).collect()
     }
 
-    /// Lines that an assignment of each table takes.
+    /// Number of lines that an assignment of each table takes.
     pub(super) fn table_sizes(
         &self,
         admission_limits: usize,
@@ -98,18 +99,19 @@
         self.weights.iter().filter(|(_, &weight)| weight > 0.0).map(|(line, _)| line)
     }
 
-    /// Has all exclusions differ from what was sent: a proxy that joins has none of them.
+    /// Marks all exclusions as differing from what was sent, since a proxy that joins has received none of
+    /// them.
     pub(super) fn mark_exclusions_for_repeat(&mut self) {
         let exclusions = self.weights.range_mut(TableLine::first_of(EXCLUSIONS)..);
         exclusions.for_each(|(_, weight)| *weight /= 2.0);
     }
 
-    /// Whether a table has a server.
+    /// Whether any table contains a server.
     pub(super) fn is_in_a_table(&self, server: ServerId) -> bool {
         self.lines_in_use().any(|line| line.server == server && line.table != EXCLUSIONS)
     }
 
-    /// Forgets a server that no table has.
+    /// Forgets a server that no table contains.
     pub(super) fn forget_server(&mut self, server: ServerId) {
         self.weights.retain(|line, _| line.server != server);
     }
--- a/src/channel/table_choice.rs
+++ b/src/channel/table_choice.rs
@@ -1,7 +1,8 @@
-//! Which proxies use the full table and which a stand-in. Guards drains, and what newly joined proxies hold,
-//! against a channel that cannot carry full tables and their changes to all in time: then the newly joined,
-//! and if need be all, use stand-ins, whose messages are short. A stand-in spreads the load less well, so it
-//! is left when the channel keeps up.
+//! Choice between the full table and a fallback subset for each proxy. Guards the deadlines of drains, and of
+//! what newly joined proxies hold, against a channel that cannot deliver full tables and their changes to all
+//! proxies in time. In that case newly joined proxies, and if necessary all proxies, use fallback subsets,
+//! whose messages are short. A fallback subset distributes load less evenly, so proxies return to the full
+//! table when the channel keeps up.
 
 use std::collections::BTreeMap;
 
@@ -16,10 +17,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Stand-ins are used for so many drain graces after the channel could last not carry full tables in time.
+/// Number of drain grace periods for which fallback subsets remain in use after the channel last failed to
+/// keep up with full tables.
 const FALLBACK_HOLD_GRACE_PERIODS: Nanos = 4;
-/// Share of what the channel sends within a drain grace that moving all users of the full table to stand-ins
-/// may take.
+/// Share of what the channel sends within a drain grace period that moving all users of the full table to
+/// fallback subsets may take.
 const MOVE_CAPACITY_SHARE: f64 = 0.8;
 
 impl Channel {
@@ -52,8 +54,8 @@
         self.subsets.move_to_fallback_subsets(proxies, &mut self.proxies, &self.desired_weights);
     }
 
-    /// Whether moving users of the full table to stand-ins takes fewer lines than its changes, and these are
-    /// late even where newly joined proxies get stand-ins.
+    /// Whether moving users of the full table to fallback subsets takes fewer lines than the table's changes,
+    /// and these changes would be late even if newly joined proxies were given fallback subsets.
     fn should_leave_full_table(
         &self,
         urgent: &BTreeMap<TableId, UrgentLines>,
@@ -62,24 +64,24 @@
         now: Nanos,
     ) -> bool {
         let fallback_lines = self.fallback_message_lines();
-        let changes = urgent.get(&FULL_TABLE).map_or(0.0, |urgent| urgent.lines);
+        let full_table_changes = urgent.get(&FULL_TABLE).map_or(0.0, |urgent| urgent.lines);
         let with_fallback_subsets =
             newly_joined.iter().map(|obligation| Obligation { lines: fallback_lines, ..*obligation });
         let mut obligations: Vec<Obligation> = updates.into_iter().chain(with_fallback_subsets).collect();
-        changes + self.message_cost() > fallback_lines
+        full_table_changes + self.message_cost() > fallback_lines
             && !self.pacing.forecast(now).meets_all(&mut obligations)
     }
 
-    /// Number of proxies that may use the full table: so many could be moved to stand-ins within a drain
-    /// grace.
+    /// Maximum number of proxies on the full table: as many as could be moved to fallback subsets within a
+    /// drain grace period.
     fn max_full_table_users(&self) -> usize {
         let deliverable = self.pacing.deliverable_lines(self.drain_grace);
         let sending = deliverable - self.pacing.configured_queue_target;
         (MOVE_CAPACITY_SHARE * sending.max(0.0) / self.fallback_message_lines()) as usize
     }
 
-    /// Intends stand-ins for waiting proxies that the full table may not have, those with the fewest requests
-    /// first.
+    /// Moves waiting proxies beyond the maximum number on the full table to fallback subsets, those with the
+    /// fewest requests first.
     fn limit_full_table(&mut self) {
         let max = self.max_full_table_users();
         let count = self.proxies.count_intended_for_full_table();
@@ -93,7 +95,7 @@
         self.move_to_fallback_subsets(&waiting);
     }
 
-    /// Has proxies that were on their way back to the full table stay on their stand-ins.
+    /// Keeps proxies on their fallback subsets that were about to return to the full table.
     fn keep_fallback_subsets(&mut self) {
         for proxy in self.proxies.by_id.values_mut() {
             if proxy.intended_table != FULL_TABLE {
@@ -106,14 +108,14 @@
         }
     }
 
-    /// Whether full tables could be carried in time for the last [`FALLBACK_HOLD_GRACE_PERIODS`] drain graces.
+    /// Whether the channel could deliver full tables in time throughout the last
+    /// [`FALLBACK_HOLD_GRACE_PERIODS`] drain grace periods.
     pub(super) fn keeps_up(&self, now: Nanos) -> bool {
         let hold = FALLBACK_HOLD_GRACE_PERIODS * self.drain_grace;
         self.last_behind_at.is_none_or(|at| now.saturating_sub(at) > hold)
     }
 
-    /// Brings proxies back to the full table once the channel keeps up, those with the most requests
-    /// first.
+    /// Moves proxies back to the full table once the channel keeps up, those with the most requests first.
     fn restore_full_table(&mut self, now: Nanos, nothing_is_urgent: bool) {
         let has_newly_joined = self.proxies.newly_joined().next().is_some();
         if !self.keeps_up(now) || !nothing_is_urgent || has_newly_joined {
@@ -123,15 +125,16 @@
         let requests = |id: &ProxyId| self.proxies.by_id[id].requests.sum;
         on_fallback_subsets.sort_by(|a, b| requests(b).total_cmp(&requests(a)));
         let count = self.proxies.count_intended_for_full_table();
-        let more = self.max_full_table_users().saturating_sub(count);
-        for id in on_fallback_subsets.into_iter().take(more) {
+        let free_places = self.max_full_table_users().saturating_sub(count);
+        for id in on_fallback_subsets.into_iter().take(free_places) {
             if let Some(proxy) = self.proxies.by_id.get_mut(&id) {
                 proxy.intended_table = FULL_TABLE;
             }
         }
     }
 
-    /// Whether users of the full table are to leave it: they get a stand-in in place of its changes.
+    /// Whether users of the full table are moving to fallback subsets; they receive an assignment instead of
+    /// the full table's changes.
     pub(super) fn is_leaving_full_table(&self) -> bool {
         let is_leaving =
             |proxy: &Proxy| proxy.assigned_table == Some(FULL_TABLE) && proxy.intended_table != FULL_TABLE;
--- a/src/channel/table_choice/tests.rs
+++ b/src/channel/table_choice/tests.rs
@@ -34,7 +34,7 @@
         assert!(removes, "{:?}", actions[0]);
         assert_eq!(assignments(&actions), 0);
     } else {
-        // Newly joined proxies get theirs first, in place of 200 lines each.
+        // Newly joined proxies are assigned fallback subsets first, instead of 200 lines each.
         assert!(assignments(&actions) >= fallback_subsets, "{actions:?}");
         assert!(!actions.iter().any(|action| matches!(action, Action::Exclude { .. })));
     }
--- a/src/channel/unused_tables.rs
+++ b/src/channel/unused_tables.rs
@@ -1,5 +1,5 @@
-//! Updates of tables that no proxy uses: they cost the channel nothing, and a proxy that is assigned one gets
-//! it up to date.
+//! Updates of tables that no proxy uses. They cost the channel nothing, and keep the tables up to date for
+//! proxies that are assigned one.
 
 use std::collections::BTreeSet;
 
@@ -9,13 +9,13 @@
 use crate::tables::EXCLUSIONS;
 
 impl Channel {
-    /// Brings tables that no proxy uses up to date.
+    /// Updates the tables that no proxy uses.
     pub(super) fn update_unused_tables(&mut self, mailboxes: &mut Mailboxes) {
         let users_by_table = self.proxies.users_by_table();
         let is_unused = |table: TableId| table != EXCLUSIONS && !users_by_table.contains_key(&table);
         for change in self.differing_lines(mailboxes.now) {
             if is_unused(change.line.table) {
-                // The first table ever begins the interval to the next deferrable changes.
+                // The first table starts the interval until the next deferrable changes.
                 if self.deferrable_sent_at == 0 {
                     self.deferrable_sent_at = mailboxes.now;
                 }
--- a/src/channel/updates.rs
+++ b/src/channel/updates.rs
@@ -1,9 +1,9 @@
-//! Updates of the tables that proxies use: which changes go now, within the channel's limits. What is left
-//! out goes later.
+//! Updates of the tables that proxies use: selects the changes that are sent now, within the limits of the
+//! channel. The remaining changes are sent later.
 //!
-//! Guards the channel against anything that changes many lines at once: a mass restart, a wrong list, noise.
-//! Draining and removed servers must be left, and servers that warm up kept from a full share, whatever else
-//! waits. Where much changes for good reasons, tables lag behind by seconds.
+//! Guards the channel against anything that changes many lines at once: a mass restart, a wrong endpoint
+//! list, or noise. Whatever else is waiting, draining and removed servers must leave the tables, and warming
+//! servers must not receive a full share. During legitimate mass changes, tables lag behind by seconds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,25 +19,26 @@
 #[cfg(test)]
 mod tests;
 
-/// Least time between two batches of deferrable changes.
+/// Minimum time between two batches of deferrable changes.
 const MIN_BATCH_INTERVAL: Nanos = SECOND;
-/// Most of the channel that the overhead of deferrable messages may take. Where there are many proxies
-/// changes gather for longer, since a message costs as much however little it says.
+/// Maximum share of the channel's rate for the overhead of deferrable messages. With many proxies, changes
+/// are coalesced for longer, since a message has the same overhead however few lines it contains.
 const MAX_OVERHEAD_SHARE: f64 = 0.4;
-/// Share of what the limit on messages allows now that deferrable changes may use; the rest is for urgent
+/// Share of the currently allowed messages that deferrable changes may use; the rest is reserved for urgent
 /// ones.
 const DEFERRABLE_MESSAGE_SHARE: f64 = 0.3;
-/// Lines of table assignments that may go, for each line of changes, before the next deferrable changes.
+/// Lines of table assignments that may be sent before the next deferrable changes, per line of changes sent.
 const ASSIGNMENT_LINES_PER_LINE: f64 = 3.0;
-/// Most lines of assignments before the next deferrable changes, as a share of what the channel sends within a drain
-/// grace: no table is worse than an old one.
+/// Maximum number of lines of assignments before the next deferrable changes, as a share of what the channel
+/// sends within a drain grace period. Assignments come first since having no table is worse than having an
+/// outdated one.
 const MAX_ASSIGNMENT_GRACE_SHARE: f64 = 0.125;
 
-/// What the channel takes in this flush; each figure is in lines.
+/// What the channel takes in this flush; amounts are in lines.
 struct Allowance {
-    /// Deferrable changes may go.
+    /// Deferrable changes may be sent.
     takes_deferrable: bool,
-    /// More is queued than deferrable changes may stand behind.
+    /// The queue is longer than deferrable changes may be added to.
     queue_is_long: bool,
     urgent_lines: f64,
     admission_limit_lines: f64,
@@ -45,8 +46,8 @@
 }
 
 impl Channel {
-    /// Sends as many of the changes, and of the differing admission limits, as the channel takes; returns
-    /// whether all urgent ones of them were sent.
+    /// Sends as many of the changes and of the differing admission limits as the channel takes. Returns
+    /// whether all urgent changes were sent.
     pub(super) fn send_updates(&mut self, mut changes: Vec<Change>, mailboxes: &mut Mailboxes) -> bool {
         let now = mailboxes.now;
         let is_leaving_full_table = self.is_leaving_full_table();
@@ -89,7 +90,8 @@
         let admission_limit_lines = lines(ASSIGNMENT_CAPACITY_SHARE);
         let interval_is_over =
             now.saturating_sub(self.deferrable_sent_at) >= interval || self.deferrable_sent_at == 0;
-        // What would only wait in the queue waits here, and gathers: it arrives no later, in fewer messages.
+        // Changes that would only wait in the queue wait here and are coalesced: they arrive no later, in
+        // fewer messages.
         let queue_is_long = queued > self.pacing.queue_target() && !self.pacing.is_probe_due(now);
         let assignments_go_first =
             batch.has_unassigned_proxies() && self.assignment_quota > 0.0 && admission_limit_lines > 0.0;
@@ -110,7 +112,7 @@
     }
 
     /// Share of the capacity that deferrable changes may fill: no more than is sent until the next batch,
-    /// since what is urgent would stand behind it.
+    /// since urgent changes would wait behind it.
     fn deferrable_share_until_next_batch(&self, overhead_lines: f64, interval: Nanos, now: Nanos) -> f64 {
         let until_next =
             if self.keeps_up(now) { self.pacing.learned_lines_per_ns() * interval as f64 } else { 0.0 };
@@ -118,14 +120,14 @@
         deferrable_share(&self.pacing, overhead_lines).min(sent_by_then)
     }
 
-    /// Whether another message would exceed what the limit on messages allows now.
+    /// Whether another message would exceed the message limit at present.
     fn reaches_message_limit(&self, urgent: usize) -> bool {
         let share = if urgent > 0 { 1.0 } else { DEFERRABLE_MESSAGE_SHARE };
         self.pacing.message_limit.is_reached(share)
     }
 
-    /// Tables with urgent changes for which as many lines fit as their messages' overhead: smaller pieces are
-    /// not worth it.
+    /// Returns the tables with urgent changes for which at least as many lines fit as their messages'
+    /// overhead; smaller parts are not worth a message.
     fn tables_to_update(
         &self,
         changes: &[Change],
@@ -144,13 +146,13 @@
         let mut tables: BTreeSet<TableId> = worth_it.map(|(&table, _)| table).collect();
         let full_table_waits = urgent_lines.contains_key(&FULL_TABLE) && !tables.contains(&FULL_TABLE);
         if self.is_leaving_full_table() || full_table_waits {
-            // Users of a table that still has a server would have to exclude it too.
+            // Otherwise users of a table that still contains the server would have to exclude it too.
             tables.remove(&EXCLUSIONS);
         }
         tables
     }
 
-    /// Differing admission limits that the batch takes.
+    /// Returns the differing admission limits that fit into the batch.
     fn take_fitting_limits(&self, allowance: &Allowance, batch: &mut Batch) -> Vec<TableLimit> {
         if !allowance.takes_deferrable {
             return Vec::new();
@@ -161,7 +163,7 @@
         limits
     }
 
-    /// Records whether removals that are sent now arrive in time.
+    /// Records whether removals sent now are forecast to arrive in time.
     fn record_deadlines(&mut self, changes: &[Change], batch: &Batch, now: Nanos) {
         let arrival = self.pacing.forecast(now).arrival(batch.cost());
         let mut deadlines: BTreeMap<TableId, Nanos> = BTreeMap::new();
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Notes that all unassigned proxies were sent the exclusions.
+    /// Records that all unassigned proxies were sent the exclusions.
     fn mark_exclusions_sent(&mut self) {
         let unassigned = self.proxies.by_id.values_mut().filter(|proxy| proxy.assigned_table.is_none());
         unassigned.for_each(|proxy| proxy.has_exclusions = true);
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Records a batch that proxies receive, and gives table assignments their turn after it.
+    /// Records a sent batch, and sets the quota of assignments that may follow it.
     fn record_batch(&mut self, batch: &Batch, mailboxes: &mut Mailboxes) {
         let recipients = batch.recipients(&self.proxies);
         if recipients.is_empty() {
@@ -204,8 +206,8 @@
     }
 }
 
-/// Adds a change to the batch if it may go now. Ordinary ones wait while there are unassigned proxies beside
-/// assigned ones.
+/// Adds a change to the batch if it may be sent now. Ordinary changes wait while there are both assigned and
+/// unassigned proxies.
 fn try_add_change(
     change: &Change,
     worth_updating: &BTreeSet<TableId>,
--- a/src/channel/updates/tests.rs
+++ b/src/channel/updates/tests.rs
@@ -39,8 +39,8 @@
 
 #[rstest]
 fn changes_gather_longer_where_overhead_would_fill_the_channel(config: ControllerConfig) {
-    // 300 proxies, 6 lines of overhead each, at 1,000 lines a second: 1.8 s of the channel for overhead
-    // alone. The grace is long enough for all of them on the full table.
+    // With 300 proxies, 6 lines of overhead each and 1,000 lines per second, overhead alone takes the channel
+    // 1.8 s. The grace period is long enough for all proxies to use the full table.
     let config =
         ControllerConfig { channel_capacity: 9_000.0, proxy_count: 300, drain_grace: 10 * SECOND, ..config };
     let mut controller = Controller::new(&config);
@@ -53,7 +53,7 @@
     assert!(updates_full_table(&controller.decide(START, events)));
     let warm = |id: u64| Endpoint { started_at: START - 20 * SECOND, ..endpoint(id as ServerId) };
     for second in 1..10 {
-        // A new warm server each second; nothing is queued.
+        // A new warm server is listed each second, and nothing is queued.
         controller.channel.pacing.queued_lines = 0.0;
         let now = START + second * SECOND;
         let actions = decide_acknowledged(&mut controller, now, list_changes([warm(2 + second)]));
@@ -70,7 +70,7 @@
     users
 }
 
-/// Number of servers on each table.
+/// Number of servers in each table.
 fn servers(controller: &Controller) -> BTreeMap<TableId, usize> {
     let mut servers = BTreeMap::new();
     for (line, _) in controller.channel.sent.weights.iter().filter(|(_, weight)| **weight > 0.0) {
@@ -79,8 +79,9 @@
     servers
 }
 
-/// Lines that actions put into the channel, counted as the wire does: a table takes 9 beside its servers, an
-/// update 6 beside its changes. `users` are those before the actions, `servers` those after them.
+/// Number of lines that actions add to the channel, counted as on the wire: a table takes 9 in addition to
+/// its servers, an update 6 in addition to its changes. `users` are those before the actions, `servers` those
+/// after them.
 fn wire_lines(
     actions: &[Action],
     users: &BTreeMap<TableId, usize>,
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,8 +1,10 @@
-//! The controller: one instance of all decisions, free of I/O. A supervisor calls [`Controller::new`] once,
-//! [`Controller::decide`] with each batch of events, and carries out the actions in their order.
+//! The controller: the entry point of all decisions, free of I/O. A supervisor creates it with
+//! [`Controller::new`], passes each batch of events to [`Controller::decide`], and carries out the returned
+//! actions in order.
 //!
-//! Inside, the endpoint list, each server, the fleet and the channel are components with a mailbox each. They
-//! exchange `Message`s only; `decide` turns events into messages and empties the mailboxes.
+//! Inside, the endpoint list, each server, the fleet and the channel are components that communicate only by
+//! `Message`s, which wait in one mailbox per component. `decide` turns events into messages and delivers
+//! messages until all mailboxes are empty.
 
 use std::collections::BTreeMap;
 
@@ -18,13 +20,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Token of the timer that lets the controller evaluate everything at least once per tick.
+/// Token of the timer that makes the supervisor call the controller at least once per tick interval.
 const TICK_TIMER: u64 = 1;
-/// Time from a server's last response or change of state until it is forgotten once removed. Until then joining
-/// proxies are told to exclude it if it drained; one removed without draining only while attempts there are recent.
+/// How long a removed server is remembered after its last response or change of state. Until then, newly
+/// joined proxies are told to exclude it if it drained; a server that was removed without draining is
+/// excluded only while there are recent attempts at it.
 const REMOVED_SERVER_RETENTION: Nanos = 60 * SECOND;
 
-/// Decides for one supervisor which weights, limits and exclusions its proxies are sent.
+/// Decides which weights, admission limits and exclusions one supervisor sends to its proxies.
 #[derive(Debug)]
 pub struct Controller {
     mailboxes: Mailboxes,
@@ -38,7 +41,7 @@
 }
 
 impl Controller {
-    /// A controller that knows nothing yet.
+    /// Creates a controller that has not received an endpoint list or a proxy yet.
     pub fn new(config: &ControllerConfig) -> Self {
         let limits = initial_limits(config);
         Controller {
@@ -53,13 +56,13 @@
         }
     }
 
-    /// What it has learned by `now`, for the controller of a later process.
+    /// Returns the state learned by `now`, to be restored by a later process.
     pub fn snapshot(&mut self, now: Nanos) -> Snapshot {
         let servers = self.servers.values_mut().map(|server| server.snapshot(now)).collect();
         Snapshot { servers, ..self.fleet.snapshot(now) }
     }
 
-    /// Takes one batch of events as of `now`, and gives the actions to carry out, in order.
+    /// Processes a batch of events at time `now`. Returns the actions to carry out, in order.
     pub fn decide(&mut self, now: Nanos, events: Vec<Event>) -> Vec<Action> {
         self.mailboxes.now = now;
         if !self.started {
@@ -67,7 +70,8 @@
             self.set_tick_timer();
             self.mailboxes.send(Component::Endpoints, Message::RetryWatch);
         }
-        // Servers compare themselves with the statuses of the evaluation before: after a restore there is none yet.
+        // Servers are compared with the statuses of the previous evaluation. After a restore there are none
+        // yet, so a second evaluation follows.
         let restored = events.iter().any(|event| matches!(event, Event::Restored { .. }));
         let evaluations = if restored { 2 } else { 1 };
         for event in events {
@@ -118,7 +122,7 @@
         self.mailboxes.send(component, message);
     }
 
-    /// Hands all messages to their components, until none is left.
+    /// Delivers messages to their components until none is left.
     fn empty_mailboxes(&mut self) {
         while let Some((component, message)) = self.mailboxes.next() {
             match component {
@@ -130,7 +134,7 @@
         }
     }
 
-    /// Hands a message to a server, which is known from when it is first listed.
+    /// Delivers a message to a server; the server is created when it is first listed.
     fn deliver_to_server(&mut self, id: ServerId, message: Message) {
         if let Message::Listed(endpoint) = message {
             self.servers.entry(id).or_insert_with(|| Server::new(endpoint, self.mailboxes.now));
@@ -151,8 +155,8 @@
         }
     }
 
-    /// Forgets servers that were removed long ago and that no table names. Guards memory where servers are replaced
-    /// all day under new ids.
+    /// Forgets servers that were removed long ago and that no table contains. Guards against unbounded memory
+    /// growth where servers are continually replaced under new ids.
     fn forget_removed_servers(&mut self) {
         let Controller { servers, endpoints, fleet, channel, mailboxes, .. } = self;
         servers.retain(|&id, server| {
@@ -167,7 +171,7 @@
     }
 }
 
-/// The limits that hold until the fleet has decided on any: everything is admitted.
+/// The limits until the fleet first decides on them: everything is admitted.
 fn initial_limits(config: &ControllerConfig) -> Vec<AdmissionLimit> {
     let limit = if config.admission_mode == AdmissionMode::Rate { f64::from(u32::MAX) } else { 1.0 };
     (0..config.operations.len())
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -45,7 +45,7 @@
     let removed = |server| Endpoint { readiness: Readiness::Removed, ..endpoint(server) };
     let change = WatchEvent::Delta(vec![removed(2), removed(3)]);
     controller.decide(START + 1, vec![Event::Endpoints(change)]);
-    // Each decide removes the line again, since the server is not wanted.
+    // Each call of `decide` removes the line again, since the server is no longer desired.
     controller.channel.sent.weights.insert(TableLine { table: FULL_TABLE, server: 3 }, 1.0);
     controller.decide(START + REMOVED_SERVER_RETENTION, Vec::new());
     assert_eq!(controller.servers.len(), 3);
--- a/src/deadlines.rs
+++ b/src/deadlines.rs
@@ -1,5 +1,5 @@
-//! Obligations with deadlines, whether the channel can still meet them (earliest deadline first), and the
-//! account of deadlines forecast to be met and missed for the log. Used by the channel and its pacing.
+//! Delivery deadlines: checks whether the channel can meet all of them (earliest deadline first), and counts
+//! for the log how many are forecast to be met and missed. Used by the channel and its pacing.
 
 use crate::interface::Nanos;
 
@@ -9,33 +9,33 @@
 /// Nanoseconds in a millisecond.
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// Lines that must have reached proxies by a deadline.
+/// A number of lines that must reach proxies by a deadline.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Obligation {
     pub(crate) deadline: Nanos,
     pub(crate) lines: f64,
 }
 
-/// When a first-in-first-out channel delivers what is put into it now.
+/// Forecast of when the first-in-first-out channel delivers lines that are sent now.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DeliveryForecast {
     pub(crate) now: Nanos,
-    /// Lines that are in the queue already.
+    /// Lines that are already queued.
     pub(crate) queued_lines: f64,
     pub(crate) lines_per_ns: f64,
-    /// Time from leaving the channel to arriving at the proxy.
+    /// Time between leaving the channel and arriving at the proxy.
     pub(crate) transit: Nanos,
 }
 
 impl DeliveryForecast {
-    /// Time at which the last of `lines` more lines arrives.
+    /// Returns when the last of `lines` additional lines arrives.
     pub(crate) fn arrival(&self, lines: f64) -> Nanos {
         let sending = (self.queued_lines + lines) / self.lines_per_ns;
         self.now + sending as Nanos + self.transit
     }
 
-    /// The longest time by which one of the obligations is late if the earliest deadlines go first; 0 if all
-    /// are met. No order of sending has a lower one.
+    /// Maximum lateness of the obligations if the earliest deadlines are served first; 0 if all are met. No
+    /// other order has a lower maximum.
     pub(crate) fn max_lateness(&self, obligations: &mut [Obligation]) -> Nanos {
         obligations.sort_by_key(|obligation| obligation.deadline);
         let mut lines = 0.0;
@@ -53,21 +53,21 @@
     }
 }
 
-/// Messages whose forecast arrival meets or misses their deadline, since the last line in the log; nothing here is
-/// measured, and a proxy that is sent two counts twice.
+/// Number of messages that are forecast to meet or miss their deadlines, since the last log line. The counts
+/// are forecasts, not measurements, and a proxy that is sent two messages counts twice.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DeadlineStatistics {
     /// Messages forecast to arrive in time.
     met: usize,
     /// Messages forecast to arrive late.
     missed: usize,
-    /// The longest forecast lateness, ns.
+    /// Longest forecast lateness, ns.
     max_lateness: Nanos,
     logged_at: Option<Nanos>,
 }
 
 impl DeadlineStatistics {
-    /// Counts a message to each of `proxies` proxies that is forecast to arrive at `arrival`.
+    /// Counts one message to each of `proxies` proxies, with a forecast arrival at `arrival`.
     pub(crate) fn record(&mut self, proxies: usize, deadline: Nanos, arrival: Nanos) {
         if arrival > deadline {
             self.missed += proxies;
@@ -77,8 +77,8 @@
         }
     }
 
-    /// The line for the log if deadlines were missed, at most once in `interval`; `pending` proxies are yet
-    /// to be notified.
+    /// Returns the log line if deadlines were missed, at most once per `interval`, and resets the counts;
+    /// `pending` proxies have not been notified yet.
     pub(crate) fn log_line(&mut self, pending: usize, now: Nanos, interval: Nanos) -> Option<String> {
         let logged_lately = self.logged_at.is_some_and(|at| now.saturating_sub(at) < interval);
         if self.missed == 0 || logged_lately {
--- a/src/deadlines/tests.rs
+++ b/src/deadlines/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::message::SECOND;
 
-/// A channel of 100 lines a second with 50 lines in its queue.
+/// A channel that sends 100 lines per second and has 50 lines in its queue.
 fn forecast() -> DeliveryForecast {
     DeliveryForecast { now: 0, queued_lines: 50.0, lines_per_ns: 100.0 / SECOND as f64, transit: SECOND }
 }
@@ -18,7 +18,7 @@
     assert_eq!(forecast().meets_all(&mut [second, first]), lateness == 0);
 }
 
-/// Guards against a change of the line that operators search the log for.
+/// Guards against a change of the log line that operators search for.
 #[rstest]
 fn missed_deadlines_are_logged_once_in_an_interval() {
     let mut statistics = DeadlineStatistics::default();
--- a/src/ejection.rs
+++ b/src/ejection.rs
@@ -1,6 +1,6 @@
-//! Outlier detection and ejection: which servers are outliers, how many of them may be ejected at once, for how long,
-//! and how a server returns. [`Server`](crate::server::Server) keeps the state, [`Fleet`](crate::fleet::Fleet)
-//! decides who is ejected.
+//! Outlier detection and ejection: which servers are outliers, how many of them may be ejected at once, how
+//! long an ejection lasts, and how a server returns. [`Server`](crate::server::Server) holds the state;
+//! [`Fleet`](crate::fleet::Fleet) decides which servers are ejected.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,59 +11,62 @@
 #[cfg(test)]
 mod tests;
 
-/// How long the first ejection of a server lasts; each further one lasts twice as long.
+/// Duration of a server's first ejection; each further ejection lasts twice as long as the one before.
 pub(crate) const BASE_EJECTION_TIME: Nanos = 5 * SECOND;
-/// How long an ejection lasts at most.
+/// Maximum duration of an ejection.
 pub(crate) const MAX_EJECTION_TIME: Nanos = 4 * BASE_EJECTION_TIME;
-/// Share of the ready servers that may be ejected at once.
+/// Maximum share of the ready servers that are ejected at once.
 const MAX_EJECTED_SHARE: f64 = 1.0 / 3.0;
-/// Share of its weight with which a server returns, and that an outlier keeps which may not be ejected, on top of
-/// what its health leaves it.
+/// Share of its weight with which a server returns from an ejection. An outlier that may not be ejected keeps
+/// the same share, on top of the reduction by its health.
 pub(crate) const RETURN_SHARE: f64 = 0.1;
-/// Time of good reports in which a returned server's share would rise from 0 to 1.
+/// Time with good reports in which the share of a returned server would rise from 0 to 1.
 const RECOVERY_TIME: Nanos = 5 * SECOND;
-/// Healthy servers that may look unresponsive by chance at one time, in the whole fleet. A server misses n expected
-/// responses by chance with probability e^-n: 30 servers need 5 missing responses, 600 need 8.
+/// Number of healthy servers in the whole fleet that are expected to appear unresponsive by chance at any one
+/// time. A server misses n expected responses by chance with probability e^-n: a fleet of 30 servers needs 5
+/// missing responses, one of 600 needs 8.
 pub(crate) const EXPECTED_FALSE_POSITIVES: f64 = 0.2;
 
-/// Missing responses that make a server unresponsive in a fleet of so many ready servers.
+/// Number of missing responses above which a server is unresponsive, in a fleet with this many ready servers.
 pub(crate) fn unresponsive_after(ready_servers: usize) -> f64 {
     (ready_servers.max(1) as f64 / EXPECTED_FALSE_POSITIVES).ln()
 }
 
-/// Whether a server responds as the reports on other servers lead to expect.
+/// Tracks whether a server responds as often as the reports on other servers lead to expect.
 ///
-/// Guards against servers that accept requests and never respond, long before their timeouts are reported; also
-/// against crashed machines and cut links. Only responses of other servers in the same reports count, since reports
-/// may be late for other reasons.
+/// Detects servers that accept requests and never respond, long before their timeouts are reported, and also
+/// crashed machines and broken links. A missing response is counted only when the same reports contain
+/// responses of other servers, since reports can be late for other reasons.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Responsiveness {
-    /// Its share of the weight as proxies apply it, 0 to 1: what they were sent, late.
+    /// The server's share of the total weight that proxies currently apply, 0 to 1; it lags behind the share
+    /// that was sent.
     pub(crate) applied_share: f64,
-    /// Responses expected of it since its last one.
+    /// Number of responses expected since the server's last one.
     pub(crate) missing_responses: f64,
-    /// When it was last known to respond; 0: never.
+    /// Time of the last known response; 0: none.
     pub(crate) last_response: Nanos,
-    /// It has responded since the last evaluation.
+    /// The server has responded since the last evaluation.
     pub(crate) responded: bool,
 }
 
 impl Responsiveness {
-    /// Notes a response.
+    /// Records a response.
     pub(crate) fn record_response(&mut self, now: Nanos) {
         self.missing_responses = 0.0;
         self.responded = true;
         self.last_response = now;
     }
 
-    /// Lets the applied share follow the share that was sent, over the feedback delay, ns.
+    /// Moves the applied share towards the share that was sent, with the feedback delay (ns) as time
+    /// constant.
     pub(crate) fn apply_share(&mut self, sent_share: f64, elapsed: Nanos, feedback_delay: Nanos) {
         let applied = 1.0 - (-(elapsed as f64) / feedback_delay as f64).exp();
         self.applied_share += (sent_share - self.applied_share) * applied;
     }
 
-    /// Counts responses expected of it where `fleet_responses` came from all servers, unless it has itself responded.
-    /// `expected`: reports have had the time to show what it does.
+    /// Counts the responses that were expected of this server, given `fleet_responses` from all servers,
+    /// unless it has itself responded. `expected`: enough time has passed for reports to show its responses.
     pub(crate) fn count_missing(&mut self, fleet_responses: f64, expected: bool) {
         if std::mem::take(&mut self.responded) {
             return;
@@ -73,17 +76,19 @@
         }
     }
 
-    /// Whether too many responses are missing, and a report with one could have come by now. `state_since`: since
-    /// when the server is listed, or back from an ejection.
+    /// Whether too many responses are missing and a report with one should have arrived by now.
+    /// `state_since`: when the server was listed or returned from an ejection.
     pub(crate) fn is_unresponsive(&self, state_since: Nanos, fleet: &EvaluationInputs, now: Nanos) -> bool {
         let silent_for = now.saturating_sub(self.last_response.max(state_since)) as f64;
         self.missing_responses > fleet.unresponsive_after && silent_for > fleet.max_report_gap
     }
 }
 
-/// Why a server is an outlier, if it is one. While failures are general, errors and slowness are no fault of its own.
+/// Returns why a server is an outlier, if it is one. While failures are general, errors and slow responses
+/// are not attributed to a single server.
 ///
-/// Updates `health` only where no other fault is found and failures are not general; otherwise it stays as it was.
+/// Updates `health` only if no other fault is found and failures are not general; otherwise `health` is
+/// unchanged.
 pub(crate) fn update_health_and_detect_fault(
     unresponsive: bool,
     fault_scores: &FaultScores,
@@ -104,23 +109,23 @@
     (health.health == Health::Unhealthy).then_some(Fault::Score)
 }
 
-/// One server's ejection and its return.
+/// The ejection state of one server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ejection {
-    /// Why it is an outlier; while it is ejected, why it was.
+    /// Why the server is an outlier; while it is ejected, why it was ejected.
     pub(crate) fault: Option<Fault>,
-    /// Since when it is ejected.
+    /// Time at which the server was ejected; `None` if it is not.
     pub(crate) since: Option<Nanos>,
-    /// How long its ejection lasts, or the next one would.
+    /// Duration of the current ejection, or of the next one.
     pub(crate) duration: Nanos,
-    /// Share of its weight that it has recovered to, 0 to 1.
+    /// Share of its weight that the server has regained, 0 to 1.
     pub(crate) recovery: f64,
-    /// In its last report successes outnumbered failures.
+    /// The server's last report had more successes than failures.
     pub(crate) last_report_good: bool,
 }
 
 impl Default for Ejection {
-    /// A server that was never ejected.
+    /// The state of a server that was never ejected.
     fn default() -> Self {
         Ejection {
             fault: None,
@@ -138,14 +143,14 @@
         self.since.is_some()
     }
 
-    /// Ejects the server, and gives the reason.
+    /// Ejects the server and returns the reason.
     pub(crate) fn begin(&mut self, now: Nanos) -> Fault {
         self.since = Some(now);
         self.fault.unwrap_or(Fault::Score)
     }
 
-    /// Takes this evaluation's fault; recovery rises while reports are good. True: the ejection ends, since its time
-    /// is over, or an unresponsive server responds.
+    /// Applies the fault found in this evaluation; the regained share rises while reports are good. Returns
+    /// true if the ejection ends: its time is over, or an unresponsive server has responded.
     pub(crate) fn update(
         &mut self,
         fault: Option<Fault>,
@@ -164,7 +169,8 @@
         false
     }
 
-    /// The state after it: back at [`RETURN_SHARE`], and the next ejection lasts twice as long.
+    /// The state after the ejection: the server has [`RETURN_SHARE`] of its weight, and its next ejection
+    /// lasts twice as long.
     pub(crate) fn ended(&self) -> Self {
         Ejection {
             duration: (2 * self.duration).min(MAX_EJECTION_TIME),
@@ -175,8 +181,8 @@
     }
 }
 
-/// Servers that are to be ejected: outliers, the worst first, up to [`MAX_EJECTED_SHARE`] of the ready ones, and
-/// never the last warm one. Guards against empty tables where all servers fail for one cause.
+/// Returns the servers to eject: the outliers, worst first, up to [`MAX_EJECTED_SHARE`] of the ready servers,
+/// and never the last warm one. Guards against empty tables when all servers fail for a common cause.
 pub(crate) fn servers_to_eject(statuses: &BTreeMap<ServerId, ServerStatus>) -> BTreeSet<ServerId> {
     let ready = || statuses.values().filter(|status| status.is_ready());
     let mut outliers: Vec<&ServerStatus> =
@@ -200,7 +206,7 @@
     ejected
 }
 
-/// Weight of a server that is not ejected: an outlier keeps [`RETURN_SHARE`] of it.
+/// Weight of a server that is not ejected; an outlier gets [`RETURN_SHARE`] of its weight.
 pub(crate) fn weight_in_table(status: &ServerStatus) -> f64 {
     if status.fault.is_some() {
         RETURN_SHARE * status.weight
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -1,4 +1,5 @@
-//! Follows the endpoint list and passes what changed to the servers. The controller gives it every watch event.
+//! The endpoint list: applies each watch event and notifies the servers that changed. The controller forwards
+//! the watch events.
 
 use std::collections::BTreeSet;
 
@@ -10,26 +11,26 @@
 #[cfg(test)]
 mod tests;
 
-/// Token of the timer after which a failed watch is opened again.
+/// Token of the timer after which a failed watch is retried.
 pub(crate) const WATCH_RETRY_TIMER: u64 = 2;
 /// The first backoff is the poll interval shifted right by this many bits: a sixteenth of it.
 const FIRST_BACKOFF_SHIFT: u32 = 4;
-/// The backoff doubles this many times at most, to the full poll interval.
+/// Number of times that the backoff doubles at most, up to the full poll interval.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// A listed weight beyond this or its inverse says nothing of capacity and counts as 1.
+/// A listed weight beyond this or below its inverse is not a plausible capacity and is replaced by 1.
 const MAX_LISTED_WEIGHT: f64 = 1e6;
 
-/// The endpoint list as it was last heard, and the backoff of a watch that fails.
+/// The servers in the last known endpoint list, and the backoff after failed watches.
 #[derive(Debug)]
 pub(crate) struct EndpointList {
-    /// The list has to be polled; otherwise it is pushed.
+    /// The list must be polled; otherwise it is pushed.
     polls: bool,
-    /// Time between polls, ns; the longest backoff.
+    /// Time between polls, ns; also the maximum backoff.
     poll_interval: Nanos,
     listed: BTreeSet<ServerId>,
-    /// Failed watches in a row.
+    /// Number of consecutive failed watches.
     failures: u32,
-    /// Source of the backoff's jitter.
+    /// Random number generator for the jitter of the backoff.
     random: oorandom::Rand64,
 }
 
@@ -67,8 +68,8 @@
         }
     }
 
-    /// Time until the watch is opened again, ns, with jitter. Guards against a rush of supervisors at a list service
-    /// that is late.
+    /// Time until the watch is retried, ns, with jitter. Guards a slow list service against simultaneous
+    /// retries of all supervisors.
     fn next_backoff(&mut self) -> Nanos {
         let doublings = self.failures.min(MAX_BACKOFF_DOUBLINGS);
         let backoff = (self.poll_interval >> FIRST_BACKOFF_SHIFT << doublings) as f64;
@@ -76,7 +77,7 @@
         (backoff * (0.5 + 0.5 * self.random.rand_float())) as Nanos
     }
 
-    /// Takes a full list: servers that it lacks are removed.
+    /// Applies a full list: servers absent from it are removed.
     fn replace(&mut self, endpoints: Vec<Endpoint>, mailboxes: &mut Mailboxes) {
         let present: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
         for &server in self.listed.difference(&present) {
@@ -86,7 +87,7 @@
         self.apply(endpoints, mailboxes);
     }
 
-    /// Takes servers that changed.
+    /// Applies the listed state of servers that changed.
     fn apply(&mut self, endpoints: Vec<Endpoint>, mailboxes: &mut Mailboxes) {
         self.failures = 0;
         for mut endpoint in endpoints {
@@ -102,7 +103,8 @@
     }
 }
 
-/// Passes a snapshot on to servers and fleet: it comes after the list, so that servers are known by then.
+/// Forwards the parts of a snapshot to the servers and to the fleet. The snapshot follows the endpoint list,
+/// so its servers are already known.
 fn forward_snapshot(snapshot: Snapshot, age: Nanos, mailboxes: &mut Mailboxes) {
     for &server in &snapshot.servers {
         let message = Message::RestoredServer { snapshot: server, age };
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Compares the servers, and decides for all of them: collects their statuses at each evaluation and puts the rules
-//! of `ejection`, `slow_start`, `admission`, `retries` and `isolation` together. The controller hands it messages.
+//! Decisions across all servers: collects their statuses at each evaluation and applies the rules of
+//! `ejection`, `slow_start`, `admission`, `retries` and `isolation`. The controller delivers its messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,62 +18,62 @@
     median, AttemptSums, DecayingSum, OutcomeTotals, RecentOutcomes, OUTCOME_TIME_CONSTANT,
 };
 
-/// Reports of late, from all proxies.
+/// Arrival and time span of recent reports from all proxies.
 #[derive(Debug, Default)]
 pub(crate) struct ReportTimes {
-    /// When the last one came; 0: none yet.
+    /// Time of the last report; 0: none yet.
     pub(crate) last: Nanos,
-    /// Time that they cover together, ns.
+    /// Total time span of the reports, ns.
     windows: DecayingSum,
     count: DecayingSum,
 }
 
 impl ReportTimes {
-    /// Adds a report that covers `window` ns.
+    /// Adds a report with a time span of `window` ns.
     fn record(&mut self, window: f64, now: Nanos) {
         self.last = now;
         self.windows.add(now, OUTCOME_TIME_CONSTANT, window);
         self.count.add(now, OUTCOME_TIME_CONSTANT, 1.0);
     }
 
-    /// Mean time that a report covers, ns.
+    /// Mean time span of a report, ns.
     fn mean_window(&self) -> f64 {
         self.windows.sum / self.count.sum.max(1.0)
     }
 }
 
-/// All servers together.
+/// State of all servers together.
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
-    /// Each server's last status.
+    /// Last status of each server.
     pub(crate) statuses: BTreeMap<ServerId, ServerStatus>,
-    /// Statuses of this evaluation that are still to come.
+    /// Number of statuses that this evaluation still waits for.
     pub(crate) pending_statuses: usize,
-    /// Responses that were reported since the last evaluation.
+    /// Number of responses reported since the last evaluation.
     pub(crate) new_responses: f64,
     pub(crate) reports: ReportTimes,
-    /// Recent attempts at all servers and failures.
+    /// Recent attempts at all servers and their failures.
     pub(crate) outcomes: AttemptSums,
-    /// The same over about one report interval: load shedding must not act on old reports.
+    /// Outcomes over about one report interval: load shedding must not act on older reports.
     pub(crate) recent_outcomes: RecentOutcomes,
     /// Time between two reports of a proxy, ns.
     pub(crate) report_interval: Nanos,
-    /// Mean response time from which the fleet counts as overloaded, ns.
+    /// Mean response time above which the fleet counts as overloaded, ns.
     pub(crate) overload_response_time: f64,
-    /// Weights that were last decided.
+    /// Weights from the last evaluation.
     pub(crate) weights: BTreeMap<ServerId, f64>,
-    /// Servers that our proxies use, while these are isolated on subsets.
+    /// Servers that this supervisor's proxies use while they are isolated on subsets; otherwise empty.
     pub(crate) subset_servers: BTreeSet<ServerId>,
     pub(crate) table_weights: TableWeights,
     pub(crate) admission: Admission,
     pub(crate) retries: Retries,
     pub(crate) isolation: Isolation,
-    /// What is admitted of each operation, and when it is retried.
+    /// Admission limit and retry policy of each operation.
     pub(crate) limits: Vec<AdmissionLimit>,
 }
 
 impl Fleet {
-    /// A fleet without servers; `limits` are those that proxies begin with.
+    /// Creates a fleet without servers; `limits` are the admission limits that proxies start with.
     pub(crate) fn new(config: &ControllerConfig, limits: Vec<AdmissionLimit>) -> Self {
         Fleet {
             report_interval: config.report_interval,
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Adds a report on one server: the time of all responses together and the window that it covers are in ns.
+    /// Adds a report on one server. `response_time_sum` is the total time of all responses and `window` the
+    /// report's time span, both in ns.
     fn record_report(
         &mut self,
         attempts: f64,
@@ -125,9 +126,10 @@
         self.outcomes.add(now, attempts, failures);
     }
 
-    /// Asks each server for its status; the last answer leads to decisions.
+    /// Requests the status of each server; the last response concludes the evaluation.
     pub(crate) fn request_statuses(&mut self, servers: Vec<ServerId>, mailboxes: &mut Mailboxes) {
-        // Servers outside our subsets get no requests from our proxies: no response is expected of them.
+        // Servers outside the subsets get no requests from this supervisor's proxies, so no response is
+        // expected of them.
         let subsets = &self.subset_servers;
         self.weights.retain(|server, _| subsets.is_empty() || subsets.contains(server));
         let total_weight: f64 = self.weights.values().sum();
@@ -147,7 +149,7 @@
         }
     }
 
-    /// What all servers are evaluated by in common; counts responses anew.
+    /// Returns the evaluation inputs that all servers share, and resets the count of new responses.
     fn take_evaluation_inputs(&mut self) -> EvaluationInputs {
         let responses = std::mem::take(&mut self.new_responses);
         let ready = || self.statuses.values().filter(|status| status.is_ready());
@@ -157,7 +159,7 @@
             responses,
             general_failure: self.retries.general_failure,
             unresponsive_after: unresponsive_after(ready().count()),
-            // The time of a late response, and that until it is reported.
+            // The time of a late response plus the time until it is reported.
             max_report_gap: self.overload_response_time + self.reports.mean_window(),
             ..EvaluationInputs::default()
         }
@@ -175,15 +177,17 @@
         kinds.into_iter().map(|(kind, totals)| (kind, totals.time / totals.count)).collect()
     }
 
-    /// Applies all rules to the statuses of this evaluation, and tells servers and channel what came of it.
+    /// Applies all rules to the statuses of this evaluation, and sends the decisions to the servers and the
+    /// channel.
     fn conclude_evaluation(&mut self, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
         let ejected_servers = servers_to_eject(&self.statuses);
         let failure_rate = self.outcomes.failure_rate(now);
         let recent = self.recent_outcomes.read(now, self.report_interval);
-        // Admission goes by the isolation of the evaluation before.
+        // Admission uses the isolation state of the previous evaluation.
         self.update_admission(recent, self.included_weight(&ejected_servers), mailboxes);
-        // Where an operation is spared, isolation and retries go by no failures at all.
+        // If failures leave an operation unaffected, isolation and retries are decided as if there were no
+        // failures.
         let general_failure_rate =
             if self.retries.has_unaffected_operation(now) { 0.0 } else { failure_rate };
         self.update_and_send_isolation(general_failure_rate, &recent, mailboxes);
@@ -192,7 +196,7 @@
         self.send_decisions(&ejected_servers, mailboxes);
     }
 
-    /// Weight of the servers that are ready and not left out, warming ones up to their limit.
+    /// Total weight of the servers that are ready and not ejected; warming servers count up to their limit.
     fn included_weight(&self, ejected_servers: &BTreeSet<ServerId>) -> f64 {
         let included = self
             .statuses
@@ -222,8 +226,8 @@
         recent: &OutcomeTotals,
         mailboxes: &mut Mailboxes,
     ) {
-        let late = self.overload_response_time;
-        self.isolation.update(failure_rate, recent, late, &self.statuses, mailboxes);
+        let overload_response_time = self.overload_response_time;
+        self.isolation.update(failure_rate, recent, overload_response_time, &self.statuses, mailboxes);
         mailboxes.send(Component::Channel, Message::Isolate(self.isolation.is_active()));
     }
 
@@ -250,7 +254,7 @@
         });
     }
 
-    /// Tells each server whether it is left out, and the channel its weight.
+    /// Sends each server its ejection decision, and the channel its desired weight.
     fn send_decisions(&self, ejected_servers: &BTreeSet<ServerId>, mailboxes: &mut Mailboxes) {
         for (&server, status) in &self.statuses {
             let is_ejected = ejected_servers.contains(&server);
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,5 +1,5 @@
-//! Health of one server: its score against the fleet, its state with hysteresis, and the capacity learned from its
-//! response times. Evaluated by [`Server`](crate::server::Server).
+//! Health of a server: its score relative to the fleet, its health state with hysteresis, and the capacity
+//! learned from its response times. [`Server`](crate::server::Server) evaluates it.
 
 use crate::interface::Nanos;
 use crate::message::{EvaluationInputs, SECOND};
@@ -8,34 +8,37 @@
 #[cfg(test)]
 mod tests;
 
-/// Health score, one minus the mean fault score, below which a server is unhealthy.
+/// Health score (one minus the mean fault score) below which a server is unhealthy.
 const UNHEALTHY_SCORE: f64 = 0.3;
 /// Health score above which a server is healthy.
 const HEALTHY_SCORE: f64 = 0.7;
-/// Error rate above the fleet's median at which the error score is 1.
+/// Difference between a server's error rate and the fleet's median at which the error score is 1.
 const CRITICAL_ERROR_RATE: f64 = 0.5;
-/// Multiple of the fleet's median response time at which the latency score is 1.
+/// Ratio of a server's response time to the fleet's median at which the latency score is 1.
 const CRITICAL_LATENCY_RATIO: f64 = 3.0;
-/// The health score must stay beyond a threshold for this long before the state changes.
+/// How long the health score must stay beyond a threshold before the health state changes.
 pub(crate) const STATE_CHANGE_DELAY: Nanos = 3 * SECOND;
-/// Least share of its weight that health leaves a degraded or unhealthy server.
+/// Minimum share of its weight that a degraded or unhealthy server keeps.
 const MIN_HEALTH_SHARE: f64 = 0.1;
 
-/// Time constant of learned response times: capacity changes slower than health.
+/// Time constant of learned response times; longer than that of outcomes, since capacity changes more slowly
+/// than health.
 pub(crate) const RESPONSE_TIME_CONSTANT: Nanos = 10 * SECOND;
-/// Responses of the servers of its kind that a server's mean response time is computed with in addition; also
-/// the responses from which a kind's mean is known at all.
+/// Weight of the prior in a server's mean response time, as a number of responses with the mean time of its
+/// kind. Also the minimum number of responses from which the mean of a kind is known.
 pub(crate) const KIND_PRIOR_RESPONSES: f64 = 24.0;
-/// Responses from which a mean response time is known at all.
+/// Number of responses above which a mean response time is known.
 const MIN_RESPONSES: f64 = 1.0;
-/// Power of the response time ratio in the capacity factor: below 1, since slow responses are partly queueing.
+/// Exponent of the response time ratio in the capacity factor; below 1, since part of a slow response is
+/// queueing.
 pub(crate) const CAPACITY_EXPONENT: f64 = 0.75;
-/// Power of the ratio of kinds' response times, where listed weights are nominal capacities.
+/// Exponent of the ratio of response times between kinds of servers, where listed weights are nominal
+/// capacities.
 pub(crate) const NOMINAL_KIND_EXPONENT: f64 = 0.5;
-/// The learned capacity factor stays within this and its inverse.
+/// Upper bound of the learned capacity factor; its inverse is the lower bound.
 const MAX_CAPACITY_FACTOR: f64 = 3.0;
 
-/// Fault scores of a server against the fleet, each from 0, as good as the median, to 1, critical.
+/// Fault scores of a server relative to the fleet, each from 0 (no worse than the median) to 1 (critical).
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FaultScores {
     pub(crate) errors: f64,
@@ -43,7 +46,7 @@
 }
 
 impl FaultScores {
-    /// Scores an error rate, 0 to 1, and a mean response time, ns.
+    /// Computes the scores of an error rate, 0 to 1, and a mean response time, ns.
     pub(crate) fn new(error_rate: f64, response_time: Option<f64>, fleet: &EvaluationInputs) -> Self {
         let latency_ratio = response_time
             .filter(|_| fleet.median_response_time > 0.0)
@@ -54,7 +57,7 @@
         }
     }
 
-    /// One minus the mean fault score: 1 is as good as the fleet, 0 critical in all respects.
+    /// One minus the mean fault score: 1 is as good as the fleet, 0 is critical in all respects.
     pub(crate) fn health_score(&self) -> f64 {
         1.0 - (self.errors + self.latency) / 2.0
     }
@@ -65,25 +68,25 @@
     }
 }
 
-/// Health of a server by its score.
+/// Health of a server, derived from its health score.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Health {
-    /// It keeps its weight.
+    /// The server keeps its full weight.
     #[default]
     Healthy,
-    /// Its weight is reduced.
+    /// The server's weight is reduced.
     Degraded,
-    /// It is an outlier.
+    /// The server is an outlier.
     Unhealthy,
 }
 
 impl Health {
-    /// Reads the number that a snapshot holds.
+    /// Converts the number stored in a snapshot.
     pub(crate) fn from_number(number: u8) -> Self {
         [Health::Healthy, Health::Degraded, Health::Unhealthy][usize::from(number.min(2))]
     }
 
-    /// The health that a health score by itself stands for.
+    /// The health that corresponds to a health score, without hysteresis.
     fn of(health_score: f64) -> Self {
         match health_score {
             score if score < UNHEALTHY_SCORE => Health::Unhealthy,
@@ -93,16 +96,16 @@
     }
 }
 
-/// Health with hysteresis: it changes after [`STATE_CHANGE_DELAY`] beyond a threshold.
+/// Health with hysteresis: it changes after the score has been beyond a threshold for [`STATE_CHANGE_DELAY`].
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct HealthState {
     pub(crate) health: Health,
-    /// Since when the health score has stood for another health.
+    /// Time since which the health score has corresponded to another health.
     changing_since: Option<Nanos>,
 }
 
 impl HealthState {
-    /// Takes the health score as of `now`.
+    /// Updates the health by the health score at `now`.
     pub(crate) fn update(&mut self, health_score: f64, now: Nanos) {
         let next = Health::of(health_score);
         if next == self.health {
@@ -112,7 +115,8 @@
         }
     }
 
-    /// Share of its weight that health leaves a server: all if healthy, else by its health score.
+    /// Share of its weight that a server keeps: all of it if healthy, otherwise a share that grows with its
+    /// health score.
     pub(crate) fn weight_share(&self, health_score: f64) -> f64 {
         if self.health == Health::Healthy {
             return 1.0;
@@ -122,23 +126,24 @@
     }
 }
 
-/// Response times of one server.
+/// Recent response times of one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ResponseTimes {
-    /// Responses that their time is known of.
+    /// Number of responses whose time is known.
     pub(crate) responses: DecayingSum,
-    /// Their time together, ns.
+    /// Total time of these responses, ns.
     pub(crate) total: DecayingSum,
 }
 
 impl ResponseTimes {
-    /// Adds responses that took `total` ns together.
+    /// Adds responses with a total time of `total` ns.
     pub(crate) fn add(&mut self, now: Nanos, responses: f64, total: f64) {
         self.responses.add(now, RESPONSE_TIME_CONSTANT, responses);
         self.total.add(now, RESPONSE_TIME_CONSTANT, total);
     }
 
-    /// Mean response time, ns, drawn towards that of its kind of servers by [`KIND_PRIOR_RESPONSES`].
+    /// Mean response time, ns, weighted with the mean of its kind of servers by [`KIND_PRIOR_RESPONSES`];
+    /// `None` with too few responses.
     pub(crate) fn mean(&mut self, now: Nanos, kind_response_time: f64) -> Option<f64> {
         let responses = self.responses.read(now, RESPONSE_TIME_CONSTANT);
         let prior = if kind_response_time > 0.0 { KIND_PRIOR_RESPONSES } else { 0.0 };
@@ -149,8 +154,8 @@
     }
 }
 
-/// Factor on a listed weight for capacity that the list does not tell: how fast a server responds among its kind and,
-/// to the power of `kind_exponent`, its kind among all.
+/// Factor on a listed weight for capacity that the list does not show: how fast a server responds relative to
+/// its kind and, with exponent `kind_exponent`, how fast its kind responds relative to all servers.
 pub(crate) fn capacity_factor(
     response_time: Option<f64>,
     fleet: &EvaluationInputs,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,26 +1,27 @@
-//! What the controller takes and gives, free of any wire format: its configuration, events and actions.
+//! The controller's interface, independent of any wire format: its configuration, the events that it receives
+//! and the actions that it returns.
 
-/// Whole nanoseconds: a duration, or a time on the controller's clock.
+/// A duration or a point in time on the controller's clock, in whole nanoseconds.
 pub type Nanos = u64;
-/// Identifies a server; given by whoever lists it.
+/// Id of a server, as the endpoint list gives it.
 pub type ServerId = u32;
-/// Identifies a proxy.
+/// Id of a proxy.
 pub type ProxyId = u16;
-/// Identifies a table of weighted endpoints.
+/// Number of a table of weighted endpoints.
 pub type TableId = u16;
-/// Position in the list of localities.
+/// Index into the list of localities.
 pub type LocalityId = u16;
-/// Set of operations: bit k stands for the operation at position k.
+/// Set of operations: bit k stands for the operation with index k.
 pub type OperationMask = u16;
 
 /// Whether an operation may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of executions has the effect of one.
+    /// Repeated executions have the same effect as one.
     Idempotent,
-    /// Servers drop a repeat that carries the same idempotency key.
+    /// Servers ignore a repeated request that carries the same idempotency key.
     Keyed,
-    /// A second execution has a second effect.
+    /// Each execution has an effect of its own.
     NonIdempotent,
 }
 
@@ -29,37 +30,37 @@
 pub enum DeduplicationScope {
     /// All servers.
     Everywhere,
-    /// Servers of the locality that executed the request first.
+    /// Servers of the locality in which the request was first executed.
     Locality,
-    /// Servers of the cell that executed the request first.
+    /// Servers of the cell in which the request was first executed.
     Cell,
 }
 
-/// An operation that clients invoke, with its objectives.
+/// An operation that clients invoke, with its latency objective and its value.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    /// Whether it may be executed more than once. No rule uses it.
+    /// Whether the operation may be executed more than once. Not used by the controller.
     pub idempotency: Idempotency,
-    /// Which servers recognise its idempotency keys. No rule uses it.
+    /// Which servers recognise the operation's idempotency keys. Not used by the controller.
     pub deduplication_scope: DeduplicationScope,
-    /// How long they remember a key. No rule uses it.
+    /// How long servers remember an idempotency key. Not used by the controller.
     pub deduplication_window: Nanos,
     /// Response time below which a response has its full value.
     pub latency_objective: Nanos,
-    /// Time after which a client gives up. No rule uses it.
+    /// Time after which a client gives up. Not used by the controller.
     pub timeout: Nanos,
-    /// Value of a response in time, relative to other operations.
+    /// Value of a response that meets the latency objective, relative to other operations.
     pub priority_weight: f64,
-    /// It may go only to servers of the proxy's own locality. No rule uses it.
+    /// Requests may go only to servers of the proxy's own locality. Not used by the controller.
     pub local_only: bool,
-    /// It changes state on the server. No rule uses it.
+    /// The operation changes state on the server. Not used by the controller.
     pub writes: bool,
 }
 
 /// How proxies apply admission limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionMode {
-    /// Not at all.
+    /// Proxies ignore them.
     Ignored,
     /// As the share of requests to admit, 0 to 1.
     Ratio,
@@ -67,370 +68,374 @@
     Rate,
 }
 
-/// What a value of a server's load report means; columns not known here are skipped.
+/// Meaning of one value in a server's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadColumn {
     /// Requests being executed.
     Active,
     /// Requests queued.
     Waiting,
-    /// Share of the processor in use.
+    /// CPU utilisation, 0 to 1.
     Cpu,
-    /// Mean time of execution.
+    /// Mean execution time.
     ServiceTime,
-    /// Not known here.
+    /// A value that this program does not know; it is skipped.
     Other,
 }
 
-/// Where servers' load values come from.
+/// Source of the servers' load values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadSource {
     /// Proxies' load reports.
     Reports,
-    /// Answers to health checks.
+    /// Responses to health checks.
     HealthChecks,
-    /// There are none.
+    /// No load values are available.
     None,
 }
 
-/// How much a listed weight says about the capacity of its server.
+/// How well a listed weight describes the capacity of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedCapacity {
-    /// Nothing: no weights are listed.
+    /// No weights are listed.
     Unknown,
     /// A rough measure, such as the number of cores.
     Approximate,
-    /// The capacity itself.
+    /// The weight is the capacity.
     Nominal,
 }
 
-/// Everything that a controller is configured with when it starts.
+/// Configuration of a controller.
 #[derive(Clone, Debug)]
 pub struct ControllerConfig {
-    /// Seed of all random choices.
+    /// Seed of the controller's random number generator.
     pub seed: u64,
-    /// Number of this supervisor, from 0.
+    /// Index of this supervisor, from 0.
     pub supervisor_index: u16,
-    /// Supervisors that there are.
+    /// Number of supervisors.
     pub supervisor_count: u16,
-    /// Locality of this supervisor. No rule uses it.
+    /// Locality of this supervisor. Not used by the controller.
     pub locality: LocalityId,
-    /// Localities that there are. No rule uses it.
+    /// Number of localities. Not used by the controller.
     pub locality_count: u16,
-    /// The operations, by position.
+    /// The operations; their position is the index that events and actions use.
     pub operations: Vec<Operation>,
-    /// The endpoint list has to be polled; otherwise it is pushed.
+    /// The endpoint list must be polled; otherwise it is pushed.
     pub polls_endpoints: bool,
     /// How proxies apply admission limits.
     pub admission_mode: AdmissionMode,
-    /// Where servers' load values come from. No rule uses it.
+    /// Source of the servers' load values. Not used by the controller.
     pub load_source: LoadSource,
-    /// What the values of a load report mean, by position. No rule uses it.
+    /// Meaning of the values of a load report, by position. Not used by the controller.
     pub load_columns: Vec<LoadColumn>,
-    /// Whether health checks may be sent. No rule uses it.
+    /// Whether health checks may be sent. Not used by the controller.
     pub health_checks_allowed: bool,
-    /// What listed weights say.
+    /// How well listed weights describe the servers' capacity.
     pub listed_capacity: ListedCapacity,
-    /// Proxies that all supervisors have together.
+    /// Number of proxies of all supervisors together.
     pub proxy_count: u32,
-    /// Lines that may wait in the channel to the proxies.
+    /// Number of lines that the channel to the proxies can queue.
     pub channel_capacity: f64,
-    /// Lines that the channel sends per second.
+    /// Rate of the channel, in lines per second.
     pub lines_per_s: f64,
-    /// Cost of a message beside its lines, in lines.
+    /// Cost of a message in addition to its lines, in lines.
     pub message_overhead: f64,
     /// Time between two reports of a proxy.
     pub report_interval: Nanos,
-    /// How long a joined proxy may be without a usable server. No rule uses it.
+    /// How long a connected proxy may be without a usable server. Not used by the controller.
     pub max_unserved_time: Nanos,
-    /// Share of the latency objective that a first attempt may take where a retry may follow. No rule uses it.
+    /// Share of the latency objective that a first attempt may take if a retry can follow. Not used by the
+    /// controller.
     pub first_wait: f64,
-    /// A proxy avoids a server after so many consecutive failures of its own there; 0: never.
+    /// Number of consecutive failures after which a proxy avoids a server of its own accord; 0: it never
+    /// does.
     pub failures_to_avoid: u32,
-    /// Key ranges that operations are partitioned into; 0: none. No rule uses it.
+    /// Number of key ranges that operations are partitioned into; 0: none. Not used by the controller.
     pub slices: u16,
-    /// A key range has one owner at a time. No rule uses it.
+    /// Each key range has a single owner at a time. Not used by the controller.
     pub sole_owner: bool,
-    /// How long a lease of a key range is valid. No rule uses it.
+    /// How long a lease of a key range is valid. Not used by the controller.
     pub lease_duration: Nanos,
-    /// Longest time that a request is in flight. No rule uses it.
+    /// Longest time that a request can be in flight. Not used by the controller.
     pub in_flight_max: Nanos,
-    /// Mean time from leaving the channel to the proxy.
+    /// Mean time between leaving the channel and arriving at the proxy.
     pub mean_transit: Nanos,
-    /// Longest time from leaving the channel to the proxy.
+    /// Longest time between leaving the channel and arriving at the proxy.
     pub worst_transit: Nanos,
-    /// Messages to all proxies that are allowed per window; 0: no limit.
+    /// Number of messages to all proxies together that may be written per window; 0: no limit.
     pub message_limit: u32,
-    /// Window of that limit.
+    /// Window of the message limit.
     pub message_limit_window: Nanos,
-    /// Retries of a proxy that was told nothing. No rule uses it.
+    /// Number of retries of a proxy that was sent no retry policy. Not used by the controller.
     pub retry_default: u8,
-    /// Least time between two polls of the endpoint list.
+    /// Minimum time between two polls of the endpoint list.
     pub poll_interval: Nanos,
-    /// Share of its capacity that a server has when it starts, 0 to 1.
+    /// Share of its full capacity that a server has when it starts, 0 to 1.
     pub slow_start_capacity: f64,
-    /// Time from its start until a server has its full capacity.
+    /// Time from a server's start until it has its full capacity.
     pub slow_start_duration: Nanos,
-    /// A server fails when it gets this multiple of what it can do.
+    /// A server fails when its load reaches this multiple of its capacity.
     pub overload_ratio: f64,
-    /// For how long it must get that much.
+    /// How long a server must be overloaded before it fails.
     pub overload_delay: Nanos,
-    /// Time within which no request may go to a draining or removed server any more.
+    /// Grace period after which no request may go to a draining or removed server any more.
     pub drain_grace: Nanos,
-    /// Requests may still go to a server that was removed without having drained.
+    /// Requests may still go to a server that was removed from the list without draining first.
     pub removal_is_advisory: bool,
 }
 
-/// Whether a server takes requests, as listed.
+/// Whether a server accepts requests, as listed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
-    /// It is not listed any more.
+    /// The server is not listed any more.
     #[default]
     Removed,
-    /// It takes requests.
+    /// The server accepts requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The server finishes its current requests and accepts no new ones.
     Draining,
 }
 
-/// One server of the endpoint list.
+/// A server in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Endpoint {
-    /// Which server.
+    /// Id of the server.
     pub server: ServerId,
-    /// Where it runs.
+    /// Locality that it runs in.
     pub locality: LocalityId,
-    /// Hardware kind; servers of a kind are comparable.
+    /// Hardware kind; servers of the same kind have comparable response times.
     pub kind: u16,
-    /// Group of servers within a locality. No rule uses it.
+    /// Group of servers within the locality. Not used by the controller.
     pub cell: u16,
-    /// Whether it takes requests.
+    /// Whether the server accepts requests.
     pub readiness: Readiness,
-    /// Listed weight, see [`ListedCapacity`].
+    /// Listed weight; [`ListedCapacity`] tells its meaning.
     pub weight: f64,
-    /// When it last started; 0: long ago.
+    /// Time of its last start; 0: unknown or long ago.
     pub started_at: Nanos,
 }
 
 /// A change of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent {
-    /// Servers that changed; all others are as they were.
+    /// The servers that changed; all others are unchanged.
     Delta(Vec<Endpoint>),
-    /// The whole list: servers that it lacks are removed.
+    /// The full list: servers absent from it are removed.
     Full(Vec<Endpoint>),
-    /// The whole list as an earlier process stored it.
+    /// The full list as an earlier process stored it.
     Cached(Vec<Endpoint>),
     /// The list could not be fetched.
     Failed,
 }
 
-/// What a controller has learned of one server, for the controller of a later process. Sums decay from when they
-/// were read.
+/// State that a controller has learned about one server, to be restored by a later process. Sums decay from
+/// the time of the snapshot on.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerSnapshot {
-    /// Which server.
+    /// Id of the server.
     pub server: ServerId,
-    /// Recent attempts there.
+    /// Recent attempts at the server, decayed.
     pub attempts: f64,
-    /// Those of them that failed.
+    /// Recent attempts that failed, decayed.
     pub failures: f64,
-    /// Responses that its response time was learned from.
+    /// Responses from which the server's response time was learned, decayed.
     pub responses: f64,
-    /// Time of these responses together, ns.
+    /// Total time of these responses, ns.
     pub response_time_sum: f64,
-    /// Responses expected of it since its last one.
+    /// Number of responses expected since the server's last one.
     pub missing_responses: f64,
-    /// Share of all requests that proxies have recently given it, 0 to 1.
+    /// Share of all requests that proxies have recently sent to the server, 0 to 1.
     pub applied_share: f64,
-    /// 0 healthy, 1 degraded, 2 unhealthy.
+    /// Health: 0 healthy, 1 degraded, 2 unhealthy.
     pub health: u8,
-    /// Share of its weight that it has recovered to, 0 to 1.
+    /// Share of its weight that the server has regained since an ejection, 0 to 1.
     pub recovery: f64,
-    /// For how long it has been ejected, where it is.
+    /// Time since the server was ejected; `None` if it is not ejected.
     pub ejected_for: Option<Nanos>,
-    /// It was ejected because it did not respond.
+    /// The server was ejected because it did not respond.
     pub unresponsive: bool,
-    /// How long an ejection lasts.
+    /// Duration of the current ejection, or of the next one.
     pub ejection_time: Nanos,
 }
 
-/// What a controller has learned, for the controller of a later process.
+/// State that a controller has learned, to be restored by a later process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// Of each server.
+    /// State learned about each server.
     pub servers: Vec<ServerSnapshot>,
-    /// Recent attempts at all servers together.
+    /// Recent attempts at all servers together, decayed.
     pub attempts: f64,
-    /// Those of them that failed.
+    /// Recent attempts that failed, decayed.
     pub failures: f64,
-    /// Weight that is usually ready.
+    /// Total weight of the servers that are usually ready.
     pub usual_weight: f64,
-    /// Most work per unit of ready weight that was served in a report interval.
+    /// Highest recent load that was served: work per unit of ready weight per report interval.
     pub peak_load: f64,
-    /// Limit on that work, where one was in force.
+    /// Limit on the admitted load, in the unit of `peak_load`; `None` if no load is shed.
     pub load_limit: Option<f64>,
-    /// For how long proxies are still isolated on subsets.
+    /// Remaining time for which proxies are isolated on subsets; 0: they are not.
     pub isolation_left: Nanos,
-    /// For how long they were last isolated.
+    /// Duration of the last isolation.
     pub isolation_time: Nanos,
 }
 
-/// How a health check ended.
+/// Result of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthCheckOutcome {
-    /// The server said that it is well.
+    /// The server reported itself healthy.
     Answered,
-    /// It answered with an error.
+    /// The server responded with an error.
     Errored,
-    /// It rejected the check for lack of capacity.
+    /// The server rejected the check for lack of capacity.
     Rejected,
-    /// It did not answer in time.
+    /// The server did not respond in time.
     TimedOut,
     /// No connection could be made.
     Unreachable,
-    /// The connection ended within the answer.
+    /// The connection was closed before the response was complete.
     Broken,
-    /// Anything else.
+    /// Any other result.
     Other,
 }
 
-/// What the joined proxies of one locality observed at one server.
+/// Outcomes of attempts at one server, as observed by the connected proxies of one locality.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointReport {
-    /// Which server.
+    /// Id of the server.
     pub server: ServerId,
-    /// Locality of the proxies.
+    /// Locality of the reporting proxies.
     pub locality: LocalityId,
-    /// Attempts that ended.
+    /// Number of attempts that ended.
     pub attempts: u32,
-    /// Those of them that failed.
+    /// Number of these attempts that failed.
     pub failures: u32,
-    /// Mean time of the successful attempts; 0 where none was successful.
+    /// Mean time of the successful attempts; 0 if none was successful.
     pub response_time: Nanos,
-    /// Time that the report covers.
+    /// Time span that the report covers.
     pub window: Nanos,
-    /// The server's own load values, see [`LoadColumn`].
+    /// Load values that the server itself reported; see [`LoadColumn`].
     pub load: Vec<f64>,
 }
 
-/// Something that the controller takes into account.
+/// An input of the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The endpoint list changed.
     Endpoints(WatchEvent),
-    /// What an earlier process had learned; comes after the first list.
+    /// State learned by an earlier process; follows the first endpoint list.
     Restored {
-        /// What it had learned.
+        /// State learned by the earlier process.
         snapshot: Snapshot,
-        /// How long ago that was.
+        /// Age of the snapshot.
         age: Nanos,
     },
-    /// Lines that were sent to proxies before this controller began and are not acknowledged: they may still wait.
+    /// Lines that an earlier controller sent to proxies and that are not acknowledged: they may still be
+    /// queued.
     Backlog {
-        /// So many lines, with the overhead of their messages.
+        /// Number of lines, including the overhead of their messages.
         lines: f64,
     },
     /// A proxy connected.
     Joined {
-        /// Which proxy.
+        /// Id of the proxy.
         proxy: ProxyId,
-        /// Where it runs.
+        /// Locality that it runs in.
         locality: LocalityId,
-        /// Requests per second that it ordinarily gets.
+        /// Request rate that the proxy usually receives, per second.
         rate: f64,
-        /// No supervisor has sent it anything yet; otherwise it may hold tables and exclusions of another one.
+        /// No supervisor has sent it anything yet; otherwise it may hold tables and exclusions from another
+        /// supervisor.
         is_new: bool,
     },
     /// A proxy disconnected.
     Left {
-        /// Which proxy.
+        /// Id of the proxy.
         proxy: ProxyId,
     },
-    /// What proxies observed at a server.
+    /// Proxies reported the outcomes of their attempts at a server.
     EndpointReport(EndpointReport),
-    /// Requests of an operation that came to a proxy.
+    /// A proxy reported the requests of an operation that it received.
     DemandReport {
-        /// Which proxy.
+        /// Id of the proxy.
         proxy: ProxyId,
-        /// Position of the operation.
+        /// Index of the operation.
         operation: u16,
-        /// Requests that came.
+        /// Number of requests received.
         total: u32,
-        /// Those of them that got no response.
+        /// Number of these requests that got no response.
         failures: u32,
-        /// Time that the report covers.
+        /// Time span that the report covers.
         window: Nanos,
     },
-    /// Requests of an operation that came to the users of a table. Not used by the controller.
+    /// Requests of an operation that the users of a table received. Not used by the controller.
     TableDemand {
-        /// Which table.
+        /// Number of the table.
         table: TableId,
-        /// Position of the operation.
+        /// Index of the operation.
         operation: u16,
-        /// Requests that came.
+        /// Number of requests received.
         total: u32,
-        /// Those of them that got no response.
+        /// Number of these requests that got no response.
         failures: u32,
-        /// Time that the report covers.
+        /// Time span that the report covers.
         window: Nanos,
     },
     /// A health check ended. Not used by the controller.
     HealthChecked {
-        /// Which server.
+        /// Id of the server.
         server: ServerId,
-        /// How it ended.
+        /// Result of the check.
         outcome: HealthCheckOutcome,
-        /// Time from the request to the end.
+        /// Time from sending the check to its result.
         elapsed: Nanos,
-        /// The server's load values, see [`LoadColumn`].
+        /// The server's load values; see [`LoadColumn`].
         load: Vec<f64>,
     },
-    /// A proxy has applied everything up to a mark.
+    /// A proxy has applied everything that was sent before a mark.
     Acknowledged {
-        /// Which proxy.
+        /// Id of the proxy.
         proxy: ProxyId,
-        /// The mark, see [`Action::RequestAck`].
+        /// Serial number of the mark; see [`Action::RequestAck`].
         serial: u64,
-        /// Time from sending the mark until it was applied.
+        /// Time from sending the mark to its application.
         elapsed: Nanos,
     },
     /// A lease of a table began or ended. Not used by the controller.
     LeaseChanged {
-        /// Which table.
+        /// Number of the table.
         table: TableId,
-        /// Whether it began.
+        /// Whether the lease began; otherwise it ended.
         on: bool,
     },
-    /// A weight as it is recorded. Not used by the controller.
+    /// The recorded weight of a server in a table. Not used by the controller.
     RecordedWeight {
-        /// Which table.
+        /// Number of the table.
         table: TableId,
-        /// Which server.
+        /// Id of the server.
         server: ServerId,
-        /// Its weight.
+        /// Weight of the server.
         weight: f64,
     },
-    /// Another supervisor sent a message. Not used by the controller.
+    /// A message arrived from another supervisor. Not used by the controller.
     PeerMessage {
-        /// Number of the other supervisor.
+        /// Index of the sending supervisor.
         from: u16,
-        /// What it sent.
+        /// Content of the message.
         content: Vec<u8>,
     },
     /// A timer set by [`Action::SetTimer`] has fired.
     TimerFired {
-        /// As the timer was set.
+        /// Token that the timer was set with.
         token: u64,
     },
 }
 
-/// When a proxy tries another server.
+/// When a proxy retries a request at another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryPolicy {
     /// Never.
     Never,
-    /// Once, if the first attempt provably was not executed.
+    /// Once, if the first attempt was provably not executed.
     IfNotExecuted,
     /// Once, after any failure.
     Once,
@@ -438,83 +443,83 @@
     Twice,
 }
 
-/// Something that the caller of the controller is to carry out.
+/// An instruction that the supervisor carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Give [`Event::TimerFired`] after a delay.
+    /// Pass [`Event::TimerFired`] to the controller after a delay.
     SetTimer {
-        /// The delay.
+        /// Time until the timer fires.
         delay: Nanos,
-        /// Names the timer.
+        /// Token that the event carries.
         token: u64,
     },
-    /// Send a health check. The controller never does.
+    /// Send a health check. The controller does not return this action.
     CheckHealth {
-        /// To which server.
+        /// Id of the server to check.
         server: ServerId,
     },
-    /// Send a message to one or all other supervisors. The controller never does.
+    /// Send a message to one or all other supervisors. The controller does not return this action.
     SendToPeer {
-        /// Number of the other supervisor; `None`: all.
+        /// Index of the receiving supervisor; `None`: all others.
         to: Option<u16>,
-        /// What to send.
+        /// Content of the message.
         content: Vec<u8>,
     },
     /// Write a line to the log.
     Log(String),
-    /// Begin or end the watch of the endpoint list.
+    /// Start or stop watching the endpoint list.
     WatchEndpoints {
-        /// Whether it is to begin.
+        /// Whether to start; otherwise stop.
         on: bool,
     },
-    /// Fetch the whole endpoint list. The controller never does.
+    /// Fetch the full endpoint list. The controller does not return this action.
     FetchEndpoints,
     /// Set the weight of a server in a table.
     SetWeight {
-        /// Which table.
+        /// Number of the table.
         table: TableId,
-        /// Which server.
+        /// Id of the server.
         server: ServerId,
-        /// Its weight; 0 removes it.
+        /// Weight of the server; 0 removes it from the table.
         weight: f64,
     },
-    /// Remove all servers from a table. The controller never does.
+    /// Remove all servers from a table. The controller does not return this action.
     ClearTable {
-        /// Which table.
+        /// Number of the table.
         table: TableId,
     },
-    /// Have proxies exclude a server, whatever their tables say, or readmit it.
+    /// Tell proxies to exclude a server regardless of their tables, or to readmit it.
     Exclude {
-        /// Which server.
+        /// Id of the server.
         server: ServerId,
-        /// Whether it is to be excluded.
+        /// Whether to exclude the server; otherwise readmit it.
         on: bool,
     },
-    /// Have a proxy use a table.
+    /// Assign a table to a proxy.
     AssignTable {
-        /// Which proxy.
+        /// Id of the proxy.
         proxy: ProxyId,
-        /// Which table.
+        /// Number of the table.
         table: TableId,
-        /// For which operations; 0: all of them.
+        /// Operations that it applies to; 0: all of them.
         operations: OperationMask,
     },
-    /// Limit what is admitted of operations, and set when they are retried.
+    /// Limit the admission of operations, and set their retry policy.
     LimitAdmission {
-        /// For the users of which table; `None`: for all joined proxies.
+        /// Table whose users the limit applies to; `None`: all connected proxies.
         table: Option<TableId>,
-        /// For which operations; 0: all of them.
+        /// Operations that it applies to; 0: all of them.
         operations: OperationMask,
         /// The limit, in the unit of [`AdmissionMode`].
         limit: f64,
-        /// When they are retried.
+        /// When requests of these operations are retried.
         retry_policy: RetryPolicy,
     },
-    /// Ask for [`Event::Acknowledged`] from the proxies that these actions reach.
+    /// Request [`Event::Acknowledged`] from the proxies that receive the actions before this one.
     RequestAck {
-        /// Names the mark.
+        /// Serial number of the mark.
         serial: u16,
-        /// From all joined proxies, also those that the actions do not reach.
+        /// Request it from all connected proxies, including those that receive none of the actions.
         everyone: bool,
     },
 }
--- a/src/isolation.rs
+++ b/src/isolation.rs
@@ -1,5 +1,5 @@
-//! Isolation: when proxies are isolated on subsets of the servers. Updated by [`Fleet`](crate::fleet::Fleet) at each
-//! evaluation; the channel assigns the subsets.
+//! Isolation: when proxies are isolated on subsets of the servers. [`Fleet`](crate::fleet::Fleet) updates it
+//! at each evaluation; the channel assigns the subsets.
 
 use std::collections::BTreeMap;
 
@@ -11,24 +11,24 @@
 #[cfg(test)]
 mod tests;
 
-/// How long proxies are isolated the first time. Each further time and each extension lasts twice as long as the one
-/// before; nothing limits or resets it.
+/// Duration of the first isolation. Each further isolation or extension lasts twice as long as the one
+/// before, without a limit or a reset.
 const BASE_ISOLATION_TIME: Nanos = 30 * SECOND;
 /// Error rate above which a server counts as failing, 0 to 1.
 const FAILING_ERROR_RATE: f64 = 0.1;
-/// Share of the ready servers that must be failing, 0 to 1.
+/// Minimum share of the ready servers that must be failing, 0 to 1.
 const MIN_FAILING_SHARE: f64 = 0.4;
-/// Lateness (mean response time over `overload_response_time`) from which proxies are not isolated however many
-/// servers fail; at half of it more than half of the servers must be failing. In an overload as many fail, but
-/// responses are late.
+/// Lateness (mean response time divided by `overload_response_time`) at which proxies are not isolated
+/// however many servers fail; at half of it, more than half of the servers must be failing. An overload makes
+/// as many servers fail, but with late responses.
 const MAX_LATENESS_RATIO: f64 = 1.5;
 
-/// Isolates proxies while connections are hard to get.
+/// Decides when proxies are isolated because connections are hard to establish.
 #[derive(Debug, Default)]
 pub(crate) struct Isolation {
-    /// Until when proxies are isolated, where they are.
+    /// Time at which the isolation ends; `None` if proxies are not isolated.
     pub(crate) until: Option<Nanos>,
-    /// For how long they were last isolated.
+    /// Duration of the last isolation.
     pub(crate) duration: Nanos,
 }
 
@@ -38,12 +38,12 @@
         self.until.is_some()
     }
 
-    /// Begins, extends or ends isolation; nothing changes before its time is over.
+    /// Begins, extends or ends isolation; nothing changes before the current isolation is over.
     ///
-    /// Guards against connections that are hard to get: servers accept few, or are slow to set them up. Attempts then
-    /// fail at many servers at once though responses are not late, and with a table of all servers nearly each
-    /// request needs a new connection. `failure_rate` is that of the fleet; `overload_response_time`, ns, is where
-    /// responses count as late.
+    /// Guards against connections that are hard to establish because servers accept few or are slow to accept
+    /// them. Attempts then fail at many servers at once although responses are not late, and with a table of
+    /// all servers nearly every request needs a new connection. `failure_rate` is the failure rate of the
+    /// fleet; responses count as late above `overload_response_time`, ns.
     pub(crate) fn update(
         &mut self,
         failure_rate: f64,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Share of the ready servers that are failing.
+/// Share of the ready servers that are failing, 0 to 1.
 fn failing_share(statuses: &BTreeMap<ServerId, ServerStatus>) -> f64 {
     let ready = || statuses.values().filter(|status| status.is_ready());
     let failing = ready().filter(|status| status.error_rate > FAILING_ERROR_RATE).count() as f64;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,9 @@
-//! The decisions of a control service that tells proxies, by weighted tables, which server their requests go to.
+//! Decision logic of a control service that assigns tables of weighted servers to proxies; a proxy sends its
+//! requests to the servers of its table.
 //!
-//! A supervisor gives [`Controller`] batches of [`interface::Event`]s and carries out the [`interface::Action`]s that
-//! it returns. Nothing here does I/O or reads a clock: the same events lead to the same actions.
+//! A supervisor passes batches of [`interface::Event`]s to a [`Controller`] and carries out the
+//! [`interface::Action`]s that it returns. This crate does no I/O and reads no clock: the same events always
+//! lead to the same actions.
 
 #![deny(missing_docs)]
 
--- a/src/message.rs
+++ b/src/message.rs
@@ -1,4 +1,4 @@
-//! The components of the controller and the messages that they exchange. Nothing is decided here.
+//! The components of the controller, and the messages that they exchange.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -10,110 +10,114 @@
 /// One second, in [`Nanos`].
 pub(crate) const SECOND: Nanos = 1_000_000_000;
 
-/// Time between two evaluations of everything, at the most.
+/// Maximum time between two evaluations.
 pub(crate) fn tick_interval(config: &ControllerConfig) -> Nanos {
     config.report_interval.clamp(SECOND / 10, SECOND) / 4
 }
 
-/// A part of the controller with state and a mailbox of its own. Messages are handled in this order.
+/// A part of the controller with its own state and mailbox. Mailboxes are emptied in the order of these
+/// variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Component {
-    /// Follows the endpoint list.
+    /// Applies changes of the endpoint list.
     Endpoints,
-    /// Knows one server.
+    /// State of one server.
     Server(ServerId),
-    /// Compares the servers and decides for all of them.
+    /// Decisions across all servers.
     Fleet,
-    /// Notifies proxies.
+    /// Decides what is sent to proxies.
     Channel,
 }
 
 /// A message to a component.
 #[derive(Clone, Debug)]
 pub(crate) enum Message {
-    // To the endpoint list.
-    /// The list changed.
+    // Messages to the endpoint list.
+    /// The endpoint list changed.
     Endpoints(WatchEvent),
-    /// What an earlier process had learned; also to the fleet.
+    /// State learned by an earlier process; the endpoint list forwards it to the fleet.
     Restored { snapshot: Snapshot, age: Nanos },
-    /// A watch that failed is due again.
+    /// A failed watch must be retried.
     RetryWatch,
 
-    // To a server.
-    /// The part of what was restored that concerns it.
+    // Messages to a server.
+    /// The server's part of the restored state.
     RestoredServer { snapshot: ServerSnapshot, age: Nanos },
-    /// It is listed so.
+    /// The server's current list entry.
     Listed(Endpoint),
-    /// A full list lacks it.
+    /// The server is absent from a full list.
     Removed,
-    /// What proxies observed at it.
+    /// What proxies observed at the server.
     Report(EndpointReport),
-    /// It is to answer with its [`ServerStatus`].
+    /// The server must respond with its [`ServerStatus`].
     Evaluate(EvaluationInputs),
-    /// The fleet leaves it out of the tables: `true` begins an ejection, `false` does nothing, since
-    /// `Ejection::update` ends them.
+    /// Whether the fleet leaves the server out of the tables. `true` begins an ejection; `false` has no
+    /// effect, since `Ejection::update` ends ejections.
     Ejection(bool),
 
-    // To the fleet.
-    /// Requests of an operation, and those that got no response.
+    // Messages to the fleet.
+    /// Requests of an operation, and the number of them that got no response.
     Demand { operation: usize, total: f64, failures: f64 },
-    /// What a report on one server said, in sum; the time of all responses together and the window are in ns.
+    /// Totals of a report on one server; `response_time_sum` (the total time of all responses) and `window`
+    /// are in ns.
     Observed { attempts: f64, failures: f64, response_time_sum: f64, window: f64 },
-    /// A server's answer to `Evaluate`.
+    /// A server's response to `Evaluate`.
     Status(ServerStatus),
-    /// Everything is to be evaluated; the servers that are known.
+    /// Evaluates all of the given servers.
     EvaluateAll(Vec<ServerId>),
-    /// Servers that stand in subsets which our proxies use.
+    /// Servers in the subsets that this supervisor's proxies use.
     SubsetServers(BTreeSet<ServerId>),
 
-    // To the channel.
-    /// What proxies are to be told of a server.
+    // Messages to the channel.
+    /// The desired state of a server at the proxies.
     DesiredWeight(ServerId, DesiredWeight),
-    /// What is admitted, by operation.
+    /// Admission limits of all operations.
     AdmissionLimits(Vec<AdmissionLimit>),
-    /// Whether proxies are to be isolated on subsets of the servers.
+    /// Whether proxies should be isolated on subsets of the servers.
     Isolate(bool),
     /// A proxy connected.
     Joined { proxy: ProxyId, rate: f64, is_new: bool },
-    /// So many requests came to a proxy.
+    /// A proxy received this many requests.
     ProxyDemand { proxy: ProxyId, total: f64 },
     /// A proxy disconnected.
     Left(ProxyId),
-    /// A proxy has applied what was marked with this serial.
+    /// A proxy has applied everything that was sent before the mark with this serial number.
     Acknowledged { proxy: ProxyId, serial: u64 },
-    /// Lines that an earlier controller sent and that may still wait.
+    /// Number of lines that an earlier controller sent and that may still be queued.
     Backlog(f64),
-    /// All messages of the batch were handled: notify proxies.
+    /// All other messages of the batch were handled: send updates to proxies.
     Flush,
 }
 
-/// What a server is evaluated by: the fleet as of the evaluation before, and its own share and kind.
+/// Inputs of a server's evaluation: the state of the fleet at the previous evaluation, and values for this
+/// server and its kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct EvaluationInputs {
-    /// Median of the servers' mean response times, ns; 0 where none is known.
+    /// Median of the servers' mean response times, ns; 0 if none is known.
     pub(crate) median_response_time: f64,
-    /// Mean response time of servers of its kind, ns; 0 where too little is known.
+    /// Mean response time of servers of its kind, ns; 0 with too few responses.
     pub(crate) kind_response_time: f64,
-    /// Median share of failed attempts, 0 to 1.
+    /// Median of the servers' error rates, 0 to 1.
     pub(crate) median_error_rate: f64,
-    /// Failures are general: errors and slowness are then lack of capacity, not one server's fault.
+    /// Failures are general: errors and slow responses then come from a lack of capacity, not from a fault of
+    /// one server.
     pub(crate) general_failure: bool,
-    /// Responses in this batch's reports, of all servers together.
+    /// Number of responses in this batch's reports, of all servers together.
     pub(crate) responses: f64,
-    /// So many missing responses make a server unresponsive.
+    /// Number of missing responses above which a server is unresponsive.
     pub(crate) unresponsive_after: f64,
-    /// Longest time in which nothing may be heard of a healthy server, ns.
+    /// Longest time without a report on a healthy server, ns.
     pub(crate) max_report_gap: f64,
-    /// This server's share of the weight sent to proxies, 0 to 1.
+    /// This server's share of the total weight sent to proxies, 0 to 1.
     pub(crate) weight_share: f64,
 }
 
-/// Why a server is an outlier.
+/// Reason why a server is an outlier.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Fault {
     /// Most attempts fail.
     Errors,
-    /// Responses are missing.
+    /// Expected responses are missing.
     Unresponsive,
     /// Its health score was below `UNHEALTHY_SCORE` for `STATE_CHANGE_DELAY`.
     Score,
@@ -129,70 +133,74 @@
     }
 }
 
-/// Recent responses: how many, and their time together.
+/// Number and total time of recent responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ResponseTotals {
     pub(crate) count: f64,
-    /// ns
+    /// Total time of these responses, ns.
     pub(crate) time: f64,
 }
 
-/// What a server reports of itself to the fleet.
+/// Status that a server reports to the fleet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerStatus {
-    /// As it is listed.
+    /// The server's list entry.
     pub(crate) endpoint: Endpoint,
-    /// Proxies are to exclude it: it drains, or it was removed where that excludes and had requests lately.
+    /// Proxies must exclude the server: it is draining, or it was removed while it still received requests
+    /// and removal is not advisory.
     pub(crate) must_exclude: bool,
-    /// Its slow start is over.
+    /// The server's slow start is over.
     pub(crate) warm: bool,
-    /// It is ejected.
+    /// The server is ejected.
     pub(crate) ejected: bool,
-    /// Why it should be ejected, if it should.
+    /// Why the server should be ejected; `None` if it should not.
     pub(crate) fault: Option<Fault>,
-    /// Orders the outliers.
+    /// How severe the fault is; the most severe outliers are ejected first.
     pub(crate) severity: f64,
-    /// Weight that it should have.
+    /// Weight that the server should have.
     pub(crate) weight: f64,
-    /// Its listed weight.
+    /// Listed weight of the server.
     pub(crate) listed_weight: f64,
-    /// Limit on its weight during slow start, beside the listed weights of all ready servers.
+    /// Limit on the server's weight during slow start, relative to the listed weights of all ready servers;
+    /// `None` once it is warm.
     pub(crate) slow_start_limit: Option<f64>,
-    /// Its mean response time, ns.
+    /// Mean response time of the server, ns.
     pub(crate) response_time: Option<f64>,
-    /// Its recent responses.
+    /// Recent responses of the server.
     pub(crate) recent_responses: ResponseTotals,
-    /// Share of its attempts that failed, 0 to 1.
+    /// Share of the attempts at the server that failed, 0 to 1.
     pub(crate) error_rate: f64,
 }
 
 impl ServerStatus {
-    /// Whether it is listed to take requests.
+    /// Returns whether the server accepts requests.
     pub(crate) fn is_ready(&self) -> bool {
         self.endpoint.readiness == Readiness::Ready
     }
 }
 
-/// What proxies are to be told of a server.
+/// The desired state of a server at the proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct DesiredWeight {
-    /// Its weight; 0: none.
+    /// Weight of the server; 0: not in the table.
     pub(crate) weight: f64,
-    /// It warms up or is not ready: a reduction of its weight does not wait for the next batch, and subsets do not
-    /// count on it.
+    /// The server is warming up or is not ready: a reduction of its weight does not wait for the next batch,
+    /// and subsets do not rely on it.
     pub(crate) unstable: bool,
-    /// Proxies are to exclude it: it drains, or it was removed where that excludes and had requests lately.
+    /// Proxies must exclude the server: it is draining, or it was removed while it still received requests
+    /// and removal is not advisory.
     pub(crate) must_exclude: bool,
-    /// It is not listed as ready: its removal from tables has a deadline, whether or not it must be excluded.
+    /// The server is not ready: its removal from tables has a deadline, even if proxies need not exclude it.
     pub(crate) unready: bool,
-    /// Where it runs.
+    /// Locality that the server runs in.
     pub(crate) locality: LocalityId,
-    /// Its start is known (`started_at` is not 0): a proxy that holds another supervisor's state may still exclude it
-    /// from before.
+    /// The server's start time is known (`started_at` is not 0): a proxy that holds another supervisor's
+    /// state may still exclude the server from before it started.
     pub(crate) has_known_start: bool,
 }
 
-/// What is admitted of an operation, in the unit of [`AdmissionMode`](crate::interface::AdmissionMode), and when it is retried.
+/// Admission limit of an operation, in the unit of [`AdmissionMode`](crate::interface::AdmissionMode), and
+/// its retry policy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct AdmissionLimit {
     pub(crate) operation: usize,
@@ -206,23 +214,23 @@
     /// Time of the batch.
     pub(crate) now: Nanos,
     pending: BTreeMap<Component, VecDeque<Message>>,
-    /// Actions in the order in which they are to be carried out.
+    /// Actions in the order in which they must be carried out.
     pub(crate) actions: Vec<Action>,
 }
 
 impl Mailboxes {
-    /// Empty mailboxes of a batch at `now`.
+    /// Creates empty mailboxes for a batch at `now`.
     #[cfg(test)]
     pub(crate) fn at(now: Nanos) -> Self {
         Mailboxes { now, ..Mailboxes::default() }
     }
 
-    /// Leaves a message for a component.
+    /// Adds a message to a component's mailbox.
     pub(crate) fn send(&mut self, to: Component, message: Message) {
         self.pending.entry(to).or_default().push_back(message);
     }
 
-    /// The oldest message of the first component that has one.
+    /// Removes and returns the oldest message of the first component that has one.
     pub(crate) fn next(&mut self) -> Option<(Component, Message)> {
         let mut mailbox = self.pending.first_entry()?;
         let component = *mailbox.key();
--- a/src/pacing.rs
+++ b/src/pacing.rs
@@ -1,6 +1,6 @@
-//! Pacing of the supervisor's one channel: an estimate of the lines in its queue, from what was sent and what
-//! proxies acknowledged, the rate learned from late acknowledgements, and the limit on messages. The channel
-//! asks it before it sends and records with it what was sent.
+//! Pacing of the supervisor's single channel: estimates the queue from the lines sent and acknowledged,
+//! learns the channel's rate from late acknowledgements, and applies the message limit. The channel consults
+//! it before sending and records what was sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,31 +18,31 @@
 #[cfg(test)]
 mod tests;
 
-/// The queue that deferrable lines may stand behind, in multiples of what the channel sends within the
-/// longest transit.
+/// Queue length up to which deferrable lines may be added, in multiples of what the channel sends within the
+/// longest transit time.
 const QUEUE_TARGET_TRANSITS: f64 = 2.0;
-/// The queue that deferrable lines may stand behind, as a share of what can be delivered within a drain grace: what
-/// is due next must not stand behind it.
+/// Queue length up to which deferrable lines may be added, as a share of what can be delivered within a drain
+/// grace period: lines that become due next must not wait longer than that.
 const QUEUE_TARGET_GRACE_SHARE: f64 = 0.25;
 
-/// Figures of the channel, and the estimate of its queue. Rates are in lines per nanosecond.
+/// Parameters of the channel, and the estimate of its queue. Rates are in lines per nanosecond.
 #[derive(Debug, Default)]
 pub(crate) struct Pacing {
     pub(crate) configured_lines_per_ns: f64,
-    /// Lines that the channel holds.
+    /// Number of lines that the channel can queue.
     pub(crate) capacity_lines: f64,
-    /// Cost of a message beside its lines, in lines.
+    /// Cost of a message in addition to its lines, in lines.
     pub(crate) message_overhead: f64,
-    /// Time from leaving the channel to arriving at the proxy.
+    /// Mean time between leaving the channel and arriving at the proxy.
     pub(crate) mean_transit: Nanos,
     pub(crate) worst_transit: Nanos,
-    /// Lines that deferrable ones may stand behind, at the configured rate.
+    /// Queue length up to which deferrable lines may be added, at the configured rate.
     pub(crate) configured_queue_target: f64,
-    /// Lines in the queue as of `updated_at`.
+    /// Estimated lines in the queue at `updated_at`.
     pub(crate) queued_lines: f64,
     pub(crate) updated_at: Nanos,
     last_serial: u16,
-    /// Marks that await acknowledgement, by serial.
+    /// Marks that await acknowledgement, by serial number.
     pub(crate) pending_marks: BTreeMap<u64, PendingMark>,
     pub(crate) message_limit: MessageLimit,
     learned_rate: LearnedRate,
@@ -50,7 +50,7 @@
 }
 
 impl Pacing {
-    /// An idle channel as it is configured.
+    /// Creates the pacing of an idle channel.
     pub(crate) fn new(config: &ControllerConfig) -> Self {
         let mut pacing = Pacing {
             configured_lines_per_ns: config.lines_per_s / SECOND as f64,
@@ -63,34 +63,35 @@
         };
         let by_transit = QUEUE_TARGET_TRANSITS * config.worst_transit as f64 * pacing.configured_lines_per_ns;
         let by_grace = QUEUE_TARGET_GRACE_SHARE * pacing.deliverable_lines(config.drain_grace);
-        // Enough that the channel is not idle between two evaluations.
+        // At least enough that the channel is not idle between two evaluations.
         let until_next_tick = tick_interval(config) as f64 * pacing.configured_lines_per_ns;
         pacing.configured_queue_target = by_transit.min(by_grace).max(until_next_tick);
         pacing
     }
 
-    /// Time that a message is likely to take from leaving the channel to arriving at its proxy.
+    /// Expected time between leaving the channel and arriving at the proxy, chosen halfway between mean and
+    /// worst transit.
     fn likely_transit(&self) -> Nanos {
         self.mean_transit + self.worst_transit.saturating_sub(self.mean_transit) / 2
     }
 
-    /// Lines that can be sent and arrive within `time`, at the configured rate.
+    /// Number of lines that can be sent and arrive within `time`, at the configured rate.
     pub(crate) fn deliverable_lines(&self, time: Nanos) -> f64 {
         time.saturating_sub(self.likely_transit()) as f64 * self.configured_lines_per_ns
     }
 
-    /// The rate that acknowledgements show, at most the configured one.
+    /// The channel's rate learned from acknowledgements; at most the configured rate.
     pub(crate) fn learned_lines_per_ns(&self) -> f64 {
         self.learned_rate.scale(self.configured_lines_per_ns)
     }
 
-    /// Lines in the queue behind which deferrable ones may be put, at the learned rate.
+    /// Queue length up to which deferrable lines may be added, at the learned rate.
     pub(crate) fn queue_target(&self) -> f64 {
         self.learned_rate.scale(self.configured_queue_target)
     }
 
-    /// When the channel delivers what is sent now; [`Pacing::update_queue`] has brought the estimate up to
-    /// date.
+    /// Forecast of the delivery of lines sent now. The caller must have updated the estimate with
+    /// [`Pacing::update_queue`].
     pub(crate) fn forecast(&self, now: Nanos) -> DeliveryForecast {
         DeliveryForecast {
             now,
@@ -100,8 +101,8 @@
         }
     }
 
-    /// Records what was sent and requests acknowledgement. All actions of one flush are one message to a
-    /// proxy, with one mark.
+    /// Records sent lines and requests their acknowledgement. All actions of one flush form one message per
+    /// proxy, with a single mark.
     pub(crate) fn record_sent(
         &mut self,
         lines: f64,
@@ -135,19 +136,20 @@
         mailboxes.actions.push(Action::RequestAck { serial: self.last_serial, everyone: false });
     }
 
-    /// Takes over lines that an earlier controller sent and nobody has acknowledged.
+    /// Accounts for lines that an earlier controller sent and that are not acknowledged: the queue is at
+    /// least that long.
     pub(crate) fn take_over_backlog(&mut self, lines: f64, now: Nanos) {
         self.update_queue(now);
         self.queued_lines = self.queued_lines.max(lines);
     }
 
-    /// Brings the estimate up to date and returns the lines in the queue.
+    /// Updates the estimate and returns the number of lines in the queue.
     pub(crate) fn update_queue(&mut self, now: Nanos) -> f64 {
         let elapsed = now.saturating_sub(self.updated_at) as f64;
         self.updated_at = now;
         self.message_limit.advance(elapsed);
         self.drop_settled_marks(now);
-        // What is unacknowledged, less what is in transit, is still queued.
+        // Lines that are unacknowledged and not in transit are still queued.
         let in_transit = if self.has_late_mark(now) { 0.0 } else { self.lines_in_transit() };
         let unacknowledged =
             self.pending_marks.values().map(PendingMark::unacknowledged_lines).sum::<f64>() - in_transit;
@@ -156,8 +158,8 @@
         self.queued_lines
     }
 
-    /// Drops marks that all have acknowledged, and those older than [`MAX_SLOWDOWN`] times what a full channel takes
-    /// at the configured rate: they count as lost.
+    /// Drops marks that all recipients have acknowledged, and marks older than [`MAX_SLOWDOWN`] times the
+    /// time in which a full channel empties at the configured rate: those count as lost.
     fn drop_settled_marks(&mut self, now: Nanos) {
         let lines_per_ns = self.configured_lines_per_ns;
         let max_lines = MAX_SLOWDOWN * self.capacity_lines;
@@ -171,20 +173,21 @@
         self.pending_marks.values().any(|mark| mark.is_late(now))
     }
 
-    /// Whether a message should go although the queue seems long: acknowledgements are late and nothing was
-    /// sent for the worst transit. Only another message shows whether the channel is slow or the proxies are
-    /// gone.
+    /// Whether a message should be sent although the queue appears long: acknowledgements are late and
+    /// nothing was sent for the worst transit time. Only another message shows whether the channel is slow or
+    /// the proxies are gone.
     pub(crate) fn is_probe_due(&self, now: Nanos) -> bool {
         self.has_late_mark(now) && now.saturating_sub(self.last_sent_at) >= self.worst_transit
     }
 
-    /// Lines on their way to proxies at the configured rate.
+    /// Number of lines in transit to proxies at the configured rate.
     pub(crate) fn lines_in_transit(&self) -> f64 {
         self.configured_lines_per_ns * self.mean_transit as f64
     }
 
-    /// Learns the channel's rate when half of a mark's messages are acknowledged. A proxy that is late though
-    /// it acknowledged a later mark before tells nothing of the channel: its mark is dropped by then.
+    /// Learns the channel's rate when half of a mark's messages are acknowledged. A proxy that acknowledges
+    /// late, after a later mark was acknowledged, shows nothing about the channel: its mark has been dropped
+    /// by then.
     fn learn_rate(&mut self, serial: u64, now: Nanos) {
         let Some(mark) = self.pending_marks.get(&serial).filter(|mark| mark.shows_rate()) else { return };
         let lines = (mark.queued_lines - mark.unacknowledged_lines()).max(self.message_overhead);
@@ -195,8 +198,8 @@
         });
     }
 
-    /// A proxy has applied what was marked with `serial`. Messages leave the channel in order: all marks
-    /// before have left it too.
+    /// Records that a proxy has applied everything before the mark `serial`. Messages leave the channel in
+    /// order, so those of all earlier marks have left it too.
     pub(crate) fn acknowledge(&mut self, proxy: ProxyId, serial: u64, now: Nanos) {
         let Some(mark) = self.pending_marks.get_mut(&serial) else { return };
         let sent_at = mark.sent_at;
@@ -206,7 +209,7 @@
         self.pending_marks.retain(|_, mark| mark.sent_at >= sent_at);
     }
 
-    /// Forgets a proxy that has left: nothing sent to it is queued any more.
+    /// Removes a proxy that has left: its unacknowledged lines no longer count as queued.
     pub(crate) fn remove_proxy(&mut self, proxy: ProxyId) {
         for mark in self.pending_marks.values_mut() {
             mark.awaiting.remove(&proxy);
--- a/src/pacing/learned_rate.rs
+++ b/src/pacing/learned_rate.rs
@@ -1,36 +1,36 @@
-//! The rate of the channel that acknowledgements show: at most the configured one. Pacing has it learn from
-//! marks.
+//! The channel's rate as learned from acknowledgements; at most the configured rate. Pacing feeds it an
+//! observation per mark.
 
-/// Greatest slowdown, in multiples of the configured time on top of it: 12 means 13 times as long.
+/// Maximum slowdown: additional time in multiples of the configured time; 12 means 13 times as long.
 pub(super) const MAX_SLOWDOWN: f64 = 12.0;
-/// Share by which an acknowledgement out of time moves the learned slowdown towards what it shows.
+/// Share by which an observation moves the learned slowdown towards the observed one.
 const SLOWDOWN_GAIN: f64 = 0.5;
 
-/// How long lines took to leave the channel; all times are in nanoseconds.
+/// Observed time that lines took to leave the channel; all times are in nanoseconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Observation {
-    /// At the configured rate.
+    /// Time at the configured rate.
     pub(super) configured_time: f64,
-    /// As acknowledgements show, less the mean transit.
+    /// Time shown by acknowledgements, less the mean transit time.
     pub(super) time: f64,
-    /// By how much transits differ.
+    /// Variation of the transit time.
     pub(super) jitter: f64,
 }
 
-/// What was learned of the channel's rate.
+/// Estimate of the channel's rate.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LearnedRate {
-    /// Time by which messages take longer than at the configured rate, in multiples of that time.
+    /// Additional time that messages take, in multiples of the time at the configured rate.
     slowdown: f64,
 }
 
 impl LearnedRate {
-    /// A figure of the channel at the configured rate, scaled to the learned one.
+    /// Scales a rate or an amount of lines from the configured rate to the learned one.
     pub(super) fn scale(&self, at_configured_rate: f64) -> f64 {
         at_configured_rate / (1.0 + self.slowdown)
     }
 
-    /// Learns from an observation that differs from what was learned by more than the jitter.
+    /// Learns from an observation that differs from the expected time by more than the jitter.
     pub(super) fn learn(&mut self, observation: Observation) {
         let Observation { configured_time, time, jitter } = observation;
         let expected_time = configured_time * (1.0 + self.slowdown);
--- a/src/pacing/message_limit.rs
+++ b/src/pacing/message_limit.rs
@@ -1,19 +1,20 @@
-//! The limit on messages that a supervisor may write in a time. Updates ask it before they write.
+//! The limit on the number of messages that a supervisor may write per window. Updates check it before they
+//! write.
 
 use crate::interface::Nanos;
 
-/// Messages written of late, and their limit. Half of the limit may be written at once, the other half over
-/// its window.
+/// Messages written recently, and their limit. Half of the limit may be written at once, the other half over
+/// the window.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MessageLimit {
-    /// Half of the limit; infinite where there is none.
+    /// Half of the limit; infinite without a limit.
     half: f64,
     window: Nanos,
     recent: f64,
 }
 
 impl MessageLimit {
-    /// At most `limit` messages in `window`; 0: any number.
+    /// Creates a limit of `limit` messages per `window`; 0: no limit.
     pub(super) fn new(limit: u32, window: Nanos) -> Self {
         let half = match limit {
             0 => f64::INFINITY,
@@ -22,17 +23,18 @@
         MessageLimit { half, window: window.max(1), recent: 0.0 }
     }
 
-    /// Lets `elapsed` nanoseconds pass.
+    /// Advances the time by `elapsed` nanoseconds.
     pub(super) fn advance(&mut self, elapsed: f64) {
         self.recent = (self.recent - self.half * elapsed / self.window as f64).max(0.0);
     }
 
-    /// Counts a message.
+    /// Counts a written message.
     pub(super) fn record_message(&mut self) {
         self.recent += 1.0;
     }
 
-    /// Whether another message would exceed a share of what may be written at once; one message always may.
+    /// Whether another message would exceed the given share of what may be written at once; a single message
+    /// is always allowed.
     pub(crate) fn is_reached(&self, share: f64) -> bool {
         self.recent + 1.0 > (self.half * share).max(1.0)
     }
--- a/src/pacing/tests.rs
+++ b/src/pacing/tests.rs
@@ -35,14 +35,15 @@
         pacing.record_sent(1_000.0, proxies.iter().copied().collect(), &mut mailboxes);
         mailboxes.actions.len()
     };
-    // What is sent in one flush is one message to a proxy, with one mark.
+    // Everything sent in one flush forms one message per proxy, with a single mark.
     assert_eq!((send(0, &[1, 2]), send(0, &[2, 3]), send(1, &[1, 2])), (1, 0, 1));
     let awaiting =
         |pacing: &Pacing| pacing.pending_marks.values().map(|mark| mark.awaiting.len()).collect::<Vec<_>>();
     assert_eq!(awaiting(&pacing), [3, 2]);
     let first = &pacing.pending_marks[&1];
     assert_eq!((first.lines, first.messages), (2_000.0, 3));
-    // Twice, by a proxy that has nothing to acknowledge, and of a serial that there is not.
+    // A repeated acknowledgement, one from a proxy with nothing to acknowledge, and one with an unknown
+    // serial number.
     for (proxy, serial) in [(1, 1), (1, 1), (9, 1), (2, 7)] {
         pacing.acknowledge(proxy, serial, START);
     }
@@ -53,8 +54,8 @@
     assert_eq!(awaiting(&pacing), [0]);
 }
 
-/// Guards against a channel at a tenth of its rate that is taken for idle: what would be in transit at the
-/// configured rate is still queued, which shows once most acknowledgements are late.
+/// Guards against mistaking a channel at a tenth of its rate for an idle one: lines that would be in transit
+/// at the configured rate are still queued, which shows once most acknowledgements are late.
 #[rstest]
 #[case::in_time(0, 6_000.0 - 2_000.0 - 200.0)]
 #[case::late(2, 6_000.0)]
--- a/src/proxies.rs
+++ b/src/proxies.rs
@@ -1,5 +1,5 @@
-//! The proxies that are connected to this supervisor and what each of them holds. The channel keeps it;
-//! nothing is decided here.
+//! The proxies connected to this supervisor and the state that each of them holds. The channel owns this data
+//! and makes all decisions on it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,32 +8,33 @@
 use crate::statistics::DecayingSum;
 use crate::tables::{EXCLUSIONS, FULL_TABLE};
 
-/// Time constant over which each proxy's requests are summed.
+/// Time constant of each proxy's sum of requests.
 const REQUEST_TIME_CONSTANT: Nanos = 10 * SECOND;
 
 /// A connected proxy.
 #[derive(Debug, Default)]
 pub(crate) struct Proxy {
-    /// Requests that came to it.
+    /// Requests that the proxy received.
     pub(crate) requests: DecayingSum,
-    /// The table that it should use.
+    /// Table that the proxy should use.
     pub(crate) intended_table: TableId,
-    /// The table that it was last assigned.
+    /// Table that the proxy was last assigned; `None` before the first assignment.
     pub(crate) assigned_table: Option<TableId>,
     pub(crate) joined_at: Nanos,
-    /// It came with state that another supervisor had sent.
+    /// The proxy joined with state that another supervisor had sent.
     pub(crate) holds_foreign_state: bool,
-    /// It was sent all servers that it must not send to.
+    /// The proxy was sent all servers that it must exclude.
     pub(crate) has_exclusions: bool,
 }
 
 impl Proxy {
-    /// Whether this supervisor has sent it neither a table nor the exclusions, however long ago it joined.
+    /// Whether this supervisor has sent the proxy neither a table nor the exclusions, regardless of how long
+    /// ago it joined.
     pub(crate) fn is_newly_joined(&self) -> bool {
         self.assigned_table.is_none() && !self.has_exclusions
     }
 
-    /// The table whose lines are sent to it.
+    /// The table whose lines the proxy receives.
     pub(crate) fn receives_table(&self) -> TableId {
         self.assigned_table.unwrap_or(EXCLUSIONS)
     }
@@ -50,7 +51,7 @@
 }
 
 impl Proxies {
-    /// Enters a proxy to which `rate` requests per second come.
+    /// Adds a proxy that receives `rate` requests per second.
     pub(crate) fn join(&mut self, id: ProxyId, rate: f64, is_new: bool, intended_table: TableId, now: Nanos) {
         let requests =
             DecayingSum { sum: rate * REQUEST_TIME_CONSTANT as f64 / SECOND as f64, updated_at: now };
@@ -64,7 +65,7 @@
         self.by_id.insert(id, proxy);
     }
 
-    /// Counts requests that came to a proxy.
+    /// Counts requests that a proxy received.
     pub(crate) fn record_requests(&mut self, id: ProxyId, total: f64, now: Nanos) {
         if let Some(proxy) = self.by_id.get_mut(&id) {
             proxy.requests.add(now, REQUEST_TIME_CONSTANT, total);
@@ -76,7 +77,7 @@
         self.by_id.values().filter(|proxy| proxy.is_newly_joined())
     }
 
-    /// Users of each table; unassigned proxies stand under [`EXCLUSIONS`].
+    /// Number of users of each table; unassigned proxies are counted under [`EXCLUSIONS`].
     pub(crate) fn users_by_table(&self) -> BTreeMap<TableId, f64> {
         let mut users = BTreeMap::new();
         for proxy in self.by_id.values() {
@@ -85,28 +86,28 @@
         users
     }
 
-    /// Tables that proxies are assigned.
+    /// Tables that are assigned to at least one proxy.
     pub(crate) fn assigned_tables(&self) -> BTreeSet<TableId> {
         self.by_id.values().filter_map(|proxy| proxy.assigned_table).collect()
     }
 
-    /// Tables that proxies use or are to use; the full table too where a proxy has none yet.
+    /// Tables that proxies use or should use, including the full table for each unassigned proxy.
     pub(crate) fn used_or_intended_tables(&self) -> BTreeSet<TableId> {
         let tables = |proxy: &Proxy| [proxy.intended_table, proxy.assigned_table.unwrap_or(FULL_TABLE)];
         self.by_id.values().flat_map(tables).collect()
     }
 
-    /// Proxies for which a condition holds, by number.
+    /// Ids of the proxies that satisfy a condition, in ascending order.
     pub(crate) fn ids_where(&self, condition: impl Fn(&Proxy) -> bool) -> Vec<ProxyId> {
         self.by_id.iter().filter(|(_, proxy)| condition(proxy)).map(|(&id, _)| id).collect()
     }
 
-    /// Proxies that wait for the full table as their first.
+    /// Proxies that wait for the full table as their first one.
     pub(crate) fn awaiting_full_table(&self) -> Vec<ProxyId> {
         self.ids_where(Proxy::awaits_full_table)
     }
 
-    /// Number of proxies that are to use the full table, on it already or not.
+    /// Number of proxies that should use the full table, whether they already do or not.
     pub(crate) fn count_intended_for_full_table(&self) -> usize {
         self.by_id.values().filter(|proxy| proxy.intended_table == FULL_TABLE).count()
     }
--- a/src/server.rs
+++ b/src/server.rs
@@ -1,5 +1,5 @@
-//! What is known of one server, and its evaluation, put together from the rules in `health`, `ejection` and
-//! `slow_start`. The controller hands it messages; the fleet asks for its status at each evaluation.
+//! One server: its observed state and its evaluation, which applies the rules of `health`, `ejection` and
+//! `slow_start`. The controller delivers its messages; the fleet requests its status at each evaluation.
 
 use crate::ejection::{update_health_and_detect_fault, Ejection, Responsiveness};
 use crate::health::{
@@ -14,23 +14,24 @@
 #[cfg(test)]
 mod tests;
 
-/// Decayed attempts (time constant 5 s) above which proxies count as still sending to a removed server.
+/// Number of recent attempts (decayed with a time constant of 5 s) above which proxies are considered to be
+/// still sending to a removed server.
 const MIN_RECENT_ATTEMPTS: f64 = 0.1;
-/// Recent responses from which a server that is no longer listed still counts as ready, where a list may drop servers
-/// wrongly.
+/// Number of recent responses above which an unlisted server still counts as ready, where removal from the
+/// list is advisory because the list may drop servers by mistake.
 const MIN_RESPONSES_UNLISTED: f64 = PRIOR_ATTEMPTS;
 
-/// What all servers are evaluated by.
+/// Configuration of the evaluation, the same for all servers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerConfig {
     pub(crate) slow_start: SlowStart,
-    /// From an action until reports show its effect, at the longest, ns.
+    /// Longest time until reports show the effect of an action, ns.
     pub(crate) feedback_delay: Nanos,
-    /// Listed weights are nominal capacities; otherwise all count as 1.
+    /// Listed weights are nominal capacities; otherwise all servers count as 1.
     pub(crate) capacities_listed: bool,
-    /// Power of the ratio of response times between kinds of servers.
+    /// Exponent of the ratio of response times between kinds of servers.
     pub(crate) kind_exponent: f64,
-    /// Requests may still go to a server that was removed without having drained.
+    /// Requests may still go to a server that was removed from the list without draining first.
     pub(crate) removal_is_advisory: bool,
 }
 
@@ -47,15 +48,15 @@
     }
 }
 
-/// One server as the proxies of this supervisor experience it.
+/// The state of one server, as observed by the proxies of this supervisor.
 #[derive(Debug, Default)]
 pub(crate) struct Server {
-    /// As it is listed.
+    /// The server's last entry in the endpoint list.
     pub(crate) endpoint: Endpoint,
-    /// Since when it is listed, removed, or back from an ejection; after a restore it may lie before that, so that
-    /// missing responses count soon.
+    /// Time at which it was listed, was removed, or returned from an ejection. After a restore the time may
+    /// be earlier, so that missing responses are counted soon.
     pub(crate) state_since: Nanos,
-    /// Recent attempts there and failures.
+    /// Recent attempts at this server and their failures.
     pub(crate) outcomes: AttemptSums,
     pub(crate) response_times: ResponseTimes,
     pub(crate) responsiveness: Responsiveness,
@@ -69,7 +70,7 @@
         Server { endpoint, state_since: now, evaluated_at: now, ..Server::default() }
     }
 
-    /// When it last changed state or responded.
+    /// Time of its last response or change of state.
     pub(crate) fn last_active(&self) -> Nanos {
         self.state_since.max(self.responsiveness.last_response)
     }
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Takes what the list says: a restarted server begins anew.
+    /// Applies a list entry: a server that restarted or became ready again loses its learned state.
     fn apply_listing(&mut self, endpoint: Endpoint, now: Nanos) {
         let before = self.endpoint.readiness;
         let became_ready = endpoint.readiness == Readiness::Ready && before != Readiness::Ready;
@@ -108,13 +109,13 @@
         if endpoint.readiness == Readiness::Removed && before != Readiness::Removed {
             self.state_since = now;
         }
-        // What drained must stay excluded when it is removed.
+        // A server that drained must stay excluded once it is removed.
         let drained = before == Readiness::Draining && endpoint.readiness == Readiness::Removed;
         let readiness = if drained { before } else { endpoint.readiness };
         self.endpoint = Endpoint { readiness, ..endpoint };
     }
 
-    /// Takes what proxies observed at it, and passes the sums on to the fleet.
+    /// Records what proxies observed at this server, and forwards the totals to the fleet.
     pub(crate) fn record_report(&mut self, report: &EndpointReport, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
         let attempts = f64::from(report.attempts);
@@ -134,7 +135,7 @@
         mailboxes.send(Component::Fleet, Message::Observed { attempts, failures, response_time_sum, window });
     }
 
-    /// Compares it with the fleet, follows its ejection, and gives its status.
+    /// Compares this server with the fleet, updates its ejection, and returns its status.
     pub(crate) fn evaluate(
         &mut self,
         fleet: EvaluationInputs,
@@ -161,12 +162,12 @@
         self.status(&evaluation, &fleet, config, now)
     }
 
-    /// Begins anew after an ejection, with a small share of its weight.
+    /// Returns the server from its ejection with a small share of its weight; other learned state is lost.
     pub(crate) fn return_from_ejection(&mut self, now: Nanos) {
         *self = Server { ejection: self.ejection.ended(), ..Server::new(self.endpoint, now) };
     }
 
-    /// Its status after an evaluation.
+    /// Returns the server's status after an evaluation.
     fn status(
         &mut self,
         evaluation: &Evaluation,
@@ -201,7 +202,8 @@
         }
     }
 
-    /// The endpoint as it counts: where a list may drop servers wrongly, one that still responds is ready.
+    /// Returns the list entry to decide by: where removal is advisory, a removed server that still responds
+    /// counts as ready.
     fn effective_endpoint(&mut self, config: &ServerConfig, now: Nanos) -> Endpoint {
         let responds = config.removal_is_advisory
             && self.response_times.responses.read(now, RESPONSE_TIME_CONSTANT) > MIN_RESPONSES_UNLISTED;
@@ -212,7 +214,7 @@
         endpoint
     }
 
-    /// Whether no proxy may send to it, whatever its table says.
+    /// Returns whether all proxies must exclude this server, regardless of their tables.
     fn must_exclude(&self, readiness: Readiness, config: &ServerConfig) -> bool {
         match readiness {
             Readiness::Ready => false,
@@ -224,7 +226,7 @@
     }
 }
 
-/// What an evaluation found, before any ejection ended.
+/// Results of an evaluation, computed before a finished ejection is ended.
 struct Evaluation {
     /// Share of recent attempts that failed, 0 to 1.
     error_rate: f64,
--- a/src/slow_start/tests.rs
+++ b/src/slow_start/tests.rs
@@ -36,29 +36,29 @@
 #[case::no_report_since_the_start(1.0, 8, 8, 0, true)]
 #[case::few_failures(0.95, 8, 8, START, false)]
 #[case::failures_at_a_few_servers(0.5, 8, 3, START, false)]
-fn warming_servers_wait_while_proxies_avoid_warm_ones(
+fn warming_servers_are_held_back_while_proxies_avoid_warm_ones(
     #[case] success_rate: f64,
     #[case] warm: u32,
     #[case] failing: u32,
     #[case] last_report: Nanos,
-    #[case] waits: bool,
+    #[case] held_back: bool,
 ) {
     let error_rate = |id| if id <= failing { 1.0 - success_rate } else { 0.0 };
     let warm = (1..=warm).map(|id| ServerStatus { error_rate: error_rate(id), ..status(id) });
     let mut fleet = fleet(warm.chain((20..24).map(|id| warming(id, 0.5))));
     fleet.reports.last = last_report;
     fleet.update_weights(&BTreeSet::new(), success_rate, START);
-    assert_eq!(fleet.weights[&20] == 0.0, waits);
+    assert_eq!(fleet.weights[&20] == 0.0, held_back);
 }
 
 #[rstest]
 #[case::regular(START, 1, false)]
 #[case::gap(START, 3, true)]
 #[case::first_reports(0, 1, true)]
-fn gap_in_the_reports_makes_warming_servers_wait_at_fewer_failures(
+fn warming_servers_are_held_back_at_fewer_failures_after_a_gap_in_the_reports(
     #[case] last_report: Nanos,
     #[case] gap_s: u64,
-    #[case] waits: bool,
+    #[case] held_back: bool,
 ) {
     let warm = (1..=8).map(|id| ServerStatus { error_rate: 0.2, ..status(id) });
     let mut fleet = fleet(warm.chain([warming(20, 0.5)]));
@@ -71,21 +71,21 @@
         fleet.handle(observed, &mut Mailboxes::at(now));
     }
     fleet.update_weights(&BTreeSet::new(), 0.75, START + gap_s * SECOND);
-    assert_eq!(fleet.weights[&20] == 0.0, waits);
+    assert_eq!(fleet.weights[&20] == 0.0, held_back);
 }
 
 #[rstest]
 #[case::most_still_listed(10, false)]
 #[case::most_removed(30, true)]
-fn removed_weight_makes_warming_servers_wait_at_fewer_failures(
+fn warming_servers_are_held_back_at_fewer_failures_after_a_loss_of_weight(
     #[case] usual_weight: u32,
-    #[case] waits: bool,
+    #[case] held_back: bool,
 ) {
     let warm = (1..=8).map(|id| ServerStatus { error_rate: 0.1, ..status(id) });
     let mut fleet = fleet(warm.chain([warming(40, 0.5)]));
     fleet.table_weights.usual_weight.add(START, SECOND, f64::from(usual_weight));
     fleet.update_weights(&BTreeSet::new(), 0.9, START);
-    assert_eq!(fleet.weights[&40] == 0.0, waits);
+    assert_eq!(fleet.weights[&40] == 0.0, held_back);
 }
 
 #[rstest]
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -1,8 +1,8 @@
-//! What survives a restart, and what it weighs by its age: servers and fleet write their part of a [`Snapshot`] and
-//! begin from one. Called by the controller.
+//! Snapshots: which state survives a restart, and how its weight decreases with its age. Servers and fleet
+//! write their part of a [`Snapshot`] and restore it. Called by the controller.
 //!
-//! Guards callers against a controller that learns again, at their cost, which servers fail. Servers that recovered
-//! meanwhile return after [`MAX_EJECTION_TIME`] at the latest.
+//! Guards against a restarted controller that has to learn again, through failed requests, which servers
+//! fail. Servers that recovered in the meantime return after [`MAX_EJECTION_TIME`] at the latest.
 
 use crate::ejection::{BASE_EJECTION_TIME, EXPECTED_FALSE_POSITIVES, MAX_EJECTION_TIME, RETURN_SHARE};
 use crate::fleet::Fleet;
@@ -16,21 +16,21 @@
 #[cfg(test)]
 mod tests;
 
-/// Share that restored sums weigh, beside what they decay by their age.
+/// Weight of restored sums, in addition to their decay by age.
 const RESTORED_SHARE: f64 = 0.8;
-/// States, such as health or a limit, are restored up to this age; sums always.
+/// Maximum age up to which states, such as health or a limit, are restored; sums are restored at any age.
 const MAX_STATE_AGE: Nanos = 60 * SECOND;
-/// Missing responses of a restored ejected server: any positive number lets its first response end an ejection for
-/// being unresponsive.
+/// Number of missing responses of a restored ejected server. With any positive number, its first response
+/// ends an ejection for being unresponsive.
 const RESTORED_MISSING_RESPONSES: f64 = 1.0 / EXPECTED_FALSE_POSITIVES;
 
-/// What a restored sum weighs by its age.
+/// Weight of a restored sum of this age.
 fn restored_share(age: Nanos, time_constant: Nanos) -> f64 {
     RESTORED_SHARE * (-(age as f64) / time_constant as f64).exp()
 }
 
 impl Server {
-    /// What is known of it, as of `now`.
+    /// Returns the state learned about this server, as of `now`.
     pub(crate) fn snapshot(&mut self, now: Nanos) -> ServerSnapshot {
         let outcomes = self.outcomes.read(now);
         ServerSnapshot {
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Takes what was known of it `age` ago, unless it has responded since; `feedback_delay`, ns, is the longest time
-    /// until reports show an action's effect.
+    /// Restores state learned `age` ago, unless the server has responded since. `feedback_delay`, ns, is the
+    /// longest time until reports show the effect of an action.
     pub(crate) fn restore(
         &mut self,
         snapshot: &ServerSnapshot,
@@ -73,7 +73,8 @@
             return;
         }
         self.health.health = Health::from_number(snapshot.health);
-        // Proxies still apply the earlier tables: a server that is silent now was silent before.
+        // Proxies still apply the earlier tables, so a server that does not respond now did not respond
+        // before either.
         self.responsiveness.responded = false;
         self.responsiveness.missing_responses =
             snapshot.missing_responses * restored_share(age, OUTCOME_TIME_CONSTANT);
@@ -84,7 +85,7 @@
         self.restore_ejection(snapshot, age, now);
     }
 
-    /// An ejection goes on for what is left of it; one that is over has ended.
+    /// Restores an ejection for its remaining time; the server returns if that time is over.
     fn restore_ejection(&mut self, snapshot: &ServerSnapshot, age: Nanos, now: Nanos) {
         self.ejection.recovery = snapshot.recovery.clamp(RETURN_SHARE, 1.0);
         self.ejection.duration = snapshot.ejection_time.clamp(BASE_EJECTION_TIME, MAX_EJECTION_TIME);
@@ -102,7 +103,7 @@
 }
 
 impl Fleet {
-    /// What is known of all servers together, as of `now`; each server adds its own part.
+    /// Returns the state learned about all servers together, as of `now`; each server adds its own part.
     pub(crate) fn snapshot(&mut self, now: Nanos) -> Snapshot {
         let outcomes = self.outcomes.read(now);
         Snapshot {
@@ -117,14 +118,15 @@
         }
     }
 
-    /// Takes what was known `age` ago.
+    /// Restores state learned `age` ago.
     pub(crate) fn restore(&mut self, snapshot: &Snapshot, age: Nanos, now: Nanos) {
         let share = restored_share(age, OUTCOME_TIME_CONSTANT);
         self.outcomes.add(now, snapshot.attempts * share, snapshot.failures * share);
         if age > MAX_STATE_AGE {
             return;
         }
-        // The usual weight is no evidence of anything: it decays, and is not worth less beside.
+        // The usual weight is not a sample of outcomes: it only decays, without the reduction of
+        // [`RESTORED_SHARE`].
         let usual_share = restored_share(age, USUAL_WEIGHT_TIME_CONSTANT);
         self.table_weights.usual_weight =
             DecayingSum { sum: snapshot.usual_weight * usual_share / RESTORED_SHARE, updated_at: now };
--- a/src/snapshot/tests.rs
+++ b/src/snapshot/tests.rs
@@ -8,7 +8,7 @@
 use crate::testing::{config, endpoint, report, START};
 use crate::Controller;
 
-/// A snapshot of six servers, of which 3 is ejected and 4 is slow.
+/// A snapshot of six servers, of which server 3 is ejected and server 4 is slow.
 fn stored(ejected_for: Nanos, unresponsive: bool) -> Snapshot {
     let healthy = |server| ServerSnapshot {
         server,
@@ -31,7 +31,7 @@
     Snapshot { servers, attempts: 240.0, failures: 10.0, usual_weight: 6.0, ..Snapshot::default() }
 }
 
-/// Weights of the first table that a new controller sends, by server.
+/// Weights in the first table that a new controller sends, by server.
 fn first_table(config: &ControllerConfig, age: Nanos) -> BTreeMap<ServerId, f64> {
     let mut controller = Controller::new(config);
     let events = vec![
@@ -51,10 +51,10 @@
     let weights = first_table(&config, 2 * SECOND);
     assert!(!weights.contains_key(&3) && weights.len() == 5, "{weights:?}");
     assert!(weights[&4] < weights[&1], "{weights:?}");
-    // Its ejection time of 10 s is over by then: it is back at a tenth.
+    // The ejection time of 10 s is over by then: the server is back at a tenth of its weight.
     let weights = first_table(&config, 15 * SECOND);
     assert_eq!(weights[&3], RETURN_SHARE);
-    // A week later all are as if nothing were known.
+    // After a week, all servers are treated as if nothing were known.
     let weights = first_table(&config, 7 * 24 * 3600 * SECOND);
     assert!(weights.len() == 6 && weights.values().all(|weight| *weight == weights[&1]), "{weights:?}");
 }
@@ -72,7 +72,7 @@
     let now = START + 3 * SECOND;
     let ejected_for = |controller: &mut Controller, now| controller.snapshot(now).servers[2].ejected_for;
     assert_eq!(ejected_for(&mut controller, now), Some(5 * SECOND));
-    // Two restarts in a row: the second snapshot is older and weighs less, not more.
+    // After two restarts in a row, the second snapshot is older and weighs less, not more.
     let snapshot = controller.snapshot(now);
     assert!(snapshot.servers[0].attempts < 20.0 && snapshot.attempts < 120.0, "{snapshot:?}");
     controller.decide(now, vec![Event::EndpointReport(report(3, 9, 0))]);
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -1,5 +1,4 @@
-//! Sums that decay over time, totals of outcomes, and the median. Used by all decision rules; nothing is decided
-//! here.
+//! Decaying sums, totals of outcomes, and the median, used by all decision rules.
 
 use crate::interface::Nanos;
 use crate::message::SECOND;
@@ -7,22 +6,23 @@
 #[cfg(test)]
 mod tests;
 
-/// Time constant of sums of attempts and failures: health is judged by about the last 5 s.
+/// Time constant of sums of attempts and failures: health reflects about the last 5 s.
 pub(crate) const OUTCOME_TIME_CONSTANT: Nanos = 5 * SECOND;
-/// Successful attempts that every failure rate is computed with in addition: a few failures are no evidence.
+/// Number of successful attempts added to every failure rate as a prior, so that a few failures alone are not
+/// significant.
 pub(crate) const PRIOR_ATTEMPTS: f64 = 4.0;
 
-/// A sum that decays exponentially; it is brought up to date when it is read.
+/// A sum that decays exponentially; the decay is applied when it is read.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingSum {
-    /// The sum as of `updated_at`.
+    /// Value at `updated_at`.
     pub(crate) sum: f64,
-    /// When it was last brought up to date.
+    /// Time at which the decay was last applied.
     pub(crate) updated_at: Nanos,
 }
 
 impl DecayingSum {
-    /// The sum as of `now`, where what was added a `time_constant` ago counts 1/e of what it did.
+    /// Returns the sum at `now`; an amount added one `time_constant` ago counts 1/e of its original value.
     pub(crate) fn read(&mut self, now: Nanos, time_constant: Nanos) -> f64 {
         let elapsed = now.saturating_sub(self.updated_at) as f64;
         self.sum *= (-elapsed / time_constant as f64).exp();
@@ -30,19 +30,19 @@
         self.sum
     }
 
-    /// Adds to the sum as of `now`.
+    /// Adds an amount at `now`.
     pub(crate) fn add(&mut self, now: Nanos, time_constant: Nanos, amount: f64) {
         self.read(now, time_constant);
         self.sum += amount;
     }
 }
 
-/// Share of attempts that failed, 0 to 1, drawn towards 0 by [`PRIOR_ATTEMPTS`].
+/// Share of attempts that failed, 0 to 1, reduced by the prior of [`PRIOR_ATTEMPTS`].
 pub(crate) fn failure_rate(failures: f64, attempts: f64) -> f64 {
     failures / (attempts + PRIOR_ATTEMPTS)
 }
 
-/// Recent attempts, or requests, and those of them that failed.
+/// Decaying sums of attempts (or requests) and of their failures.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AttemptSums {
     pub(crate) attempts: DecayingSum,
@@ -50,13 +50,13 @@
 }
 
 impl AttemptSums {
-    /// Adds attempts that ended, as of `now`.
+    /// Adds attempts that ended at `now`.
     pub(crate) fn add(&mut self, now: Nanos, attempts: f64, failures: f64) {
         self.attempts.add(now, OUTCOME_TIME_CONSTANT, attempts);
         self.failures.add(now, OUTCOME_TIME_CONSTANT, failures);
     }
 
-    /// Both as of `now`.
+    /// Returns both sums at `now`.
     pub(crate) fn read(&mut self, now: Nanos) -> AttemptTotals {
         AttemptTotals {
             attempts: self.attempts.read(now, OUTCOME_TIME_CONSTANT),
@@ -78,18 +78,18 @@
     pub(crate) failures: f64,
 }
 
-/// Outcomes of attempts at all servers together, over about one report interval.
+/// Decaying sums of the outcomes at all servers together, over about one report interval.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RecentOutcomes {
     attempts: DecayingSum,
     failures: DecayingSum,
     successes: DecayingSum,
-    /// Time of the successes together, ns.
+    /// Total time of the successes, ns.
     response_time_sum: DecayingSum,
 }
 
 impl RecentOutcomes {
-    /// Adds what one report says; `response_time_sum` is the time of all successes, ns.
+    /// Adds the totals of one report; `response_time_sum` is the total time of its successes, ns.
     pub(crate) fn add(
         &mut self,
         now: Nanos,
@@ -104,7 +104,7 @@
         self.response_time_sum.add(now, interval, response_time_sum);
     }
 
-    /// The outcomes as of `now`.
+    /// Returns the outcomes at `now`.
     pub(crate) fn read(&mut self, now: Nanos, interval: Nanos) -> OutcomeTotals {
         OutcomeTotals {
             attempts: self.attempts.read(now, interval),
@@ -121,7 +121,7 @@
     pub(crate) attempts: f64,
     pub(crate) failures: f64,
     pub(crate) successes: f64,
-    /// Time of the successes together, ns.
+    /// Total time of the successes, ns.
     pub(crate) response_time_sum: f64,
 }
 
@@ -131,13 +131,13 @@
         failure_rate(self.failures, self.attempts)
     }
 
-    /// Mean response time, ns, drawn towards 0 by [`PRIOR_ATTEMPTS`].
+    /// Mean response time, ns, reduced by the prior of [`PRIOR_ATTEMPTS`].
     pub(crate) fn mean_response_time(&self) -> f64 {
         self.response_time_sum / (self.successes + PRIOR_ATTEMPTS)
     }
 }
 
-/// The middle value; 0 where there is none.
+/// Returns the median (of an even number of values, the upper middle one); 0 without values.
 pub(crate) fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(0.0)
