--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -1,7 +1,7 @@
-//! Subsets: tables of few servers, each shared by some of the proxies. They keep connections few where these
-//! are hard to establish (isolation), and messages short where the channel cannot carry full tables in time
-//! (stand-ins). The channel decides when subsets are used; which servers stand on which, and which proxy gets
-//! which, is decided here.
+//! Subsets: tables with few servers, each shared by some of the proxies. They limit the number of connections
+//! where connections are hard to establish (isolation), and keep messages short where the channel cannot
+//! deliver full tables in time (fallback). The channel decides when subsets are used; this module decides
+//! which servers are in which subset and which proxy is given which subset.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,23 +18,24 @@
 #[cfg(test)]
 mod tests;
 
-/// Table numbers of one generation of subsets. Two generations use them in turn, since proxies stay on subsets
-/// of the last one until they have moved.
+/// Number of table numbers per generation of subsets. Two ranges of numbers alternate, since proxies stay on
+/// subsets of the previous generation until they have moved.
 const NUMBERS_PER_GENERATION: TableId = 1 << 14;
-/// Share of its desired weight that a warming server gets on a subset: the subset may be down to half of its weight.
+/// Share of its desired weight that a warming server gets in a subset, since the subset may have lost up to
+/// half of its weight.
 pub(crate) const WARMING_UP_SHARE: f64 = 0.5;
 
-/// What the current subsets are for.
+/// Purpose of the current subsets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Purpose {
-    /// They stand in for the full table.
+    /// They replace the full table.
     #[default]
     Fallback,
-    /// They isolate groups of proxies on few servers of this supervisor's own window.
+    /// They isolate groups of proxies on few servers from this supervisor's own window of servers.
     Isolation,
 }
 
-/// A server and the weight that it should have.
+/// A server and its desired weight.
 #[derive(Clone, Copy, Debug)]
 struct WeightedServer {
     server: ServerId,
@@ -44,41 +45,41 @@
 /// The subsets of this supervisor's proxies.
 #[derive(Debug, Default)]
 pub(crate) struct Subsets {
-    /// Lines of all subsets, those of the last generation too while they are in use.
+    /// Lines of all subsets, including those of the previous generation that are still in use.
     pub(crate) lines: BTreeSet<TableLine>,
-    /// Weight that each subset of the current generation should have.
+    /// Target weight of each subset of the current generation.
     pub(crate) target_weights: BTreeMap<TableId, f64>,
-    /// Subsets with so much warm weight that a server that is warming up gets a small share.
+    /// Subsets with enough warm weight that a warming server gets only a small share.
     has_enough_weight: BTreeSet<TableId>,
-    /// Servers that were known when subsets were assigned or replenished.
+    /// Servers that were known when subsets were last assigned or replenished.
     known_servers: BTreeSet<ServerId>,
     purpose: Purpose,
-    /// Table numbers of the current generation follow this one.
+    /// The table numbers of the current generation follow this number.
     base_number: TableId,
     supervisor_index: f64,
     supervisor_count: f64,
-    /// Proxies that all supervisors have together.
+    /// Number of proxies of all supervisors together.
     proxy_count: f64,
 }
 
-/// Whether a server is in service and warm.
+/// Whether a server is warm and has a weight.
 fn is_stable(desired: &DesiredWeight) -> bool {
     desired.weight > 0.0 && !desired.unstable
 }
 
-/// Servers that are in service and warm, by number.
+/// Warm servers with a weight, ordered by id.
 fn stable_servers(desired: &DesiredWeights) -> Vec<WeightedServer> {
     let stable = desired.iter().filter(|(_, desired)| is_stable(desired));
     stable.map(|(&server, desired)| WeightedServer { server, weight: desired.weight }).collect()
 }
 
-/// The subset with the least load; of equals the one with the lowest number.
+/// The subset with the lowest load; among equals the one with the lowest number.
 fn least_loaded(loads: &BTreeMap<TableId, f64>) -> Option<TableId> {
     loads.iter().min_by(|a, b| a.1.total_cmp(b.1).then(a.0.cmp(b.0))).map(|(&table, _)| table)
 }
 
 impl Subsets {
-    /// No subsets yet.
+    /// Creates an empty set of subsets.
     pub(crate) fn new(config: &ControllerConfig) -> Self {
         Subsets {
             supervisor_index: config.supervisor_index.into(),
@@ -88,19 +89,19 @@
         }
     }
 
-    /// Servers that stand on any subset.
+    /// Servers that are in at least one subset.
     pub(crate) fn servers(&self) -> BTreeSet<ServerId> {
         self.lines.iter().map(|line| line.server).collect()
     }
 
-    /// Forgets a server.
+    /// Removes a server from all subsets.
     pub(crate) fn forget_server(&mut self, server: ServerId) {
         self.known_servers.remove(&server);
         self.lines.retain(|line| line.server != server);
     }
 
-    /// The weight that a subset should have for a server. Servers that are warming up get a part of theirs,
-    /// and none while the subset lacks warm weight, where their share would be large.
+    /// The weight that a server should have in a subset. Warming servers get a part of their weight, and none
+    /// while the subset lacks warm weight, since their share of its load would be large.
     pub(crate) fn desired_weight(&self, line: TableLine, desired: &DesiredWeight) -> f64 {
         if !self.lines.contains(&line) {
             0.0
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Begins a new generation. Subsets of the last one are kept while proxies use them, older ones are
-    /// dropped.
+    /// Begins a new generation. Subsets of the previous generation are kept while proxies use them; older
+    /// ones are dropped.
     fn begin_generation(&mut self, proxies: &Proxies, desired: &DesiredWeights) {
         let used = proxies.assigned_tables();
         self.lines.retain(|line| used.contains(&line.table));
@@ -127,7 +128,7 @@
         self.known_servers = desired.keys().copied().collect();
     }
 
-    /// Requests that come to the proxies of each subset, for its target weight.
+    /// Load of each subset: the requests of its proxies divided by its target weight.
     fn loads(&self, proxies: &Proxies) -> BTreeMap<TableId, f64> {
         let mut loads: BTreeMap<TableId, f64> =
             self.target_weights.keys().map(|&table| (table, 0.0)).collect();
@@ -140,7 +141,7 @@
         loads
     }
 
-    /// The subset with the least load.
+    /// The subset with the lowest load.
     pub(crate) fn least_loaded(&self, proxies: &Proxies) -> Option<TableId> {
         least_loaded(&self.loads(proxies))
     }
--- a/src/subsets/isolation_groups.rs
+++ b/src/subsets/isolation_groups.rs
@@ -1,5 +1,5 @@
-//! How isolated proxies are grouped, and which servers each group gets; [`crate::isolation`] decides when. Called by
-//! the channel.
+//! Groups of isolated proxies and their servers. [`crate::isolation`] decides when proxies are isolated.
+//! Called by the channel.
 
 use std::collections::BTreeMap;
 
@@ -8,17 +8,17 @@
 use crate::proxies::Proxies;
 use crate::tables::{DesiredWeights, TableLine};
 
-/// Proxies per subset on average, at least.
+/// Minimum mean number of proxies per subset.
 const MIN_PROXIES_PER_SUBSET: usize = 2;
-/// Servers per subset on average, at least.
+/// Minimum mean number of servers per subset.
 const MIN_SERVERS_PER_SUBSET: usize = 6;
-/// Least weight of a subset, in multiples of a server's mean weight.
+/// Minimum weight of a subset, as a multiple of the mean weight of a server.
 const MIN_WEIGHT_IN_MEANS: f64 = 3.0;
 
 impl Subsets {
-    /// Assigns groups of proxies, formed by the requests that come to each, subsets of this supervisor's
-    /// window of the stable servers. With too few proxies or servers there are no groups, and all keep the
-    /// full table.
+    /// Divides the proxies into groups by the requests that each receives, and assigns each group a subset of
+    /// this supervisor's window of the stable servers. With too few proxies or servers no groups are formed,
+    /// and all proxies keep the full table.
     pub(crate) fn isolate(&mut self, proxies: &mut Proxies, desired: &DesiredWeights) {
         let window = self.own_window(proxies.by_id.len(), desired);
         let by_proxies = proxies.by_id.len() / MIN_PROXIES_PER_SUBSET;
@@ -46,8 +46,8 @@
         self.distribute(&window, &upper_bounds);
     }
 
-    /// This supervisor's window of the stable servers, in the order of their numbers. It goes by the
-    /// supervisor's number and its share of all proxies, so that supervisors need not agree.
+    /// This supervisor's window of the stable servers, ordered by id. It depends only on the supervisor's
+    /// index and its share of all proxies, so that supervisors need not coordinate.
     fn own_window(&self, proxies: usize, desired: &DesiredWeights) -> Vec<WeightedServer> {
         let servers = stable_servers(desired);
         let count = servers.len() as f64;
@@ -56,14 +56,14 @@
         servers.into_iter().cycle().skip(first).take(length).collect()
     }
 
-    /// Puts each server on the subset within whose share of all weight its middle lies. Shares are given by
-    /// their upper bounds, 0 to 1.
+    /// Adds each server to the subset whose share of the total weight contains the server's midpoint. Shares
+    /// are given by their upper bounds, 0 to 1.
     fn distribute(&mut self, servers: &[WeightedServer], upper_bounds: &BTreeMap<TableId, f64>) {
         let total: f64 = servers.iter().map(|stable| stable.weight).sum();
-        let mut before = 0.0;
+        let mut weight_before = 0.0;
         for &WeightedServer { server, weight } in servers {
-            let middle = (before + weight / 2.0) / total;
-            before += weight;
+            let middle = (weight_before + weight / 2.0) / total;
+            weight_before += weight;
             let subset = upper_bounds.iter().find(|(_, &bound)| bound >= middle);
             self.lines.extend(subset.map(|(&table, _)| TableLine { table, server }));
         }
--- a/src/subsets/replenishment.rs
+++ b/src/subsets/replenishment.rs
@@ -1,10 +1,10 @@
-//! Replenishment: subsets that lost servers get more, and newly listed servers get on a subset.
+//! Replenishment: adds servers to subsets that lost some, and adds each newly listed server to a subset.
 
 use super::{stable_servers, Purpose, Subsets, WeightedServer};
 use crate::interface::{ServerId, TableId};
 use crate::tables::{DesiredWeights, TableLine};
 
-/// A subset with less than this share of its target weight is replenished.
+/// Share of its target weight below which a subset is replenished.
 const MIN_TARGET_SHARE: f64 = 0.5;
 
 /// Weight below which a subset is replenished.
@@ -13,13 +13,13 @@
 }
 
 impl Subsets {
-    /// Whether a table is a subset of the current generation that lacks servers, with so much weight.
+    /// Whether a table is a subset of the current generation that needs more servers when it has this weight.
     pub(crate) fn lacks_weight(&self, table: TableId, weight: f64) -> bool {
         self.target_weights.get(&table).is_some_and(|target| weight < min_weight(*target))
     }
 
-    /// Adds newly listed servers, and more stable ones to each subset that has lost half of its warm weight;
-    /// others stay as assigned.
+    /// Adds newly listed servers, and adds stable servers to each subset that has lost half of its warm
+    /// weight; other subsets keep their servers.
     pub(crate) fn replenish(&mut self, desired: &DesiredWeights) {
         self.add_new_servers(desired);
         let stable = stable_servers(desired);
@@ -42,15 +42,16 @@
         }
     }
 
-    /// Puts each server that was listed since, warm or not, on one subset. Of isolating subsets it is one of
-    /// the supervisor to which the server's number falls.
+    /// Adds each newly listed server, warm or not, to one subset. An isolating subset takes only servers that
+    /// belong to its supervisor by the server's id modulo the number of supervisors.
     fn add_new_servers(&mut self, desired: &DesiredWeights) {
         let isolating = self.purpose == Purpose::Isolation;
         let is_ours = |server: ServerId| {
             !isolating || f64::from(server) % self.supervisor_count.max(1.0) == self.supervisor_index
         };
         let new = desired.keys().filter(|server| is_ours(**server) && !self.known_servers.contains(server));
-        // Starts at another subset each time, so that servers which are listed one by one spread over all subsets.
+        // Starts at a different subset each time, so that servers listed one by one are spread over all
+        // subsets.
         let tables = self.target_weights.keys().cycle().skip(self.known_servers.len());
         for (&server, &table) in new.zip(tables) {
             self.lines.insert(TableLine { table, server });
@@ -58,8 +59,9 @@
         self.known_servers.extend(desired.keys());
     }
 
-    /// The order in which the subset at a position takes more servers. Isolating ones take neighbours, so
-    /// that each server meets few proxies; stand-ins take none of neighbouring numbers before all others.
+    /// The order in which the subset at a position takes more servers. Isolating subsets take neighbouring
+    /// servers, so that each server meets few proxies; fallback subsets take servers at regular intervals
+    /// before all others, so that they do not depend on neighbouring ids.
     fn replenishing_order(&self, servers: &[WeightedServer], position: usize) -> Vec<WeightedServer> {
         let subsets = self.target_weights.len();
         match self.purpose {
--- a/src/subsets/tests.rs
+++ b/src/subsets/tests.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// Servers that the sent table has.
+/// Number of servers in a table as it was sent.
 fn sent_servers(channel: &Channel, table: TableId) -> usize {
     let sent = channel.sent.weights.iter().filter(|(_, weight)| **weight > 0.0);
     sent.filter(|(line, _)| line.table == table).count()
--- a/src/tables.rs
+++ b/src/tables.rs
@@ -1,5 +1,4 @@
-//! Numbers and lines of the tables that proxies are assigned. Used by the channel and by the subsets; nothing
-//! is decided here.
+//! Numbers and lines of the tables that proxies are assigned, used by the channel and by the subsets.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -7,13 +6,13 @@
 use crate::interface::{ServerId, TableId};
 use crate::message::DesiredWeight;
 
-/// The table of all servers; subsets have the numbers after it.
+/// Number of the table of all servers; subsets have higher numbers.
 pub(crate) const FULL_TABLE: TableId = 0;
-/// Servers that unassigned proxies (those without a table of ours) must not send to, whatever they hold, are kept as
-/// lines of this table.
+/// Pseudo-table that records which servers unassigned proxies (those without a table from this supervisor)
+/// must exclude, whatever tables they hold.
 pub(crate) const EXCLUSIONS: TableId = TableId::MAX;
 
-/// A server's line in a table. Lines are ordered by table, then by server.
+/// The entry of one server in a table. Lines are ordered by table, then by server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct TableLine {
     pub(crate) table: TableId,
@@ -21,16 +20,16 @@
 }
 
 impl TableLine {
-    /// The first line that a table can have.
+    /// The lowest possible line of a table.
     pub(crate) fn first_of(table: TableId) -> Self {
         TableLine { table, server: 0 }
     }
 
-    /// All lines that a subset's table can have.
+    /// The range of all possible lines of a subset's table.
     pub(crate) fn all_of(table: TableId) -> Range<Self> {
         TableLine::first_of(table)..TableLine::first_of(table + 1)
     }
 }
 
-/// What proxies are to be sent, by server.
+/// The desired state of each server at the proxies.
 pub(crate) type DesiredWeights = BTreeMap<ServerId, DesiredWeight>;
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -1,4 +1,4 @@
-//! What the tests of several modules are built from.
+//! Fixtures and builders shared by the tests of several modules.
 
 use rstest::fixture;
 
@@ -13,7 +13,7 @@
 use crate::slow_start::{SlowStart, TableWeights, CAUTIOUS_FAILURE_SHARE};
 use crate::Controller;
 
-/// When tests begin.
+/// Time at which tests start.
 pub(crate) const START: Nanos = 1_000 * SECOND;
 
 pub(crate) fn endpoint(server: ServerId) -> Endpoint {
@@ -83,14 +83,14 @@
     Event::Joined { proxy, locality: 0, rate: 1.0, is_new: true }
 }
 
-/// An instance that knows four servers and has one proxy on its table.
+/// A controller with four listed servers and one proxy that is assigned a table.
 pub(crate) fn running_controller(config: &ControllerConfig) -> Controller {
     let mut controller = Controller::new(config);
     controller.decide(START, vec![listed((1..5).map(endpoint)), joined(1)]);
     controller
 }
 
-/// What proxies observed at a server in one second; its responses took 0.2 s.
+/// A report on a server over one second; its responses took 0.2 s on average.
 pub(crate) fn report(server: ServerId, attempts: u32, failures: u32) -> EndpointReport {
     EndpointReport {
         server,
@@ -103,7 +103,7 @@
     }
 }
 
-/// Hands a server a report on itself at `now`.
+/// Delivers a report to a server at `now`.
 pub(crate) fn record_report(server: &mut Server, attempts: u32, failures: u32, now: Nanos) {
     let observed = report(server.endpoint.server, attempts, failures);
     server.record_report(&observed, &mut Mailboxes::at(now));
@@ -137,12 +137,12 @@
     }
 }
 
-/// Status of a server that warms up.
+/// Status of a server that is warming up.
 pub(crate) fn warming(server: ServerId, slow_start_limit: f64) -> ServerStatus {
     ServerStatus { warm: false, slow_start_limit: Some(slow_start_limit), ..status(server) }
 }
 
-/// A fleet of these servers, which had its last report at [`START`].
+/// A fleet with these statuses, whose last report came at [`START`].
 pub(crate) fn fleet(statuses: impl IntoIterator<Item = ServerStatus>) -> Fleet {
     let report_interval = 10 * SECOND;
     let mut fleet = Fleet {
@@ -161,17 +161,18 @@
     fleet
 }
 
-/// Events of an endpoint list that changes.
+/// The event of a change of the endpoint list.
 pub(crate) fn list_changes(endpoints: impl IntoIterator<Item = Endpoint>) -> Vec<Event> {
     vec![Event::Endpoints(WatchEvent::Delta(endpoints.into_iter().collect()))]
 }
 
-/// A server that drains.
+/// List entry of a draining server.
 pub(crate) fn draining(server: ServerId) -> Endpoint {
     Endpoint { readiness: Readiness::Draining, ..endpoint(server) }
 }
 
-/// A large deployment: so many servers and proxies, and a channel that holds a dozen full tables.
+/// A large deployment with the given numbers of servers and proxies, and a channel that can queue twelve full
+/// tables.
 pub(crate) fn large_deployment(mut config: ControllerConfig, servers: u32, proxies: ProxyId) -> Controller {
     config.channel_capacity = f64::from(servers) * 12.0;
     config.lines_per_s = f64::from(servers) * 8.0;
@@ -181,7 +182,7 @@
     controller
 }
 
-/// Decides after all that was sent before has been acknowledged.
+/// Calls the controller after everything sent before has been acknowledged.
 pub(crate) fn decide_acknowledged(
     controller: &mut Controller,
     now: Nanos,
