--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -13,7 +13,7 @@
         mailboxes.now = START + interval as u64 * 10 * SECOND;
         let response_time_sum = 50.0 * response_time as f64;
         fleet.handle(
-            Message::Observed { attempts: 50.0, failures: 0.0, response_time_sum, window: 0.0 },
+            Message::ReportedOutcomes { attempts: 50.0, failures: 0.0, response_time_sum, window: 0.0 },
             &mut mailboxes,
         );
         for operation in 0..2 {
--- a/src/channel/batch.rs
+++ b/src/channel/batch.rs
@@ -61,14 +61,14 @@
     /// Adds a line to the messages for a table's users if the cost of the batch stays within `max_cost`.
     /// Returns whether it was added; once a line did not fit, nothing more is added.
     pub(super) fn try_add(&mut self, table: TableId, audience: Audience, max_cost: f64) -> bool {
-        let readers = match audience {
+        let recipient_count = match audience {
             Audience::All => self.users(table),
             Audience::NewlyJoined => self.newly_joined,
         };
         let has_message = self.recipients.contains(&Recipients { table, audience: Audience::All })
             || self.recipients.contains(&Recipients { table, audience });
-        let added_cost = readers * if has_message { 1.0 } else { 1.0 + self.message_cost };
-        self.is_full |= readers > 0.0 && self.cost + added_cost > max_cost;
+        let added_cost = recipient_count * if has_message { 1.0 } else { 1.0 + self.message_cost };
+        self.is_full |= recipient_count > 0.0 && self.cost + added_cost > max_cost;
         if !self.is_full {
             self.recipients.insert(Recipients { table, audience });
             self.cost += added_cost;
--- a/src/channel/exclusions/tests.rs
+++ b/src/channel/exclusions/tests.rs
@@ -68,7 +68,7 @@
 }
 
 #[rstest]
-fn full_table_takes_the_place_of_exclusions(config: ControllerConfig) {
+fn assigned_table_replaces_exclusions(config: ControllerConfig) {
     let mut controller = running_controller(&config);
     controller.decide(START + 1, list_changes([draining(4)]));
     let actions = decide_acknowledged(&mut controller, START + SECOND, vec![joined(7)]);
--- a/src/channel/updates.rs
+++ b/src/channel/updates.rs
@@ -81,7 +81,7 @@
         all_urgent_sent
     }
 
-    /// Determines what the channel takes now.
+    /// Computes what the channel takes in this flush.
     fn allowance(&mut self, batch: &Batch, now: Nanos) -> Allowance {
         let overhead = self.message_cost() * self.proxies.by_id.len() as f64;
         let interval = self.batch_interval(overhead);
@@ -139,11 +139,11 @@
             *urgent_lines.entry(change.line.table).or_default() += 1.0;
         }
         let cost = self.message_cost();
-        let is_worth_it = |(&table, &lines): (&TableId, &f64)| {
+        let is_worth_updating = |(&table, &lines): (&TableId, &f64)| {
             allowance.urgent_lines >= batch.users(table) * (cost + cost.min(lines))
         };
-        let worth_it = urgent_lines.iter().filter(|&entry| is_worth_it(entry));
-        let mut tables: BTreeSet<TableId> = worth_it.map(|(&table, _)| table).collect();
+        let worth_updating = urgent_lines.iter().filter(|&entry| is_worth_updating(entry));
+        let mut tables: BTreeSet<TableId> = worth_updating.map(|(&table, _)| table).collect();
         let full_table_waits = urgent_lines.contains_key(&FULL_TABLE) && !tables.contains(&FULL_TABLE);
         if self.is_leaving_full_table() || full_table_waits {
             // Otherwise users of a table that still contains the server would have to exclude it too.
--- a/src/channel/updates/tests.rs
+++ b/src/channel/updates/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[rstest]
-fn changes_gather_longer_where_overhead_would_fill_the_channel(config: ControllerConfig) {
+fn changes_are_coalesced_longer_where_overhead_would_fill_the_channel(config: ControllerConfig) {
     // With 300 proxies, 6 lines of overhead each and 1,000 lines per second, overhead alone takes the channel
     // 1.8 s. The grace period is long enough for all proxies to use the full table.
     let config =
@@ -61,7 +61,7 @@
     }
 }
 
-/// Number of proxies on each table.
+/// Number of proxies that are assigned each table.
 fn users(controller: &Controller) -> BTreeMap<TableId, usize> {
     let mut users = BTreeMap::new();
     for table in controller.channel.proxies.by_id.values().filter_map(|proxy| proxy.assigned_table) {
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -7,14 +7,14 @@
 
 #[rstest]
 fn identical_events_lead_to_identical_actions(config: ControllerConfig) {
-    let play = || {
+    let run = || {
         let mut controller = running_controller(&config);
         let reports = |at: u64| {
             (1..5).map(move |server| Event::EndpointReport(report(server, 9, (at % server as u64) as u32)))
         };
         (1..40).map(|at| controller.decide(START + at * SECOND, reports(at).collect())).collect::<Vec<_>>()
     };
-    assert_eq!(play(), play());
+    assert_eq!(run(), run());
 }
 
 #[rstest]
@@ -37,7 +37,7 @@
 }
 
 #[rstest]
-fn removed_server_is_forgotten_unless_a_table_names_it(config: ControllerConfig) {
+fn removed_server_is_forgotten_unless_a_table_contains_it(config: ControllerConfig) {
     let mut controller = Controller::new(&config);
     let list = WatchEvent::Full(vec![endpoint(1), endpoint(2), endpoint(3)]);
     controller.decide(START, vec![Event::Endpoints(list)]);
@@ -57,5 +57,5 @@
     );
     let listed_again = Event::Endpoints(WatchEvent::Delta(vec![endpoint(2)]));
     controller.decide(START + REMOVED_SERVER_RETENTION + 3, vec![listed_again]);
-    assert!(controller.servers.contains_key(&2), "listed again it is known again");
+    assert!(controller.servers.contains_key(&2), "a server that is listed again is created again");
 }
--- a/src/deadlines/tests.rs
+++ b/src/deadlines/tests.rs
@@ -20,7 +20,7 @@
 
 /// Guards against a change of the log line that operators search for.
 #[rstest]
-fn missed_deadlines_are_logged_once_in_an_interval() {
+fn missed_deadlines_are_logged_once_per_interval() {
     let mut statistics = DeadlineStatistics::default();
     statistics.record(3, 10 * SECOND, 9 * SECOND);
     assert_eq!(statistics.log_line(0, 10 * SECOND, SECOND), None, "all in time");
--- a/src/ejection/tests.rs
+++ b/src/ejection/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[rstest]
-fn failure_rate_that_all_servers_share_is_no_fault_of_one() {
+fn failure_rate_common_to_all_servers_is_not_a_fault_of_one() {
     let mut server = Server::new(endpoint(1), START);
     record_report(&mut server, 40, 30, START);
     let fleet = EvaluationInputs { median_error_rate: 0.7, ..EvaluationInputs::default() };
@@ -28,7 +28,7 @@
 }
 
 #[rstest]
-fn errors_are_no_fault_while_failures_are_general() {
+fn errors_are_not_a_fault_while_failures_are_general() {
     let mut server = Server::new(endpoint(1), START);
     record_report(&mut server, 40, 36, START);
     let fleet = EvaluationInputs { general_failure: true, ..EvaluationInputs::default() };
@@ -60,7 +60,7 @@
 #[case::unresponsive_responds(Fault::Unresponsive, SECOND, false)]
 #[case::failing_responds(Fault::Errors, SECOND, true)]
 #[case::ejection_time_over(Fault::Errors, BASE_EJECTION_TIME, false)]
-fn ejected_server_returns_by_its_response_or_after_the_ejection_time(
+fn ejected_server_returns_after_the_ejection_time_or_if_unresponsive_when_it_responds(
     #[case] fault: Fault,
     #[case] after: Nanos,
     #[case] still_ejected: bool,
@@ -114,6 +114,8 @@
 fn larger_fleet_needs_more_missing_responses(#[case] servers: u32, #[case] missing_responses: f64) {
     let mut mailboxes = Mailboxes::at(START);
     fleet((1..=servers).map(status)).request_statuses(vec![1], &mut mailboxes);
-    let Some((_, Message::Evaluate(statistics))) = mailboxes.next() else { panic!("no statistics") };
-    assert_eq!(statistics.unresponsive_after.round(), missing_responses);
+    let Some((_, Message::Evaluate(inputs))) = mailboxes.next() else {
+        panic!("no evaluation was requested")
+    };
+    assert_eq!(inputs.unresponsive_after.round(), missing_responses);
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -89,7 +89,7 @@
     pub(crate) fn handle(&mut self, message: Message, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
         match message {
-            Message::Observed { attempts, failures, response_time_sum, window } => {
+            Message::ReportedOutcomes { attempts, failures, response_time_sum, window } => {
                 self.record_report(attempts, failures, response_time_sum, window, now)
             }
             Message::Demand { operation, total, failures } => {
--- a/src/health.rs
+++ b/src/health.rs
@@ -87,7 +87,7 @@
     }
 
     /// The health that corresponds to a health score, without hysteresis.
-    fn of(health_score: f64) -> Self {
+    fn from_score(health_score: f64) -> Self {
         match health_score {
             score if score < UNHEALTHY_SCORE => Health::Unhealthy,
             score if score > HEALTHY_SCORE => Health::Healthy,
@@ -107,7 +107,7 @@
 impl HealthState {
     /// Updates the health by the health score at `now`.
     pub(crate) fn update(&mut self, health_score: f64, now: Nanos) {
-        let next = Health::of(health_score);
+        let next = Health::from_score(health_score);
         if next == self.health {
             self.changing_since = None;
         } else if now.saturating_sub(*self.changing_since.get_or_insert(now)) >= STATE_CHANGE_DELAY {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -71,9 +71,9 @@
 /// Meaning of one value in a server's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadColumn {
-    /// Requests being executed.
+    /// Number of requests being executed.
     Active,
-    /// Requests queued.
+    /// Number of requests queued.
     Waiting,
     /// CPU utilisation, 0 to 1.
     Cpu,
@@ -433,7 +433,7 @@
 /// When a proxy retries a request at another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryPolicy {
-    /// Never.
+    /// Requests are never retried.
     Never,
     /// Once, if the first attempt was provably not executed.
     IfNotExecuted,
--- a/src/isolation/tests.rs
+++ b/src/isolation/tests.rs
@@ -15,7 +15,7 @@
     let mailboxes = &mut Mailboxes::at(START);
     let response_time_sum = 45.0 * response_time_s * SECOND as f64;
     fleet.handle(
-        Message::Observed { attempts: 90.0, failures: 45.0, response_time_sum, window: 0.0 },
+        Message::ReportedOutcomes { attempts: 90.0, failures: 45.0, response_time_sum, window: 0.0 },
         mailboxes,
     );
     let recent = fleet.recent_outcomes.read(START, fleet.report_interval);
--- a/src/message.rs
+++ b/src/message.rs
@@ -60,7 +60,7 @@
     Demand { operation: usize, total: f64, failures: f64 },
     /// Totals of a report on one server; `response_time_sum` (the total time of all responses) and `window`
     /// are in ns.
-    Observed { attempts: f64, failures: f64, response_time_sum: f64, window: f64 },
+    ReportedOutcomes { attempts: f64, failures: f64, response_time_sum: f64, window: f64 },
     /// A server's response to `Evaluate`.
     Status(ServerStatus),
     /// Evaluates all of the given servers.
@@ -119,7 +119,7 @@
     Errors,
     /// Expected responses are missing.
     Unresponsive,
-    /// Its health score was below `UNHEALTHY_SCORE` for `STATE_CHANGE_DELAY`.
+    /// The health score was below `UNHEALTHY_SCORE` for `STATE_CHANGE_DELAY`.
     Score,
 }
 
--- a/src/pacing/message_limit.rs
+++ b/src/pacing/message_limit.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MessageLimit {
     /// Half of the limit; infinite without a limit.
-    half: f64,
+    half_limit: f64,
     window: Nanos,
     recent: f64,
 }
@@ -16,16 +16,16 @@
 impl MessageLimit {
     /// Creates a limit of `limit` messages per `window`; 0: no limit.
     pub(super) fn new(limit: u32, window: Nanos) -> Self {
-        let half = match limit {
+        let half_limit = match limit {
             0 => f64::INFINITY,
             limit => f64::from(limit) / 2.0,
         };
-        MessageLimit { half, window: window.max(1), recent: 0.0 }
+        MessageLimit { half_limit, window: window.max(1), recent: 0.0 }
     }
 
     /// Advances the time by `elapsed` nanoseconds.
     pub(super) fn advance(&mut self, elapsed: f64) {
-        self.recent = (self.recent - self.half * elapsed / self.window as f64).max(0.0);
+        self.recent = (self.recent - self.half_limit * elapsed / self.window as f64).max(0.0);
     }
 
     /// Counts a written message.
@@ -36,6 +36,6 @@
     /// Whether another message would exceed the given share of what may be written at once; a single message
     /// is always allowed.
     pub(crate) fn is_reached(&self, share: f64) -> bool {
-        self.recent + 1.0 > (self.half * share).max(1.0)
+        self.recent + 1.0 > (self.half_limit * share).max(1.0)
     }
 }
--- a/src/server.rs
+++ b/src/server.rs
@@ -132,7 +132,10 @@
         }
         self.ejection.last_report_good = responses > failures;
         let window = report.window as f64;
-        mailboxes.send(Component::Fleet, Message::Observed { attempts, failures, response_time_sum, window });
+        mailboxes.send(
+            Component::Fleet,
+            Message::ReportedOutcomes { attempts, failures, response_time_sum, window },
+        );
     }
 
     /// Compares this server with the fleet, updates its ejection, and returns its status.
@@ -230,7 +233,7 @@
 struct Evaluation {
     /// Share of recent attempts that failed, 0 to 1.
     error_rate: f64,
-    /// Mean response time, ns.
+    /// Mean response time, ns; `None` with too few responses.
     response_time: Option<f64>,
     fault_scores: FaultScores,
 }
--- a/src/slow_start/tests.rs
+++ b/src/slow_start/tests.rs
@@ -67,7 +67,7 @@
     fleet.reports.last = last_report;
     for now in [START, START + gap_s * SECOND] {
         let observed =
-            Message::Observed { attempts: 9.0, failures: 2.0, response_time_sum: 0.0, window: 0.0 };
+            Message::ReportedOutcomes { attempts: 9.0, failures: 2.0, response_time_sum: 0.0, window: 0.0 };
         fleet.handle(observed, &mut Mailboxes::at(now));
     }
     fleet.update_weights(&BTreeSet::new(), 0.75, START + gap_s * SECOND);
--- a/src/snapshot/tests.rs
+++ b/src/snapshot/tests.rs
@@ -9,7 +9,7 @@
 use crate::Controller;
 
 /// A snapshot of six servers, of which server 3 is ejected and server 4 is slow.
-fn stored(ejected_for: Nanos, unresponsive: bool) -> Snapshot {
+fn six_server_snapshot(ejected_for: Nanos, unresponsive: bool) -> Snapshot {
     let healthy = |server| ServerSnapshot {
         server,
         attempts: 40.0,
@@ -36,7 +36,7 @@
     let mut controller = Controller::new(config);
     let events = vec![
         Event::Endpoints(WatchEvent::Cached((1..7).map(endpoint).collect())),
-        Event::Restored { snapshot: stored(SECOND, false), age },
+        Event::Restored { snapshot: six_server_snapshot(SECOND, false), age },
         Event::Joined { proxy: 0, locality: 0, rate: 10.0, is_new: true },
     ];
     let weights = controller.decide(START, events).into_iter().filter_map(|action| match action {
@@ -47,7 +47,7 @@
 }
 
 #[rstest]
-fn snapshot_counts_by_its_age(config: ControllerConfig) {
+fn restored_state_weighs_less_with_the_age_of_the_snapshot(config: ControllerConfig) {
     let weights = first_table(&config, 2 * SECOND);
     assert!(!weights.contains_key(&3) && weights.len() == 5, "{weights:?}");
     assert!(weights[&4] < weights[&1], "{weights:?}");
@@ -60,13 +60,13 @@
 }
 
 #[rstest]
-fn restored_unresponsive_server_returns_by_its_response_and_the_next_snapshot_weighs_less(
+fn restored_unresponsive_server_returns_when_it_responds_and_the_next_snapshot_weighs_less(
     config: ControllerConfig,
 ) {
     let mut controller = Controller::new(&config);
     let events = vec![
         Event::Endpoints(WatchEvent::Cached((1..7).map(endpoint).collect())),
-        Event::Restored { snapshot: stored(SECOND, true), age: SECOND },
+        Event::Restored { snapshot: six_server_snapshot(SECOND, true), age: SECOND },
     ];
     controller.decide(START, events);
     let now = START + 3 * SECOND;
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -42,7 +42,7 @@
     weight: f64,
 }
 
-/// The subsets of this supervisor's proxies.
+/// The subsets of this supervisor's proxies, and the purpose that they currently serve.
 #[derive(Debug, Default)]
 pub(crate) struct Subsets {
     /// Lines of all subsets, including those of the previous generation that are still in use.
--- a/src/subsets/tests.rs
+++ b/src/subsets/tests.rs
@@ -80,7 +80,7 @@
 }
 
 #[rstest]
-fn subsets_stand_until_the_last_proxy_has_left_them(config: ControllerConfig) {
+fn subsets_are_kept_until_the_last_proxy_has_left_them(config: ControllerConfig) {
     let mut channel = isolated(config);
     let now = START + 40 * SECOND;
     channel.pacing.queued_lines = channel.pacing.capacity_lines / 2.5;
