--- a/crates/fault-scenarios/src/day.rs
+++ b/crates/fault-scenarios/src/day.rs
@@ -275,7 +275,7 @@
         let day: Day = FileError::parse(file, text)?;
         let refuse = |line: usize, key: &str, problem: String, remedy: &str| {
             let (key, remedy) = (key.to_owned(), remedy.to_owned());
-            Err(FileError::Refused { file: file.to_owned(), line, key, problem, remedy })
+            Err(FileError::InvalidSetting { file: file.to_owned(), line, key, problem, remedy })
         };
         let line_of = |key: &str| {
             let stands = |line: &str| line.split('=').next().is_some_and(|name| name.trim() == key);
--- a/crates/routing-checks/src/expectation.rs
+++ b/crates/routing-checks/src/expectation.rs
@@ -91,7 +91,7 @@
         .collect();
     let mut all = Vec::new();
     for (at, one) in told.expectations.into_iter().enumerate() {
-        let refuse = |key: &str, problem: String, remedy: &str| FileError::Refused {
+        let refuse = |key: &str, problem: String, remedy: &str| FileError::InvalidSetting {
             file: file.to_owned(),
             line: places.get(at).copied().unwrap_or(1),
             key: format!("expect.{key}"),
--- a/crates/xds-supervisor/src/core.rs
+++ b/crates/xds-supervisor/src/core.rs
@@ -45,9 +45,9 @@
 pub type Peer = u64;
 
 /// Name of the listener and its routes that clients start from.
-pub const LISTENER: &str = "shalereel";
+pub const LISTENER_NAME: &str = "shalereel";
 /// Path before an operation's name.
-pub const PREFIX: &str = "/shalereel.work.v1.Work/";
+pub const OPERATION_PATH_PREFIX: &str = "/shalereel.work.v1.Work/";
 
 /// A discovery stream.
 #[derive(Debug)]
--- a/crates/xds-supervisor/src/core/requests.rs
+++ b/crates/xds-supervisor/src/core/requests.rs
@@ -7,7 +7,7 @@
 
 use super::command::Consequence;
 use super::proxy::{Proxy, SentUpdate};
-use super::{Core, Peer, Stream, Warning, LISTENER};
+use super::{Core, Peer, Stream, Warning, LISTENER_NAME};
 use crate::client_limits::NackResponse;
 
 /// Names that a client has subscribed to; `None`: all that there are.
@@ -85,7 +85,7 @@
     ) -> ImmediateAnswer {
         let operations = &self.deployment.operations;
         let exists = |name: &String| match type_url {
-            types::ROUTES => name == LISTENER,
+            types::ROUTES => name == LISTENER_NAME,
             _ => name == EXCLUDED || operations.contains(name),
         };
         let (known, unknown): (Vec<String>, Vec<String>) = names.into_iter().flatten().partition(exists);
@@ -193,8 +193,9 @@
 }
 
 fn listeners(names: RequestedNames) -> ImmediateAnswer {
-    let names = names.unwrap_or_else(|| vec![LISTENER.into()]);
-    let (known, unknown): (Vec<String>, Vec<String>) = names.into_iter().partition(|name| name == LISTENER);
+    let names = names.unwrap_or_else(|| vec![LISTENER_NAME.into()]);
+    let (known, unknown): (Vec<String>, Vec<String>) =
+        names.into_iter().partition(|name| name == LISTENER_NAME);
     let resource = |name: String| Resource { version: "1".into(), any: listener(&name), name };
     ImmediateAnswer { resources: known.into_iter().map(resource).collect(), unknown }
 }
--- a/crates/xds-supervisor/src/core/resources.rs
+++ b/crates/xds-supervisor/src/core/resources.rs
@@ -8,7 +8,7 @@
 use shalereel_store::{Line, VersionNumber};
 use shalereel_xds::{leds, routes, types, Resource, Response, Variant, EXCLUDED};
 
-use super::{LISTENER, PREFIX};
+use super::{LISTENER_NAME, OPERATION_PATH_PREFIX};
 use crate::endpoints::EndpointList;
 use crate::tables::Tables;
 
@@ -109,7 +109,7 @@
         }
         Content::Routes(ref policies) => {
             let policies = operations.iter().map(String::as_str).zip(policies.iter().copied());
-            (LISTENER, routes(LISTENER, PREFIX, policies))
+            (LISTENER_NAME, routes(LISTENER_NAME, OPERATION_PATH_PREFIX, policies))
         }
     };
     let (first, second) = versioned.version;
--- a/crates/xds-supervisor/src/core/updates.rs
+++ b/crates/xds-supervisor/src/core/updates.rs
@@ -11,7 +11,7 @@
     encode_delta, resource, Content, DeltaKey, EncodedDelta, EncodedResponse, ResponseCache, ResponseKey,
     VersionedContent,
 };
-use super::{Core, Peer, ShellCommand, LISTENER};
+use super::{Core, Peer, ShellCommand, LISTENER_NAME};
 use crate::endpoints::EndpointList;
 use crate::group_member::GroupMember;
 use crate::tables::Tables;
@@ -147,7 +147,8 @@
         let policies: Vec<RetryPolicy> = (0..self.operations.len() as u16).map(policy).collect();
         // Distinct for distinct policies.
         let number = policies.iter().fold(1, |number, &policy| number * RETRY_POLICIES + policy as u64);
-        let is_sent = !self.proxy.tables.is_empty() && self.stream.is_subscribed(types::ROUTES, LISTENER);
+        let is_sent =
+            !self.proxy.tables.is_empty() && self.stream.is_subscribed(types::ROUTES, LISTENER_NAME);
         if is_sent && self.proxy.update_version(types::ROUTES, (number, 0)) {
             vec![VersionedContent { content: Content::Routes(policies), version: (number, 0) }]
         } else {
--- a/crates/xds-supervisor/src/daemon.rs
+++ b/crates/xds-supervisor/src/daemon.rs
@@ -28,7 +28,7 @@
 use persistence::Persistence;
 use registry::RegistryWatch;
 
-pub use registry::FLEET;
+pub use registry::ENDPOINT_LIST_RESOURCE;
 
 /// Why the daemon cannot start or go on.
 #[derive(Debug, Error)]
--- a/crates/xds-supervisor/src/daemon/registry.rs
+++ b/crates/xds-supervisor/src/daemon/registry.rs
@@ -8,7 +8,7 @@
 use crate::deployment::Deployment;
 
 /// Resource name of the fleet's endpoint list at the registry.
-pub const FLEET: &str = "fleet";
+pub const ENDPOINT_LIST_RESOURCE: &str = "fleet";
 
 /// State of the stream to the registry.
 pub(super) struct RegistryWatch {
@@ -29,7 +29,7 @@
         };
         let mut client = ClientStream::new(Variant::StateOfTheWorld, node);
         // Not sent now: `reopen` repeats the subscription on each new stream.
-        client.subscribe(types::ASSIGNMENT, [FLEET.to_owned()]);
+        client.subscribe(types::ASSIGNMENT, [ENDPOINT_LIST_RESOURCE.to_owned()]);
         RegistryWatch { conn: None, client, watching: !config.polls_endpoints }
     }
 }
@@ -101,7 +101,7 @@
             update.resources.iter().map(Assignment::decode).collect();
         let answer = match lists {
             Ok(lists) => {
-                for list in lists.iter().filter(|list| list.cluster == FLEET) {
+                for list in lists.iter().filter(|list| list.cluster == ENDPOINT_LIST_RESOURCE) {
                     self.core.handle_endpoint_list(now(), list);
                 }
                 self.registry.client.ack(&update)
--- a/crates/xds-supervisor/src/deployment/checks.rs
+++ b/crates/xds-supervisor/src/deployment/checks.rs
@@ -48,7 +48,7 @@
 impl Section<'_> {
     /// An error about a key of this section.
     pub(super) fn reject(&self, key: &str, problem: String, remedy: &str) -> FileError {
-        FileError::Refused {
+        FileError::InvalidSetting {
             file: self.checker.file.to_owned(),
             line: self.line(key),
             key: if self.name.is_empty() { key.to_owned() } else { format!("{}.{key}", self.name) },
--- a/crates/xds-supervisor/src/deployment/error.rs
+++ b/crates/xds-supervisor/src/deployment/error.rs
@@ -27,7 +27,7 @@
     },
     /// A setting has a value that cannot be used.
     #[error("{file}:{line}: {key}: {problem}; {remedy}")]
-    Refused {
+    InvalidSetting {
         /// Which file.
         file: PathBuf,
         /// Line of the setting, from 1.
--- a/crates/xds-supervisor/src/lib.rs
+++ b/crates/xds-supervisor/src/lib.rs
@@ -17,7 +17,7 @@
 mod storage;
 mod tables;
 
-pub use crate::core::{Core, Peer, ShellCommand, Warning, LISTENER, PREFIX};
+pub use crate::core::{Core, Peer, ShellCommand, Warning, LISTENER_NAME, OPERATION_PATH_PREFIX};
 pub use channel::Backlog;
 pub use daemon::{run, DaemonError};
 pub use deployment::{Deployment, FileError, GroupDeployment, InjectedFault, TableHistoryLimits};
--- a/crates/xds-supervisor/tests/core/discovery.rs
+++ b/crates/xds-supervisor/tests/core/discovery.rs
@@ -18,9 +18,9 @@
         harness.run_ms(1500);
         harness.read_and_acknowledge(7, client)
     };
-    let listeners = subscribe(&mut harness, &mut client, types::LISTENER, &[LISTENER]);
+    let listeners = subscribe(&mut harness, &mut client, types::LISTENER, &[LISTENER_NAME]);
     assert_eq!(listeners[0].resources.len(), 1);
-    let routes = subscribe(&mut harness, &mut client, types::ROUTES, &[LISTENER]);
+    let routes = subscribe(&mut harness, &mut client, types::ROUTES, &[LISTENER_NAME]);
     let policies = decode_retries(&routes.last().unwrap().resources[0]).unwrap();
     assert_eq!(policies.iter().map(|policy| policy.0.as_str()).collect::<Vec<_>>(), ["view", "order"]);
     let clusters = subscribe(&mut harness, &mut client, types::CLUSTER, &["view", "order"]);
--- a/crates/xds-supervisor/tests/core/main.rs
+++ b/crates/xds-supervisor/tests/core/main.rs
@@ -5,7 +5,7 @@
 use shalereel_reactor::{MILLI, SECOND};
 use shalereel_rpc::Code;
 use shalereel_xds::*;
-use shalereel_xds_supervisor::{Deployment, Peer, LISTENER};
+use shalereel_xds_supervisor::{Deployment, Peer, LISTENER_NAME};
 
 use harness::{summaries, summary, Harness, DEPLOYMENT};
 
