--- a/crates/xds-supervisor/src/channel.rs
+++ b/crates/xds-supervisor/src/channel.rs
@@ -1,6 +1,7 @@
-//! The channel to the proxies: messages leave one after another at the configured rate, each an overhead and its lines.
-//! What a proxy does not read stays one pending message of its own, so a slow proxy never holds up another.
-//! `core` enqueues and takes what has left. Free of I/O and clock; nothing is decided here.
+//! The channel to the proxies: a queue that messages leave one after another at the configured rate. Each message costs
+//! its lines and an overhead. Messages that a proxy does not read are merged into one pending update of that proxy, so
+//! a slow proxy does not delay others. `core` enqueues messages and takes departed ones. Free of I/O and clock, and
+//! makes no decisions.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,18 +10,18 @@
 #[cfg(test)]
 mod tests;
 
-/// On whose behalf a message is queued.
+/// Component that caused a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Origin {
     Controller,
-    /// The supervisor itself: the controller's account of the channel does not have it.
+    /// The supervisor itself; the controller does not count the message in its account of the channel.
     Supervisor,
 }
 
 #[derive(Debug)]
 struct Message {
     proxy: ProxyId,
-    /// Overhead included.
+    /// Cost in lines, including the overhead.
     lines: f64,
     queued_at: Nanos,
     mark: Option<u16>,
@@ -30,38 +31,38 @@
 /// A message that has left the channel, to be written to its proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Departure {
-    /// Receiver.
+    /// Proxy that receives the message.
     pub proxy: ProxyId,
-    /// When it was put into the channel.
+    /// Time when the message was queued, ns.
     pub queued_at: Nanos,
-    /// Serial of the mark that it carries.
+    /// Serial of the mark that the message carries.
     pub mark: Option<u16>,
 }
 
-/// Lines in the channel, overheads included.
+/// Number of lines in the channel, including overheads.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Backlog {
-    /// The most that were ever queued.
+    /// Highest number of lines that were queued at once.
     pub peak_lines: f64,
-    /// Queued now.
+    /// Number of lines that are queued now.
     pub queued_lines: f64,
 }
 
 /// Queued messages, in the order in which they leave.
 #[derive(Debug)]
 pub struct Channel {
-    /// `None`: no pacing.
+    /// Rate of the channel; `None` without pacing.
     lines_per_ns: Option<f64>,
     message_overhead: f64,
     queue: VecDeque<Message>,
     queued_lines: f64,
-    /// When the message in front began to leave.
+    /// Time when the message in front began to leave, ns.
     front_since: Nanos,
     peak_lines: f64,
 }
 
 impl Channel {
-    /// An empty channel with the configured rate; `paced` false: messages leave at once.
+    /// Creates an empty channel with the configured rate. Without `paced`, messages leave at once.
     pub fn new(config: &ControllerConfig, paced: bool) -> Self {
         Channel {
             lines_per_ns: paced.then_some(config.lines_per_s / 1e9),
@@ -73,18 +74,18 @@
         }
     }
 
-    /// Lines that are queued and were, overheads included.
+    /// Current and peak number of queued lines, including overheads.
     pub fn backlog(&self) -> Backlog {
         Backlog { peak_lines: self.peak_lines, queued_lines: self.queued_lines }
     }
 
-    /// Queued lines of messages that the controller does not know of, overheads included.
+    /// Number of queued lines of messages that the controller did not cause, including overheads.
     pub fn supervisor_lines(&self) -> f64 {
-        let own = self.queue.iter().filter(|message| message.origin == Origin::Supervisor);
-        own.map(|message| message.lines).sum()
+        let supervisor_messages = self.queue.iter().filter(|message| message.origin == Origin::Supervisor);
+        supervisor_messages.map(|message| message.lines).sum()
     }
 
-    /// Queues the messages of one decision: lines by proxy, without overhead.
+    /// Queues the messages of one decision. `lines` is the number of lines for each proxy, without overhead.
     pub fn enqueue(&mut self, now: Nanos, lines: &BTreeMap<ProxyId, f64>, mark: Option<u16>) {
         if self.queue.is_empty() {
             self.front_since = now;
@@ -100,8 +101,8 @@
         }
     }
 
-    /// Queues a message that the controller does not know of; `lines` with overhead.
-    pub fn enqueue_own(&mut self, now: Nanos, proxy: ProxyId, lines: f64) {
+    /// Queues a message that the controller did not cause. `lines` includes the overhead.
+    pub fn enqueue_supervisor_message(&mut self, now: Nanos, proxy: ProxyId, lines: f64) {
         if self.queue.is_empty() {
             self.front_since = now;
         }
@@ -114,7 +115,7 @@
         self.peak_lines = self.peak_lines.max(self.queued_lines);
     }
 
-    /// Drops what is queued for a proxy: its stream is closed.
+    /// Drops all messages that are queued for a proxy whose stream is closed.
     pub fn drop_messages_to(&mut self, proxy: ProxyId) {
         let dropped: f64 =
             self.queue.iter().filter(|message| message.proxy == proxy).map(|message| message.lines).sum();
@@ -122,14 +123,14 @@
         self.queue.retain(|message| message.proxy != proxy);
     }
 
-    /// When the message in front will have left.
+    /// Time at which the message in front leaves the channel, ns.
     pub fn next_departure(&self) -> Option<Nanos> {
         let front = self.queue.front()?;
         let duration = self.lines_per_ns.map_or(0.0, |rate| front.lines / rate);
         Some(self.front_since + duration as Nanos)
     }
 
-    /// Takes the next message that has left by now.
+    /// Takes the next message that has left the channel by now.
     pub fn depart(&mut self, now: Nanos) -> Option<Departure> {
         let departed_at = self.next_departure().filter(|&at| at <= now)?;
         let message = self.queue.pop_front()?;
--- a/crates/xds-supervisor/src/client_limits.rs
+++ b/crates/xds-supervisor/src/client_limits.rs
@@ -1,43 +1,44 @@
-//! Limits and time-outs of clients and other peers: how long a supervisor waits for them, and what they may cost it.
-//! The same for the registry, health checks, group members, balancers and the kernel's retries. The daemon and the
-//! [`Core`](crate::Core) ask; free of I/O and clock.
+//! Limits and timeouts for clients and other peers: how long the supervisor waits for them, and how many resources they
+//! may use. They cover the registry, health checks, group members, balancers and kernel retries as well. Used by the
+//! daemon and [`Core`](crate::Core); free of I/O and clock.
 
 use shalereel::interface::{ControllerConfig, Nanos};
 
-/// Most bytes of one message, of gRPC or SASP: a report or registration of ten thousand servers fits.
+/// Maximum size of a gRPC or SASP message: a report or registration of ten thousand servers fits.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
-/// Most calls open at once on a connection; a client needs two.
+/// Maximum number of concurrent calls on a connection; a client needs two.
 const MAX_CALLS_PER_CONNECTION: u32 = 64;
-/// Most messages of the largest size that are buffered for a peer that does not read.
+/// Maximum number of messages of maximum size that are buffered for a peer that does not read.
 const MAX_BUFFERED_MESSAGES: usize = 2;
-/// Most members of one balancer: two listings of ten thousand servers.
+/// Maximum number of members of one balancer: ten thousand servers, each listed twice.
 const MAX_MEMBERS_PER_BALANCER: usize = 20_000;
-/// Most groups of one balancer: sixteen for each of sixteen operations.
+/// Maximum number of groups of one balancer: sixteen for each of sixteen operations.
 const MAX_GROUPS_PER_BALANCER: usize = 256;
-/// Requests for weights that a balancer is answered in a report interval; one is expected.
+/// Maximum number of weight requests of a balancer that are answered in a report interval; one is expected.
 const MAX_WEIGHT_REQUESTS_PER_INTERVAL: u32 = 16;
-/// Most entries of a group's log in one message.
+/// Maximum number of entries of a group's log in one message.
 const MAX_LOG_ENTRIES_PER_MESSAGE: usize = 64;
 
-/// A stream is terminated after so many rejected messages in a row.
+/// Number of consecutive rejected messages after which a stream is terminated.
 const MAX_REJECTED_MESSAGES: u32 = 3;
-/// A message must be acknowledged within so many times a round trip and the emptying of a full channel.
+/// Acknowledgement timeout, as a multiple of a round trip with a report interval plus the time in which a full channel
+/// empties.
 const ACK_TIMEOUT_FACTOR: Nanos = 4;
-/// Reads and writes that the kernel refuses for the moment are retried after so long, ns.
+/// Delay before reads and writes that the kernel temporarily refuses are retried, ns.
 const KERNEL_RETRY_DELAY: Nanos = 50_000_000;
-/// The endpoint list is stored within this part of a report interval.
+/// The endpoint list is stored within a report interval divided by this.
 const LIST_WRITE_DELAY_DIVISOR: Nanos = 4;
-/// A member of the group that cannot be reached is dialled so many times in a report interval.
+/// Number of dials per report interval to an unreachable member of the group.
 const MEMBER_DIALS_PER_INTERVAL: Nanos = 8;
 
 const NANOS_PER_S: Nanos = 1_000_000_000;
 
-/// What to do with a proxy that has rejected a message.
+/// Reaction to a proxy's rejection of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NackResponse {
-    /// Send it again at this time, ns.
+    /// Send the message again at this time, ns.
     ResendAt(Nanos),
-    /// End its stream, so that it joins anew.
+    /// Close the proxy's stream, so that the proxy joins again.
     Terminate,
 }
 
@@ -45,14 +46,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
     report_interval: Nanos,
-    /// From a message to the report after it: transit both ways, and a report interval.
+    /// Time from a message to the next report that reflects it, ns: transit both ways and a report interval.
     round_trip_and_report: Nanos,
-    /// Time in which a full channel empties.
+    /// Time in which a full channel empties, ns.
     channel_drain_time: Nanos,
 }
 
 impl ClientLimits {
-    /// The limits of a deployment.
+    /// Derives the limits of a deployment.
     pub fn new(config: &ControllerConfig) -> Self {
         ClientLimits {
             report_interval: config.report_interval,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// What to do after a proxy has rejected its `count`th message in a row. Each resend waits a round trip longer, as
+    /// Reaction to a proxy's `count`th consecutive rejection. Each resend waits one round trip with report longer, as
     /// the same message is likely to be rejected again.
     pub fn on_nack(&self, now: Nanos, count: u32) -> NackResponse {
         if count >= MAX_REJECTED_MESSAGES {
@@ -70,42 +71,43 @@
         NackResponse::ResendAt(now + Nanos::from(count) * self.round_trip_and_report)
     }
 
-    /// Until when a message must be acknowledged, ns.
+    /// Time by which a message must be acknowledged, ns.
     pub fn ack_deadline(&self, sent_at: Nanos) -> Nanos {
         sent_at + self.ack_timeout()
     }
 
-    /// How long a message may stay unacknowledged, ns.
+    /// Time for which a message may stay unacknowledged, ns.
     fn ack_timeout(&self) -> Nanos {
         ACK_TIMEOUT_FACTOR * (self.round_trip_and_report + self.channel_drain_time)
     }
 
-    /// When the registry is dialled again after its stream was lost, ns, where the list is watched.
+    /// Time of the next dial of a watched registry whose stream was lost, ns.
     pub fn registry_redial_at(&self, lost_at: Nanos) -> Nanos {
         lost_at + self.report_interval
     }
 
-    /// When a changed endpoint list is stored, ns: after what follows from it is sent, and at a bounded rate.
+    /// Time at which a changed endpoint list is stored, ns. The delay lets resulting updates be sent first, and bounds
+    /// the write rate.
     pub fn list_write_at(&self, changed_at: Nanos) -> Nanos {
         changed_at + self.report_interval / LIST_WRITE_DELAY_DIVISOR
     }
 
-    /// Until when a health check must be answered, ns.
+    /// Time by which a health check must be answered, ns.
     pub fn health_check_deadline(&self, sent_at: Nanos) -> Nanos {
         sent_at + self.report_interval
     }
 
-    /// When a member of the group may be dialled again, ns.
+    /// Earliest time of the next dial of a group member, ns.
     pub fn member_redial_at(&self, dialled_at: Nanos) -> Nanos {
         dialled_at + self.report_interval / MEMBER_DIALS_PER_INTERVAL
     }
 
-    /// Most entries of a group's log in one message.
+    /// Maximum number of entries of a group's log in one message.
     pub fn max_log_entries(&self) -> usize {
         MAX_LOG_ENTRIES_PER_MESSAGE
     }
 
-    /// What one connection may cost.
+    /// Limits of one gRPC connection.
     pub fn connection(&self) -> shalereel_rpc::ConnectionLimits {
         shalereel_rpc::ConnectionLimits {
             max_message_bytes: MAX_MESSAGE_BYTES,
@@ -116,7 +118,7 @@
         }
     }
 
-    /// What one balancer may cost.
+    /// Limits of one balancer.
     pub fn balancer(&self) -> shalereel_sasp::Bounds {
         // SASP counts whole seconds.
         let interval = self.report_interval.div_ceil(NANOS_PER_S).clamp(1, 3600) as u16;
--- a/crates/xds-supervisor/src/core.rs
+++ b/crates/xds-supervisor/src/core.rs
@@ -1,5 +1,5 @@
-//! A supervisor without its sockets: what peers send goes in, commands to the shell come out. Messages become events of
-//! the controller, and its actions become messages. `daemon` drives it. Free of I/O and clock.
+//! A supervisor without I/O and clock: it takes messages of peers and returns commands for the daemon that drives it.
+//! Messages become events for the controller, and the controller's actions become messages.
 
 mod actions;
 mod command;
@@ -26,7 +26,7 @@
 use shalereel_xds::ServerStream;
 
 pub use command::{ShellCommand, Warning};
-use delivery::OwnUpdate;
+use delivery::SupervisorUpdate;
 use proxy::Proxy;
 use resources::ResponseCache;
 use snapshot::RestoredSnapshot;
@@ -41,41 +41,41 @@
 use crate::sasp_front::SaspFront;
 use crate::tables::{TableContext, Tables};
 
-/// Number of a stream, given by the shell; never given twice.
+/// Number of a stream or SASP connection, assigned by the daemon and never reused.
 pub type Peer = u64;
 
-/// Name of the listener and its routes that clients start from.
+/// Resource name of the listener that clients request first, and of its routes.
 pub const LISTENER_NAME: &str = "shalereel";
-/// Path before an operation's name.
+/// Prefix of a request path; the operation's name follows it.
 pub const OPERATION_PATH_PREFIX: &str = "/shalereel.work.v1.Work/";
 
 /// A discovery stream.
 #[derive(Debug)]
 struct Stream {
     server: ServerStream,
-    /// Known once its first message was read.
+    /// The proxy that joined on the stream; `None` until its first message names the node.
     proxy: Option<ProxyId>,
 }
 
-/// Key of a timer: when it fires, and a number that keeps those of one time apart.
+/// Key of a timer: the time when it fires, and a number that distinguishes timers of the same time.
 type TimerKey = (Nanos, u64);
 
-/// One supervisor.
+/// State of one supervisor.
 pub struct Core {
     deployment: Deployment,
     config: ControllerConfig,
     controller: Controller,
     tables: Tables,
     endpoints: EndpointList,
-    /// The wall clock less the monotonic one, ns; 0 until the daemon has set it.
+    /// Wall clock minus monotonic clock, ns; 0 until the daemon has set it.
     wall_clock_offset: Nanos,
-    /// Share of all requests that goes by each table.
+    /// Share of all requests that is sent by each table.
     table_shares: BTreeMap<TableId, f64>,
 
     channel: Channel,
     delivery: DeliveryPolicy,
-    /// Updates that no action of the controller caused; they wait for the channel's spare capacity.
-    own_updates: VecDeque<OwnUpdate>,
+    /// Updates that no action of the controller caused; they wait for spare capacity of the channel.
+    supervisor_updates: VecDeque<SupervisorUpdate>,
     cache: ResponseCache,
     last_nonce: u64,
     /// Identifier of this control plane in responses.
@@ -83,21 +83,21 @@
 
     limits: ClientLimits,
     streams: BTreeMap<Peer, Stream>,
-    /// LRS streams, and the proxy that each reports for; `None` until a report names a node that has joined a discovery
-    /// stream before, and reports are dropped until then.
+    /// LRS streams, and the proxy that each reports for; `None` until a report names a node that has joined on a
+    /// discovery stream. Reports are dropped until then.
     load_streams: BTreeMap<Peer, Option<ReportingProxy>>,
     sasp: SaspFront,
     proxies: BTreeMap<ProxyId, Proxy>,
-    /// By node id; ids stay given while their proxies are away.
+    /// Proxy id of each node id; a disconnected node keeps its proxy id.
     proxy_ids: BTreeMap<String, ProxyId>,
 
     load_reports: LoadReports,
-    /// Requests per second that came to each proxy in the last report interval.
+    /// Requests per second that each proxy received in the last report interval.
     request_rates: BTreeMap<ProxyId, f64>,
-    reported_at: Nanos,
+    last_report_at: Nanos,
 
     group: Option<GroupMember>,
-    /// The group was not yet sent the servers as they are now.
+    /// The servers have changed since the group was last sent them.
     servers_changed: bool,
 
     freshness: FreshnessPolicy,
@@ -105,15 +105,17 @@
     snapshot_applied: bool,
     snapshot_taken_at: Nanos,
 
-    /// Token of each timer, by when it fires.
+    /// Token of each timer, in the order in which they fire.
     timers: BTreeMap<TimerKey, u64>,
+    /// Events for the controller's next decision.
     events: Vec<Event>,
+    /// Time of the controller's last decision.
     decided_at: Option<Nanos>,
     commands: Vec<ShellCommand>,
 }
 
 impl Core {
-    /// A supervisor that starts now. `stored_list`: the endpoint list that an earlier run stored.
+    /// Creates a supervisor that starts at `now`. `stored_list` is the endpoint list that an earlier run stored.
     pub fn new(deployment: Deployment, now: Nanos, stored_list: Option<&[u8]>) -> Self {
         let config = deployment.config.clone();
         let retention = deployment.table_history.or_derived(RetentionLimits::new(&config));
@@ -125,7 +127,7 @@
             table_shares: BTreeMap::new(),
             channel: Channel::new(&config, deployment.paced),
             delivery: DeliveryPolicy::new(&config),
-            own_updates: VecDeque::new(),
+            supervisor_updates: VecDeque::new(),
             cache: ResponseCache::default(),
             last_nonce: 0,
             identity: format!("shalereel/{}", config.supervisor_index),
@@ -137,7 +139,7 @@
             proxy_ids: BTreeMap::new(),
             load_reports: LoadReports::default(),
             request_rates: BTreeMap::new(),
-            reported_at: now,
+            last_report_at: now,
             group: None,
             servers_changed: true,
             freshness: FreshnessPolicy::new(&config),
@@ -155,12 +157,12 @@
         core
     }
 
-    /// Sets by how much the wall clock is ahead of the monotonic one, ns.
+    /// Sets wall clock minus monotonic clock, ns.
     pub fn set_wall_clock_offset(&mut self, offset: Nanos) {
         self.wall_clock_offset = offset;
     }
 
-    /// Takes the tables' history that an earlier run stored. Gives how many bytes of the file are intact.
+    /// Loads the table history that an earlier run stored, and returns the number of bytes of the file that are intact.
     ///
     /// # Errors
     ///
@@ -169,7 +171,7 @@
         file.map_or(Ok(0), |file| self.tables.store.load(file))
     }
 
-    /// Takes note that versions of tables were not written; the whole history is written again with the next one.
+    /// Records that a write of table versions failed; the next write replaces the whole history.
     pub fn table_write_failed(&mut self) {
         self.tables.store.write_failed();
     }
@@ -178,19 +180,19 @@
     ///
     /// # Errors
     ///
-    /// It cannot be decoded or carried out; the call ends with this status.
+    /// The request cannot be decoded or executed; the call ends with this status.
     pub fn handle_admin(&mut self, now: Nanos, message: &[u8]) -> Result<Vec<u8>, Status> {
         let context =
             table_context(&self.endpoints, &self.table_shares, &self.config, self.wall_clock_offset, now);
         admin::answer(&mut self.tables, &context, message)
     }
 
-    /// A health check that the shell made is over, after `elapsed`.
+    /// Handles the outcome of a health check that the daemon made; it took `elapsed` ns.
     pub fn health_checked(&mut self, server: ServerId, outcome: HealthCheckOutcome, elapsed: Nanos) {
         self.events.push(Event::HealthChecked { server, outcome, elapsed, load: Vec::new() });
     }
 
-    /// Lines in the channel.
+    /// Current and peak number of lines in the channel.
     pub fn backlog(&self) -> Backlog {
         self.channel.backlog()
     }
@@ -200,10 +202,10 @@
         self.proxies.len()
     }
 
-    /// When it has to be polled next, whatever comes.
+    /// Latest time of the next [`poll`](Core::poll), even if no input arrives, ns.
     pub fn next_deadline(&self) -> Nanos {
         let next_batch = self.decided_at.map_or(0, |at| at + self.deployment.min_batch_interval);
-        let next_report = self.reported_at + self.config.report_interval;
+        let next_report = self.last_report_at + self.config.report_interval;
         let deadlines = [
             (!self.events.is_empty()).then_some(next_batch),
             self.timers.keys().next().map(|(fires_at, _)| (*fires_at).max(next_batch)),
@@ -217,23 +219,23 @@
         deadlines.into_iter().flatten().min().unwrap_or(next_report)
     }
 
-    /// Carries out all that is due, in this order: the report interval's end, the group, the controller's decision,
-    /// the snapshot, versions of changed tables, the supervisor's own updates (guard, retransmissions, constraints),
-    /// departures of the channel, writes to proxies; then gives the commands for the shell. Publishing comes before
-    /// writing, so that what is written is the newest version. `blocked`: whether a peer has not read what was
-    /// written to it before.
+    /// Does all work that is due and returns the commands for the daemon. The order is: end of the report interval,
+    /// group, controller's decision, snapshot, versions of changed tables, updates that no action of the controller
+    /// caused (guard, retransmissions, constraints), departures from the channel, writes to proxies. Publishing
+    /// precedes writing, so that proxies are sent the newest version. `blocked` tells whether a peer still has unsent
+    /// bytes of earlier messages.
     pub fn poll(&mut self, now: Nanos, blocked: impl Fn(Peer) -> bool) -> Vec<ShellCommand> {
-        if now >= self.reported_at + self.config.report_interval {
+        if now >= self.last_report_at + self.config.report_interval {
             self.end_report_interval(now);
         }
         self.poll_group(now);
         self.decide(now);
         self.store_snapshot(now);
-        // Also versions from lines that the guard inspects again bear this reason.
+        // Versions from lines that the guard inspects again carry this reason too.
         self.publish(now, &Provenance::new("list", "servers are met at other addresses"));
-        self.poll_own_updates(now);
+        self.poll_supervisor_updates(now);
         while let Some(departure) = self.channel.depart(now) {
-            self.departed(departure);
+            self.on_departure(departure);
         }
         self.write_updates(now, blocked);
         self.cache.clear();
@@ -244,7 +246,7 @@
         std::mem::take(&mut self.commands)
     }
 
-    /// Gives the controller a batch of events, if there are any and the least time since the last batch is over.
+    /// Passes the queued events to the controller, if there are any and the minimum batch interval has passed.
     fn decide(&mut self, now: Nanos) {
         if self.decided_at.is_some_and(|at| now < at + self.deployment.min_batch_interval) {
             return;
@@ -257,17 +259,17 @@
         }
         self.decided_at = Some(now);
         let actions = self.controller.decide(now, std::mem::take(&mut self.events));
-        self.perform_all(now, actions);
+        self.apply_actions(now, actions);
     }
 
-    /// Makes versions of all tables that differ from their last ones.
+    /// Publishes a new version of each table that differs from its last version.
     fn publish(&mut self, now: Nanos, provenance: &Provenance) {
         let context =
             table_context(&self.endpoints, &self.table_shares, &self.config, self.wall_clock_offset, now);
         self.tables.publish(&context, provenance);
     }
 
-    /// The next nonce of a response; it also numbers timers.
+    /// Returns the next number for a response's nonce or a timer's key.
     fn next_number(&mut self) -> u64 {
         self.last_nonce += 1;
         self.last_nonce
@@ -277,14 +279,14 @@
         self.commands.push(ShellCommand::Warn(warning));
     }
 
-    /// Closes a stream from this side.
+    /// Closes a stream or SASP connection from this side.
     fn close_stream(&mut self, peer: Peer, status: Status) {
         self.stream_closed(peer);
         self.commands.push(ShellCommand::CloseStream { peer, status });
     }
 }
 
-/// What tables are made from, beside the controller's actions.
+/// Inputs of the tables besides the controller's actions.
 fn table_context<'a>(
     endpoints: &'a EndpointList,
     table_shares: &'a BTreeMap<TableId, f64>,
--- a/crates/xds-supervisor/src/core/actions.rs
+++ b/crates/xds-supervisor/src/core/actions.rs
@@ -1,4 +1,5 @@
-//! The controller's actions: tables change first, then each proxy that is concerned is charged its lines in the channel.
+//! The controller's actions: tables are changed first, then one message for each affected proxy is put into the
+//! channel, with as many lines as the changes cost.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +10,7 @@
 use super::{Core, ShellCommand};
 use crate::tables::AffectedProxies;
 
-/// What the actions of one decision cost, and why they were decided.
+/// Effects of the actions of one decision: their cost in the channel, and the reasons for them.
 #[derive(Default)]
 struct Batch {
     /// Lines by proxy, without message overhead.
@@ -22,7 +23,7 @@
 #[derive(Clone, Copy)]
 struct RequestedMark {
     serial: u16,
-    /// Of proxies that nothing else is sent to, too.
+    /// Proxies that are sent nothing else have to acknowledge it too.
     from_everyone: bool,
 }
 
@@ -33,17 +34,17 @@
 }
 
 impl Core {
-    /// Carries out the actions of one decision: one message for each proxy concerned.
-    pub(super) fn perform_all(&mut self, now: Nanos, actions: Vec<Action>) {
+    /// Applies the actions of one decision and queues one message for each affected proxy.
+    pub(super) fn apply_actions(&mut self, now: Nanos, actions: Vec<Action>) {
         let mut batch = Batch::default();
         for action in self.inject_fault(now, actions) {
-            self.perform(now, action, &mut batch);
+            self.apply_action(now, action, &mut batch);
         }
         if let Some(mark) = batch.mark {
             if mark.from_everyone {
                 self.proxies.keys().for_each(|&id| batch.charge(id, 0.0));
             }
-            // The mark is a line of its own.
+            // The mark costs one line.
             batch.lines.values_mut().for_each(|lines| *lines += 1.0);
         }
         if batch.tables_assigned {
@@ -53,7 +54,7 @@
         self.channel.enqueue(now, &batch.lines, batch.mark.map(|mark| mark.serial));
     }
 
-    fn perform(&mut self, now: Nanos, action: Action, batch: &mut Batch) {
+    fn apply_action(&mut self, now: Nanos, action: Action, batch: &mut Batch) {
         match action {
             Action::SetTimer { delay, token } => {
                 let number = self.next_number();
@@ -70,7 +71,7 @@
             }
             Action::WatchEndpoints { on } => self.commands.push(ShellCommand::WatchEndpoints(on)),
             Action::FetchEndpoints => self.commands.push(ShellCommand::FetchEndpoints),
-            // Supervisors of this kind send each other nothing but what the group does.
+            // These supervisors exchange only messages of the group.
             Action::SendToPeer { .. } => {}
             Action::RequestAck { serial, everyone } => {
                 batch.mark = Some(RequestedMark { serial, from_everyone: everyone });
@@ -82,39 +83,39 @@
         }
     }
 
-    /// `operations`: a bit for each by position; 0: all.
+    /// Assigns a table to a proxy. `operations` has one bit for each operation, by position; 0 means all.
     fn assign_table(&mut self, id: ProxyId, table: TableId, operations: u16, batch: &mut Batch) {
         let Some(proxy) = self.proxies.get_mut(&id) else { return };
         let count = self.deployment.operations.len() as u16;
         let chosen = (0..count).filter(|at| operations == 0 || operations & (1 << at) != 0);
         proxy.tables.extend(chosen.map(|at| (at, table)));
         batch.tables_assigned = true;
-        // One that has said what it holds is sent what differs.
+        // A proxy that has reported the version that it holds is sent only the lines that differ.
         let subscription = proxy.subscriptions.get(&table);
         let base = subscription.and_then(|subscription| subscription.next_base(&self.tables.store, table));
         if proxy.supports_lines && subscription.is_none() {
             proxy.charged_tables.insert(table);
         }
-        let full = self.tables.size(table);
+        let full = self.tables.full_line_count(table);
         let lines = match base {
             Some(base) => full.min(self.tables.lines_since(table, base)),
             None => full,
         };
-        // The assignment itself is a line.
+        // The assignment itself costs one line.
         batch.charge(id, 1.0 + lines as f64);
     }
 
     fn change_tables(&mut self, action: &Action, batch: &mut Batch) {
-        let reach = self.tables.apply(action, self.deployment.operations.len());
+        let affected = self.tables.apply(action, self.deployment.operations.len());
         for (&id, proxy) in &self.proxies {
-            if self.is_reached(proxy, reach) {
+            if self.is_affected(proxy, affected) {
                 batch.charge(id, 1.0);
             }
         }
     }
 
-    fn is_reached(&self, proxy: &Proxy, reach: AffectedProxies) -> bool {
-        match reach {
+    fn is_affected(&self, proxy: &Proxy, affected: AffectedProxies) -> bool {
+        match affected {
             AffectedProxies::None => false,
             AffectedProxies::UsingTable(table) => proxy.uses(table),
             AffectedProxies::MayUseServer(server) => {
--- a/crates/xds-supervisor/src/core/command.rs
+++ b/crates/xds-supervisor/src/core/command.rs
@@ -1,4 +1,4 @@
-//! What the core has the shell do, and warnings for its log.
+//! Commands of the core to the daemon, and warnings for the log.
 
 use std::net::SocketAddr;
 
@@ -11,109 +11,109 @@
 use crate::endpoints::SkippedRow;
 use crate::group_member::GroupCommand;
 
-/// A command to the shell.
+/// A command of the core to the daemon (the shell around it).
 #[derive(Clone, Debug, PartialEq)]
 pub enum ShellCommand {
-    /// Send a framed message; streams that are sent the same one share its bytes.
+    /// Send a framed message; streams that receive the same message share its bytes.
     Send {
-        /// The stream.
+        /// Receiving stream.
         peer: Peer,
-        /// With its frame's head.
+        /// Message with its frame header.
         message: Bytes,
     },
     /// Write bytes to a SASP connection.
     WriteSasp {
-        /// The connection.
+        /// Receiving connection.
         peer: Peer,
-        /// An encoded message.
+        /// Encoded SASP message.
         bytes: Vec<u8>,
     },
-    /// Close a stream or SASP connection; the core has forgotten it.
+    /// Close a stream or SASP connection; the core has already removed it.
     CloseStream {
-        /// The stream or connection.
+        /// Stream or connection to close.
         peer: Peer,
-        /// Why.
+        /// Status that names the reason.
         status: Status,
     },
     /// Watch the registry's endpoint list (true), or stop watching it (false).
     WatchEndpoints(bool),
     /// Fetch the full endpoint list once.
     FetchEndpoints,
-    /// Check a server's health; its outcome goes to [`Core::health_checked`](super::Core::health_checked).
+    /// Check a server's health; the outcome is passed to [`Core::health_checked`](super::Core::health_checked).
     CheckHealth {
-        /// Its number.
+        /// Number of the server.
         server: ServerId,
-        /// Where it is reached.
+        /// Address of the server.
         address: SocketAddr,
     },
     /// Log a decision of the controller.
     LogDecision(String),
     /// Log a warning.
     Warn(Warning),
-    /// Do something for the group.
+    /// Execute a command of the group.
     Group(GroupCommand),
-    /// Append versions of tables to their history.
+    /// Write versions of tables to the table history.
     StoreTables(FileWrite),
-    /// Store the snapshot's record in place of the one before.
+    /// Store the record of a snapshot in place of the previous one.
     StoreSnapshot(Vec<u8>),
     /// The endpoint list has changed: store [`Core::endpoint_list_json`](super::Core::endpoint_list_json) soon.
     StoreEndpointList,
 }
 
-/// Something that an operator should see.
+/// A condition that an operator should see in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Warning {
-    /// The endpoint list of an earlier run could not be decoded; the start goes on without.
+    /// The endpoint list of an earlier run could not be decoded; the supervisor starts without it.
     StoredListUnreadable {
-        /// As the decoder has it.
+        /// Message of the decoder.
         error: String,
     },
     /// A row of the registry's list was skipped.
     RowSkipped(SkippedRow),
-    /// Load reports of the last interval name servers that were never listed.
+    /// Load reports of the last report interval name servers that were never listed.
     UnlistedServersReported {
-        /// Number of their rows.
+        /// Number of rows that name such servers.
         rows: u64,
     },
-    /// A client has asked for resources that do not exist.
+    /// A client has requested resources that do not exist.
     UnknownResources {
-        /// Of the resources.
+        /// Type of the resources.
         type_url: String,
-        /// As requested.
+        /// Names that the client requested.
         names: Vec<String>,
     },
     /// A client has rejected a response.
     ResponseRejected {
-        /// The client.
+        /// Proxy that rejected the response.
         proxy: ProxyId,
-        /// Of the response.
+        /// Type of the response's resources.
         type_url: String,
-        /// Of the response.
+        /// Nonce of the response.
         nonce: u64,
-        /// As the client has it.
+        /// Reason that the client gave.
         reason: String,
-        /// What the supervisor does.
+        /// Reaction of the supervisor.
         consequence: Consequence,
     },
-    /// What the guard did.
+    /// A decision of the guard, as a log line.
     Guard(String),
 }
 
-/// What follows from a rejected response.
+/// Reaction of the supervisor to a rejected response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consequence {
-    /// All that is not acknowledged is sent again after a backoff.
+    /// Everything that is not acknowledged is sent again after a backoff.
     SentAgainLater,
-    /// It was the last of several in a row.
+    /// The stream is closed, since the limit of consecutive rejections is reached.
     StreamClosed,
 }
 
 impl Warning {
-    /// Writes it to the log.
+    /// Writes the warning to the log.
     pub fn log(&self) {
         match self {
             Warning::StoredListUnreadable { error } => {
-                tracing::warn!(error, "stored endpoint list unreadable; starting without");
+                tracing::warn!(error, "stored endpoint list unreadable; starting without it");
             }
             Warning::RowSkipped(row) => {
                 tracing::warn!(address = %row.address, reason = %row.reason, "endpoint list row skipped");
--- a/crates/xds-supervisor/src/core/endpoint_list.rs
+++ b/crates/xds-supervisor/src/core/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as it arrives from the registry and from the file of an earlier run.
+//! Endpoint lists that arrive from the registry or from the file of an earlier run.
 
 use shalereel::interface::{Event, Nanos, WatchEvent};
 use shalereel_xds::Assignment;
@@ -6,7 +6,7 @@
 use super::{Core, ShellCommand, Warning};
 
 impl Core {
-    /// Takes the list that an earlier run stored, if there is one.
+    /// Loads the list that an earlier run stored, if there is one.
     pub(super) fn load_endpoint_list(&mut self, now: Nanos, stored: Option<&[u8]>) {
         let Some(stored) = stored else { return };
         match self.endpoints.load(now, stored) {
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Takes a full list from the registry.
+    /// Handles a full list from the registry.
     pub fn handle_endpoint_list(&mut self, now: Nanos, list: &Assignment) {
         let applied = self.endpoints.apply_list(now, list);
         for row in applied.skipped {
@@ -27,12 +27,12 @@
         self.apply_snapshot(now);
     }
 
-    /// The registry does not answer, or its stream broke.
+    /// Tells the controller that the registry does not answer or that its stream has ended.
     pub fn endpoint_list_failed(&mut self) {
         self.events.push(Event::Endpoints(WatchEvent::Failed));
     }
 
-    /// The list as last received, for [`Core::new`] after a restart.
+    /// The last received list as JSON, for [`Core::new`] after a restart.
     pub fn endpoint_list_json(&self) -> Vec<u8> {
         self.endpoints.to_json()
     }
--- a/crates/xds-supervisor/src/core/faults.rs
+++ b/crates/xds-supervisor/src/core/faults.rs
@@ -5,20 +5,20 @@
 use super::Core;
 use crate::deployment::InjectedFault;
 
-/// Weight of a server in slow start: many times what any server has.
+/// Weight of a server in slow start: many times any regular weight.
 const SLOW_START_WEIGHT: f64 = 1e4;
-/// Each line of a table changes between these weights with every batch.
+/// With every batch of actions, each line of a table alternates between this weight and `HIGH_FLOOD_WEIGHT`.
 const LOW_FLOOD_WEIGHT: f64 = 1.0;
 const HIGH_FLOOD_WEIGHT: f64 = 1.3;
-/// A line above this weight has the high one.
+/// A line whose weight is above this one has the high weight.
 const FLOOD_THRESHOLD: f64 = 1.2;
 
 impl Core {
-    /// Actions as a faulty supervisor would give them; unchanged in service.
+    /// Alters actions as the injected fault demands; without one, returns them unchanged.
     pub(super) fn inject_fault(&self, now: Nanos, actions: Vec<Action>) -> Vec<Action> {
         let Some(fault) = self.deployment.injected_fault else { return actions };
         let mut actions: Vec<Action> =
-            actions.into_iter().filter_map(|action| self.faulty(now, fault, action)).collect();
+            actions.into_iter().filter_map(|action| self.altered(now, fault, action)).collect();
         if fault == InjectedFault::FloodUpdates {
             actions.extend(self.tables.weights(0).map(|(server, weight)| {
                 let weight = if weight > FLOOD_THRESHOLD { LOW_FLOOD_WEIGHT } else { HIGH_FLOOD_WEIGHT };
@@ -28,7 +28,7 @@
         actions
     }
 
-    fn faulty(&self, now: Nanos, fault: InjectedFault, action: Action) -> Option<Action> {
+    fn altered(&self, now: Nanos, fault: InjectedFault, action: Action) -> Option<Action> {
         let slow_start = self.config.slow_start_duration;
         match (fault, action) {
             (InjectedFault::IgnoreDraining, Action::Exclude { .. }) => None,
--- a/crates/xds-supervisor/src/core/group.rs
+++ b/crates/xds-supervisor/src/core/group.rs
@@ -1,5 +1,5 @@
-//! The group, where the deployment has one: its drains become changes of the endpoint list, its weight caps go
-//! to the tables, and it is sent the servers.
+//! Connection to the supervisor's group, if the deployment has one: the group's drains change the endpoint list, its
+//! weight caps change the tables, and the group is sent the servers' availability.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
         }
     }
 
-    /// The group that it is a member of, and the servers that the group's answers name.
+    /// The group membership, if there is one, and the endpoint list that the group's answers are made from.
     pub fn group(&mut self) -> Option<(&mut GroupMember, &EndpointList)> {
         self.group.as_mut().map(|group| (group, &self.endpoints))
     }
@@ -31,7 +31,7 @@
         self.tables.set_group_caps(orders.weight_caps);
     }
 
-    /// Takes what the group has decided, and gives it the servers if they have changed.
+    /// Applies the group's changes, after sending it the servers if they have changed.
     pub(super) fn poll_group(&mut self, now: Nanos) {
         let availability =
             (self.servers_changed && self.group.is_some()).then(|| self.server_availability(now));
@@ -48,7 +48,8 @@
         }
     }
 
-    /// A server may own key ranges when it is ready, past its slow start, and not excluded by the controller.
+    /// Availability of each listed server. A server accepts key ranges when it is ready, past its slow start, and not
+    /// excluded by the controller.
     fn server_availability(&self, now: Nanos) -> BTreeMap<u32, ServerAvailability> {
         let slow_start = self.config.slow_start_duration;
         let availability = |ServerSummary { server, locality, ready }| {
--- a/crates/xds-supervisor/src/core/load_streams.rs
+++ b/crates/xds-supervisor/src/core/load_streams.rs
@@ -1,4 +1,4 @@
-//! Load reports on LRS streams, and the end of a report interval.
+//! Load reports on LRS streams, and the work at the end of a report interval.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,13 +10,13 @@
 use crate::load_reports::ReportingProxy;
 
 impl Core {
-    /// Takes a message on an LRS stream.
+    /// Handles a message on an LRS stream.
     pub(super) fn handle_load_report(&mut self, peer: Peer, message: &[u8]) -> Result<(), Status> {
         let report = LoadReport::decode(message)?;
         if let Some(node) = &report.node {
             self.identify_load_stream(peer, node);
         }
-        // Reports of proxies that are joined elsewhere are about other supervisors' tables.
+        // A proxy that has joined another supervisor reports the load that the other supervisor's tables caused.
         if let Some(&Some(reporter)) = self.load_streams.get(&peer) {
             if self.proxies.contains_key(&reporter.proxy) {
                 self.load_reports.add(reporter, &report, &self.deployment.operations, &self.endpoints);
@@ -25,9 +25,9 @@
         Ok(())
     }
 
-    /// Takes the node that a report names; the first one is answered with how to report.
+    /// Assigns the stream to the node that a report names. The first report is answered with the reporting settings.
     fn identify_load_stream(&mut self, peer: Peer, node: &NodeInfo) {
-        // An unknown zone counts as the first locality; discovery streams reject it.
+        // An unknown zone counts as the first locality; discovery streams reject such nodes.
         let locality = self.endpoints.locality(&node.zone).unwrap_or(0);
         let proxy = self.proxy_ids.get(&node.id).copied();
         let before = self.load_streams.insert(peer, proxy.map(|proxy| ReportingProxy { proxy, locality }));
@@ -37,13 +37,14 @@
         }
     }
 
-    /// Gives the interval's load reports to the controller and the group.
+    /// Passes the interval's load reports to the controller and the group, and closes unresponsive streams.
     pub(super) fn end_report_interval(&mut self, now: Nanos) {
-        self.reported_at = now;
+        self.last_report_at = now;
         let reports = self.load_reports.take();
         if let Some(group) = &mut self.group {
             group.handle_load_reports(&reports);
-            // Servers end their slow start and are ejected without a change of the list.
+            // The availability of servers also changes without a new endpoint list, when slow starts end and servers
+            // are ejected.
             self.servers_changed = true;
         }
         self.update_request_rates(&reports);
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Computes each table's share of all requests by the rates of its users; those that did not report count as the
-    /// mean of the others.
+    /// Computes each table's share of all requests from the request rates of the proxies that use it. Proxies that did
+    /// not report count with the mean rate of the others.
     pub(super) fn update_table_shares(&mut self) {
         let known: f64 = self.request_rates.values().sum();
         let count = self.request_rates.len();
--- a/crates/xds-supervisor/src/core/proxy.rs
+++ b/crates/xds-supervisor/src/core/proxy.rs
@@ -1,4 +1,4 @@
-//! A joined proxy: its tables, what was sent to it, and what it has not acknowledged.
+//! State of a joined proxy: its tables, sent versions, and unacknowledged updates.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,23 +9,24 @@
 use super::resources::ResourceVersion;
 use super::Peer;
 
-/// How a proxy is reached. What is decided for it does not depend on it.
+/// Protocol by which a proxy is served; the controller's decisions do not depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Protocol {
-    /// Assignments, acknowledged by nonce.
+    /// The proxy receives assignments and acknowledges them by nonce.
     Xds,
-    /// Weights alone; pushed ones count as acknowledged once written, others once requested.
+    /// The proxy receives only weights. Pushed weights count as acknowledged when they are written, polled ones when
+    /// they are requested.
     Sasp,
 }
 
-/// A mark that the controller asked a proxy to acknowledge.
+/// A serial number whose acknowledgement the controller has requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Mark {
     pub serial: u16,
     pub queued_at: Nanos,
 }
 
-/// What left the channel and is not written yet.
+/// An update that has left the channel and is not written yet.
 #[derive(Clone, Debug)]
 pub(super) struct PendingUpdate {
     pub queued_at: Nanos,
@@ -38,13 +39,14 @@
     }
 }
 
-/// Responses that were sent together, by their nonces, and the marks that their acknowledgements confirm.
+/// Nonces of responses that were sent together, and the marks that their acknowledgements confirm. A nonce is `None` if
+/// no response of its type was sent, or once it is acknowledged.
 #[derive(Debug)]
 pub(super) struct SentUpdate {
     pub assignment: Option<u64>,
     pub routes: Option<u64>,
     pub lines: Option<u64>,
-    /// It names a collection that the client has not subscribed to yet.
+    /// The update names a collection that the client has not subscribed to yet.
     pub awaits_subscription: bool,
     pub marks: Vec<Mark>,
     pub sent_at: Nanos,
@@ -62,7 +64,7 @@
             && !self.awaits_subscription
     }
 
-    /// Takes all of it as acknowledged.
+    /// Marks all responses of the update as acknowledged.
     pub fn acknowledge_all(&mut self) {
         self.assignment = None;
         self.routes = None;
@@ -70,7 +72,7 @@
         self.awaits_subscription = false;
     }
 
-    /// The nonce that is not acknowledged yet, by type; `None` for a type whose responses are not tracked.
+    /// The unacknowledged nonce of a type; `None` for a type whose responses are not tracked.
     pub fn nonce_mut(&mut self, type_url: &str) -> Option<&mut Option<u64>> {
         match type_url {
             types::ASSIGNMENT => Some(&mut self.assignment),
@@ -98,16 +100,16 @@
     pub tables: BTreeMap<u16, TableId>,
     pub pending: Option<PendingUpdate>,
     pub unacknowledged: VecDeque<SentUpdate>,
-    /// Versions of the resources that were sent last, by name.
+    /// Last sent version of each resource, by name.
     pub sent_versions: BTreeMap<String, ResourceVersion>,
     pub consecutive_rejections: u32,
-    /// Marks of what it rejected; sent again at `retry_at`.
+    /// Marks of rejected updates; they are sent again at `retry_at`.
     pub rejected_marks: Vec<Mark>,
     pub retry_at: Option<Nanos>,
-    /// It takes tables line by line.
+    /// The proxy accepts tables as collections of lines.
     pub supports_lines: bool,
     pub subscriptions: BTreeMap<TableId, Subscription>,
-    /// Tables whose lines the channel has carried, and that it has not subscribed to yet.
+    /// Tables whose lines the channel has carried, but that the proxy has not subscribed to yet.
     pub charged_tables: BTreeSet<TableId>,
     pub sent_deltas: VecDeque<SentDelta>,
 }
@@ -135,26 +137,26 @@
         self.tables.values().any(|&used| used == table)
     }
 
-    /// Has all that differs written with the next poll.
+    /// Has all changed resources written in the next poll.
     pub fn request_write(&mut self, now: Nanos) {
         self.pending.get_or_insert_with(|| PendingUpdate::new(now));
     }
 
-    /// What is to be written now, with the marks of what it rejected before.
+    /// Takes the update that is to be written now, including the marks of rejected updates.
     pub fn take_pending(&mut self, now: Nanos) -> PendingUpdate {
         let mut update = self.pending.take().unwrap_or_else(|| PendingUpdate::new(now));
         update.marks.append(&mut self.rejected_marks);
         update
     }
 
-    /// Since when something was sent or is to be written that it has not acknowledged.
+    /// Time of the oldest update that is not acknowledged or not written yet.
     pub fn unacknowledged_since(&self) -> Option<Nanos> {
         let sent = self.unacknowledged.front().map(|update| update.sent_at);
         let pending = self.pending.as_ref().map(|update| update.queued_at);
         sent.into_iter().chain(pending).min()
     }
 
-    /// Whether a resource is of another version than the one sent last; takes it as sent.
+    /// Records a resource's version as sent; returns whether it differs from the last sent one.
     pub fn update_version(&mut self, name: &str, version: ResourceVersion) -> bool {
         if self.sent_versions.get(name) == Some(&version) {
             return false;
--- a/crates/xds-supervisor/src/core/requests.rs
+++ b/crates/xds-supervisor/src/core/requests.rs
@@ -10,10 +10,10 @@
 use super::{Core, Peer, Stream, Warning, LISTENER_NAME};
 use crate::client_limits::NackResponse;
 
-/// Names that a client has subscribed to; `None`: all that there are.
+/// Resource names that a client has subscribed to; `None` means all existing ones.
 type RequestedNames = Option<Vec<String>>;
 
-/// What is answered at once.
+/// Response to a subscription that is sent at once, not with the next update.
 #[derive(Default)]
 struct ImmediateAnswer {
     resources: Vec<Resource>,
@@ -22,7 +22,7 @@
 }
 
 impl Core {
-    /// Takes a message on a discovery stream.
+    /// Handles a message on a discovery stream.
     pub(super) fn handle_discovery(&mut self, now: Nanos, peer: Peer, message: &[u8]) -> Result<(), Status> {
         let Some(stream) = self.streams.get_mut(&peer) else { return Ok(()) };
         for request in stream.server.handle(message)? {
@@ -38,7 +38,7 @@
         Ok(())
     }
 
-    /// Listeners and clusters are answered at once; tables go with the next write.
+    /// Handles a subscription. Listeners and clusters are sent at once, tables with the next update.
     fn subscribe(&mut self, now: Nanos, peer: Peer, type_url: &str, names: RequestedNames) {
         let Some(stream) = self.streams.get(&peer) else { return };
         if let Some(group) = &mut self.group {
@@ -95,7 +95,8 @@
             for name in &known {
                 reset_sent_version(stream, proxy, type_url, name);
             }
-            // A table that it uses already goes with the next write; the channel has carried its lines.
+            // Tables that the proxy already uses are sent with the next update without passing the channel again: it
+            // has already carried their lines.
             if !known.is_empty() && (!proxy.tables.is_empty() || !proxy.unacknowledged.is_empty()) {
                 proxy.request_write(now);
             }
@@ -137,7 +138,7 @@
         ImmediateAnswer { resources: known.into_iter().map(resource).collect(), unknown }
     }
 
-    /// A client has applied the response with this nonce, and by that those of its type before it.
+    /// Handles an acknowledgement: it covers the response with this nonce and all earlier ones of the same type.
     fn acknowledged(&mut self, now: Nanos, peer: Peer, type_url: &str, nonce: u64) {
         let Some((id, proxy)) = self.joined_on(peer) else { return };
         for update in &mut proxy.unacknowledged {
@@ -153,7 +154,8 @@
         self.confirm_marks(now, id);
     }
 
-    /// A mark counts as acknowledged once all that was sent with it and before it is.
+    /// Reports acknowledged marks to the controller. A mark counts as acknowledged once everything that was sent with
+    /// it and before it is acknowledged.
     pub(super) fn confirm_marks(&mut self, now: Nanos, id: ProxyId) {
         let Some(proxy) = self.proxies.get_mut(&id) else { return };
         while proxy.unacknowledged.front().is_some_and(SentUpdate::is_acknowledged) {
@@ -166,8 +168,8 @@
         }
     }
 
-    /// A client has rejected a response and keeps what it had. Its marks stay unacknowledged until the same, sent again,
-    /// is applied.
+    /// Handles a rejected response; the client keeps the resources that it had. The response's marks stay
+    /// unacknowledged until the client applies a resent response.
     fn rejected(&mut self, now: Nanos, peer: Peer, type_url: &str, nonce: u64, reason: String) {
         let limits = self.limits;
         let Some((id, proxy)) = self.joined_on(peer) else { return };
@@ -176,7 +178,7 @@
         proxy.subscriptions.values_mut().for_each(Subscription::retransmit);
         let consequence = match limits.on_nack(now, proxy.consecutive_rejections) {
             NackResponse::ResendAt(at) => {
-                // All that is not acknowledged is sent again as a whole, marks included.
+                // Everything that is not acknowledged is sent again in full, marks included.
                 proxy.rejected_marks.extend(proxy.unacknowledged.drain(..).flat_map(|update| update.marks));
                 proxy.retry_at = Some(at);
                 Consequence::SentAgainLater
@@ -200,10 +202,10 @@
     ImmediateAnswer { resources: known.into_iter().map(resource).collect(), unknown }
 }
 
-/// Takes a resource as not sent, or as the version that the client says it holds.
+/// Resets the sent version of a resource to the one that the client reports to hold, or to none.
 fn reset_sent_version(stream: &Stream, proxy: &mut Proxy, type_url: &str, name: &str) {
     proxy.sent_versions.remove(if type_url == types::ROUTES { types::ROUTES } else { name });
-    // A collection's assignment is the same from any supervisor.
+    // Only assignments that name a collection are the same from any supervisor.
     let held = stream.server.resource_version(type_url, name).filter(|_| proxy.supports_lines);
     let held = held.and_then(|held| {
         let (admitted, table) = held.split_once('.')?;
@@ -214,7 +216,7 @@
 
 fn delta_acknowledged(proxy: &mut Proxy, nonce: u64) {
     while let Some(delta) = proxy.sent_deltas.pop_front_if(|delta| delta.nonce <= nonce) {
-        // Older responses of the same table lead to older versions; what is acknowledged is this one.
+        // Earlier deltas lead to older versions; only the one with this nonce is acknowledged.
         let subscription = proxy.subscriptions.get_mut(&delta.table).filter(|_| delta.nonce == nonce);
         if let Some(subscription) = subscription {
             subscription.on_acknowledged(delta.version);
--- a/crates/xds-supervisor/src/core/resources.rs
+++ b/crates/xds-supervisor/src/core/resources.rs
@@ -1,4 +1,4 @@
-//! Resources as they are encoded, and responses that several proxies share.
+//! Encoding of resources and deltas, and a cache of responses that several proxies share.
 
 use std::collections::BTreeMap;
 
@@ -12,39 +12,34 @@
 use crate::endpoints::EndpointList;
 use crate::tables::Tables;
 
-/// Version of a resource, compared for equality alone. Its halves by content:
+/// Version of a resource; versions are only compared for equality. The two parts depend on the content:
 /// - `Assignment`: version of the table, address version of the endpoint list.
-/// - `Collection`: bits of the admission limit, id of the table.
-/// - `Routes`: number of the policies, 0.
+/// - `Collection`: bit pattern of the admission limit, id of the table.
+/// - `Routes`: number that encodes the retry policies, 0.
 /// - `ExcludedServers`: version of the exclusions, address version of the endpoint list.
 pub(super) type ResourceVersion = (u64, u64);
 
-/// What a resource is made from.
+/// Source that a resource is encoded from.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Content {
+    /// Servers that no proxy may use.
     ExcludedServers,
-    /// An operation's table.
-    Assignment {
-        table: TableId,
-        operation: u16,
-    },
-    /// An operation whose table is a collection of lines.
-    Collection {
-        table: TableId,
-        operation: u16,
-    },
+    /// An operation with the lines of its table.
+    Assignment { table: TableId, operation: u16 },
+    /// An operation with a reference to its table as a collection of lines.
+    Collection { table: TableId, operation: u16 },
     /// Retry policy of each operation.
     Routes(Vec<RetryPolicy>),
 }
 
-/// A resource of one version.
+/// Content of a resource, and its version.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct VersionedContent {
     pub content: Content,
     pub version: ResourceVersion,
 }
 
-/// Responses with equal keys are equal.
+/// Cache key of a response: responses with equal keys are equal.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ResponseKey {
     pub incremental: bool,
@@ -52,7 +47,7 @@
     pub contents: Vec<VersionedContent>,
 }
 
-/// Deltas with equal keys are equal.
+/// Cache key of a delta: deltas with equal keys are equal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DeltaKey {
     pub table: TableId,
@@ -60,14 +55,14 @@
     pub queued_at: Nanos,
 }
 
-/// A response, framed.
+/// A framed response.
 #[derive(Clone, Debug)]
 pub(super) struct EncodedResponse {
     pub nonce: u64,
     pub message: Bytes,
 }
 
-/// A delta, framed, and the version that it leads to.
+/// A framed delta, and the version that it leads to.
 #[derive(Clone, Debug)]
 pub(super) struct EncodedDelta {
     pub nonce: u64,
@@ -75,7 +70,7 @@
     pub version: VersionNumber,
 }
 
-/// Responses of this poll; proxies on one table are sent the same bytes.
+/// Responses that were encoded in this poll; proxies that use the same table are sent the same bytes.
 #[derive(Debug, Default)]
 pub(super) struct ResponseCache {
     pub responses: BTreeMap<ResponseKey, EncodedResponse>,
@@ -90,7 +85,7 @@
 }
 
 /// Encodes a resource.
-pub(super) fn resource(
+pub(super) fn encode_resource(
     tables: &mut Tables,
     endpoints: &EndpointList,
     operations: &[String],
@@ -116,7 +111,7 @@
     Resource { name: name.to_owned(), version: format!("{first}.{second}"), any }
 }
 
-/// Encodes the lines of a table that differ from a base version; `None` where the base is not stored any more.
+/// Encodes the lines of a table that differ from a base version; `None` if the base is no longer stored.
 pub(super) fn encode_delta(
     tables: &Tables,
     key: DeltaKey,
--- a/crates/xds-supervisor/src/core/sasp.rs
+++ b/crates/xds-supervisor/src/core/sasp.rs
@@ -1,4 +1,4 @@
-//! Balancers that take weights by SASP: what they send, and weights that are pushed to them.
+//! Balancers that receive weights by SASP: their messages, and weights that are pushed to them.
 
 use std::collections::BTreeMap;
 
@@ -12,20 +12,20 @@
 use crate::sasp_front::{BalancerView, SaspEvent};
 
 impl Core {
-    /// A SASP connection is open.
+    /// Handles a newly opened SASP connection.
     pub fn sasp_opened(&mut self, peer: Peer) {
         self.sasp.on_opened(peer);
     }
 
-    /// Takes bytes on a SASP connection.
+    /// Handles bytes received on a SASP connection.
     pub fn handle_sasp(&mut self, now: Nanos, peer: Peer, bytes: &[u8]) {
         let proxy = self.proxies.values().find(|proxy| proxy.peer == peer);
-        let bound = proxy.map(|proxy| self.published_tables(&proxy.tables)).unwrap_or_default();
+        let published = proxy.map(|proxy| self.published_tables(&proxy.tables)).unwrap_or_default();
         let view = BalancerView {
             tables: &self.tables,
             endpoints: &self.endpoints,
             operations: &self.deployment.operations,
-            assigned_tables: &bound,
+            assigned_tables: &published,
             now,
             slow_start_duration: self.config.slow_start_duration,
         };
@@ -38,7 +38,7 @@
         match event {
             SaspEvent::Write(bytes) => self.commands.push(ShellCommand::WriteSasp { peer, bytes }),
             SaspEvent::Joined { balancer } => self.join_balancer(peer, &balancer),
-            SaspEvent::MemberUpdate(report) => self.member_reported(now, report),
+            SaspEvent::MemberUpdate(report) => self.handle_member_report(now, report),
             SaspEvent::WeightsTaken => {
                 if let Some(id) = self.proxy_of_peer(peer) {
                     self.acknowledge_all(now, id);
@@ -61,22 +61,22 @@
         }
     }
 
-    fn member_reported(&mut self, now: Nanos, mut report: MemberReport) {
+    fn handle_member_report(&mut self, now: Nanos, mut report: MemberReport) {
         if self.endpoints.locality(&report.zone).is_none() {
             let own = usize::from(self.config.locality);
             report.zone.clone_from(&self.deployment.localities[own]);
         }
         let event = self.endpoints.apply_member_state(now, &report);
         self.servers_changed = true;
-        // A balancer's report of a member that is present and not quiesced goes to the controller with the next
-        // endpoint list alone, also where it ends a quiesce: a balancer registers thousands of members at its start,
-        // and a list for each would be too much.
+        // A balancer registers thousands of members when it starts, and a list for each would be too much: its report
+        // of a member that is present and not quiesced reaches the controller only with the next endpoint list, even if
+        // the report ends a quiesce.
         if report.reporter == Reporter::Member || report.quiesced || !report.present {
             self.events.push(Event::Endpoints(event));
         }
     }
 
-    /// Reports that a connection's members made of themselves do not hold any more.
+    /// Removes the members that were registered on a closed connection.
     pub(super) fn sasp_connection_closed(&mut self, peer: Peer) {
         for event in self.sasp.on_closed(peer) {
             if let SaspEvent::MemberUpdate(report) = event {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// All that a balancer was sent is in force: SASP has no acknowledgements.
+    /// Marks everything that a balancer was sent as acknowledged, since SASP has no acknowledgements.
     fn acknowledge_all(&mut self, now: Nanos, id: ProxyId) {
         if let Some(proxy) = self.proxies.get_mut(&id) {
             proxy.unacknowledged.iter_mut().for_each(SentUpdate::acknowledge_all);
@@ -95,13 +95,13 @@
         }
     }
 
-    /// Those of a proxy's tables that were published.
+    /// The published ones of a proxy's tables, by operation.
     fn published_tables(&self, tables: &BTreeMap<u16, TableId>) -> BTreeMap<u16, TableId> {
         let published = tables.iter().filter(|(_, &table)| !self.tables.is_withheld(table));
         published.map(|(&operation, &table)| (operation, table)).collect()
     }
 
-    /// Writes weights to a balancer that wants them pushed; another has them with its next request.
+    /// Writes weights to a balancer that wants them pushed; a polling balancer receives them with its next request.
     pub(super) fn write_weights(&mut self, now: Nanos, id: ProxyId) {
         let nonce = self.next_number();
         let Some(proxy) = self.proxies.get_mut(&id) else { return };
@@ -110,8 +110,8 @@
         proxy.unacknowledged.push_back(update);
         let peer = proxy.peer;
         let tables = proxy.tables.clone();
-        let bound = self.published_tables(&tables);
-        if bound.is_empty() {
+        let published = self.published_tables(&tables);
+        if published.is_empty() {
             return self.acknowledge_all(now, id);
         }
         if !self.sasp.wants_push(peer) {
@@ -121,7 +121,7 @@
             tables: &self.tables,
             endpoints: &self.endpoints,
             operations: &self.deployment.operations,
-            assigned_tables: &bound,
+            assigned_tables: &published,
             now,
             slow_start_duration: self.config.slow_start_duration,
         };
--- a/crates/xds-supervisor/src/core/snapshot.rs
+++ b/crates/xds-supervisor/src/core/snapshot.rs
@@ -1,4 +1,5 @@
-//! The snapshot of what the controller has learned: taken for the file, and restored from it (`docs/memory.md`).
+//! The snapshot of what the controller has learned: taken for the snapshot file, and restored from it
+//! (`docs/memory.md`).
 
 use shalereel::interface::{Event, Nanos, ProxyId};
 use shalereel_snapshot::{RejectReason, StoredSnapshot};
@@ -9,17 +10,18 @@
 /// A snapshot of an earlier run.
 pub(super) struct RestoredSnapshot {
     snapshot: StoredSnapshot,
-    /// Its age when this run began.
+    /// Age of the snapshot when this run began, ns.
     age_at_start: Nanos,
     started_at: Nanos,
 }
 
 impl Core {
-    /// Restores what an earlier run had learned; its servers' part waits for the first endpoint list. Gives its age, ns.
+    /// Restores the snapshot of an earlier run and returns its age, ns. The controller is given it with the first
+    /// endpoint list.
     ///
     /// # Errors
     ///
-    /// The snapshot is too old or of the future; nothing of it is restored.
+    /// The snapshot is too old or from the future; nothing of it is restored.
     pub fn restore_snapshot(&mut self, now: Nanos, snapshot: StoredSnapshot) -> Result<Nanos, RejectReason> {
         let age_at_start = self.freshness.age(snapshot.taken_at, now + self.wall_clock_offset)?;
         self.restored = Some(RestoredSnapshot { snapshot, age_at_start, started_at: now });
@@ -29,7 +31,7 @@
         Ok(age_at_start)
     }
 
-    /// Gives the controller the restored snapshot, once, after the first endpoint list.
+    /// Passes the restored snapshot to the controller, once, after the first endpoint list.
     pub(super) fn apply_snapshot(&mut self, now: Nanos) {
         let Some(restored) = self.restored.as_ref().filter(|_| !self.snapshot_applied) else { return };
         let snapshot = restored.snapshot.for_current_incarnations(|server| {
@@ -40,16 +42,16 @@
         self.snapshot_applied = true;
     }
 
-    /// Requests per second that are expected of a proxy that joins.
+    /// Expected request rate of a joining proxy, requests per second.
     pub(super) fn expected_rate(&self, node: &NodeInfo) -> f64 {
         let Some(restored) = &self.restored else { return node.rate };
         let stored = restored.snapshot.proxy_rates.get(&node.id).copied();
         self.freshness.expected_rate(node.rate, stored, restored.age_at_start)
     }
 
-    /// Has a snapshot stored if one is due.
+    /// Has the daemon store a snapshot if one is due.
     pub(super) fn store_snapshot(&mut self, now: Nanos) {
-        // Guards against an earlier run's snapshot being overwritten by a run that has not seen its servers yet.
+        // Guards against a run that has received no endpoint list yet overwriting the snapshot of an earlier run.
         let restore_pending = self.restored.is_some() && !self.snapshot_applied;
         let has_learned = self.decided_at.is_some() && self.endpoints.address_version() > 0;
         let is_due = now >= self.freshness.next_write(self.snapshot_taken_at);
--- a/crates/xds-supervisor/src/core/streams.rs
+++ b/crates/xds-supervisor/src/core/streams.rs
@@ -1,4 +1,4 @@
-//! Streams as they open and close, and proxies as they join and leave.
+//! Opening and closing of streams, and joining and leaving of proxies.
 
 use std::collections::BTreeSet;
 
@@ -9,25 +9,25 @@
 use super::proxy::{Protocol, Proxy};
 use super::{Core, Peer, ShellCommand, Stream};
 
-/// Proxies that may be joined at once, in multiples of what the deployment is for. The error text below repeats this
-/// number.
+/// Maximum number of joined proxies, as a multiple of the deployment's configured proxy count. The error text below
+/// repeats this number.
 const MAX_JOINED_RATIO: usize = 2;
-/// Node ids that are remembered, in multiples of the same.
+/// Maximum number of remembered node ids, as a multiple of the deployment's configured proxy count.
 const MAX_NODE_IDS_RATIO: usize = 4;
 
 impl Core {
-    /// A discovery stream is open.
+    /// Handles a newly opened discovery stream.
     pub fn stream_opened(&mut self, peer: Peer, variant: Variant) {
         let server = ServerStream::new(variant, &self.identity);
         self.streams.insert(peer, Stream { server, proxy: None });
     }
 
-    /// An LRS stream is open.
+    /// Handles a newly opened LRS stream.
     pub fn load_stream_opened(&mut self, peer: Peer) {
         self.load_streams.insert(peer, None);
     }
 
-    /// Takes a message on either kind of stream. An invalid one closes that stream.
+    /// Handles a message on a discovery or LRS stream; an invalid message closes the stream.
     pub fn handle_message(&mut self, now: Nanos, peer: Peer, message: &[u8]) {
         let result = if self.load_streams.contains_key(&peer) {
             self.handle_load_report(peer, message)
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A stream is closed, by whichever side.
+    /// Removes a stream or SASP connection that either side has closed.
     pub fn stream_closed(&mut self, peer: Peer) {
         self.load_streams.remove(&peer);
         let proxy = if self.sasp.is_connected(peer) {
@@ -49,7 +49,7 @@
             self.streams.remove(&peer).and_then(|stream| stream.proxy)
         };
         let Some(proxy) = proxy else { return };
-        // The close of an older stream is no leave of the proxy.
+        // A proxy that has opened a newer stream stays joined when the older one is closed.
         if self.proxies.get(&proxy).is_some_and(|joined| joined.peer == peer) {
             self.proxies.remove(&proxy);
             self.channel.drop_messages_to(proxy);
@@ -62,13 +62,13 @@
         self.proxies.iter().find(|(_, proxy)| proxy.peer == peer).map(|(&id, _)| id)
     }
 
-    /// The proxy that has joined on a discovery stream.
+    /// The proxy that has joined on a discovery stream, and its id.
     pub(super) fn joined_on(&mut self, peer: Peer) -> Option<(ProxyId, &mut Proxy)> {
         let id = self.streams.get(&peer)?.proxy?;
         self.proxies.get_mut(&id).map(|proxy| (id, proxy))
     }
 
-    /// The first message of a discovery stream has named its node.
+    /// Joins the node that the first message of a discovery stream names.
     pub(super) fn join_on_stream(&mut self, peer: Peer, node: &NodeInfo) -> Result<(), Status> {
         let Some(locality) = self.endpoints.locality(&node.zone) else {
             let text = format!("zone {:?} of node {:?} is not one of this deployment's", node.zone, node.id);
@@ -77,14 +77,14 @@
         let proxy = self.join(peer, Protocol::Xds, node, locality)?;
         if let Some(stream) = self.streams.get_mut(&peer) {
             stream.proxy = Some(proxy);
-            // The specification has lines of their own on incremental streams alone.
+            // The specification allows single lines only on incremental streams.
             let incremental = stream.server.variant() == Variant::Incremental;
             self.proxies.entry(proxy).and_modify(|proxy| proxy.supports_lines &= incremental);
         }
         Ok(())
     }
 
-    /// A proxy joins, by whichever protocol.
+    /// Joins a proxy, whichever protocol it uses.
     pub(super) fn join(
         &mut self,
         peer: Peer,
@@ -93,7 +93,7 @@
         locality: u16,
     ) -> Result<ProxyId, Status> {
         let id = self.proxy_id(&node.id)?;
-        // The same node again: its older stream is half open at best.
+        // The node has reconnected: its older stream can only be half open.
         if let Some(older) = self.proxies.get(&id).map(|proxy| proxy.peer) {
             let text = format!("node {:?} has opened another stream", node.id);
             self.close_stream(older, Status::new(Code::Cancelled, text));
@@ -105,7 +105,7 @@
         Ok(id)
     }
 
-    /// The id of a node: the one that it had, else the lowest free one.
+    /// The proxy id of a node: the one that it had before, else the lowest free one.
     fn proxy_id(&mut self, node: &str) -> Result<ProxyId, Status> {
         if let Some(&id) = self.proxy_ids.get(node) {
             return Ok(id);
@@ -124,13 +124,13 @@
         Ok(id)
     }
 
-    /// Closes the streams of proxies that have not acknowledged for too long: they join again if they live.
+    /// Closes the streams of proxies that have not acknowledged an update in time; a proxy that still runs joins again.
     pub(super) fn close_unresponsive(&mut self, now: Nanos) {
-        let late = |proxy: &&Proxy| {
+        let is_overdue = |proxy: &&Proxy| {
             proxy.unacknowledged_since().is_some_and(|since| self.limits.ack_deadline(since) < now)
         };
-        let late: Vec<Peer> = self.proxies.values().filter(late).map(|proxy| proxy.peer).collect();
-        for peer in late {
+        let overdue: Vec<Peer> = self.proxies.values().filter(is_overdue).map(|proxy| proxy.peer).collect();
+        for peer in overdue {
             let text = "tables were not acknowledged in time; join anew";
             self.close_stream(peer, Status::new(Code::DeadlineExceeded, text));
         }
--- a/crates/xds-supervisor/src/core/updates.rs
+++ b/crates/xds-supervisor/src/core/updates.rs
@@ -1,4 +1,4 @@
-//! Updates written to discovery clients: all resources that differ from what was sent last.
+//! Updates to discovery clients: all resources whose version differs from the last sent one.
 
 use std::collections::BTreeSet;
 
@@ -8,20 +8,20 @@
 
 use super::proxy::{Protocol, Proxy, SentDelta, SentUpdate};
 use super::resources::{
-    encode_delta, resource, Content, DeltaKey, EncodedDelta, EncodedResponse, ResponseCache, ResponseKey,
-    VersionedContent,
+    encode_delta, encode_resource, Content, DeltaKey, EncodedDelta, EncodedResponse, ResponseCache,
+    ResponseKey, VersionedContent,
 };
 use super::{Core, Peer, ShellCommand, LISTENER_NAME};
 use crate::endpoints::EndpointList;
 use crate::group_member::GroupMember;
 use crate::tables::Tables;
 
-/// Number of variants of [`RetryPolicy`](shalereel::interface::RetryPolicy), the base of the policies' number: 16
-/// operations fit 64 bits.
+/// Number of variants of [`RetryPolicy`](shalereel::interface::RetryPolicy). It is the base of the number that encodes
+/// the policies of all operations: 16 operations fit 64 bits.
 const RETRY_POLICIES: u64 = 4;
 
 impl Core {
-    /// Writes to each proxy for which an update has left the channel or is due again.
+    /// Writes to each unblocked proxy that has a pending update or is due for a retry.
     pub(super) fn write_updates(&mut self, now: Nanos, blocked: impl Fn(Peer) -> bool) {
         let is_due =
             |proxy: &Proxy| proxy.pending.is_some() || proxy.retry_at.is_some_and(|retry_at| retry_at <= now);
@@ -62,7 +62,7 @@
     }
 }
 
-/// One update of one proxy while it is written.
+/// Writer of one update of one proxy.
 struct UpdateWriter<'a> {
     now: Nanos,
     queued_at: Nanos,
@@ -72,7 +72,7 @@
     tables: &'a mut Tables,
     endpoints: &'a EndpointList,
     operations: &'a [String],
-    /// Of the group, if there is one.
+    /// Epoch of the group, if there is one.
     epoch: Option<u64>,
     identity: &'a str,
     cache: &'a mut ResponseCache,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Tables that were published, of operations that the client has subscribed to.
+    /// Published tables of the operations that the client has subscribed to.
     fn assigned_tables(&self) -> Vec<(u16, TableId)> {
         let is_sent = |&(operation, table): &(u16, TableId)| {
             let name = &self.operations[usize::from(operation)];
@@ -145,7 +145,7 @@
             None => RetryPolicy::Never,
         };
         let policies: Vec<RetryPolicy> = (0..self.operations.len() as u16).map(policy).collect();
-        // Distinct for distinct policies.
+        // Encodes the policies, so that different policies have different versions.
         let number = policies.iter().fold(1, |number, &policy| number * RETRY_POLICIES + policy as u64);
         let is_sent =
             !self.proxy.tables.is_empty() && self.stream.is_subscribed(types::ROUTES, LISTENER_NAME);
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Sends resources of one type in one response; gives its nonce.
+    /// Sends resources of one type in one response, and returns its nonce.
     fn send_contents(&mut self, type_url: &str, contents: Vec<VersionedContent>) -> Option<u64> {
         if contents.is_empty() {
             return None;
@@ -186,7 +186,7 @@
         let resources = key
             .contents
             .iter()
-            .map(|versioned| resource(self.tables, self.endpoints, self.operations, versioned))
+            .map(|versioned| encode_resource(self.tables, self.endpoints, self.operations, versioned))
             .collect();
         let response = Response {
             type_url,
@@ -200,9 +200,10 @@
         EncodedResponse { nonce, message }
     }
 
-    /// Sends the lines of each collection that the client lacks.
+    /// Sends, for each collection, the lines that the client lacks.
     fn send_deltas(&mut self, collections: &BTreeSet<TableId>) {
-        // One that uses no table yet has said what it holds, and will use one.
+        // A proxy without a table may already have reported the versions that it holds; its subscriptions are kept for
+        // the table that it will be assigned.
         if !self.proxy.tables.is_empty() {
             self.proxy.subscriptions.retain(|table, _| collections.contains(table));
         }
--- a/crates/xds-supervisor/src/endpoints.rs
+++ b/crates/xds-supervisor/src/endpoints.rs
@@ -1,5 +1,5 @@
-//! The endpoint list as the registry, SASP members and operators' drains make it. `core` feeds it; tables, load reports
-//! and the guard read it. Free of I/O and clock; nothing is decided here.
+//! The endpoint list, built from the registry's lists, reports of SASP members, and operators' drains. `core` updates
+//! it; tables, load reports and the guard read it. Free of I/O and clock, and makes no decisions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -10,14 +10,16 @@
 use shalereel_guard::Availability;
 use shalereel_xds::{AssignedEndpoint, Assignment, Health, ServerInfo};
 
-/// A server as last listed: its address, and its last start. The field names are those of `last-list.json`.
+/// A server as it was last listed. The field names are those of `last-list.json`.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ListedEndpoint {
-    /// Where it is reached.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Name of its locality.
+    /// Name of the server's locality.
     pub zone: String,
+    /// Number of the server's last start.
     incarnation: u64,
+    /// Time of the server's last start, ns; 0 if unknown.
     #[serde(rename = "ready_at")]
     started_at: Nanos,
     kind: u16,
@@ -33,78 +35,79 @@
     }
 }
 
-/// Who reported the state of a SASP member.
+/// Source of a report about a SASP member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reporter {
     /// The member itself.
     Member,
-    /// A balancer that uses it.
+    /// A balancer that uses the member.
     Balancer,
 }
 
-/// State of a SASP member as it or its balancer reported it.
+/// State of a SASP member, reported by the member or its balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberReport {
-    /// Of the member.
+    /// Address of the member.
     pub address: SocketAddr,
-    /// SASP has no field for it: the member's label where that is a zone, else the supervisor's own.
+    /// Zone of the member. SASP has no field for it: it is the member's label if that names a zone, else the
+    /// supervisor's own zone.
     pub zone: String,
-    /// Who reported it.
+    /// Source of the report.
     pub reporter: Reporter,
-    /// False: it is removed.
+    /// The member is registered; false if it was removed.
     pub present: bool,
-    /// It takes nothing new.
+    /// The member accepts no new requests.
     pub quiesced: bool,
 }
 
 /// A row of the registry's list that was skipped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SkippedRow {
-    /// As listed.
+    /// Address in the row.
     pub address: SocketAddr,
-    /// Why it was skipped.
+    /// Reason for skipping the row.
     pub reason: SkipReason,
 }
 
-/// Why a row of the registry's list was skipped.
+/// Reason for skipping a row of the registry's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SkipReason {
-    /// It has no metadata of a server.
+    /// The row has no server metadata.
     NoServerInfo,
-    /// Its zone is none of the deployment's localities.
+    /// The row's zone is not one of the deployment's localities.
     UnknownZone,
 }
 
 impl fmt::Display for SkipReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            SkipReason::NoServerInfo => "no metadata of a server",
+            SkipReason::NoServerInfo => "no server metadata",
             SkipReason::UnknownZone => "unknown zone",
         })
     }
 }
 
-/// What a list from the registry led to.
+/// Result of applying a list from the registry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedList {
-    /// For the controller.
+    /// Event for the controller.
     pub event: WatchEvent,
-    /// Rows that were not taken; their servers count as not listed.
+    /// Skipped rows; their servers count as not listed.
     pub skipped: Vec<SkippedRow>,
 }
 
-/// A listed server, in short.
+/// Number, locality and readiness of a listed server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerSummary {
-    /// Its number.
+    /// Number of the server.
     pub server: ServerId,
-    /// Position of its locality.
+    /// Position of its locality among the deployment's localities.
     pub locality: u16,
-    /// Neither draining nor drained by an operator.
+    /// The server is drained by neither the registry, a SASP member's report, nor an operator.
     pub ready: bool,
 }
 
-/// The endpoint list as last received; also what is stored over a restart.
+/// The endpoint list as last received. Its servers are stored and reloaded at a restart.
 #[derive(Debug, Default)]
 pub struct EndpointList {
     endpoints: BTreeMap<ServerId, ListedEndpoint>,
@@ -112,24 +115,24 @@
     localities: Vec<String>,
     address_version: u64,
     drain_version: u64,
-    /// Addresses of servers that, by themselves or a balancer, were reported to take nothing new.
+    /// Addresses of servers that they themselves or a balancer have reported as quiesced.
     quiesced: BTreeSet<SocketAddr>,
-    /// Servers that registered themselves, and that no registry lists.
+    /// Servers that registered themselves and are not in the registry's list.
     self_registered: BTreeMap<SocketAddr, ServerId>,
-    /// Servers that operators of the group drain.
+    /// Servers that operators drain by an order to the group.
     drained_by_operators: BTreeSet<ServerId>,
 }
 
-/// Numbers of servers that register themselves begin here; a registry's are below.
+/// Lowest number of a server that registered itself; the registry's numbers are below it.
 const FIRST_SELF_REGISTERED: ServerId = 1 << 31;
 
 impl EndpointList {
-    /// An empty list of a deployment with these localities.
+    /// Creates an empty list for a deployment with these localities.
     pub fn new(localities: &[String]) -> Self {
         EndpointList { localities: localities.to_vec(), ..EndpointList::default() }
     }
 
-    /// Takes a full list from the registry. Rows without metadata of a server or of an unknown zone are skipped.
+    /// Applies a full list from the registry. Rows without server metadata or with an unknown zone are skipped.
     pub fn apply_list(&mut self, now: Nanos, list: &Assignment) -> AppliedList {
         let mut present = BTreeSet::new();
         let mut skipped = Vec::new();
@@ -151,7 +154,8 @@
     }
 
     fn listed_endpoint(&self, now: Nanos, row: &AssignedEndpoint, info: &ServerInfo) -> ListedEndpoint {
-        // An age reported twice for one start would differ by its transit time.
+        // The start time is kept for the same incarnation: ages in two reports of one start differ by their transit
+        // time.
         let same_start =
             self.endpoints.get(&info.server).filter(|endpoint| endpoint.incarnation == info.incarnation);
         let started_at = match (same_start, info.age) {
@@ -172,7 +176,7 @@
         }
     }
 
-    /// The registry's servers that its list has no more; those that registered themselves are not its own.
+    /// Marks the servers that the registry's list omits as not listed, except for servers that registered themselves.
     fn unlist_absent(&mut self, present: &BTreeSet<ServerId>) {
         for (_, endpoint) in
             self.endpoints.range_mut(..FIRST_SELF_REGISTERED).filter(|(server, _)| !present.contains(server))
@@ -185,17 +189,18 @@
     fn insert(&mut self, server: ServerId, endpoint: ListedEndpoint) {
         let old = self.endpoints.get(&server);
         let moved = old.is_none_or(|old| old.address != endpoint.address);
-        let stops = !endpoint.accepts_requests() && old.is_some_and(ListedEndpoint::accepts_requests);
+        let stops_accepting =
+            !endpoint.accepts_requests() && old.is_some_and(ListedEndpoint::accepts_requests);
         if moved {
             self.address_version += 1;
             self.by_address.insert(endpoint.address, server);
         }
-        self.drain_version += u64::from(stops);
+        self.drain_version += u64::from(stops_accepting);
         self.endpoints.insert(server, endpoint);
     }
 
-    /// Takes the reported state of a SASP member. A registry's report that a server drains or is removed stands above
-    /// it; a member's report that it takes nothing new stands above a registry's that it is ready.
+    /// Applies the reported state of a SASP member. It does not override a registry's report that the server is
+    /// draining or removed; a quiesced member overrides a registry's report that the server is ready.
     pub fn apply_member_state(&mut self, now: Nanos, member: &MemberReport) -> WatchEvent {
         if member.present && member.quiesced {
             self.quiesced.insert(member.address);
@@ -205,7 +210,7 @@
         match self.by_address.get(&member.address).copied() {
             Some(server) if server >= FIRST_SELF_REGISTERED => {
                 if let Some(endpoint) = self.endpoints.get_mut(&server) {
-                    // Whoever comes back may have been restarted.
+                    // A member that registers again may have been restarted.
                     let returned = member.present && !endpoint.listed;
                     endpoint.started_at = if returned { now } else { endpoint.started_at };
                     endpoint.listed = member.present;
@@ -234,13 +239,13 @@
         self.insert(server, endpoint);
     }
 
-    /// Operators drain these servers and no others.
+    /// Replaces the set of servers that operators drain.
     pub fn set_operator_drains(&mut self, drained: BTreeSet<ServerId>) -> WatchEvent {
         self.drained_by_operators = drained;
         WatchEvent::Full(self.rows())
     }
 
-    /// Every listed server, in short.
+    /// Summaries of all listed servers.
     pub fn servers(&self) -> Vec<ServerSummary> {
         let summary = |row: &Endpoint| ServerSummary {
             server: row.server,
@@ -261,36 +266,33 @@
             locality: self.locality(&endpoint.zone).unwrap_or(0),
             kind: endpoint.kind,
             cell: endpoint.cell,
-            readiness: if self.is_drained_by_anyone(server, endpoint) {
-                Readiness::Draining
-            } else {
-                Readiness::Ready
-            },
+            readiness: if self.is_drained(server, endpoint) { Readiness::Draining } else { Readiness::Ready },
             weight: endpoint.weight,
             started_at: endpoint.started_at,
         }
     }
 
-    /// Whether the registry, a SASP member's report, or an operator drains a server.
-    fn is_drained_by_anyone(&self, server: ServerId, endpoint: &ListedEndpoint) -> bool {
+    /// Whether the registry, a report about a SASP member, or an operator drains a server.
+    fn is_drained(&self, server: ServerId, endpoint: &ListedEndpoint) -> bool {
         endpoint.draining
             || self.quiesced.contains(&endpoint.address)
             || self.drained_by_operators.contains(&server)
     }
 
-    /// Every server that was ever listed, as the guard sees it: with its listed weight, and the time since its start
-    /// while that is below `slow_start`. `removal_binds`: a server that is listed no more must not be used.
+    /// All servers that were ever listed, as input of the guard: with their listed weight, and the time since their
+    /// start while it is below `slow_start`. `removal_is_binding` means that a server that is no longer listed must not
+    /// be used.
     pub fn guard_servers(
         &self,
         now: Nanos,
         slow_start: Nanos,
-        removal_binds: bool,
+        removal_is_binding: bool,
     ) -> impl Iterator<Item = (ServerId, shalereel_guard::Server)> + '_ {
         self.endpoints.iter().map(move |(&server, endpoint)| {
             let availability = match endpoint.listed {
-                _ if self.is_drained_by_anyone(server, endpoint) => Availability::Unavailable,
+                _ if self.is_drained(server, endpoint) => Availability::Unavailable,
                 true => Availability::Ready,
-                false if removal_binds => Availability::Unavailable,
+                false if removal_is_binding => Availability::Unavailable,
                 false => Availability::Unlisted,
             };
             let age = now.saturating_sub(endpoint.started_at);
@@ -304,56 +306,56 @@
         self.localities.iter().position(|name| name == zone).map(|at| at as u16)
     }
 
-    /// A server as last listed, whether it is still or not.
+    /// A server as last listed, even if it is no longer listed.
     pub fn endpoint(&self, server: ServerId) -> Option<&ListedEndpoint> {
         self.endpoints.get(&server)
     }
 
-    /// Number of a server's start; 0 where it is not known.
+    /// Number of a server's last start; 0 if unknown.
     pub fn incarnation(&self, server: ServerId) -> u64 {
         self.endpoints.get(&server).map_or(0, |endpoint| endpoint.incarnation)
     }
 
-    /// The server at an address, if one ever was.
+    /// The server that was last listed at an address.
     pub fn server_at(&self, address: SocketAddr) -> Option<ServerId> {
         self.by_address.get(&address).copied()
     }
 
-    /// Whether a server's row is draining, not listed, or missing. Does not count operators' drains or quiesced
-    /// members.
+    /// Whether a server is listed as draining, no longer listed, or unknown. Operators' drains and quiesced members do
+    /// not count.
     pub fn is_unlisted_or_listed_draining(&self, server: ServerId) -> bool {
         self.endpoints.get(&server).is_none_or(|endpoint| !endpoint.accepts_requests())
     }
 
-    /// Whether a server started less than `span` ago.
-    pub fn started_within(&self, server: ServerId, now: Nanos, span: Nanos) -> bool {
-        let young = |endpoint: &ListedEndpoint| {
-            endpoint.started_at > 0 && now.saturating_sub(endpoint.started_at) < span
+    /// Whether a server started less than `duration` ago.
+    pub fn started_within(&self, server: ServerId, now: Nanos, duration: Nanos) -> bool {
+        let started_recently = |endpoint: &ListedEndpoint| {
+            endpoint.started_at > 0 && now.saturating_sub(endpoint.started_at) < duration
         };
-        self.endpoints.get(&server).is_some_and(young)
+        self.endpoints.get(&server).is_some_and(started_recently)
     }
 
-    /// Grows whenever the list itself begins to drain a server or to leave it out; not by operators' drains or by
-    /// reports of SASP members.
+    /// Counter that grows whenever the list itself begins to drain or omit a server; operators' drains and reports
+    /// about SASP members do not change it.
     pub fn drain_version(&self) -> u64 {
         self.drain_version
     }
 
-    /// Grows whenever a server is listed at another address; 0 while none was ever listed.
+    /// Counter that grows whenever a server is listed at a new address; 0 until the first server is listed.
     pub fn address_version(&self) -> u64 {
         self.address_version
     }
 
-    /// The list as `last-list.json` has it.
+    /// Encodes the list in the format of `last-list.json`.
     pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(&self.endpoints).unwrap_or_default()
     }
 
-    /// Takes the list as an earlier run stored it. A start in the future of this clock is a start just now.
+    /// Loads the list that an earlier run stored. A start time in the future is replaced by `now`.
     ///
     /// # Errors
     ///
-    /// The bytes are no stored list; nothing is taken.
+    /// The bytes are not a stored list; nothing is loaded.
     pub fn load(&mut self, now: Nanos, stored: &[u8]) -> Result<WatchEvent, serde_json::Error> {
         let endpoints: BTreeMap<ServerId, ListedEndpoint> = serde_json::from_slice(stored)?;
         for (server, mut endpoint) in endpoints {
--- a/crates/xds-supervisor/src/lib.rs
+++ b/crates/xds-supervisor/src/lib.rs
@@ -1,5 +1,5 @@
-//! The supervisor on published protocols: xDS, load reporting and SASP. [`Core`] is all of it but the sockets; [`run`] is
-//! the daemon round it. Called by `shalereel daemon` (`crates/cli`).
+//! A supervisor that serves published protocols: xDS, load reporting and SASP. [`Core`] is the supervisor without I/O;
+//! [`run`] is the daemon that drives it. Called by `shalereel daemon` (`crates/cli`).
 
 #![deny(missing_docs)]
 
--- a/crates/xds-supervisor/src/load_reports.rs
+++ b/crates/xds-supervisor/src/load_reports.rs
@@ -1,5 +1,5 @@
-//! Load reports of the joined proxies, summed over a report interval into the controller's events. `core` adds what LRS
-//! streams bring and takes the sums. Free of I/O; nothing is decided here.
+//! Load reports of the joined proxies, summed over a report interval into events for the controller. `core` adds the
+//! reports of LRS streams and takes the sums. Free of I/O, and makes no decisions.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 
 use crate::endpoints::EndpointList;
 
-/// What proxies of a locality observed at a server.
+/// Sums of the attempts that proxies of one locality made at a server.
 #[derive(Debug, Default)]
 struct EndpointSums {
     successes: u64,
@@ -19,7 +19,7 @@
     cpu: Option<f64>,
 }
 
-/// Requests of one operation that came to a proxy.
+/// Sums of the requests of one operation that a proxy received.
 #[derive(Debug, Default)]
 struct DemandSums {
     total: u64,
@@ -30,13 +30,14 @@
 /// A proxy that reports load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportingProxy {
-    /// Its number.
+    /// Number of the proxy.
     pub proxy: ProxyId,
-    /// Position of its locality.
+    /// Position of its locality among the deployment's localities.
     pub locality: LocalityId,
 }
 
-/// Sums of the report interval; no larger than servers times localities, and proxies times operations.
+/// Sums of the current report interval. Their number is bounded by servers times localities, and proxies times
+/// operations.
 #[derive(Debug, Default)]
 pub struct LoadReports {
     endpoints: BTreeMap<(ServerId, LocalityId), EndpointSums>,
@@ -44,12 +45,12 @@
     unlisted_rows: u64,
 }
 
-fn saturated(number: u64) -> u32 {
+fn saturating_u32(number: u64) -> u32 {
     number.min(u32::MAX.into()) as u32
 }
 
 impl LoadReports {
-    /// Adds a proxy's report. `operations`: names by position.
+    /// Adds a proxy's report. `operations` are the operations' names, by position.
     pub fn add(
         &mut self,
         reporter: ReportingProxy,
@@ -83,7 +84,8 @@
             failures = failures.saturating_add(load.failures);
             self.endpoints.entry((server, reporter.locality)).or_default().add(load, cluster.interval);
         }
-        // Attempts at servers that were never listed are no demand; a client that names no endpoint is believed.
+        // Attempts at servers that were never listed do not count as demand. If a client names no endpoint, its totals
+        // count.
         if cluster.endpoints.is_empty() {
             attempts = cluster.issued;
             failures = cluster.failures;
@@ -94,12 +96,12 @@
         demand.window = demand.window.saturating_add(cluster.interval);
     }
 
-    /// Drops the demand that a proxy reported in this interval.
+    /// Drops the demand that a proxy has reported in this interval.
     pub fn forget(&mut self, proxy: ProxyId) {
-        self.demand.retain(|(of, _), _| *of != proxy);
+        self.demand.retain(|(reporter, _), _| *reporter != proxy);
     }
 
-    /// Ends the interval; gives its sums as events.
+    /// Ends the interval, and returns its sums as events.
     pub fn take(&mut self) -> Vec<Event> {
         let endpoints = std::mem::take(&mut self.endpoints);
         let endpoints = endpoints.into_iter().map(|((server, locality), sums)| sums.event(server, locality));
@@ -108,7 +110,7 @@
         endpoints.chain(demand).collect()
     }
 
-    /// Rows since the last call that name servers that were never listed.
+    /// Number of rows since the last call that name servers that were never listed.
     pub fn take_unlisted_rows(&mut self) -> u64 {
         std::mem::take(&mut self.unlisted_rows)
     }
@@ -129,8 +131,8 @@
         Event::EndpointReport(EndpointReport {
             server,
             locality,
-            attempts: saturated(self.successes.saturating_add(self.failures)),
-            failures: saturated(self.failures),
+            attempts: saturating_u32(self.successes.saturating_add(self.failures)),
+            failures: saturating_u32(self.failures),
             response_time: mean.min(Nanos::MAX.into()) as Nanos,
             window: self.window,
             load: self.cpu.into_iter().collect(),
@@ -143,8 +145,8 @@
         Event::DemandReport {
             proxy,
             operation,
-            total: saturated(self.total),
-            failures: saturated(self.failures),
+            total: saturating_u32(self.total),
+            failures: saturating_u32(self.failures),
             window: self.window,
         }
     }
--- a/crates/xds-supervisor/src/sasp_front.rs
+++ b/crates/xds-supervisor/src/sasp_front.rs
@@ -1,5 +1,5 @@
-//! Balancers that take weights by SASP. Their messages become joins, member updates and acknowledgements for the
-//! [`Core`](crate::Core), which calls this; published tables become weights. Free of I/O and clock.
+//! SASP connections of balancers and members. Their messages become joins, member updates and acknowledgements for
+//! [`Core`](crate::Core), and published tables become weights. Free of I/O and clock.
 
 use std::collections::BTreeMap;
 
@@ -12,24 +12,24 @@
 use crate::endpoints::{EndpointList, MemberReport, Reporter};
 use crate::tables::Tables;
 
-/// What a balancer's weights are made from.
+/// Inputs of a balancer's weights.
 pub struct BalancerView<'a> {
     /// Published tables.
     pub tables: &'a Tables,
     /// Listed servers.
     pub endpoints: &'a EndpointList,
-    /// Names of the operations: a balancer's groups are named by them.
+    /// Names of the operations, by position; a balancer's groups have these names.
     pub operations: &'a [String],
-    /// The balancer's table by operation; empty where it has none yet.
+    /// The balancer's published table of each operation; empty if it has none yet.
     pub assigned_tables: &'a BTreeMap<u16, TableId>,
     /// Monotonic time, ns.
     pub now: Nanos,
-    /// How long a started server is warming up, ns.
+    /// Time for which a server is warming up after its start, ns.
     pub slow_start_duration: Nanos,
 }
 
 impl BalancerView<'_> {
-    /// Weight of a member; `None` where the group is no operation or the member is not listed.
+    /// Weight of a member; `None` if the group is not an operation with a table, or the member was never listed.
     fn weight(&self, group: &Group, member: &Member) -> Option<TableWeight> {
         let operation = self.operations.iter().position(|name| name.as_bytes() == group.name)? as u16;
         let table = *self.assigned_tables.get(&operation)?;
@@ -41,40 +41,40 @@
     }
 }
 
-/// What follows from a balancer's or member's bytes.
+/// Result of bytes that a balancer or member has sent.
 #[derive(Debug, PartialEq)]
 pub enum SaspEvent {
-    /// Bytes to be written to the peer.
+    /// The bytes have to be written to the peer.
     Write(Vec<u8>),
-    /// The peer has said which balancer it is.
+    /// The peer has identified itself as a balancer.
     Joined {
-        /// Its id.
+        /// Id of the balancer.
         balancer: String,
     },
-    /// A member, or its balancer, has said whether the member is there and takes new work.
+    /// A member or its balancer has reported the member's state.
     MemberUpdate(MemberReport),
-    /// The peer has asked for the weights as they are, and gets them: they count as acknowledged.
+    /// The peer has requested the current weights and is sent them; they count as acknowledged.
     WeightsTaken,
-    /// The connection is to be closed, and why.
+    /// The connection has to be closed, for this reason.
     Close(String),
 }
 
-/// All SASP connections.
+/// State of all SASP connections.
 #[derive(Debug)]
 pub struct SaspFront {
     advisor: Advisor,
-    /// Interval that balancers are told to ask at, s.
+    /// Polling interval that balancers are told, s.
     interval: u16,
     frames: BTreeMap<Peer, Frames>,
 }
 
 impl SaspFront {
-    /// No connections yet.
+    /// Creates the state without connections.
     pub fn new(bounds: Bounds) -> Self {
         SaspFront { advisor: Advisor::new(bounds), interval: bounds.interval, frames: BTreeMap::new() }
     }
 
-    /// A connection was opened.
+    /// Handles a newly opened connection.
     pub fn on_opened(&mut self, peer: Peer) {
         self.frames.insert(peer, Frames::new(MAX_MESSAGE_BYTES));
         self.advisor.opened(peer);
@@ -85,12 +85,12 @@
         self.frames.contains_key(&peer)
     }
 
-    /// To be called once a report interval: balancers may ask again.
+    /// Resets the limit of weight requests for each balancer; to be called once per report interval.
     pub fn on_report_interval(&mut self) {
         self.advisor.start_report_interval();
     }
 
-    /// Takes bytes from a connection, in pieces of any size.
+    /// Handles bytes of a connection; they may hold any number of messages and parts of messages.
     pub fn on_bytes(&mut self, peer: Peer, bytes: &[u8], view: &BalancerView<'_>) -> Vec<SaspEvent> {
         let Some(frames) = self.frames.get_mut(&peer) else { return Vec::new() };
         frames.push(bytes);
@@ -117,9 +117,9 @@
         events: &mut Vec<SaspEvent>,
         changes: &mut Vec<Change>,
     ) {
-        let asks_weights = matches!(message.body, Body::GetWeights { .. });
-        // Guards against weights of 0 that empty a balancer which has no table yet.
-        if asks_weights && view.assigned_tables.is_empty() {
+        let requests_weights = matches!(message.body, Body::GetWeights { .. });
+        // Guards against a balancer without a table receiving weights of 0, which would leave it without servers.
+        if requests_weights && view.assigned_tables.is_empty() {
             let reply = try_later(message.id, self.interval);
             return events.push(SaspEvent::Write(reply.encode().to_vec()));
         }
@@ -127,7 +127,7 @@
         for answer in self.advisor.handle_message(peer, message, &lookup, changes) {
             match answer {
                 Answer::Send(_, reply) => {
-                    if asks_weights
+                    if requests_weights
                         && matches!(reply.body, Body::Weights { code: ReturnCode::Successful, .. })
                     {
                         events.push(SaspEvent::WeightsTaken);
@@ -139,9 +139,8 @@
         }
     }
 
-    /// Takes the end of a connection: what its members said of themselves is void, and so are the members that a
-    /// balancer registered. All of these reports name [`Reporter::Member`], as the advisor has forgotten by then who
-    /// the peer was.
+    /// Handles a closed connection: members that registered themselves or that a balancer registered on it are removed.
+    /// All of these reports name [`Reporter::Member`], since the advisor no longer knows the peer as a balancer.
     pub fn on_closed(&mut self, peer: Peer) -> Vec<SaspEvent> {
         self.frames.remove(&peer);
         let mut changes = Vec::new();
@@ -149,7 +148,7 @@
         self.events_of(peer, changes)
     }
 
-    /// Weights to be pushed to a balancer; `None` where it polls, or nothing has changed.
+    /// Encodes the weights to push to a balancer; `None` if it polls or no weight has changed.
     pub fn push(&mut self, peer: Peer, view: &BalancerView<'_>) -> Option<Vec<u8>> {
         let lookup = |group: &Group, member: &Member| view.weight(group, member);
         self.advisor.push(peer, &lookup).map(|message| message.encode().to_vec())
--- a/crates/xds-supervisor/src/storage.rs
+++ b/crates/xds-supervisor/src/storage.rs
@@ -1,4 +1,5 @@
-//! Files of the deployment's folder: its lock, reading, and a [`FileWriter`] thread for each journal file. The daemon calls it.
+//! Files of the deployment's folder: its lock, reading, and a [`FileWriter`] thread for each journal file. The daemon
+//! calls it.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -107,7 +108,8 @@
 }
 
 impl FileWriter {
-    /// Truncates the file to its `complete_bytes` and starts the thread, which writes a byte to `wake` after each write.
+    /// Truncates the file to its `complete_bytes` and starts the thread, which writes a byte to `wake` after each
+    /// write.
     ///
     /// # Errors
     ///
--- a/crates/xds-supervisor/src/tables.rs
+++ b/crates/xds-supervisor/src/tables.rs
@@ -1,5 +1,5 @@
-//! The tables of one supervisor: the controller's weights, operators' constraints on them, and the versions that are sent.
-//! The [`Core`](crate::Core) applies actions and publishes; what goes out is the newest version in the store.
+//! The tables of one supervisor: the controller's weights, operators' constraints on them, and published versions.
+//! [`Core`](crate::Core) applies actions and publishes versions; proxies are sent the newest version in the store.
 
 mod actions;
 mod constraints;
@@ -22,33 +22,33 @@
 
 pub use constraints::{ActiveRollback, CapRequest, RollbackRequest};
 
-/// Number of an operation.
+/// Position of an operation in the deployment file.
 pub type OperationIndex = u16;
 
-/// Proxies that an action concerns.
+/// Proxies that an action affects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AffectedProxies {
-    /// None.
+    /// No proxy.
     None,
-    /// Those that use a table.
+    /// Proxies that use a table.
     UsingTable(TableId),
-    /// Those that may use a server: those on a table with it, and those without a table of this supervisor.
+    /// Proxies that may use a server: their tables list it, or they have no table of this supervisor.
     MayUseServer(ServerId),
-    /// All.
+    /// All proxies.
     All,
 }
 
-/// What a line is made from, besides the controller's actions.
+/// Inputs of a table's lines besides the controller's actions.
 pub struct TableContext<'a> {
-    /// Addresses and starts of the servers.
+    /// Addresses and start times of the servers.
     pub endpoints: &'a EndpointList,
     /// Monotonic time, ns.
     pub now: Nanos,
-    /// The wall clock less the monotonic one, ns.
+    /// Wall clock minus monotonic clock, ns.
     pub wall_clock_offset: Nanos,
-    /// How long a started server is warming up, ns.
+    /// Time for which a server is warming up after its start, ns.
     pub slow_start_duration: Nanos,
-    /// Share of all requests that goes by each table.
+    /// Share of all requests that is sent by each table.
     pub traffic_shares: &'a BTreeMap<TableId, f64>,
 }
 
@@ -58,19 +58,19 @@
     }
 }
 
-/// Admission and retries of an operation, as the controller limits them.
+/// The controller's limits on admission and retries of an operation.
 #[derive(Clone, Copy, Debug)]
 struct OperationPolicy {
-    /// Share of requests that is admitted.
+    /// Share of requests that is admitted, 0 to 1.
     admission_limit: f64,
     retry_policy: RetryPolicy,
 }
 
-/// All tables of one supervisor. One counter numbers their changes.
+/// All tables of one supervisor. A single counter numbers the changes of all tables.
 #[derive(Debug)]
 pub struct Tables {
     tables: BTreeMap<TableId, Table>,
-    /// Policies of all tables.
+    /// Policies that apply to all tables.
     policies: BTreeMap<OperationIndex, OperationPolicy>,
     excluded: BTreeSet<ServerId>,
     excluded_version: u64,
@@ -79,9 +79,9 @@
     group_caps: BTreeMap<ServerId, f64>,
     /// Caps that operators have set at this supervisor.
     local_caps: BTreeMap<ServerId, WeightCap>,
-    /// The lower of both.
+    /// For each server, the lower of both caps.
     effective_caps: BTreeMap<ServerId, f64>,
-    /// Versions of the tables.
+    /// Published versions of the tables.
     pub store: Store,
     /// Address version of the endpoint list at the last publication.
     address_version: u64,
@@ -89,19 +89,22 @@
     drain_version: u64,
     /// Injected fault: a rollback restores weights against the controller's decisions.
     rollback_overrides_controller: bool,
-    /// Limits of the guard; `None` where it is disabled.
+    /// Limits of the guard; `None` if it is disabled.
     guard_limits: Option<Limits>,
-    /// The list gives nominal capacities; where it gives rough ones or none, the guard counts every server as 1.
+    /// The endpoint list has nominal capacities. If it has approximate ones or none, the guard counts every server as
+    /// 1.
     nominal_capacity_listed: bool,
+    /// A server that is no longer listed must not be used.
     removal_is_binding: bool,
-    /// Lines that the guard has drained by itself since they were last taken, by table.
+    /// Number of lines that the guard has drained since they were last taken, by table.
     drained_by_guard: BTreeMap<TableId, usize>,
     guard_log: Vec<String>,
+    /// Encoded tables, by table and bit pattern of the admission limit.
     rendered: BTreeMap<(TableId, u64), RenderedTable>,
 }
 
 impl Tables {
-    /// No tables yet.
+    /// Creates an empty set of tables.
     pub fn new(deployment: &Deployment, retention: RetentionLimits) -> Self {
         let config = &deployment.config;
         let injected_fault = deployment.injected_fault;
@@ -127,12 +130,12 @@
         }
     }
 
-    /// Whether no proxy may use a server.
+    /// Whether the controller has excluded a server from all tables.
     pub fn is_excluded(&self, server: ServerId) -> bool {
         self.excluded.contains(&server)
     }
 
-    /// Weights of a table as the controller set them.
+    /// Weights of a table that the controller has set.
     pub fn weights(&self, table: TableId) -> impl Iterator<Item = (ServerId, f64)> + '_ {
         self.tables
             .get(&table)
@@ -140,56 +143,56 @@
             .flat_map(|table| table.weights.iter().map(|(&server, &weight)| (server, weight)))
     }
 
-    /// Published weight of a server in a table; 0 where it has none or is draining.
+    /// Published weight of a server in a table; 0 if the server has no line or its line is draining.
     pub fn weight(&self, table: TableId, server: ServerId) -> f64 {
         let line = self.store.line(table, server).filter(|line| !line.draining);
         line.map_or(0.0, |line| f64::from(line.weight) / UNIT_WEIGHT)
     }
 
-    /// Whether the controller has given a server a weight in a table.
+    /// Whether the controller has set a weight for a server in a table.
     pub fn lists(&self, table: TableId, server: ServerId) -> bool {
         self.tables.get(&table).is_some_and(|table| table.weights.contains_key(&server))
     }
 
-    /// Lines of a full table, with its policies and excluded servers.
-    pub fn size(&self, table: TableId) -> usize {
+    /// Number of lines of a full table, including its policies and excluded servers.
+    pub fn full_line_count(&self, table: TableId) -> usize {
         let Some(table) = self.tables.get(&table) else { return 0 };
         let excluded = self.excluded.iter().filter(|server| table.weights.contains_key(server)).count();
         table.weights.len() + table.policies.len() + self.policies.len() + excluded
     }
 
-    /// Lines that a proxy with version `from` of a table lacks; all where `from` is 0 or not stored.
+    /// Number of lines that a proxy with version `from` of a table lacks; all lines if `from` is 0 or not stored.
     pub fn lines_since(&self, table: TableId, from: VersionNumber) -> usize {
         let since = self.store.changes_since(table, from);
         since.map_or_else(|| self.store.lines(table).count(), |since| since.changed.len())
     }
 
-    /// Whether the guard withholds a table from proxies: it has no usable line, while a server is ready.
+    /// Whether the guard withholds a table from proxies, because it has no usable line although a server is ready.
     pub fn is_withheld(&self, table: TableId) -> bool {
         self.tables.get(&table).is_some_and(|table| table.withheld)
     }
 
-    /// Grows whenever something changes that users of a table are to have.
+    /// Change counter of a table; grows with every change that the table's users have to receive.
     pub fn version(&self, table: TableId) -> u64 {
         self.tables.get(&table).map_or(0, |table| table.version)
     }
 
-    /// Grows whenever the excluded servers change.
+    /// Change counter of the excluded servers.
     pub fn excluded_version(&self) -> u64 {
         self.excluded_version
     }
 
-    /// Share of an operation's requests that is admitted.
+    /// Share of an operation's requests that is admitted, 0 to 1; 1 without a policy.
     pub fn admission_limit(&self, table: TableId, operation: OperationIndex) -> f64 {
         self.policy(table, operation).map_or(1.0, |policy| policy.admission_limit)
     }
 
-    /// How an operation of a table is retried; never, unless the controller has said so.
+    /// Retry policy of an operation in a table; `Never` unless the controller has set one.
     pub fn retry_policy(&self, table: TableId, operation: OperationIndex) -> RetryPolicy {
         self.policy(table, operation).map_or(RetryPolicy::Never, |policy| policy.retry_policy)
     }
 
-    /// The lower admission limit of the table's policy and that of all tables; retries by the table's.
+    /// Combines the table's policy with that for all tables: the lower admission limit, and the table's retry policy.
     fn policy(&self, table: TableId, operation: OperationIndex) -> Option<OperationPolicy> {
         let of_table = self.tables.get(&table).and_then(|table| table.policies.get(&operation)).copied();
         let of_all = self.policies.get(&operation).copied();
--- a/crates/xds-supervisor/src/tables/actions.rs
+++ b/crates/xds-supervisor/src/tables/actions.rs
@@ -1,4 +1,4 @@
-//! The controller's actions about tables.
+//! The controller's actions that change tables.
 
 use shalereel::interface::{Action, ServerId, TableId};
 use shalereel_guard::Guard;
@@ -7,7 +7,7 @@
 use super::{AffectedProxies, OperationIndex, OperationPolicy, Tables};
 
 impl Tables {
-    /// Applies an action, if it is about tables; gives the proxies that it concerns.
+    /// Applies an action if it changes tables, and returns the proxies that it affects.
     pub fn apply(&mut self, action: &Action, operation_count: usize) -> AffectedProxies {
         match *action {
             Action::SetWeight { table, server, weight } => self.set_weight(table, server, weight),
@@ -30,7 +30,7 @@
         self.last_version
     }
 
-    /// A table, new where there is none, with a new version.
+    /// Returns a table with a new version; creates the table if it does not exist.
     fn changed_table(&mut self, id: TableId) -> &mut Table {
         let version = self.next_version();
         let guard_limits = self.guard_limits;
--- a/crates/xds-supervisor/src/tables/constraints.rs
+++ b/crates/xds-supervisor/src/tables/constraints.rs
@@ -1,5 +1,5 @@
-//! Operators' constraints on weights: caps on servers, and rollbacks to earlier versions. They change lines step by step,
-//! as the channel has capacity, and end by themselves.
+//! Operators' constraints on weights: caps on servers, and rollbacks to earlier versions. They change lines in steps,
+//! as the channel has spare capacity, and expire.
 
 use std::collections::BTreeMap;
 
@@ -15,35 +15,35 @@
 /// An operator's order to cap a server's weight at this supervisor.
 #[derive(Clone, Debug)]
 pub struct CapRequest {
-    /// Largest part of the controller's weight, above 0 and at most 1.
+    /// Largest share of the controller's weight, above 0 and at most 1.
     pub factor: f64,
-    /// How long, ns.
+    /// Duration of the cap, ns.
     pub duration: Nanos,
-    /// Who, and why.
+    /// Operator and reason.
     pub provenance: Provenance,
 }
 
-/// An operator's order to go back to an earlier version's weights.
+/// An operator's order to restore the weights of an earlier version.
 #[derive(Clone, Debug)]
 pub struct RollbackRequest {
-    /// The earlier version.
+    /// Version whose weights are restored.
     pub target: VersionNumber,
-    /// How long, ns.
+    /// Duration of the rollback, ns.
     pub duration: Nanos,
-    /// Who, and why.
+    /// Operator and reason.
     pub provenance: Provenance,
-    /// Only the plan is wanted.
+    /// The rollback is only planned, not started.
     pub dry_run: bool,
 }
 
-/// A rollback that is not over yet.
+/// A rollback that has not ended yet.
 #[derive(Clone, Copy, Debug)]
 pub struct ActiveRollback<'a> {
-    /// The table.
+    /// Table that is rolled back.
     pub table: TableId,
-    /// How far it is.
+    /// Target, expiry and progress.
     pub rollback: &'a Rollback,
-    /// Who ordered it, and why.
+    /// Operator and reason.
     pub provenance: &'a Provenance,
 }
 
@@ -54,11 +54,11 @@
         self.update_caps();
     }
 
-    /// Caps a server at this supervisor, in place of its cap so far.
+    /// Caps a server's weight at this supervisor, in place of its previous cap.
     ///
     /// # Errors
     ///
-    /// The factor or duration cannot be used, or no table has the server.
+    /// The factor or duration is invalid, or no table lists the server.
     pub fn cap_server(
         &mut self,
         server: ServerId,
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// It has none.
+    /// The server has no cap.
     pub fn release_server(&mut self, server: ServerId) -> Result<(), ConstraintError> {
         self.local_caps.remove(&server).ok_or(ConstraintError::UnknownServer(server))?;
         self.update_caps();
@@ -106,11 +106,11 @@
         }
     }
 
-    /// Plans a rollback from a table's weights as they are, and starts it unless it is a dry run.
+    /// Plans a rollback from a table's current weights, and starts it unless it is a dry run.
     ///
     /// # Errors
     ///
-    /// The version is not stored or is the newest, no server would get its weight back, or the duration is 0.
+    /// The target is not stored or is the newest version, no server's weight would be restored, or the duration is 0.
     pub fn start_rollback(
         &mut self,
         request: RollbackRequest,
@@ -143,7 +143,7 @@
         Ok((id, plan))
     }
 
-    /// Servers of a table with their weights under caps; `None` where there is no such table.
+    /// Servers of a table with their capped weights; `None` if the table does not exist.
     fn current_endpoints(&self, id: TableId, context: &TableContext) -> Option<Vec<CurrentEndpoint>> {
         let endpoint = |(&server, &weight): (&ServerId, &f64)| CurrentEndpoint {
             server,
@@ -155,13 +155,13 @@
         Some(self.tables.get(&id)?.weights.iter().map(endpoint).collect())
     }
 
-    /// Ends all rollbacks; gives how many.
+    /// Ends all rollbacks, and returns how many there were.
     pub fn end_rollbacks(&mut self) -> usize {
         let active = self.tables.values_mut().filter(|table| table.constraints.rollback().is_some());
         active.map(|table| table.constraints.end_rollback()).count()
     }
 
-    /// Rollbacks that are not over yet, by table.
+    /// Rollbacks that have not ended yet, in order of their tables.
     pub fn rollbacks(&self) -> impl Iterator<Item = ActiveRollback<'_>> {
         self.tables.iter().filter_map(|(&id, table)| {
             let rollback = table.constraints.rollback()?;
@@ -169,7 +169,7 @@
         })
     }
 
-    /// When the next rollback or cap ends or the guard inspects again, ns.
+    /// Time at which the next rollback or cap expires or the guard inspects lines again, ns.
     pub fn next_timeout(&self) -> Option<Nanos> {
         let inspections = self.tables.values().filter_map(|table| table.inspect_at);
         let rollbacks = self.rollbacks().filter(|active| !active.rollback.is_ending());
@@ -177,7 +177,7 @@
         rollbacks.chain(self.local_caps.values().map(|cap| cap.until)).chain(inspections).min()
     }
 
-    /// Ends caps and rollbacks whose time is over.
+    /// Ends expired caps and rollbacks.
     pub fn on_timeout(&mut self, now: Nanos) {
         let before = self.local_caps.len();
         self.local_caps.retain(|_, cap| cap.until > now);
@@ -187,16 +187,17 @@
         self.tables.values_mut().for_each(|table| table.constraints.on_time(now));
     }
 
-    /// The first table with lines that constraints have changed and that are not published.
+    /// The first table with unpublished lines that constraints have changed.
     pub fn next_with_pending_lines(&self) -> Option<TableId> {
         self.tables.iter().find(|(_, table)| table.has_pending_lines()).map(|(&id, _)| id)
     }
 
-    /// Marks at most so many pending lines of a table as changed, and publishes all changed tables with the order's
-    /// provenance; the caller has published all others before. Gives how many lines of this table have changed.
+    /// Marks at most `max_lines` pending lines of a table as changed, publishes all changed tables with the provenance
+    /// of the operator's order, and returns the number of changed lines of this table. The caller has published all
+    /// other changes before.
     pub fn publish_pending_lines(&mut self, id: TableId, max_lines: usize, context: &TableContext) -> usize {
-        // Stands for all caps: which cap a pending line comes from is not recorded. A group cap's lines bear this
-        // name too.
+        // Named as the origin of all capped lines, including those of group caps: which cap changed a pending line is
+        // not recorded.
         let cap_of_highest_server = self.local_caps.values().next_back();
         let Some(table) = self.tables.get_mut(&id) else { return 0 };
         let provenance = table.constraint_provenance(cap_of_highest_server);
@@ -215,15 +216,16 @@
         !self.pending_lines.is_empty() || rolling_back
     }
 
-    /// Who and what a version with pending lines comes from: a rollback, else a cap.
+    /// Provenance of a version with pending lines: the rollback's if there is one, else a cap's.
     fn constraint_provenance(&self, cap_of_highest_server: Option<&WeightCap>) -> Provenance {
-        let ordered = &self.rollback_provenance;
-        // Operators' words: the way back is the rollback, held is capped.
+        let rollback_order = &self.rollback_provenance;
+        // Texts of the stored history: "the way back" is the rollback, and "held" means capped.
         match (self.constraints.rollback(), cap_of_highest_server) {
-            (Some(rollback), _) if rollback.is_ending() => {
-                Provenance::new(&ordered.actor, format!("the way back ends: {}", ordered.reason))
-            }
-            (Some(_), _) => ordered.clone(),
+            (Some(rollback), _) if rollback.is_ending() => Provenance::new(
+                &rollback_order.actor,
+                format!("the way back ends: {}", rollback_order.reason),
+            ),
+            (Some(_), _) => rollback_order.clone(),
             (None, Some(cap)) => {
                 Provenance::new(&cap.provenance.actor, format!("weights held: {}", cap.provenance.reason))
             }
--- a/crates/xds-supervisor/src/tables/inspection.rs
+++ b/crates/xds-supervisor/src/tables/inspection.rs
@@ -1,4 +1,4 @@
-//! The guard's inspection of a version before it is published.
+//! Inspection of a version by the guard before it is published.
 
 use std::collections::BTreeMap;
 
@@ -11,25 +11,25 @@
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// A server as the guard sees it.
+/// A server as the guard's input, with its current capacity.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolServer {
-    /// Availability, capacity and start.
+    /// Availability, capacity and age.
     pub server: Server,
-    /// Part of its capacity that a warming-up server has by now; 1 without a guard.
+    /// Share of its capacity that a warming-up server has reached; 1 if it is warm or the guard is disabled.
     pub warmed_part: f64,
 }
 
-/// Outcome of an inspection.
+/// Result of an inspection.
 #[derive(Debug, Default)]
 pub(super) struct Inspection {
-    /// Usable lines of the last version that the guard drains by itself.
+    /// Number of usable lines of the last version that the guard drains on its own.
     pub(super) newly_drained: usize,
     pub(super) log: Vec<String>,
 }
 
 impl Tables {
-    /// All listed servers as the guard sees them.
+    /// All servers that were ever listed, as the guard's input.
     pub fn pool(&self, context: &TableContext) -> BTreeMap<ServerId, PoolServer> {
         let servers = pool_servers(context, self.removal_is_binding, self.nominal_capacity_listed);
         let with_part = |(id, server): (ServerId, Server)| {
@@ -39,13 +39,13 @@
         servers.into_iter().map(with_part).collect()
     }
 
-    /// Lines that the guard has drained by itself since the last call, by table: users of the table lack them, and no
-    /// action accounts for them.
+    /// Number of lines that the guard has drained on its own since the last call, by table. Users of the table lack
+    /// these lines, and no action of the controller accounts for them.
     pub fn take_drained_by_guard(&mut self) -> BTreeMap<TableId, usize> {
         std::mem::take(&mut self.drained_by_guard)
     }
 
-    /// Log lines of the guard since the last call.
+    /// Takes the guard's log lines since the last call.
     pub fn take_guard_log(&mut self) -> Vec<String> {
         std::mem::take(&mut self.guard_log)
     }
@@ -65,7 +65,7 @@
 }
 
 impl Table {
-    /// Has the guard inspect the lines that are about to be published, and takes back or drains those that it says.
+    /// Has the guard inspect the lines that are about to be published, and reverts or drains lines by its decision.
     pub(super) fn inspect(
         &mut self,
         id: TableId,
@@ -92,14 +92,16 @@
         Inspection { newly_drained, log }
     }
 
-    /// Decides whether proxies get the published table; gives a log line when it is withheld.
+    /// Updates whether the published table is withheld from proxies; returns a log line if it is newly withheld.
     pub(super) fn update_withheld(&mut self, id: TableId, pool: &Pool, store: &Store) -> Option<String> {
         let guard = self.guard.as_ref()?;
         let has_usable_line = store.lines(id).any(|(_, line)| !line.draining);
         let was_withheld = self.withheld;
         self.withheld = guard.must_withhold(pool, has_usable_line);
         let newly_withheld = self.withheld && !was_withheld;
-        newly_withheld.then(|| format!("the guard withholds table {id}: it has no usable line"))
+        newly_withheld.then(|| {
+            format!("the guard withholds table {id}: it has no usable line although a server is ready")
+        })
     }
 }
 
@@ -124,10 +126,10 @@
 fn log_lines(table: TableId, decision: &Decision, now: Nanos) -> Vec<String> {
     let reverted = decision.reverted.len();
     let rejected = decision.refusals.iter().map(|refusal| {
-        let so_far_ms = now.saturating_sub(refusal.since) / NANOS_PER_MS;
+        let elapsed_ms = now.saturating_sub(refusal.since) / NANOS_PER_MS;
         let finding = &refusal.finding;
         format!(
-            "the guard rejects a change of table {table} ({reverted} lines reverted, {so_far_ms} ms so far): {finding}"
+            "the guard rejects a change of table {table} ({reverted} lines reverted, {elapsed_ms} ms so far): {finding}"
         )
     });
     let waived = decision.waived.iter().map(|finding| {
--- a/crates/xds-supervisor/src/tables/publication.rs
+++ b/crates/xds-supervisor/src/tables/publication.rs
@@ -1,4 +1,4 @@
-//! New versions of the tables whose lines have changed.
+//! Publication of new versions of the tables whose lines have changed.
 
 use shalereel::interface::TableId;
 use shalereel_guard::Pool;
@@ -8,7 +8,7 @@
 use super::{TableContext, Tables};
 
 impl Tables {
-    /// Publishes a version of each table whose lines have changed, as far as the guard lets it.
+    /// Publishes a version of each table whose lines have changed, without the changes that the guard reverts.
     pub fn publish(&mut self, context: &TableContext, provenance: &Provenance) {
         self.mark_endpoint_changes(context);
         let mut pool = None;
@@ -18,7 +18,8 @@
         }
     }
 
-    /// Marks lines whose addresses may have changed, and has draining servers checked.
+    /// Marks all lines as changed if an address has changed, and schedules a check of draining servers if the list has
+    /// begun to drain or omit one.
     fn mark_endpoint_changes(&mut self, context: &TableContext) {
         let moved = self.address_version != context.endpoints.address_version();
         let drained = self.drain_version != context.endpoints.drain_version();
@@ -34,7 +35,7 @@
         }
     }
 
-    /// `pool` is made at the first table that is inspected.
+    /// Publishes a version of a table if its lines have changed. `pool` is filled for the first inspected table.
     fn publish_table(
         &mut self,
         id: TableId,
@@ -57,7 +58,7 @@
             servers: pool_servers(context, self.removal_is_binding, self.nominal_capacity_listed),
             traffic_share: 1.0,
         });
-        // Table 0 has all servers, and by default all traffic.
+        // Table 0 lists all servers, and serves all traffic if no shares are known.
         let default_share = if id == 0 { 1.0 } else { 0.0 };
         pool.traffic_share = context.traffic_shares.get(&id).copied().unwrap_or(default_share);
         let inspection = table.inspect(id, &mut lines, pool, &self.store, context.now);
--- a/crates/xds-supervisor/src/tables/resources.rs
+++ b/crates/xds-supervisor/src/tables/resources.rs
@@ -1,4 +1,4 @@
-//! Tables as xDS resources.
+//! Encoding of tables as xDS resources.
 
 use shalereel::interface::{ServerId, TableId};
 use shalereel_store::{Line, UNIT_WEIGHT};
@@ -7,7 +7,8 @@
 use super::{OperationIndex, Tables};
 use crate::endpoints::EndpointList;
 
-/// A table as it was encoded last. Operations with the same admission limit differ in their name alone.
+/// The last encoding of a table for one admission limit. Assignments of operations with the same limit differ only in
+/// their name.
 #[derive(Debug)]
 pub(super) struct RenderedTable {
     table_version: u64,
@@ -22,7 +23,7 @@
 }
 
 impl Tables {
-    /// A table as the assignment of an operation's cluster; cached until it changes.
+    /// Encodes a table as the assignment of an operation's cluster; the encoding is cached until the table changes.
     pub fn assignment(
         &mut self,
         table: TableId,
@@ -39,7 +40,7 @@
             let lines = self.store.lines(table);
             let endpoints = lines.filter_map(|(server, line)| endpoint(server, line, endpoints)).collect();
             let body = Assignment { cluster: String::new(), endpoints, admitted }.body();
-            // Bodies of admission limits that no operation has any more go with the older versions.
+            // Outdated encodings are dropped, also those for admission limits that no operation has any more.
             self.rendered.retain(|other, cached| {
                 other.0 != table || cached.is_current(table_version, address_version)
             });
@@ -48,13 +49,13 @@
         self.rendered.get(&key).map(|cached| cached.body.named(name)).unwrap_or_default()
     }
 
-    /// The assignment of servers that no proxy may use, whatever its tables say.
+    /// Encodes the assignment of excluded servers, which no proxy may use even if its tables list them.
     pub fn excluded_assignment(&self, endpoints: &EndpointList) -> Any {
         let endpoints = self.excluded.iter().filter_map(|&server| {
-            let place = endpoints.endpoint(server)?;
+            let listed = endpoints.endpoint(server)?;
             Some(AssignedEndpoint {
-                address: place.address,
-                zone: place.zone.clone(),
+                address: listed.address,
+                zone: listed.zone.clone(),
                 health: Health::Draining,
                 weight: 1.0,
                 info: None,
@@ -65,10 +66,10 @@
 }
 
 fn endpoint(server: ServerId, line: &Line, endpoints: &EndpointList) -> Option<AssignedEndpoint> {
-    let place = endpoints.endpoint(server)?;
+    let listed = endpoints.endpoint(server)?;
     Some(AssignedEndpoint {
         address: line.address,
-        zone: place.zone.clone(),
+        zone: listed.zone.clone(),
         health: if line.draining { Health::Draining } else { Health::Ready },
         weight: f64::from(line.weight) / UNIT_WEIGHT,
         info: None,
--- a/crates/xds-supervisor/src/tables/table.rs
+++ b/crates/xds-supervisor/src/tables/table.rs
@@ -1,4 +1,4 @@
-//! One table: what the controller and operators want of it, and how its lines are made from that.
+//! One table: the controller's weights and policies, operators' constraints, and the lines that follow from them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,38 +8,40 @@
 
 use super::{OperationIndex, OperationPolicy, TableContext};
 
-/// Largest sum of a table's weights, in units of 1/`UNIT_WEIGHT`: half of what the wire's 32 bits hold.
+/// Largest sum of a table's weights, in units of 1/`UNIT_WEIGHT`: half of what the 32 bits on the wire hold.
 const MAX_WEIGHT_SUM: f64 = (u32::MAX / 2) as f64;
-/// Factor of one step of scaling a table's weights down.
+/// Factor by which one scaling step lowers a table's weights.
 const SCALE_STEP: f64 = 0.0625;
-/// Most steps of scaling down; beyond them weights stay too large.
+/// Maximum number of scaling steps; weights that need more stay too large.
 const MAX_SCALE_STEPS: i32 = 8;
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct Table {
-    /// Weights as the controller set them.
+    /// Weights that the controller has set.
     pub(super) weights: BTreeMap<ServerId, f64>,
     pub(super) policies: BTreeMap<OperationIndex, OperationPolicy>,
     pub(super) version: u64,
     pub(super) constraints: WeightConstraints,
-    /// Lines whose constraints have changed, until the channel has capacity for them.
+    /// Servers whose constraints have changed; their lines wait for spare capacity of the channel.
     pub(super) pending_lines: BTreeSet<ServerId>,
-    /// Servers whose lines may differ from the last version's.
+    /// Servers whose lines may differ from the last version.
     pub(super) changed: BTreeSet<ServerId>,
-    /// Factor on servers that are warming up, where constraints lower the others.
+    /// Factor on the weights of servers that are warming up, if constraints lower the weights of others.
     slow_start_factor: f64,
+    /// Number of steps by which the weights are scaled down.
     scale_steps: i32,
-    /// Who ordered the rollback, and why.
+    /// Operator and reason of the rollback.
     pub(super) rollback_provenance: Provenance,
     /// Injected fault: lines that a rollback restores against the controller's decisions.
     pub(super) overriding_lines: Lines,
-    /// `None` where the guard is disabled.
+    /// `None` if the guard is disabled.
     pub(super) guard: Option<Guard>,
+    /// The guard withholds the table from proxies.
     pub(super) withheld: bool,
-    /// Lines that the guard is to inspect again: those it has reverted, and those of draining servers that are still
-    /// usable.
+    /// Servers whose lines the guard has to inspect again: lines that it has reverted, and usable lines of draining
+    /// servers.
     pub(super) to_inspect_again: BTreeSet<ServerId>,
-    /// When the guard inspects those again.
+    /// Time at which the guard inspects those lines again, ns.
     pub(super) inspect_at: Option<Nanos>,
 }
 
@@ -54,8 +56,8 @@
         self.changed.extend(self.weights.keys());
     }
 
-    /// Schedules an inspection of draining servers whose published lines are still usable. Guards against lines that
-    /// stay usable: nothing else might have the table inspected before the servers' grace is over.
+    /// Schedules an inspection of draining servers whose published lines are still usable. Guards against such lines
+    /// staying usable: without it, the table might not be inspected before the drain grace ends.
     pub(super) fn schedule_drain_check(
         &mut self,
         id: TableId,
@@ -70,7 +72,8 @@
         self.inspect_at = Some(self.inspect_at.map_or(check_at, |at| at.min(check_at)));
     }
 
-    /// Marks the lines that the guard is to inspect again as changed, with any change and when an inspection is due.
+    /// Marks the lines that the guard has to inspect again as changed, if an inspection is due or any other line has
+    /// changed.
     pub(super) fn mark_lines_to_inspect(&mut self, now: Nanos) {
         if self.inspect_at.is_some_and(|at| at <= now) || !self.changed.is_empty() {
             self.inspect_at = None;
@@ -78,7 +81,7 @@
         }
     }
 
-    /// The lines that may have changed; `None` where a server has none any more.
+    /// Takes the lines that may have changed; `None` for a server that no longer has a line.
     pub(super) fn take_changed_lines(
         &mut self,
         context: &TableContext,
@@ -89,7 +92,7 @@
         changed.into_iter().map(|server| (server, self.line(server, context, excluded))).collect()
     }
 
-    /// Recomputes the factors that concern many lines, and marks those lines where a factor has changed.
+    /// Recomputes the factors that apply to many lines, and marks the lines whose factor has changed.
     fn update_factors(&mut self, context: &TableContext) {
         let sum: f64 = self.weights.values().sum();
         let fits = |&steps: &i32| sum * UNIT_WEIGHT * SCALE_STEP.powi(steps) < MAX_WEIGHT_SUM;
@@ -114,7 +117,7 @@
         if let Some(&line) = self.overriding_lines.get(&server) {
             return Some(Line { draining: false, ..line });
         }
-        let place = context.endpoints.endpoint(server)?;
+        let listed = context.endpoints.endpoint(server)?;
         let factor = if context.is_warming_up(server) {
             self.slow_start_factor
         } else {
@@ -123,7 +126,7 @@
         let unit = UNIT_WEIGHT * SCALE_STEP.powi(self.scale_steps);
         let weight = self.weights.get(&server)? * factor * unit;
         Some(Line {
-            address: place.address,
+            address: listed.address,
             weight: (weight.round() as u32).max(1),
             draining: excluded.contains(&server),
             incarnation: context.endpoints.incarnation(server),
--- a/crates/xds-supervisor/tests/core/operators.rs
+++ b/crates/xds-supervisor/tests/core/operators.rs
@@ -88,8 +88,8 @@
         .contains("no table has server 99"));
 }
 
-/// Five servers, one of which was given less; a rollback that waits for capacity of the channel, goes on over a drain, and
-/// expires.
+/// Five servers, one of which was given less; a rollback that waits for capacity of the channel, goes on over a drain,
+/// and expires.
 #[test]
 fn rollback_is_sent_and_expires_and_a_drain_overrides_it() {
     let mut harness = Harness::new(None);
