--- a/crates/xds-supervisor/src/admin.rs
+++ b/crates/xds-supervisor/src/admin.rs
@@ -1,5 +1,5 @@
-//! Operators' requests about tables, answered on a listener of their own by gRPC, with JSON as content. The
-//! [`Core`](crate::Core) calls [`answer`]; `shalereel tables` sends the requests. Nothing is decided here.
+//! Operators' requests about tables. They arrive by gRPC on a separate listener and are answered with JSON.
+//! [`Core`](crate::Core) calls [`answer`]; `shalereel tables` sends the requests.
 
 mod json;
 mod messages;
@@ -17,19 +17,19 @@
     ShowVersion, StartRollback,
 };
 
-/// Path of the method: one request, one response.
+/// Path of the unary gRPC method.
 pub const ADMIN_PATH: &str = "/shalereel.admin.v1.Tables/Ask";
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// Answers one message.
+/// Answers one request.
 ///
 /// # Errors
 ///
-/// It is no request, or what it asks for cannot be had, and why.
+/// The request cannot be decoded or executed; the status names the reason.
 pub fn answer(tables: &mut Tables, context: &TableContext, message: &[u8]) -> Result<Vec<u8>, Status> {
     let malformed = |text: String| Status::new(Code::InvalidArgument, text);
-    // The text names the message by its earlier name; clients may match it.
+    // The text has an earlier name of the message, since clients may match it.
     let request =
         AdminRequest::decode(message).map_err(|error| malformed(format!("not an AdminAsk: {error}")))?;
     let query = request.query.ok_or_else(|| malformed("a question of a later version".into()))?;
--- a/crates/xds-supervisor/src/admin/json.rs
+++ b/crates/xds-supervisor/src/admin/json.rs
@@ -1,5 +1,4 @@
-//! Content of the answers to operators. The names of the keys are read by `shalereel tables`, the drills and operators'
-//! own scripts.
+//! JSON content of the answers to operators. `shalereel tables`, the drills and operators' scripts read the keys.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +12,7 @@
 
 const NANOS_PER_S: Nanos = 1_000_000_000;
 
-/// The newest versions, with the rollbacks and caps that are not over.
+/// The `last` newest versions, and all active rollbacks and caps.
 pub(super) fn versions(tables: &Tables, context: &TableContext, last: usize) -> Value {
     let size = tables.store.size();
     let newest = tables.store.tables().filter_map(|table| tables.store.check(table));
@@ -65,7 +64,8 @@
     })
 }
 
-/// Lines with what the endpoint list says of their servers now, so that expectations can be checked against them.
+/// Lines with the current state of their servers in the endpoint list, so that expectations can be checked against
+/// them.
 pub(super) fn lines_with_servers(tables: &Tables, context: &TableContext, lines: &Lines) -> Vec<Value> {
     let pool = tables.pool(context);
     let row = |(server, published): (&ServerId, &Line)| {
@@ -73,7 +73,7 @@
         let unavailable = |availability| availability == Availability::Unavailable;
         json!({
             "server": server, "line": line(published),
-            "locality": context.endpoints.endpoint(*server).map(|place| place.zone.clone()),
+            "locality": context.endpoints.endpoint(*server).map(|endpoint| endpoint.zone.clone()),
             "out": listed.is_none_or(|listed| unavailable(listed.server.availability)),
             "able": listed.map_or(0.0, |listed| listed.warmed_part),
             "listed": listed.map_or(0.0, |listed| listed.server.capacity),
--- a/crates/xds-supervisor/src/admin/messages.rs
+++ b/crates/xds-supervisor/src/admin/messages.rs
@@ -1,28 +1,28 @@
-//! Messages of the operators' listener. The names of the fields are not on the wire, their tags are.
+//! Messages of the operators' listener. Only the tags of the fields are on the wire, not their names.
 
 use prost::{Message, Oneof};
 
 /// One request of an operator.
 #[derive(Clone, PartialEq, Message)]
 pub struct AdminRequest {
-    /// What is asked; `None` where a later version's client asks something else.
+    /// Query or order; `None` if a client of a later version sends an unknown one.
     #[prost(oneof = "AdminQuery", tags = "1, 2, 3, 4, 5, 6")]
     pub query: Option<AdminQuery>,
 }
 
-/// What an operator asks or orders.
+/// A query or order of an operator.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum AdminQuery {
-    /// The newest versions, rollbacks and caps.
+    /// List the newest versions, and all rollbacks and caps.
     #[prost(message, tag = "1")]
     List(ListVersions),
-    /// The lines of a version.
+    /// Show the lines of a version.
     #[prost(message, tag = "2")]
     Show(ShowVersion),
-    /// What differs between two versions.
+    /// Show the differences between two versions.
     #[prost(message, tag = "3")]
     Diff(DiffVersions),
-    /// Go back to a version's weights.
+    /// Restore a version's weights.
     #[prost(message, tag = "4")]
     StartRollback(StartRollback),
     /// End all rollbacks.
@@ -33,29 +33,29 @@
     CapServer(CapServer),
 }
 
-/// Asks for the newest versions.
+/// Requests the newest versions, and all rollbacks and caps.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct ListVersions {
-    /// At most so many.
+    /// Maximum number of versions.
     #[prost(uint32, tag = "1")]
     pub last: u32,
 }
 
-/// Asks for the lines of a version.
+/// Requests the lines of a version.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct ShowVersion {
-    /// Its number; 0: the newest of all tables.
+    /// Number of the version; 0 means the newest of all tables.
     #[prost(uint64, tag = "1")]
     pub version: u64,
 }
 
-/// Asks what differs between two versions of the same table.
+/// Requests the differences between two versions of the same table.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct DiffVersions {
-    /// Number of the one.
+    /// Number of the first version.
     #[prost(uint64, tag = "1")]
     pub from: u64,
-    /// Number of the other.
+    /// Number of the second version.
     #[prost(uint64, tag = "2")]
     pub to: u64,
 }
@@ -63,19 +63,19 @@
 /// Orders a rollback to a version's weights.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct StartRollback {
-    /// Its number.
+    /// Number of the version.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// How long, ms.
+    /// Duration of the rollback, ms.
     #[prost(uint64, tag = "2")]
     pub duration_ms: u64,
-    /// Only the plan is wanted.
+    /// The rollback is only planned, not started.
     #[prost(bool, tag = "3")]
     pub dry_run: bool,
-    /// Who orders it.
+    /// Operator who gives the order.
     #[prost(string, tag = "4")]
     pub actor: String,
-    /// Why.
+    /// Reason for the order.
     #[prost(string, tag = "5")]
     pub reason: String,
 }
@@ -86,28 +86,28 @@
     /// Number of the server.
     #[prost(uint32, tag = "1")]
     pub server: u32,
-    /// Largest part of the controller's weight.
+    /// Largest share of the controller's weight, above 0 and at most 1.
     #[prost(double, tag = "2")]
     pub factor: f64,
-    /// How long, ms; 0: the cap that there is ends.
+    /// Duration of the cap, ms; 0 ends the existing cap.
     #[prost(uint64, tag = "3")]
     pub duration_ms: u64,
-    /// Who orders it.
+    /// Operator who gives the order.
     #[prost(string, tag = "4")]
     pub actor: String,
-    /// Why.
+    /// Reason for the order.
     #[prost(string, tag = "5")]
     pub reason: String,
 }
 
-/// Orders an end to all rollbacks.
+/// Orders the end of all rollbacks.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct EndRollbacks {}
 
-/// The answer to a request.
+/// Answer to a request.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct AdminResponse {
-    /// Content as JSON.
+    /// Content of the answer, as JSON.
     #[prost(string, tag = "1")]
     pub json: String,
 }
--- a/crates/xds-supervisor/src/core/faults.rs
+++ b/crates/xds-supervisor/src/core/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that are injected into the controller's actions for drills. Never in service.
+//! Faults that are injected into the controller's actions for drills. Never enabled in production.
 
 use shalereel::interface::{Action, Nanos, RetryPolicy};
 
--- a/crates/xds-supervisor/src/daemon.rs
+++ b/crates/xds-supervisor/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon: sockets, the registry's stream, timers and files around a [`Core`]. `shalereeld` calls [`run`].
+//! The daemon: the sockets, registry stream, timers and files around a [`Core`]. `shalereeld` calls [`run`].
 
 mod calls;
 mod effects;
@@ -23,43 +23,43 @@
 use crate::deployment::Deployment;
 use crate::storage::{lock_folder, StorageError};
 
-use group::GroupLinks;
+use group::MemberStreams;
 use health_checks::HealthCheck;
 use persistence::Persistence;
 use registry::RegistryWatch;
 
 pub use registry::ENDPOINT_LIST_RESOURCE;
 
-/// Why the daemon cannot start or go on.
+/// Error that keeps the daemon from starting or running.
 #[derive(Debug, Error)]
 pub enum DaemonError {
     /// The deployment's folder cannot be created.
-    #[error("folder {} cannot be made: {error}", folder.display())]
+    #[error("cannot create folder {}: {error}", folder.display())]
     Folder {
-        /// Which folder.
+        /// Folder of the deployment.
         folder: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// An address cannot be listened on.
-    #[error("{setting} {address}: {error}")]
+    /// The daemon cannot listen on an address.
+    #[error("{setting}: cannot listen on {address}: {error}")]
     Listen {
         /// Setting that names the address.
         setting: &'static str,
-        /// The address.
+        /// Address of the listener.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// A file cannot be used.
+    /// A file of the folder cannot be used.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// The group's log is damaged or of another kind.
+    /// The group's log is damaged or is a file of another kind.
     #[error("{}: {error}; move the file away only to add this supervisor as a new member", path.display())]
     GroupLog {
-        /// Which file.
+        /// Path of the log.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Reason why the log cannot be read.
         error: StoredLogError,
     },
     /// Sockets or signals cannot be used.
@@ -67,7 +67,7 @@
     Io(#[from] io::Error),
 }
 
-/// Which listener a connection was accepted on.
+/// Listener that a connection was accepted on.
 #[derive(Clone, Copy, PartialEq)]
 enum ListenerKind {
     Grpc,
@@ -75,30 +75,30 @@
     Admin,
 }
 
-/// What a timer is for.
+/// Task that a timer starts.
 enum TimerKind {
     DialRegistry,
     StoreEndpointList,
     HealthCheckTimeout(ConnId),
 }
 
-/// A call of a connection.
+/// Identifier of a call: its connection and its stream.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CallId {
     conn: ConnId,
     stream: StreamId,
 }
 
-/// What a call carries.
+/// Purpose of a call.
 #[derive(Clone, Copy)]
 enum CallKind {
     /// A proxy's discovery or load stream.
     Proxy(Peer),
-    /// Messages from a member of the group.
-    FromMember,
-    /// Messages to that member of the group.
-    ToMember(u32),
-    /// A proxy that follows key ranges.
+    /// Messages that a member of the group sends to this supervisor.
+    MemberInbound,
+    /// Messages from this supervisor to the member of the group with this number.
+    MemberOutbound(u32),
+    /// A proxy that requests key ranges.
     RangeClient(Peer),
     /// An operator's order to the group.
     GroupOrder(Peer),
@@ -115,27 +115,28 @@
     deployment: Deployment,
     limits: ClientLimits,
     calls: BTreeMap<CallId, CallKind>,
-    /// Calls that messages to a peer go out on.
+    /// Call of each peer, on which messages to it are sent.
     peers: BTreeMap<Peer, CallId>,
     last_peer: Peer,
     registry: RegistryWatch,
     health_checks: BTreeMap<ConnId, HealthCheck>,
-    /// Connections of balancers, by connection and by peer.
+    /// Peer of each SASP connection.
     balancer_peers: BTreeMap<ConnId, Peer>,
+    /// SASP connection of each peer.
     balancer_conns: BTreeMap<Peer, ConnId>,
-    /// Connections on the operators' listener.
+    /// Connections that were accepted on the operators' listener.
     admin_conns: BTreeSet<ConnId>,
-    group_links: GroupLinks,
+    member_streams: MemberStreams,
     persistence: Persistence,
     stopping: bool,
 }
 
-/// Runs until a signal stops it. `ready` is called once with the addresses that are served: gRPC, then SASP and the
-/// operators' listener where the file has them.
+/// Runs the daemon until a signal stops it. `ready` is called once with the listening addresses: gRPC first, then SASP
+/// and the operators' listener if the deployment file has them.
 ///
 /// # Errors
 ///
-/// The folder or an address cannot be used, the group's log is damaged, or `ready` fails.
+/// The folder or an address cannot be used, the group's log is damaged, `ready` fails, or the sockets fail.
 pub fn run(
     deployment: Deployment,
     ready: impl FnOnce(Vec<SocketAddr>) -> io::Result<()>,
@@ -146,15 +147,15 @@
     let _lock = lock_folder(&folder)?;
     let mut daemon = Daemon::start(deployment, ready)?;
     while !daemon.stopping {
-        daemon.turn()?;
+        daemon.run_once()?;
     }
     daemon.shut_down();
     Ok(())
 }
 
 impl Daemon {
-    /// Takes one batch of inputs and carries out what follows from it.
-    fn turn(&mut self) -> io::Result<()> {
+    /// Waits for inputs, handles them, and executes the core's commands.
+    fn run_once(&mut self) -> io::Result<()> {
         for input in self.hub.wait(Some(self.core.next_deadline().max(now())))? {
             self.on_input(input);
         }
@@ -164,7 +165,7 @@
             None => balancers.get(&peer).is_some_and(|&conn| hub.unsent_plain_bytes(conn) > 0),
         };
         for command in self.core.poll(now(), blocked) {
-            self.carry_out(command);
+            self.execute(command);
         }
         Ok(())
     }
@@ -174,12 +175,12 @@
         self.last_peer
     }
 
-    /// Ends all streams with a status, so that proxies dial another supervisor at once.
+    /// Leaves the group, and ends all streams with a status, so that proxies dial another supervisor at once.
     fn shut_down(&mut self) {
         self.store_endpoint_list();
         if let Some((group, _)) = self.core.group() {
             for command in group.leave(now()) {
-                self.carry_out_for_group(command);
+                self.execute_group_command(command);
             }
         }
         for call in std::mem::take(&mut self.peers).into_values() {
--- a/crates/xds-supervisor/src/daemon/calls.rs
+++ b/crates/xds-supervisor/src/daemon/calls.rs
@@ -1,4 +1,4 @@
-//! Inputs of the sockets: connections, calls and messages, each passed to the part that it concerns.
+//! Inputs of the sockets: connections, calls and messages are dispatched to the parts of the daemon that handle them.
 
 use prost::Message;
 use shalereel::interface::HealthCheckOutcome;
@@ -10,6 +10,7 @@
 use super::health_checks::HealthCheckResponse;
 use super::{CallId, CallKind, Daemon, ListenerKind, TimerKind};
 use crate::admin::ADMIN_PATH;
+use crate::core::Peer;
 
 impl Daemon {
     pub(super) fn on_input(&mut self, input: Input<ListenerKind, TimerKind>) {
@@ -84,7 +85,7 @@
         }
     }
 
-    pub(super) fn accept(&mut self, call: CallId, peer: crate::core::Peer, kind: CallKind) {
+    pub(super) fn accept(&mut self, call: CallId, peer: Peer, kind: CallKind) {
         self.calls.insert(call, kind);
         self.peers.insert(peer, call);
     }
@@ -99,16 +100,16 @@
         match kind {
             CallKind::Proxy(peer) => self.core.handle_message(now(), peer, message),
             CallKind::EndpointList => self.on_endpoint_list(call, message),
-            CallKind::FromMember | CallKind::RangeClient(_) | CallKind::GroupOrder(_) => {
+            CallKind::MemberInbound | CallKind::RangeClient(_) | CallKind::GroupOrder(_) => {
                 self.on_group_message(call, kind, message);
             }
             CallKind::Admin => self.on_admin_request(call, message),
-            CallKind::ToMember(_) => {}
+            CallKind::MemberOutbound(_) => {}
             CallKind::HealthCheck => self.on_health_check_response(call.conn, message),
         }
     }
 
-    /// Answers the one message of an operator's call.
+    /// Answers the single message of an operator's call.
     fn on_admin_request(&mut self, call: CallId, message: &[u8]) {
         self.calls.remove(&call);
         let status = match self.core.handle_admin(now(), message) {
@@ -121,7 +122,8 @@
         self.hub.finish(call.conn, call.stream, status);
     }
 
-    /// Discovery and load streams need both directions: a half-closed one is over. Operators' calls await their answer.
+    /// Handles a call that the peer has half-closed. Operators' calls still wait for their answer; all other calls end,
+    /// since discovery and load streams need both directions.
     fn on_half_closed(&mut self, call: CallId) {
         match self.calls.get(&call) {
             Some(CallKind::GroupOrder(_) | CallKind::Admin) | None => {}
@@ -146,14 +148,14 @@
             Some(CallKind::HealthCheck) => {
                 self.finish_health_check(call.conn, HealthCheckOutcome::Errored);
             }
-            Some(CallKind::ToMember(member)) => self.on_member_lost(member),
+            Some(CallKind::MemberOutbound(member)) => self.on_member_lost(member),
             Some(CallKind::RangeClient(peer) | CallKind::GroupOrder(peer)) => {
                 self.peers.remove(&peer);
                 if let Some((group, _)) = self.core.group() {
                     group.stream_closed(peer);
                 }
             }
-            Some(CallKind::FromMember | CallKind::Admin) | None => {}
+            Some(CallKind::MemberInbound | CallKind::Admin) | None => {}
         }
     }
 
@@ -179,8 +181,8 @@
         self.calls.range(first..=last).map(|(&call, _)| call).collect()
     }
 
-    /// Forgets all calls of a connection that this side has closed.
-    pub(super) fn forget_calls_of(&mut self, conn: ConnId) {
+    /// Removes all calls of a connection that this side has closed.
+    pub(super) fn remove_calls_of(&mut self, conn: ConnId) {
         self.calls.retain(|call, _| call.conn != conn);
     }
 }
--- a/crates/xds-supervisor/src/daemon/effects.rs
+++ b/crates/xds-supervisor/src/daemon/effects.rs
@@ -1,4 +1,4 @@
-//! Commands of the [`Core`](crate::Core), carried out on sockets, timers and files.
+//! Execution of the [`Core`](crate::Core)'s commands on sockets, timers and files.
 
 use shalereel_reactor::now;
 use shalereel_rpc::Status;
@@ -7,9 +7,9 @@
 use crate::core::{Peer, ShellCommand};
 
 impl Daemon {
-    pub(super) fn carry_out(&mut self, command: ShellCommand) {
+    pub(super) fn execute(&mut self, command: ShellCommand) {
         match command {
-            ShellCommand::Group(command) => self.carry_out_for_group(command),
+            ShellCommand::Group(command) => self.execute_group_command(command),
             ShellCommand::StoreSnapshot(body) => self.persistence.write_snapshot(body),
             ShellCommand::StoreTables(write) => self.persistence.write_table_history(write),
             ShellCommand::Send { peer, message } => {
@@ -40,7 +40,7 @@
         }
         if let Some(call) = self.peers.remove(&peer) {
             self.calls.remove(&call);
-            // A peer that does not read would never see a status.
+            // A peer that does not read would never receive a status.
             if self.hub.unsent_call_bytes(call.conn, call.stream) > 0 {
                 self.hub.cancel(call.conn, call.stream);
             } else {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Delays the write, so that what follows from the list is sent first.
+    /// Schedules a write of the endpoint list; the delay lets updates that result from the list be sent first.
     fn schedule_endpoint_list_write(&mut self) {
         if !std::mem::replace(&mut self.persistence.endpoint_list_due, true) {
             self.hub.set_timer(self.limits.list_write_at(now()), TimerKind::StoreEndpointList);
--- a/crates/xds-supervisor/src/daemon/group.rs
+++ b/crates/xds-supervisor/src/daemon/group.rs
@@ -1,4 +1,4 @@
-//! Streams of the group: its members', proxies' that follow key ranges, and operators'.
+//! Streams of the group: those of members, of proxies that request key ranges, and of operators.
 
 use std::collections::BTreeMap;
 use std::os::unix::net::UnixStream;
@@ -13,11 +13,11 @@
 use crate::group_member::{GroupCommand, GroupMember, GroupSettings};
 use crate::storage::{read_file, FileWriter, WriteRequest, GROUP_LOG_FILE};
 
-/// Streams to the other members, by their number.
+/// Outbound streams to the other members, by the member's number.
 #[derive(Default)]
-pub(super) struct GroupLinks {
+pub(super) struct MemberStreams {
     streams: BTreeMap<u32, CallId>,
-    /// Not dialled again before then.
+    /// Earliest time of the next dial of each member, ns.
     dial_after: BTreeMap<u32, Nanos>,
 }
 
@@ -54,7 +54,7 @@
             return self.reject(call, "this supervisor shares nothing: its file has no [shared]");
         };
         let kind = match path {
-            MEMBER_STREAM_PATH => CallKind::FromMember,
+            MEMBER_STREAM_PATH => CallKind::MemberInbound,
             RANGES_STREAM_PATH => {
                 group.range_stream_opened(peer);
                 CallKind::RangeClient(peer)
@@ -68,7 +68,7 @@
     pub(super) fn on_group_message(&mut self, call: CallId, kind: CallKind, message: &[u8]) {
         let Some((group, endpoints)) = self.core.group() else { return };
         let result = match kind {
-            CallKind::FromMember => group.handle_member_message(now(), message),
+            CallKind::MemberInbound => group.handle_member_message(now(), message),
             CallKind::RangeClient(peer) => group.handle_ranges_request(now(), peer, message, endpoints),
             CallKind::GroupOrder(peer) => group.handle_control(now(), peer, message),
             _ => Ok(()),
@@ -79,7 +79,7 @@
         }
     }
 
-    pub(super) fn carry_out_for_group(&mut self, command: GroupCommand) {
+    pub(super) fn execute_group_command(&mut self, command: GroupCommand) {
         match command {
             GroupCommand::SendToMember { to, address, message } => {
                 self.send_to_member(to, &address, &message)
@@ -116,12 +116,12 @@
         self.hub.finish(call.conn, call.stream, status);
     }
 
-    /// Sends a message to a member, or drops it where the member cannot be reached: the group sends all of it again.
+    /// Sends a message to a member, or drops it if the member cannot be reached: the group retransmits lost messages.
     fn send_to_member(&mut self, member: u32, address: &str, message: &[u8]) {
-        if !self.group_links.streams.contains_key(&member) {
+        if !self.member_streams.streams.contains_key(&member) {
             self.dial_member(member, address);
         }
-        if let Some(call) = self.group_links.streams.get(&member) {
+        if let Some(call) = self.member_streams.streams.get(&member) {
             // Guards against unbounded buffering for a member that does not read.
             if self.hub.unsent_call_bytes(call.conn, call.stream) < self.limits.connection().max_message_bytes
             {
@@ -131,20 +131,20 @@
     }
 
     fn dial_member(&mut self, member: u32, address: &str) {
-        if self.group_links.dial_after.get(&member).is_some_and(|&after| now() < after) {
+        if self.member_streams.dial_after.get(&member).is_some_and(|&after| now() < after) {
             return;
         }
-        self.group_links.dial_after.insert(member, self.limits.member_redial_at(now()));
+        self.member_streams.dial_after.insert(member, self.limits.member_redial_at(now()));
         let Ok(address) = address.parse() else { return };
         let Ok(conn) = self.hub.dial(address) else { return };
         let Some(stream) = self.hub.call(conn, MEMBER_STREAM_PATH, None) else { return };
         let call = CallId { conn, stream };
-        self.calls.insert(call, CallKind::ToMember(member));
-        self.group_links.streams.insert(member, call);
+        self.calls.insert(call, CallKind::MemberOutbound(member));
+        self.member_streams.streams.insert(member, call);
     }
 
     pub(super) fn on_member_lost(&mut self, member: u32) {
-        if let Some(call) = self.group_links.streams.remove(&member) {
+        if let Some(call) = self.member_streams.streams.remove(&member) {
             self.calls.remove(&call);
             self.hub.close(call.conn);
         }
--- a/crates/xds-supervisor/src/daemon/health_checks.rs
+++ b/crates/xds-supervisor/src/daemon/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of servers: one call on a connection of its own each, by `grpc.health.v1`.
+//! Health checks of servers by `grpc.health.v1`, each one call on a separate connection.
 
 use std::net::SocketAddr;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// A health check that awaits its response.
+/// A health check that waits for its response.
 pub(super) struct HealthCheck {
     server: ServerId,
     sent_at: Nanos,
@@ -57,10 +57,10 @@
         self.finish_health_check(conn, outcome);
     }
 
-    /// Reports the outcome of a connection's health check, if it has one that is not finished.
+    /// Reports the outcome of a connection's health check to the core, if the connection has an unfinished one.
     pub(super) fn finish_health_check(&mut self, conn: ConnId, outcome: HealthCheckOutcome) {
         if let Some(check) = self.health_checks.remove(&conn) {
-            self.forget_calls_of(conn);
+            self.remove_calls_of(conn);
             self.hub.close(conn);
             self.core.health_checked(check.server, outcome, now() - check.sent_at);
         }
--- a/crates/xds-supervisor/src/daemon/persistence.rs
+++ b/crates/xds-supervisor/src/daemon/persistence.rs
@@ -1,6 +1,6 @@
-//! Files of the daemon: endpoint list, table history and snapshot are read at the start and written while it runs.
-//! A file that cannot be read or written costs no service and is logged, but for the group's log: without it a member
-//! does not start.
+//! Files of the daemon: endpoint list, table history and snapshot are read at the start and written while it runs. If
+//! one of them cannot be read or written, the daemon logs it and keeps serving. The group's log is the exception: a
+//! member does not start if it cannot be opened.
 
 use std::fs;
 use std::io::{self, Write};
@@ -19,16 +19,16 @@
 /// Name of the stored endpoint list in the deployment's folder.
 const ENDPOINT_LIST_FILE: &str = "last-list.json";
 
-/// Writers of the files; `None` where a file is not written.
+/// Writers of the files (`None` for a file that is not written), and the state of their writes.
 #[derive(Default)]
 pub(super) struct Persistence {
     pub(super) group_log: Option<FileWriter>,
     table_history: Option<FileWriter>,
     snapshot: Option<FileWriter>,
-    /// The last write failed: logged once until one succeeds.
+    /// The last write failed. Failures in a row are logged once.
     table_history_failing: bool,
     snapshot_failing: bool,
-    /// Sequence of the last write of table history or snapshot.
+    /// Sequence number of the last write of the table history or snapshot.
     last_sequence: u64,
     /// The endpoint list has changed since it was stored.
     pub(super) endpoint_list_due: bool,
@@ -59,7 +59,7 @@
 }
 
 impl Daemon {
-    /// Loads the versions of an earlier run, and sets the wall clock's offset. A file that is rejected is moved aside.
+    /// Loads the table versions of an earlier run, and sets the wall clock's offset. A rejected file is renamed.
     pub(super) fn load_table_history(&mut self, wake: UnixStream) {
         let folder = self.deployment.folder.clone();
         let file = read_file(&folder, TABLE_HISTORY_FILE).unwrap_or_else(|error| {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Loads the snapshot of an earlier run, and opens its file for this run's.
+    /// Loads the snapshot of an earlier run, and opens the snapshot file for writing.
     pub(super) fn load_snapshot(&mut self, wake: UnixStream) {
         if self.deployment.snapshot_disabled {
             return;
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Hands a stored snapshot to the core; gives the file's length, or `None` where it is to be written anew.
+    /// Passes a stored snapshot to the core. Returns the length of the file, or `None` if the file has to be rewritten.
     fn restore_snapshot(&mut self, file: &[u8]) -> Option<usize> {
         match StoredSnapshot::decode_file(file) {
             Ok(snapshot) => {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Takes the results of finished writes.
+    /// Handles the results of finished writes.
     pub(super) fn on_writes_done(&mut self) {
         let group_log = self.persistence.group_log.as_ref().and_then(FileWriter::take_result);
         if let Some((result, (group, _))) = group_log.zip(self.core.group()) {
@@ -141,7 +141,7 @@
             Err(error) => {
                 self.core.table_write_failed();
                 if !was_failing {
-                    tracing::warn!(%error, "table history write failed, retried with each version");
+                    tracing::warn!(%error, "table history write failed; retrying with each new version");
                 }
             }
             Ok(_) if was_failing => tracing::info!("table history writes recovered"),
@@ -153,14 +153,14 @@
         let was_failing = std::mem::replace(&mut self.persistence.snapshot_failing, result.is_err());
         match result {
             Err(error) if !was_failing => {
-                tracing::warn!(%error, "snapshot write failed, retried with each snapshot");
+                tracing::warn!(%error, "snapshot write failed; retrying with each new snapshot");
             }
             Ok(_) if was_failing => tracing::info!("snapshot writes recovered"),
             _ => {}
         }
     }
 
-    /// Writes the endpoint list if it has changed since.
+    /// Writes the endpoint list if it has changed since the last write.
     pub(super) fn store_endpoint_list(&mut self) {
         if !std::mem::take(&mut self.persistence.endpoint_list_due) {
             return;
@@ -171,13 +171,13 @@
     }
 }
 
-/// By how much the wall clock is ahead of the monotonic one.
+/// Wall clock minus monotonic clock, ns.
 fn wall_clock_offset() -> Nanos {
     let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_nanos();
     Nanos::try_from(wall).unwrap_or(0).saturating_sub(now())
 }
 
-/// The endpoint list of an earlier run, if there is one that can be read.
+/// Reads the endpoint list of an earlier run; `None` if there is none or it cannot be read.
 pub(super) fn read_endpoint_list(folder: &Path) -> Option<Vec<u8>> {
     let path = folder.join(ENDPOINT_LIST_FILE);
     match fs::read(&path) {
@@ -185,13 +185,13 @@
         Err(error) if error.kind() == io::ErrorKind::NotFound => None,
         Err(error) => {
             let file = path.display();
-            tracing::warn!(%file, %error, "stored endpoint list unreadable, starting without it");
+            tracing::warn!(%file, %error, "stored endpoint list unreadable; starting without it");
             None
         }
     }
 }
 
-/// Writes a new file and renames it over the old one.
+/// Writes the list to a new file and renames it over the old one.
 fn write_endpoint_list(folder: &Path, list: &[u8]) -> io::Result<()> {
     let new_path = folder.join(format!("{ENDPOINT_LIST_FILE}.new"));
     let mut file = fs::File::create(&new_path)?;
--- a/crates/xds-supervisor/src/daemon/registry.rs
+++ b/crates/xds-supervisor/src/daemon/registry.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: a stream to the registry, watched or polled.
+//! The stream to the registry, on which the endpoint list is watched or polled.
 
 use shalereel_reactor::now;
 use shalereel_rpc::{ConnId, Status};
@@ -7,19 +7,19 @@
 use super::{CallId, CallKind, Daemon, TimerKind};
 use crate::deployment::Deployment;
 
-/// Resource name of the fleet's endpoint list at the registry.
+/// Resource name of the endpoint list at the registry.
 pub const ENDPOINT_LIST_RESOURCE: &str = "fleet";
 
 /// State of the stream to the registry.
 pub(super) struct RegistryWatch {
     pub(super) conn: Option<ConnId>,
     client: ClientStream,
-    /// The stream stays open for changes; otherwise it is closed after one list.
+    /// The stream stays open for changes; otherwise it is closed after the first list.
     watching: bool,
 }
 
 impl RegistryWatch {
-    /// Not dialled yet; watching unless the deployment polls.
+    /// Creates the state of an undialled stream; the list is watched unless the deployment polls it.
     pub(super) fn new(deployment: &Deployment) -> Self {
         let config = &deployment.config;
         let node = NodeInfo {
@@ -28,7 +28,7 @@
             ..NodeInfo::default()
         };
         let mut client = ClientStream::new(Variant::StateOfTheWorld, node);
-        // Not sent now: `reopen` repeats the subscription on each new stream.
+        // The message is dropped: `reopen` repeats the subscription on each new stream.
         client.subscribe(types::ASSIGNMENT, [ENDPOINT_LIST_RESOURCE.to_owned()]);
         RegistryWatch { conn: None, client, watching: !config.polls_endpoints }
     }
@@ -48,7 +48,7 @@
                     self.hub.send(conn, stream, &message);
                 }
             }
-            // Has no effect, as no connection is open: nothing is logged and nothing dials again.
+            // Has no effect, since no connection is open: the error is not logged, and the dial is not retried.
             Err(error) => self.on_registry_lost(&error.to_string()),
         }
     }
@@ -56,11 +56,11 @@
     fn close_registry(&mut self) {
         if let Some(conn) = self.registry.conn.take() {
             self.hub.close(conn);
-            self.forget_calls_of(conn);
+            self.remove_calls_of(conn);
         }
     }
 
-    /// Watches the list, or stops doing so.
+    /// Starts or stops watching the list.
     pub(super) fn set_watching(&mut self, watching: bool) {
         self.registry.watching = watching;
         self.close_registry();
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Asks for the complete list on a new stream.
+    /// Requests the full list on a new stream.
     pub(super) fn fetch_list(&mut self) {
         self.close_registry();
         self.dial_registry();
     }
 
-    /// Where the list is watched, the registry is dialled again after a report interval; where it is polled, the
-    /// controller says when.
+    /// Handles the loss of the stream to the registry. A watched registry is dialled again after a report interval; a
+    /// polled one when the controller requests the list.
     pub(super) fn on_registry_lost(&mut self, reason: &str) {
         if self.registry.conn.take().is_none() {
             return;
--- a/crates/xds-supervisor/src/daemon/startup.rs
+++ b/crates/xds-supervisor/src/daemon/startup.rs
@@ -1,4 +1,4 @@
-//! Start of the daemon: listeners, stored files, first dial of the registry. Called by [`super::run`].
+//! Start of the daemon: opens listeners, loads stored files and dials the registry. Called by [`super::run`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -7,7 +7,7 @@
 use shalereel_reactor::now;
 use shalereel_rpc::Hub;
 
-use super::group::GroupLinks;
+use super::group::MemberStreams;
 use super::persistence::{read_endpoint_list, Persistence};
 use super::registry::RegistryWatch;
 use super::{Daemon, DaemonError, ListenerKind, TimerKind};
@@ -16,7 +16,8 @@
 use crate::deployment::Deployment;
 
 impl Daemon {
-    /// Listens, reads what an earlier run stored, reports the addresses to `ready`, and dials the registry.
+    /// Opens the listeners, loads the files that an earlier run stored, reports the addresses to `ready`, and dials a
+    /// watched registry.
     pub(super) fn start(
         deployment: Deployment,
         ready: impl FnOnce(Vec<SocketAddr>) -> io::Result<()>,
@@ -26,7 +27,7 @@
         let mut hub = Hub::new(limits.connection())?;
         hub.stop_on_signals()?;
         let addresses = listen(&mut hub, &deployment)?;
-        let subscribes = !deployment.config.polls_endpoints;
+        let watches_registry = !deployment.config.polls_endpoints;
         let mut daemon = Daemon {
             core: Core::new(deployment.clone(), now(), stored_list.as_deref()),
             hub,
@@ -39,27 +40,27 @@
             balancer_peers: BTreeMap::new(),
             balancer_conns: BTreeMap::new(),
             admin_conns: BTreeSet::new(),
-            group_links: GroupLinks::default(),
+            member_streams: MemberStreams::default(),
             persistence: Persistence::default(),
             stopping: false,
             deployment,
         };
         let wake = daemon.hub.wake_stream()?;
         daemon.join_group(wake.try_clone()?)?;
-        // Sets the wall clock's offset, by which the snapshot's age is computed.
+        // Also sets the wall clock's offset, which the snapshot's age is computed from.
         daemon.load_table_history(wake.try_clone()?);
         daemon.load_snapshot(wake);
         let supervisor = daemon.deployment.config.supervisor_index;
         tracing::info!(address = %addresses[0], supervisor, "serving");
         ready(addresses)?;
-        if subscribes {
+        if watches_registry {
             daemon.dial_registry();
         }
         Ok(daemon)
     }
 }
 
-/// Opens the listeners that the file names; gives their addresses, that of gRPC first.
+/// Opens the listeners of the deployment file, and returns their addresses with that of gRPC first.
 fn listen(
     hub: &mut Hub<ListenerKind, TimerKind>,
     deployment: &Deployment,
--- a/crates/xds-supervisor/src/deployment.rs
+++ b/crates/xds-supervisor/src/deployment.rs
@@ -1,5 +1,5 @@
-//! The deployment file of a supervisor: TOML in, a checked [`Deployment`] out. The daemon, `shalereel expect` and
-//! `shalereel measure` read it; `docs/supervisor.md` describes its settings.
+//! The deployment file of a supervisor, parsed from TOML into a checked [`Deployment`]. The daemon, `shalereel expect`
+//! and `shalereel measure` read it; `docs/supervisor.md` describes its settings.
 
 mod checks;
 mod controller;
@@ -22,56 +22,56 @@
 pub use group::GroupDeployment;
 pub use table_history::TableHistoryLimits;
 
-/// What a supervisor needs to run.
+/// Checked settings of a supervisor.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Where proxies are served by gRPC.
+    /// Address on which proxies are served by gRPC.
     pub listen: SocketAddr,
-    /// Where the registry is dialled.
+    /// Address of the registry.
     pub registry: SocketAddr,
-    /// Where balancers are served by SASP; nowhere unless given.
+    /// Address on which balancers are served by SASP, if any.
     pub sasp_listen: Option<SocketAddr>,
-    /// Where operators ask about tables; nowhere unless given.
+    /// Address on which operators' requests about tables are served, if any.
     pub admin_listen: Option<SocketAddr>,
     /// Folder of the stored files.
     pub folder: PathBuf,
-    /// Least time between two batches of events, ns.
+    /// Minimum time between two batches of events, ns.
     pub min_batch_interval: Nanos,
-    /// Names of the operations, by their number.
+    /// Names of the operations, by position.
     pub operations: Vec<String>,
-    /// Names of the localities, by their number.
+    /// Names of the localities, by position.
     pub localities: Vec<String>,
-    /// The channel keeps to its rate. Off only to measure what the rest costs.
+    /// The channel limits its rate. Disabled only to measure the cost of the remaining work.
     pub paced: bool,
     /// Settings of the controller.
     pub config: ControllerConfig,
-    /// Limits of the table history that the file gives.
+    /// Limits of the table history that the file sets.
     pub table_history: TableHistoryLimits,
-    /// The group that this supervisor is a member of.
+    /// Group that this supervisor is a member of, if any.
     pub group: Option<GroupDeployment>,
-    /// No snapshot is read or written.
+    /// Snapshots are neither read nor written.
     pub snapshot_disabled: bool,
-    /// Fault that is injected on purpose. Never in service.
+    /// Fault that is injected for tests. Never set in production.
     pub injected_fault: Option<InjectedFault>,
-    /// No guard inspects tables, so that injected faults show. Never in service.
+    /// The guard is disabled, so that injected faults take effect. Never set in production.
     pub guard_disabled: bool,
 }
 
 impl Deployment {
-    /// Reads and checks a file.
+    /// Reads and checks a deployment file.
     ///
     /// # Errors
     ///
-    /// It cannot be read, is not TOML of this form, or has a setting out of range.
+    /// The file cannot be read, is not TOML of the expected structure, or has an invalid setting.
     pub fn read(file: &Path) -> Result<Self, FileError> {
         Deployment::parse(file, &FileError::read(file)?)
     }
 
-    /// Checks the text of a file; `file` is only named in errors.
+    /// Parses and checks the text of a deployment file; `file` is only used in errors.
     ///
     /// # Errors
     ///
-    /// It is not TOML of this form, or has a setting out of range.
+    /// The text is not TOML of the expected structure, or has an invalid setting.
     pub fn parse(file: &Path, text: &str) -> Result<Self, FileError> {
         let settings: DeploymentFile = FileError::parse(file, text)?;
         let check = Checker::new(file, text);
--- a/crates/xds-supervisor/src/deployment/checks.rs
+++ b/crates/xds-supervisor/src/deployment/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of single settings; errors name file, line, key and remedy.
+//! Checks of single settings. Errors name the file, the line, the key and a remedy.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -8,10 +8,10 @@
 
 use super::error::FileError;
 
-/// Longest time that a setting may give, ms: a day.
+/// Maximum duration of a setting, ms: one day.
 const MAX_DURATION_MS: f64 = 86_400_000.0;
 
-/// The text of a file whose settings are checked.
+/// Checker of one file's settings; it holds the text to find the line of a key.
 pub(super) struct Checker<'a> {
     file: &'a Path,
     text: &'a str,
@@ -23,7 +23,7 @@
     checker: &'a Checker<'a>,
     /// Empty for the top level.
     name: &'static str,
-    /// Position among sections of the same name, from 0.
+    /// Position among the sections of the same name, from 0.
     index: usize,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl Section<'_> {
-    /// An error about a key of this section.
+    /// Returns an error about a key of this section.
     pub(super) fn reject(&self, key: &str, problem: String, remedy: &str) -> FileError {
         FileError::InvalidSetting {
             file: self.checker.file.to_owned(),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The line of a key, from 1; 1 where it is not found.
+    /// Line of a key, from 1; 1 if the key is not found.
     fn line(&self, key: &str) -> usize {
         let mut inside = self.name.is_empty();
         let mut sections_seen = 0;
@@ -74,7 +74,7 @@
         1
     }
 
-    /// Accepts a number within a range.
+    /// Checks that a number is finite and within a range.
     pub(super) fn number(&self, key: &str, value: f64, range: RangeInclusive<f64>) -> Result<f64, FileError> {
         if value.is_finite() && range.contains(&value) {
             return Ok(value);
@@ -83,12 +83,12 @@
         Err(self.reject(key, format!("{value} is out of range"), &remedy))
     }
 
-    /// Accepts a time of at least `min_ms` and at most a day; gives it in ns.
+    /// Checks that a duration is at least `min_ms` and at most a day, and converts it to ns.
     pub(super) fn duration(&self, key: &str, ms: f64, min_ms: f64) -> Result<Nanos, FileError> {
         Ok((self.number(key, ms, min_ms..=MAX_DURATION_MS)? * 1e6).round() as Nanos)
     }
 
-    /// Accepts loopback addresses alone.
+    /// Checks that an address is a loopback address.
     pub(super) fn loopback(&self, key: &str, address: SocketAddr) -> Result<(), FileError> {
         if address.ip().is_loopback() {
             return Ok(());
--- a/crates/xds-supervisor/src/deployment/controller.rs
+++ b/crates/xds-supervisor/src/deployment/controller.rs
@@ -1,4 +1,4 @@
-//! Conversion of the file's settings to the controller's.
+//! Conversion of the file's settings to the controller's configuration.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
     SizesSetting,
 };
 
-/// Most operations of a deployment. The error text below repeats this number.
+/// Maximum number of operations of a deployment. The error text below repeats this number.
 const MAX_OPERATIONS: usize = 16;
 
 impl Checker<'_> {
@@ -39,14 +39,14 @@
         names: &mut BTreeSet<&'a str>,
     ) -> Result<(), FileError> {
         let section = self.repeated_section("operation", index);
-        let plain = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
-        if name.is_empty() || !name.chars().all(plain) {
-            let problem = format!("{name:?} is no plain name");
+        let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
+        if name.is_empty() || !name.chars().all(is_allowed) {
+            let problem = format!("{name:?} is not a valid operation name");
             return Err(section.reject("name", problem, "use letters, digits, '-', '_' and '.'"));
         }
         if !names.insert(name) {
-            let problem = format!("{name:?} comes twice");
-            return Err(section.reject("name", problem, "give each operation a name of its own"));
+            let problem = format!("{name:?} is the name of two operations");
+            return Err(section.reject("name", problem, "give each operation a unique name"));
         }
         Ok(())
     }
@@ -78,7 +78,7 @@
         })
     }
 
-    /// One line a setting, in the order in which wrong ones are reported.
+    /// Checks and converts the settings one by one; the first invalid one in this order is reported.
     pub(super) fn controller_config(
         &self,
         settings: &DeploymentFile,
--- a/crates/xds-supervisor/src/deployment/error.rs
+++ b/crates/xds-supervisor/src/deployment/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a file that an operator wrote. Files of drills and expectations report by the same type.
+//! Errors in a file that an operator wrote: deployment files, drill files and expectation files.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -6,37 +6,37 @@
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// What is wrong with a file that an operator wrote.
+/// Error in a file that an operator wrote.
 #[derive(Debug, Error)]
 pub enum FileError {
     /// The file cannot be read.
     #[error("{file}: cannot be read: {error}")]
     Unreadable {
-        /// Which file.
+        /// Path of the file.
         file: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         error: std::io::Error,
     },
     /// The text is not TOML, or has keys that are unknown, missing or of another type.
     #[error("{file}: {error}")]
     Malformed {
-        /// Which file.
+        /// Path of the file.
         file: PathBuf,
-        /// Where and what.
+        /// Error of the parser, with its position.
         error: Box<toml::de::Error>,
     },
-    /// A setting has a value that cannot be used.
+    /// A setting has an invalid value.
     #[error("{file}:{line}: {key}: {problem}; {remedy}")]
     InvalidSetting {
-        /// Which file.
+        /// Path of the file.
         file: PathBuf,
         /// Line of the setting, from 1.
         line: usize,
-        /// Section and key.
+        /// Key of the setting, with its section.
         key: String,
-        /// What is wrong with the value.
+        /// Reason why the value is invalid.
         problem: String,
-        /// What to write instead.
+        /// Advice on a valid value.
         remedy: String,
     },
 }
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// The text is not a `T`.
+    /// The text is not TOML of the structure of `T`.
     pub fn parse<T: DeserializeOwned>(file: &Path, text: &str) -> Result<T, FileError> {
         toml::from_str(text)
             .map_err(|error| FileError::Malformed { file: file.to_owned(), error: Box::new(error) })
--- a/crates/xds-supervisor/src/deployment/file.rs
+++ b/crates/xds-supervisor/src/deployment/file.rs
@@ -1,11 +1,12 @@
-//! The file format: settings by their names, as `docs/supervisor.md` lists them. Times are milliseconds.
+//! The file format: structures whose fields have the names of the settings, as `docs/supervisor.md` lists them.
+//! Durations are in milliseconds unless the key names another unit.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use serde::Deserialize;
 
-/// The file as it is written; fields have the names of the settings.
+/// The whole file, before its settings are checked.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct DeploymentFile {
@@ -22,23 +23,23 @@
     #[serde(rename = "operation")]
     pub(super) operations: Vec<OperationSection>,
     pub(super) list: EndpointListSection,
-    /// Listener of SASP; none unless given.
+    /// SASP listener, if any.
     pub(super) sasp: Option<ListenSection>,
-    /// Group of supervisors; none unless given.
+    /// Group of supervisors, if this supervisor is a member of one.
     pub(super) shared: Option<GroupSection>,
-    /// Limits of the table history; derived ones unless given.
+    /// Limits of the table history; limits that are not set are derived.
     #[serde(default)]
     pub(super) tables: TableHistorySection,
-    /// No snapshot is read or written.
+    /// Snapshots are neither read nor written.
     #[serde(default)]
     pub(super) forgets: bool,
-    /// Operators' listener; none unless given.
+    /// Operators' listener, if any.
     pub(super) admin: Option<ListenSection>,
     pub(super) forwarders: ForwardersSection,
     pub(super) channel: ChannelSection,
     pub(super) rules: RulesSection,
     pub(super) planted: Option<InjectedFault>,
-    /// No guard inspects tables, so that injected faults show. Never in service.
+    /// The guard is disabled, so that injected faults take effect. Never set in production.
     #[serde(default)]
     pub(super) unguarded: bool,
 }
@@ -92,7 +93,7 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct GroupSection {
     pub(super) name: String,
-    /// Addresses of the members, by number; this supervisor's own among them.
+    /// Addresses of the group's initial members, by member number.
     pub(super) members: Vec<SocketAddr>,
     #[serde(default)]
     pub(super) joining: bool,
@@ -174,25 +175,25 @@
     pub(super) gone_does_not_bind: bool,
 }
 
-/// A fault injected into a supervisor on purpose, to show that checks of traffic find it. Never in service.
+/// A fault that is injected into a supervisor to show that traffic checks detect it. Never set in production.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum InjectedFault {
     /// Draining servers keep their weights.
     #[serde(rename = "drop_suspensions")]
     IgnoreDraining,
-    /// Any failure is retried, twice.
+    /// Every failure is retried, up to twice.
     #[serde(rename = "repeat_all")]
     RetryEverything,
     /// Servers that are warming up get many times their weight.
     #[serde(rename = "cold_in_full")]
     NoSlowStart,
-    /// Every line is sent again and again.
+    /// Every line changes and is sent again with each batch of actions.
     #[serde(rename = "flood")]
     FloodUpdates,
-    /// Tables are sent with no line.
+    /// Tables are sent without lines.
     EmptyTables,
-    /// Neither epochs nor leases bind this member of a group.
+    /// This member of a group ignores epochs and leases.
     #[serde(rename = "no_fence")]
     NoFencing,
     /// A rollback restores weights against the controller's decisions.
--- a/crates/xds-supervisor/src/deployment/group.rs
+++ b/crates/xds-supervisor/src/deployment/group.rs
@@ -9,7 +9,7 @@
 use super::file::{DeploymentFile, GroupSection, InjectedFault};
 use crate::client_limits::ClientLimits;
 
-/// Most members that a group may begin with. The error text below repeats this number.
+/// Maximum number of initial members of a group. The error text below repeats this number.
 const MAX_MEMBERS: usize = 9;
 
 /// The group that a supervisor is a member of.
@@ -17,7 +17,7 @@
 pub struct GroupDeployment {
     /// Settings of the group.
     pub config: GroupConfig,
-    /// Number of key ranges; 0: servers own none.
+    /// Number of key ranges that servers own; 0 disables key ranges.
     pub range_count: u32,
 }
 
@@ -29,8 +29,8 @@
         config: &ControllerConfig,
     ) -> Result<GroupDeployment, FileError> {
         let section = self.section("shared");
-        let own = usize::from(settings.supervisor);
-        check_members(&section, group, own)?;
+        let own_number = usize::from(settings.supervisor);
+        check_members(&section, group, own_number)?;
         section.number("drift", group.drift, 0.0..=0.2)?;
         section.number("ranges", group.ranges.into(), 0.0..=4096.0)?;
         let timing = TimingSettings {
@@ -43,8 +43,8 @@
         let voters = group.members.iter().enumerate();
         let no_fencing = settings.planted == Some(InjectedFault::NoFencing);
         let config = GroupConfig {
-            id: own as u32,
-            address: group.members.get(own).unwrap_or(&settings.listen).to_string(),
+            id: own_number as u32,
+            address: group.members.get(own_number).unwrap_or(&settings.listen).to_string(),
             name: group.name.clone(),
             initial_voters: voters
                 .map(|(id, address)| MemberAddress { id: id as u32, address: address.to_string() })
@@ -59,21 +59,22 @@
     }
 }
 
-fn check_members(section: &Section, group: &GroupSection, own: usize) -> Result<(), FileError> {
+fn check_members(section: &Section, group: &GroupSection, own_number: usize) -> Result<(), FileError> {
     for &address in &group.members {
         section.loopback("members", address)?;
     }
-    let least = if group.joining { 1 } else { own + 1 };
-    let given = group.members.len();
-    if (least..=MAX_MEMBERS).contains(&given) {
+    let min_members = if group.joining { 1 } else { own_number + 1 };
+    let member_count = group.members.len();
+    if (min_members..=MAX_MEMBERS).contains(&member_count) {
         return Ok(());
     }
-    let problem = format!("{given} addresses, for supervisor number {own}");
-    let remedy = "give one to nine, one for each number from 0 that the group began with";
+    let problem = format!("{member_count} addresses for a group with supervisor number {own_number}");
+    let remedy =
+        "list the addresses of the group's initial members, one to nine, ordered by supervisor number from 0";
     Err(section.reject("members", problem, remedy))
 }
 
-/// All duties that the group's members take leases of.
+/// All duties that members of the group hold leases of.
 fn duties(settings: &DeploymentFile, range_count: u32) -> Vec<Duty> {
     let tables = (0..settings.operations.len() as u32).map(Duty::FenceTable);
     let drains = (0..settings.localities.len() as u32).map(Duty::RunDrains);
--- a/crates/xds-supervisor/src/deployment/listeners.rs
+++ b/crates/xds-supervisor/src/deployment/listeners.rs
@@ -1,4 +1,4 @@
-//! Checks of addresses, and of this supervisor's place among the others.
+//! Checks of the listeners' addresses, and of this supervisor's locality and number.
 
 use super::checks::Checker;
 use super::error::FileError;
@@ -17,7 +17,7 @@
         Ok(())
     }
 
-    /// Number of this supervisor's locality.
+    /// Position of this supervisor's locality among the localities.
     pub(super) fn locality(&self, settings: &DeploymentFile) -> Result<u16, FileError> {
         match settings.localities.iter().position(|name| *name == settings.locality) {
             Some(index) => Ok(index as u16),
@@ -32,7 +32,10 @@
         if settings.supervisor < settings.supervisors {
             return Ok(());
         }
-        let problem = format!("number {} of {} supervisors", settings.supervisor, settings.supervisors);
-        Err(self.top_level().reject("supervisor", problem, "count from 0"))
+        let problem = format!(
+            "{} is not below the number of supervisors, {}",
+            settings.supervisor, settings.supervisors
+        );
+        Err(self.top_level().reject("supervisor", problem, "number the supervisors from 0"))
     }
 }
--- a/crates/xds-supervisor/src/deployment/table_history.rs
+++ b/crates/xds-supervisor/src/deployment/table_history.rs
@@ -1,4 +1,4 @@
-//! Limits of the table history: those that the file gives, in place of derived ones.
+//! Limits of the table history that the file sets in place of derived ones.
 
 use shalereel::interface::Nanos;
 use shalereel_store::RetentionLimits;
@@ -7,7 +7,7 @@
 use super::error::FileError;
 use super::file::TableHistorySection;
 
-/// Limits of the table history that the file gives; the others are derived.
+/// Limits of the table history that the file sets; limits that are `None` are derived.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TableHistoryLimits {
     versions: Option<usize>,
@@ -16,7 +16,7 @@
 }
 
 impl TableHistoryLimits {
-    /// The derived limits, with those that the file gives in their place.
+    /// Replaces derived limits by those that the file sets.
     pub fn or_derived(&self, derived: RetentionLimits) -> RetentionLimits {
         RetentionLimits {
             versions: self.versions.unwrap_or(derived.versions),
--- a/crates/xds-supervisor/src/group_member.rs
+++ b/crates/xds-supervisor/src/group_member.rs
@@ -1,5 +1,6 @@
-//! This supervisor as a member of its group: what the group agrees on becomes events and weight bounds for the
-//! controller, and load reports go to the group. `core` owns it where the deployment has a group. Free of I/O.
+//! Membership of this supervisor in its group: the group's changes become operators' orders and events for the
+//! controller, and load reports are passed to the group. `core` owns the member if the deployment has a group. Free of
+//! I/O.
 
 mod forwarders;
 mod operators;
@@ -17,95 +18,95 @@
 use crate::endpoints::EndpointList;
 use crate::peer_reports::failures_of_peers;
 
-/// What the group has the shell do.
+/// A command of the group to the daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GroupCommand {
     /// Send a message to another member; it may be lost.
     SendToMember {
         /// Number of the receiver.
         to: u32,
-        /// Where it is reached.
+        /// Address of the receiver.
         address: String,
         /// An encoded `Envelope`.
         message: Vec<u8>,
     },
     /// Write and sync records of the log.
     StoreLog(LogWrite),
-    /// Send the one message of an operator's stream, or close it with the reason why there is none.
+    /// Answer an operator's stream with one message, or close it with an error status.
     AnswerOperator {
         /// The operator's stream.
         peer: Peer,
-        /// An encoded `ControlResponse`, or the status that the stream is closed with.
+        /// An encoded `ControlResponse`, or the status with which the stream is closed.
         result: Result<Vec<u8>, Status>,
     },
-    /// Send on a forwarder's stream of key ranges.
+    /// Send key ranges on a forwarder's stream.
     SendRanges {
         /// The forwarder's stream.
         peer: Peer,
         /// An encoded `RangesResponse`.
         message: Vec<u8>,
     },
-    /// Write a line of the group to the log.
+    /// Write a log line about the group.
     Log(String),
 }
 
 /// Operators' orders in force.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorOrders {
-    /// Servers to be drained.
+    /// Servers that are drained.
     pub drained: BTreeSet<u32>,
-    /// Greatest weight of a server, as a part of its own.
+    /// Largest share of the controller's weight, by server.
     pub weight_caps: BTreeMap<u32, f64>,
 }
 
-/// What changed for the supervisor itself.
+/// Result of polling the group.
 #[derive(Debug, Default)]
 pub struct AppliedChanges {
-    /// For the shell, in order.
+    /// Commands for the daemon, in order.
     pub commands: Vec<GroupCommand>,
-    /// What proxies of other members observed, for the controller.
+    /// Events for the controller: failures that other members' proxies reported.
     pub events: Vec<Event>,
-    /// Orders, where they changed.
+    /// All operators' orders in force, if they have changed.
     pub orders: Option<OperatorOrders>,
 }
 
-/// What a member knows of its deployment.
+/// Settings of the deployment that a member needs.
 #[derive(Clone, Debug)]
 pub struct GroupSettings {
-    /// Names, by position.
+    /// Names of the operations, by position.
     pub operations: Vec<String>,
-    /// Names, by position.
+    /// Names of the localities, by position.
     pub localities: Vec<String>,
-    /// Key ranges that the group places.
+    /// Number of key ranges that the group assigns to servers.
     pub range_count: u32,
 }
 
-/// Messages sent to other members so far.
+/// Totals of the messages sent to other members.
 #[derive(Clone, Copy, Debug, Default)]
 struct SentTotals {
     messages: u64,
     bytes: u64,
 }
 
-/// The group as this supervisor has it.
+/// State of this supervisor as a member of its group.
 #[derive(Debug)]
 pub struct GroupMember {
     group: Group,
     settings: GroupSettings,
-    /// Streams of forwarders that hold key ranges.
+    /// Streams of forwarders that request key ranges.
     range_streams: BTreeSet<Peer>,
-    /// Operators' streams whose order is not answered yet.
+    /// Operators' streams with an order that is not answered yet.
     pending_orders: BTreeSet<Peer>,
-    /// Highest epoch that a proxy reported: what is published carries at least that.
+    /// Highest epoch that a proxy has reported; published tables carry at least this epoch.
     adopted_epoch: u64,
     sent: SentTotals,
-    /// Owners of ranges that the last list drains or does not have.
+    /// Owners of ranges that are drained or missing in the last endpoint list.
     unavailable_owners: BTreeSet<u32>,
     commands: Vec<GroupCommand>,
 }
 
 impl GroupMember {
-    /// A member that starts from the log that an earlier run stored.
+    /// Creates a member that starts from the log that an earlier run stored.
     pub fn new(config: GroupConfig, now: Nanos, stored: Option<StoredLog>, settings: GroupSettings) -> Self {
         GroupMember {
             group: Group::new(config, now, stored),
@@ -119,34 +120,34 @@
         }
     }
 
-    /// When it has to be polled next.
+    /// Latest time of the next [`poll`](GroupMember::poll), ns.
     pub fn next_deadline(&self) -> Nanos {
         self.group.next_deadline()
     }
 
-    /// The epoch that tables carry: never below that of a table that one of its proxies holds.
+    /// Epoch that published tables carry; never below the epoch of a table that one of the supervisor's proxies holds.
     pub fn epoch(&self) -> u64 {
         self.group.min_table_epoch().max(self.adopted_epoch)
     }
 
-    /// A proxy holds a table with this version. A supervisor may send weights to any proxy, with or without the group;
-    /// the epoch fences late tables alone, so it goes on from where the proxy stands.
+    /// Raises the epoch to that of a table version that a proxy holds. A supervisor may send weights to any proxy, with
+    /// or without the group; the epoch only fences late tables, so it continues from the proxy's epoch.
     pub fn adopt_epoch(&mut self, version: &str) {
         self.adopted_epoch = self.adopted_epoch.max(epoch_of_version(version));
     }
 
-    /// Takes a message of another member.
+    /// Handles a message of another member.
     ///
     /// # Errors
     ///
-    /// It cannot be decoded; the stream is to be closed with this status.
+    /// The message cannot be decoded; the stream has to be closed with this status.
     pub fn handle_member_message(&mut self, now: Nanos, message: &[u8]) -> Result<(), Status> {
         let envelope = Envelope::decode(message).map_err(|error| malformed("Envelope", &error))?;
         self.group.handle_message(now, envelope);
         Ok(())
     }
 
-    /// The log's write of this number is synced, or the log cannot be written.
+    /// Handles the result of a log write: the number of a synced write, or the reason of a failure.
     pub fn handle_log_write(&mut self, now: Nanos, result: Result<u64, String>) {
         match result {
             Ok(number) => self.group.handle_write_done(now, number),
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Takes a cycle's load reports of this supervisor's own proxies.
+    /// Passes the load reports of this supervisor's own proxies in a report interval to the group.
     pub fn handle_load_reports(&mut self, events: &[Event]) {
         let reports = events.iter().filter_map(|event| match event {
             Event::EndpointReport(report) => Some(report),
@@ -163,13 +164,13 @@
         self.group.handle_reports(reports);
     }
 
-    /// A stream of a forwarder or an operator is closed.
+    /// Removes a closed stream of a forwarder or an operator.
     pub fn stream_closed(&mut self, peer: Peer) {
         self.range_streams.remove(&peer);
         self.pending_orders.remove(&peer);
     }
 
-    /// Carries out all that is due.
+    /// Does all work of the group that is due, and returns the resulting changes.
     pub fn poll(&mut self, now: Nanos, endpoints: &EndpointList) -> AppliedChanges {
         let mut changes = AppliedChanges::default();
         let mut routes_changed = false;
@@ -180,7 +181,7 @@
                 Action::Answer { ticket, result } => self.answer_order(ticket, result),
                 Action::Applied(change) => {
                     routes_changed |= matches!(change, AppliedChange::RangeWithdrawn { .. });
-                    self.applied(&change, &mut changes);
+                    self.on_change_applied(&change, &mut changes);
                 }
                 Action::PeerReports(reports) => {
                     let listed = |report: &EndpointReport| endpoints.endpoint(report.server).is_some();
@@ -218,7 +219,7 @@
         self.answer_operator(ticket, result);
     }
 
-    fn applied(&self, change: &AppliedChange, changes: &mut AppliedChanges) {
+    fn on_change_applied(&self, change: &AppliedChange, changes: &mut AppliedChanges) {
         match change {
             AppliedChange::OrderActivated { .. } | AppliedChange::OrderReleased { .. } => {
                 changes.orders = Some(self.orders());
@@ -237,15 +238,15 @@
         OperatorOrders { drained: state.drained_servers(), weight_caps: state.weight_caps() }
     }
 
-    /// Leaves the group; gives the last messages to other members.
+    /// Leaves the group, and returns the last messages to other members.
     pub fn leave(&mut self, now: Nanos) -> Vec<GroupCommand> {
-        let farewell = |action| match action {
+        let send_command = |action| match action {
             Action::Send { to, address, envelope } => {
                 Some(GroupCommand::SendToMember { to, address, message: envelope.encode_to_vec() })
             }
             _ => None,
         };
-        self.group.leave(now).into_iter().filter_map(farewell).collect()
+        self.group.leave(now).into_iter().filter_map(send_command).collect()
     }
 }
 
--- a/crates/xds-supervisor/src/group_member/forwarders.rs
+++ b/crates/xds-supervisor/src/group_member/forwarders.rs
@@ -1,4 +1,4 @@
-//! Streams of forwarders that hold key ranges: requests and pushed routes.
+//! Streams of forwarders that request key ranges: requests and pushed routes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
 use crate::endpoints::EndpointList;
 
 impl GroupMember {
-    /// A forwarder has opened a stream of key ranges.
+    /// Handles a forwarder's newly opened stream of key ranges.
     pub fn range_stream_opened(&mut self, peer: Peer) {
         self.range_streams.insert(peer);
     }
@@ -22,7 +22,7 @@
     ///
     /// # Errors
     ///
-    /// It cannot be decoded; the stream is to be closed with this status.
+    /// The request cannot be decoded; the stream has to be closed with this status.
     pub fn handle_ranges_request(
         &mut self,
         now: Nanos,
@@ -30,7 +30,7 @@
         message: &[u8],
         endpoints: &EndpointList,
     ) -> Result<(), Status> {
-        // The text names the message by its earlier name; clients may match it.
+        // The text has an earlier name of the message, since clients may match it.
         let decoded = RangesRequest::decode(message).map_err(|error| malformed("RangesAsk", &error))?;
         let request = RouteRequest { last_response_read: decoded.last_response_read, held: decoded.held };
         let response = self.group.handle_range_request(now, peer, &request);
@@ -38,7 +38,8 @@
         Ok(())
     }
 
-    /// Takes the servers of a changed list. Forwarders are sent routes at once where an owner drains or is removed.
+    /// Passes the servers of a changed list to the group. If an owner of a range newly drains or is removed, all
+    /// forwarders are sent routes at once.
     pub fn update_servers(&mut self, servers: BTreeMap<u32, ServerAvailability>, endpoints: &EndpointList) {
         let owners = self.group.state_machine().ranges().values().filter_map(|owned| owned.owner);
         let available = |owner: &u32| servers.get(owner).is_some_and(|server| server.listed);
@@ -50,7 +51,7 @@
         self.unavailable_owners = unavailable;
     }
 
-    /// Sends the routes that stand to all forwarders, without a request.
+    /// Sends the current routes to all forwarders without a request.
     pub(super) fn push_routes(&mut self, endpoints: &EndpointList) {
         for peer in self.range_streams.clone() {
             let response = self.group.current_routes();
@@ -77,8 +78,8 @@
     }
 }
 
-/// Routes with addresses. A route to a server that drains or is removed is left out, whatever is agreed: that takes it
-/// from whoever holds it.
+/// Adds addresses to routes. A route to a server that drains or is removed is omitted even if the group still has it:
+/// forwarders that hold the route drop it.
 fn addressed(routes: &[RangeRoute], endpoints: &EndpointList) -> Vec<AddressedRoute> {
     let ready: BTreeSet<u32> =
         endpoints.servers().into_iter().filter(|server| server.ready).map(|server| server.server).collect();
--- a/crates/xds-supervisor/src/group_member/operators.rs
+++ b/crates/xds-supervisor/src/group_member/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' requests about the group: orders, and its status as JSON.
+//! Operators' requests about the group: orders, and the group's status as JSON.
 
 use prost::Message;
 use serde_json::{json, Value};
@@ -11,13 +11,14 @@
 use crate::core::Peer;
 
 impl GroupMember {
-    /// Answers an operator's request, or submits its order to the group; that is answered once it is in force.
+    /// Answers an operator's request for the status, or submits the order to the group. An order is answered once it is
+    /// in force.
     ///
     /// # Errors
     ///
-    /// It cannot be decoded, or is of a later version; the stream is to be closed with this status.
+    /// The request cannot be decoded, or is of a later version; the stream has to be closed with this status.
     pub fn handle_control(&mut self, now: Nanos, peer: Peer, message: &[u8]) -> Result<(), Status> {
-        // The text names the message by its earlier name; clients may match it.
+        // The text has an earlier name of the message, since clients may match it.
         let request = ControlRequest::decode(message).map_err(|error| malformed("ControlAsk", &error))?;
         match request.command {
             None => {
@@ -38,7 +39,7 @@
         self.commands.push(GroupCommand::AnswerOperator { peer, result });
     }
 
-    /// Status of the group as this member sees it. The keys are those of `shalereel members` and `duties`.
+    /// Status of the group from this member's point of view. `shalereel members` and `shalereel duties` read the keys.
     pub fn status(&self, now: Nanos) -> Value {
         let log = self.group.log_status();
         let (state, leader) = self.role();
--- a/crates/xds-supervisor/src/storage.rs
+++ b/crates/xds-supervisor/src/storage.rs
@@ -1,5 +1,5 @@
-//! Files of the deployment's folder: its lock, reading, and a [`FileWriter`] thread for each journal file. The daemon
-//! calls it.
+//! Files of the deployment's folder: the lock, reading, and a [`FileWriter`] thread for each journal file. Called by
+//! the daemon.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -20,60 +20,60 @@
 pub const TABLE_HISTORY_FILE: &str = "tables.log";
 /// Name of the controller's snapshot in the deployment's folder.
 pub const SNAPSHOT_FILE: &str = "memory.bin";
-/// Locked by the one supervisor that the folder belongs to.
+/// Name of the lock file, which the one supervisor that uses the folder holds locked.
 const LOCK_FILE: &str = "lock";
 
-/// Why a file of the folder cannot be used.
+/// Error about the folder, a file of it, or a writer thread.
 #[derive(Debug, Error)]
 pub enum StorageError {
     /// A file cannot be opened, read or written.
     #[error("{}: {error}", path.display())]
     File {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// Another process has the lock.
+    /// Another process holds the folder's lock.
     #[error(
-        "folder {} belongs to another supervisor that runs; give each a folder of its own, or end that one: {error}",
+        "folder {} belongs to another supervisor that runs; give each supervisor its own folder, or stop the other one: {error}",
         folder.display()
     )]
     Locked {
-        /// Which folder.
+        /// Folder of the deployment.
         folder: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// The writer's thread cannot be started.
-    #[error("{0}")]
+    /// The thread of a writer cannot be started.
+    #[error("cannot start a writer thread: {0}")]
     Thread(io::Error),
 }
 
-/// Records for a [`FileWriter`]. Those that are appended together are one frame, so that a crash keeps or loses all of
-/// them: their concatenation must be one message, as protobuf merges them.
+/// Records for a [`FileWriter`]. Records that are appended together form one frame, so that a crash keeps or loses all
+/// of them: their concatenation must be a valid message, as protobuf messages merge when concatenated.
 #[derive(Clone, Debug)]
 pub struct WriteRequest {
-    /// Number of the write, reported back when it is done.
+    /// Number of the write, reported when the write is done.
     pub sequence: u64,
     /// The records replace the whole file; otherwise they are appended.
     pub replaces_file: bool,
-    /// Bodies of frames.
+    /// Payloads of the frames.
     pub records: Vec<Bytes>,
 }
 
-/// A thread that writes and syncs one file, so that a slow disk delays no table. After a failed write the content of
-/// the file is unknown: only requests that replace the file are carried out from then on.
+/// A thread that writes and syncs one file, so that a slow disk does not delay tables. After a failed write the content
+/// of the file is unknown, and only a request that replaces the file is executed next.
 pub struct FileWriter {
     requests: Sender<WriteRequest>,
     results: Receiver<io::Result<u64>>,
 }
 
-/// Content of a file; `None` where there is none.
+/// Reads a file; `None` if it does not exist.
 ///
 /// # Errors
 ///
-/// It cannot be read, or is a symbolic link.
+/// The file cannot be read, or is a symbolic link.
 pub fn read_file(folder: &Path, name: &str) -> Result<Option<Vec<u8>>, StorageError> {
     let path = folder.join(name);
     let content = open_no_follow(OpenOptions::new().read(true), &path).and_then(|mut file| {
@@ -87,17 +87,17 @@
     }
 }
 
-/// Opens a file, unless it is a symbolic link. Guards against links that redirect reads and writes out of the folder.
-/// Files that `replace` makes, and those of the endpoint list, are opened without this check.
+/// Opens a file unless it is a symbolic link. Guards against links that redirect reads and writes out of the folder.
+/// Files that `replace` creates, and the endpoint list's files, are opened without this check.
 fn open_no_follow(options: &mut OpenOptions, path: &Path) -> io::Result<File> {
     options.custom_flags(OFlags::NOFOLLOW.bits() as i32).open(path)
 }
 
-/// Locks a folder for this process, until the file is dropped or the process ends in whatever way.
+/// Locks a folder for this process, until the returned file is dropped or the process ends.
 ///
 /// # Errors
 ///
-/// Another process has locked it, or it cannot be written.
+/// Another process holds the lock, or the lock file cannot be opened.
 pub fn lock_folder(folder: &Path) -> Result<File, StorageError> {
     let path = folder.join(LOCK_FILE);
     let file = open_no_follow(OpenOptions::new().create(true).truncate(false).write(true), &path)
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     ///
-    /// The file cannot be written, or the thread not be started.
+    /// The file cannot be written, or the thread cannot be started.
     pub fn open(
         folder: &Path,
         name: &'static str,
@@ -134,11 +134,11 @@
 
     /// Queues a write.
     pub fn write(&self, request: WriteRequest) {
-        // A thread that has ended has reported why.
+        // The thread runs as long as this writer exists, unless it panics.
         let _ = self.requests.send(request);
     }
 
-    /// Sequence of the last write done since the last call, or the first failure since then.
+    /// The sequence number of the last write that was done since the last call, or the first failure since then.
     pub fn take_result(&self) -> Option<io::Result<u64>> {
         let mut last = None;
         for result in self.results.try_iter() {
@@ -161,7 +161,8 @@
 ) {
     let mut failed = false;
     while let Ok(first) = requests.recv() {
-        // Requests that came during the last sync are one batch, from the last one that replaces the file.
+        // Requests that arrived during the last sync form one batch, which begins with the last one that replaces the
+        // file.
         let mut batch = vec![first];
         batch.extend(requests.try_iter());
         let sequence = batch.last().map_or(0, |request| request.sequence);
@@ -198,7 +199,7 @@
     ) -> io::Result<Self> {
         let path = folder.join(name);
         let mut file = open_no_follow(OpenOptions::new().create(true).truncate(false).write(true), &path)?;
-        // A file shorter than its magic was torn when it was created.
+        // A file shorter than its magic is the torn write of a crash during its creation.
         let has_magic = file.metadata()?.len() >= magic.len() as u64;
         match complete_bytes.filter(|&bytes| has_magic && bytes >= magic.len()) {
             Some(bytes) => file.set_len(bytes as u64)?,
@@ -218,7 +219,7 @@
         self.file.sync_data()
     }
 
-    /// Writes a new file, syncs it, and renames it over the old one.
+    /// Writes the records to a new file, syncs it, and renames it over the old one.
     fn replace(&mut self, records: &[Bytes]) -> io::Result<()> {
         let new_path = self.folder.join(format!("{}.new", self.name));
         let mut file = File::create(&new_path)?;
