--- a/crates/store/src/codec.rs
+++ b/crates/store/src/codec.rs
@@ -1,6 +1,6 @@
-//! The records of the history file: protobuf messages `Records`, framed by `shalereel_journal`. What is written together is
-//! one frame, since such messages may be put one after another. The file begins with the base of each table, then come
-//! versions in the order of their numbers. `docs/tables.md` has the format; tags must not change.
+//! The records of the history file: protobuf messages `Records`, framed by `shalereel_journal`. Records that are written
+//! together form one frame, since the encoding of several `Records` is their concatenation. The file begins with the base of
+//! each table; the versions follow in the order of their numbers. `docs/tables.md` describes the format; tags must not change.
 
 use std::net::SocketAddr;
 
@@ -14,23 +14,23 @@
 use crate::line::{Line, Lines};
 use crate::version::{LineChange, Provenance, Version, VersionNumber};
 
-/// First bytes of the file.
+/// First bytes of the history file.
 pub const MAGIC: &shalereel_journal::Magic = b"shlrtbl1";
 
-/// Why a file is rejected.
+/// Why a history file is rejected.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum StoreError {
     /// The file's frames are damaged or of another format.
     #[error(transparent)]
     Journal(#[from] JournalError),
-    /// A frame whose checksum is right cannot be decoded.
+    /// The checksum of a frame is right, but its content cannot be decoded.
     #[error("the frame that ends at byte {at} is intact but cannot be decoded")]
     Malformed {
         /// Offset of the frame's end, in bytes.
         at: usize,
     },
-    /// A version whose parent, number or digest does not match the versions before it.
-    #[error("version {number} does not follow from those before it")]
+    /// The parent, number or digest of a version does not match the versions before it.
+    #[error("the parent, number or digest of version {number} does not match the versions before it")]
     Inconsistent {
         /// Number of the version.
         number: VersionNumber,
@@ -87,7 +87,7 @@
     reason: String,
     #[prost(uint32, tag = "7")]
     count: u32,
-    /// Sixteen bytes, little endian.
+    /// Sum of the digest: 16 bytes, little endian.
     #[prost(bytes = "vec", tag = "8")]
     sum: Vec<u8>,
     #[prost(fixed64, tag = "9")]
@@ -96,7 +96,7 @@
     changes: Vec<ChangeRecord>,
 }
 
-/// A line after a version; the one before follows from the records before.
+/// A server's line after a version; its line before the version is reconstructed from the records before.
 #[derive(Clone, PartialEq, Message)]
 struct ChangeRecord {
     #[prost(uint32, tag = "1")]
@@ -109,7 +109,7 @@
 struct LineRecord {
     #[prost(uint32, tag = "1")]
     server: u32,
-    /// Four or sixteen bytes in network order, then the port, two bytes.
+    /// The IP address, 4 or 16 bytes, then the port, 2 bytes; all in network order.
     #[prost(bytes = "vec", tag = "2")]
     address: Vec<u8>,
     #[prost(uint32, tag = "3")]
@@ -120,20 +120,20 @@
     incarnation: u64,
 }
 
-/// A table before its oldest retained version.
+/// The content of a table before its oldest retained version.
 #[derive(Debug)]
 pub(crate) struct TableBase {
     pub(crate) table: TableId,
     pub(crate) number: VersionNumber,
     pub(crate) published_at: Nanos,
     pub(crate) lines: Lines,
-    /// Number of the newest version of all tables, so that no number is used twice.
+    /// Number of the newest version of all tables; stored so that no number is used twice.
     pub(crate) last_number: VersionNumber,
 }
 
-/// A version as a file has it.
+/// A version as it is read from the file.
 #[derive(Debug)]
-pub(crate) struct VersionRead {
+pub(crate) struct StoredVersion {
     pub(crate) number: VersionNumber,
     pub(crate) table: TableId,
     pub(crate) parent: VersionNumber,
@@ -141,17 +141,17 @@
     pub(crate) provenance: Provenance,
     pub(crate) digest: Digest,
     pub(crate) salt: Salt,
-    /// Lines after it.
+    /// Changed lines as of this version; `None` for a removed line.
     pub(crate) changes: Vec<(ServerId, Option<Line>)>,
-    /// The record itself.
+    /// The version's encoded record, which is reused when the file is rewritten.
     pub(crate) encoded: Bytes,
 }
 
-/// A record of a file.
+/// A decoded record of the file.
 #[derive(Debug)]
 pub(crate) enum StoredRecord {
     Base(TableBase),
-    Version(VersionRead),
+    Version(StoredVersion),
 }
 
 fn encode_record(content: Content) -> Bytes {
@@ -173,7 +173,7 @@
     }
 }
 
-/// The record of a version.
+/// Encodes the record of a version.
 pub(crate) fn encode_version(version: &Version) -> Bytes {
     let change = |change: &LineChange| ChangeRecord {
         server: change.server,
@@ -193,7 +193,7 @@
     }))
 }
 
-/// The record of a table's base.
+/// Encodes the record of a table's base.
 pub(crate) fn encode_base(base: &TableBase) -> Bytes {
     encode_record(Content::Base(BaseRecord {
         table: base.table.into(),
@@ -204,7 +204,7 @@
     }))
 }
 
-/// The records of a frame, each `None` where it cannot be decoded; `None` where the frame cannot be.
+/// Decodes the records of a frame. Returns `None` for the whole frame, or for a single record, that cannot be decoded.
 pub(crate) fn decode_frame(payload: &[u8]) -> Option<impl Iterator<Item = Option<StoredRecord>>> {
     let records = Records::decode(payload).ok()?.records;
     Some(records.into_iter().map(|record| decode_record(record.content?)))
@@ -228,7 +228,7 @@
     })
 }
 
-fn decode_version(record: VersionRecord) -> Option<VersionRead> {
+fn decode_version(record: VersionRecord) -> Option<StoredVersion> {
     let change = |change: &ChangeRecord| {
         let after = match &change.after {
             Some(line) => Some(decode_line(line)?),
@@ -236,7 +236,7 @@
         };
         Some((change.server, after))
     };
-    Some(VersionRead {
+    Some(StoredVersion {
         number: record.number,
         table: TableId::try_from(record.table).ok()?,
         parent: record.parent,
--- a/crates/store/src/constraints.rs
+++ b/crates/store/src/constraints.rs
@@ -1,5 +1,5 @@
 //! Operators' constraints on a table's weights: caps (`tables hold`) and a rollback (`tables back`). The controller's weights
-//! pass through them. Decisions, free of I/O and clock.
+//! are multiplied by their factors. The module only decides; it does no I/O and reads no clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,45 +10,47 @@
 use crate::rollback::Rollback;
 use crate::version::{Provenance, VersionNumber};
 
-/// Weights of servers in slow start follow the sum of the others down in steps of this size, so that they do not change with
-/// each change of it.
+/// Where constraints lower the sum of the other weights, the weights of servers in slow start are lowered in steps of this
+/// size, so that not every change of the sum changes them.
 const SLOW_START_FACTOR_STEP: f64 = 0.1;
 
 /// Why an operator's constraint is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum ConstraintError {
-    /// The version is not retained.
-    #[error("version {0} is not kept, or never was; `tables list` names those that are")]
+    /// The version is no longer retained, or never existed.
+    #[error("version {0} is not retained or never existed; `tables list` shows the retained versions")]
     UnknownVersion(VersionNumber),
     /// The version is the newest of its table.
-    #[error("version {0} is what stands now; there is nothing to go back to")]
+    #[error("version {0} is the current version of its table; there is nothing to roll back")]
     AlreadyCurrent(VersionNumber),
     /// No server qualifies for the rollback.
-    #[error("no server of version {0} has stood in the table ever since; its weights say nothing about those that do")]
+    #[error("cannot roll back to version {0}: none of its servers has stayed in the table since, so its weights do not apply \
+             to the current servers")]
     NoServerLeft(VersionNumber),
-    /// A duration of 0.
-    #[error("a way back or a hold must end: give it a time above 0")]
+    /// The duration is 0.
+    #[error("a rollback or a cap must end: give a duration above 0")]
     NoDuration,
-    /// A cap's factor that is not above 0 and up to 1.
-    #[error("{0} is no part; give a number above 0 and up to 1, or drain the server")]
+    /// The factor of a cap is not above 0 and up to 1.
+    #[error("{0} is not a valid factor; give a number above 0 and up to 1, or drain the server")]
     InvalidFactor(f64),
-    /// No table has the server now.
-    #[error("no table has server {0} now")]
+    /// The server is not in any table.
+    #[error("server {0} is not in any table")]
     UnknownServer(ServerId),
 }
 
-/// An operator's cap on one server's weight, at one supervisor, for a time.
+/// An operator's temporary cap on one server's weight, at one supervisor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightCap {
-    /// Part of the controller's weight that the server gets, above 0 and up to 1.
+    /// Fraction of the controller's weight that the server gets, above 0 and up to 1.
     pub factor: f64,
-    /// When it ends, ns of the monotonic clock.
+    /// When the cap ends, ns of the monotonic clock.
     pub until: Nanos,
-    /// Who ordered it and why.
+    /// Who set the cap, and why.
     pub provenance: Provenance,
 }
 
-/// Factors of all caps: those that a group agreed on and those of this supervisor's operators; the lower one counts.
+/// Merges the factors of the caps that the group agreed on with those of this supervisor's operators (`own`). Where both cap
+/// a server, the lower factor applies.
 pub fn lowest_factors(
     agreed: &BTreeMap<ServerId, f64>,
     own: &BTreeMap<ServerId, WeightCap>,
@@ -68,7 +70,7 @@
 }
 
 impl WeightConstraints {
-    /// Sets the caps, in place of those before; gives servers whose factor changed.
+    /// Replaces all caps; returns the servers whose factor has changed.
     pub fn set_caps(&mut self, factors: BTreeMap<ServerId, f64>) -> BTreeSet<ServerId> {
         let servers: BTreeSet<ServerId> = factors.keys().chain(self.cap_factors.keys()).copied().collect();
         let differs = |server: &ServerId| factors.get(server) != self.cap_factors.get(server);
@@ -77,31 +79,31 @@
         changed
     }
 
-    /// The rollback in force.
+    /// The rollback that is in force, if there is one.
     pub fn rollback(&self) -> Option<&Rollback> {
         self.rollback.as_ref()
     }
 
-    /// Starts a rollback in place of the one before, whose factors end at once; gives servers whose factor changed.
+    /// Starts a rollback. It replaces the one before, whose factors end at once; returns the servers whose factor has changed.
     pub fn start_rollback(&mut self, rollback: Rollback) -> BTreeSet<ServerId> {
         self.rollback.replace(rollback).map(Rollback::into_applied).unwrap_or_default()
     }
 
-    /// Ends the rollback, in steps as it came.
+    /// Begins to end the rollback; its factors are removed in steps, as they were applied.
     pub fn end_rollback(&mut self) {
         if let Some(rollback) = &mut self.rollback {
             rollback.end();
         }
     }
 
-    /// Ends the rollback if its time is over.
+    /// Begins to end the rollback if it has expired.
     pub fn on_time(&mut self, now: Nanos) {
         if self.rollback.as_ref().is_some_and(|rollback| now >= rollback.until) {
             self.end_rollback();
         }
     }
 
-    /// Changes at most so many lines of the rollback; gives their servers.
+    /// Applies or removes the factors of at most `max_lines` servers; returns these servers.
     pub fn advance_rollback(&mut self, max_lines: usize) -> BTreeSet<ServerId> {
         let Some(rollback) = &mut self.rollback else { return BTreeSet::new() };
         let changed = rollback.advance(max_lines);
@@ -111,26 +113,26 @@
         changed
     }
 
-    /// A server left the table: when it is back, no earlier weight of it counts.
+    /// Drops a server that has left the table from the rollback, so that no earlier weight applies when it returns.
     pub fn on_server_left(&mut self, server: ServerId) {
         if let Some(rollback) = &mut self.rollback {
             rollback.remove(server);
         }
     }
 
-    /// Whether there is any constraint.
+    /// Whether any cap or rollback is set.
     pub fn is_active(&self) -> bool {
         !self.cap_factors.is_empty() || self.rollback.is_some()
     }
 
-    /// Factor of the weight of a server that is not in its slow start.
+    /// Factor by which the weight of a server that is not in slow start is multiplied.
     pub fn factor(&self, server: ServerId) -> f64 {
         let rollback = self.rollback.as_ref().map_or(1.0, |rollback| rollback.factor(server));
         rollback * self.cap_factors.get(&server).copied().unwrap_or(1.0)
     }
 
-    /// Factor of the weights of servers in slow start: it keeps their share from growing where the sum of the others is
-    /// constrained. `warm`: those others, with their weights as ordered.
+    /// Factor by which the weights of servers in slow start are multiplied, so that their share does not grow where
+    /// constraints lower the sum of the other weights. `warm`: the other servers with their weights from the controller.
     pub fn slow_start_factor(&self, warm: impl Iterator<Item = (ServerId, f64)>) -> f64 {
         if !self.is_active() {
             return 1.0;
@@ -142,7 +144,7 @@
             constrained += weight * self.factor(server);
         }
         let factor: f64 = if ordered > 0.0 { (constrained / ordered).min(1.0) } else { 1.0 };
-        // Sums of products are not exact: slightly below 1 is 1.
+        // Floating-point sums are not exact, so a factor slightly below 1 counts as 1.
         if factor > 1.0 - SLOW_START_FACTOR_STEP / 10.0 {
             return 1.0;
         }
--- a/crates/store/src/digest.rs
+++ b/crates/store/src/digest.rs
@@ -1,6 +1,6 @@
-//! A digest of a set of lines that does not depend on their order, so that it is updated line by line: the sum, modulo
-//! 2^128, of the lines' hashes (XXH3, 128 bits, xxHash specification 0.2). It is a sum and not an exclusive or, since a
-//! line that was added twice must not cancel itself out.
+//! The digest of a set of lines: the sum, modulo 2^128, of the lines' hashes (XXH3, 128 bits, xxHash specification 0.2). It
+//! does not depend on the order of the lines, so it can be updated line by line. It is a sum and not an exclusive or, since a
+//! line that is added twice must not cancel itself out.
 
 use std::fmt;
 
@@ -8,15 +8,15 @@
 
 use crate::line::Line;
 
-/// Seed of the lines' hashes. It changes from time to time, so that a collision of two tables does not last.
+/// Seed of the lines' hashes. It changes regularly, so that two tables whose digests collide soon have different digests.
 pub type Salt = u64;
 
-/// Count and sum of the hashes of a set of lines.
+/// Number of lines in a set, and the sum of their hashes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Digest {
-    /// How many lines.
+    /// Number of lines.
     pub count: u32,
-    /// Sum of their hashes, modulo 2^128.
+    /// Sum of the lines' hashes, modulo 2^128.
     pub sum: u128,
 }
 
@@ -28,7 +28,7 @@
         digest
     }
 
-    /// Adds a line.
+    /// Adds a line to the set.
     pub fn add(&mut self, server: ServerId, line: &Line, salt: Salt) {
         self.count = self.count.wrapping_add(1);
         self.sum = self.sum.wrapping_add(line.hash(server, salt));
@@ -57,19 +57,20 @@
     }
 }
 
-/// A version of a table and the digest of its lines. As text: `number:count:sum:salt`, the last two in hexadecimal digits.
+/// A version of a table and the digest of its lines. Its text form is `number:count:sum:salt`, with sum and salt in
+/// hexadecimal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Check {
     /// Number of the version.
     pub number: u64,
-    /// Digest of its lines.
+    /// Digest of the version's lines.
     pub digest: Digest,
     /// Salt of the digest.
     pub salt: Salt,
 }
 
 impl Check {
-    /// Reads a check's text; `None` for any other text.
+    /// Parses the text form of a check; returns `None` for any other text.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.split(':');
         let check = Check {
--- a/crates/store/src/history.rs
+++ b/crates/store/src/history.rs
@@ -9,35 +9,35 @@
 use crate::line::{replace_line, Line, Lines};
 use crate::version::{LineChange, Version, VersionNumber};
 
-/// Versions of a table between changes of its salt.
+/// Number of versions of a table after which its salt changes.
 const VERSIONS_PER_SALT: u64 = 256;
 
-/// Servers whose lines changed after a version.
+/// The servers whose lines have changed since a version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChangesSince {
-    /// All of them.
+    /// All servers whose lines have changed.
     pub changed: BTreeSet<ServerId>,
-    /// Those that were draining or had no line in any version since.
+    /// Servers among them that were draining or had no line in at least one version since.
     pub unavailable: BTreeSet<ServerId>,
 }
 
 /// A table with its retained versions.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TableHistory {
-    /// As of the newest version.
+    /// Lines as of the newest version.
     pub(crate) lines: Lines,
     pub(crate) digest: Digest,
     pub(crate) salt: Salt,
-    /// Oldest version that is still known; `versions` came after it.
+    /// Oldest version whose lines can be reconstructed; the versions after it are in `versions`.
     pub(crate) base: VersionNumber,
     pub(crate) base_published_at: Nanos,
     pub(crate) versions: VecDeque<Version>,
-    /// Versions published since the start of the program.
+    /// Number of versions published since the start of the program.
     published: u64,
 }
 
 impl TableHistory {
-    /// A table of which nothing but one version is known.
+    /// A table of which only the version `base` is known.
     pub(crate) fn from_base(base: VersionNumber, base_published_at: Nanos, lines: Lines) -> Self {
         TableHistory { lines, base, base_published_at, ..TableHistory::default() }
     }
@@ -76,7 +76,7 @@
         self.versions.iter().rev().take_while(move |version| version.number > number)
     }
 
-    /// Sets lines; gives those that changed by it. The digest is left to be updated.
+    /// Sets the lines of servers; returns the changes. The caller updates the digest.
     pub(crate) fn set_lines(
         &mut self,
         touched: impl IntoIterator<Item = (ServerId, Option<Line>)>,
@@ -92,8 +92,8 @@
         changes
     }
 
-    /// Updates the digest by the changes of a new version. The first version since the start of the program, and one of so
-    /// many after it, brings a new salt.
+    /// Updates the digest by the changes of a new version. The salt changes at the first version since the start of the
+    /// program, and every `VERSIONS_PER_SALT` versions after it.
     pub(crate) fn update_digest_for_published(&mut self, changes: &[LineChange], new_salt: Salt) {
         if self.published.is_multiple_of(VERSIONS_PER_SALT) {
             self.digest_all_lines(new_salt);
@@ -124,19 +124,19 @@
         }
     }
 
-    /// When the oldest retained version was published; 0 where none is retained.
+    /// Time at which the oldest retained version was published; 0 if none is retained.
     pub(crate) fn oldest_published_at(&self) -> Nanos {
         self.versions.front().map_or(0, |version| version.published_at)
     }
 
-    /// Drops the oldest retained version, `number`, which becomes the base.
+    /// Drops the change record of the oldest retained version, `number`, which becomes the base.
     pub(crate) fn drop_oldest(&mut self, number: VersionNumber) {
         self.base = number;
         self.base_published_at = self.oldest_published_at();
         self.versions.pop_front();
     }
 
-    /// What changed after a version; `None` where that is not known.
+    /// What has changed since a version; `None` if that is not known.
     pub(crate) fn changes_since(&self, from: VersionNumber) -> Option<ChangesSince> {
         if from < self.base || from == 0 || from > self.newest() {
             return None;
@@ -151,8 +151,8 @@
         Some(since)
     }
 
-    /// The delta from a version to the newest one; the complete table where the version is not known, and where that takes
-    /// no more lines.
+    /// The delta from a version to the newest one. It is the complete table if the version is not known, or if the delta
+    /// would contain every line anyway.
     pub(crate) fn delta_from(&self, base: VersionNumber) -> Delta {
         let Some(since) = self.changes_since(base) else { return self.complete_table() };
         let mut delta = Delta { check: self.check(), base, changed: Vec::new(), removed: Vec::new() };
@@ -173,8 +173,8 @@
         Delta { check: self.check(), base: 0, changed, removed: Vec::new() }
     }
 
-    /// The version that a proxy's check stands for: a retained one by number and digest, or the newest one by its digest
-    /// alone, since another supervisor may have numbered it. 0 for any other.
+    /// The version that a proxy's check refers to: a retained version with the same number and digest, or the newest version
+    /// if its digest is the same, since another supervisor may have given it another number. 0 if there is none.
     pub(crate) fn recognize(&self, check: &Check) -> VersionNumber {
         let retained = self.version(check.number);
         if retained.is_some_and(|version| version.digest == check.digest && version.salt == check.salt) {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,10 @@
-//! Weight tables in versions, free of I/O and clock: what changed from one to the next and why, a checksum that is updated
-//! line by line, deltas between any two versions, and the rollback to an earlier one. `docs/tables.md` has the design.
+//! Versioned weight tables, free of I/O and clock: what changed from one version to the next and why, a digest that is
+//! updated line by line, deltas between any two versions, and the rollback to an earlier one. `docs/tables.md` describes the
+//! design.
 //!
-//! Called by `shalereeld` (`crates/xds-supervisor`): [`Store`] has the tables, [`Subscription`] what one proxy was sent of
-//! one table, [`WeightConstraints`] the operators' caps and rollbacks, through which the controller's weights pass.
-//! [`Replica`] with its [`ResyncBackoff`] is the proxy's side of a table, called by the forwarders in `crates/standins`.
+//! Called by `shalereeld` (`crates/xds-supervisor`): [`Store`] holds the tables, [`Subscription`] records what one proxy was
+//! sent of one table, and [`WeightConstraints`] applies the operators' caps and rollbacks to the controller's weights.
+//! [`Replica`] with its [`ResyncBackoff`] is the proxy's side of a table, used by the forwarders in `crates/standins`.
 
 #![deny(missing_docs)]
 
--- a/crates/store/src/line.rs
+++ b/crates/store/src/line.rs
@@ -6,27 +6,27 @@
 use shalereel::interface::ServerId;
 use xxhash_rust::xxh3::xxh3_128_with_seed;
 
-/// A weight of 1 as lines have it: weights are whole numbers, at least 1.
+/// The integer that stands for a weight of 1 in a line. Weights in lines are integers, at least 1.
 pub const UNIT_WEIGHT: f64 = 10_000.0;
 
 /// One server in a table, as proxies hold it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Line {
-    /// Where requests go.
+    /// Address that requests are sent to.
     pub address: SocketAddr,
-    /// In 1/10,000, at least 1.
+    /// Weight in units of 1/10,000, at least 1.
     pub weight: u32,
-    /// No new requests go there.
+    /// Whether the server is draining: it receives no new requests.
     pub draining: bool,
-    /// Number of the server's start. Proxies do not know it, and no digest covers it.
+    /// Number that identifies the current start of the server. It is not sent to proxies, and no digest covers it.
     pub incarnation: u64,
 }
 
-/// The lines of a table.
+/// The lines of a table, by server.
 pub type Lines = BTreeMap<ServerId, Line>;
 
 impl Line {
-    /// Hash (XXH3, 128 bits) of what a proxy knows of the line.
+    /// Hash (XXH3, 128 bits) of the fields that a proxy knows.
     pub(crate) fn hash(&self, server: ServerId, salt: u64) -> u128 {
         let ip = match self.address {
             SocketAddr::V4(address) => address.ip().to_ipv6_mapped(),
@@ -42,7 +42,7 @@
     }
 }
 
-/// Sets or removes a line; gives the one before.
+/// Sets or removes a server's line; returns its line before.
 pub(crate) fn replace_line(lines: &mut Lines, server: ServerId, line: Option<Line>) -> Option<Line> {
     match line {
         Some(line) => lines.insert(server, line),
--- a/crates/store/src/load.rs
+++ b/crates/store/src/load.rs
@@ -1,18 +1,19 @@
-//! Reads the history file that an earlier run wrote.
+//! Loads the history file that an earlier run has written.
 
-use crate::codec::{decode_frame, StoreError, StoredRecord, TableBase, VersionRead, MAGIC};
+use crate::codec::{decode_frame, StoreError, StoredRecord, StoredVersion, TableBase, MAGIC};
 use crate::history::TableHistory;
 use crate::line::replace_line;
 use crate::store::{EncodedVersion, Store};
 use crate::version::{LineChange, Version, VersionNumber};
 
 impl Store {
-    /// Replaces everything by the content of a history file. Gives how many bytes of the file are intact: a torn frame at
-    /// its end is to be cut away.
+    /// Replaces the content of the store by that of a history file. Returns the number of intact bytes: the caller truncates
+    /// the file there, so that a torn frame at its end is removed.
     ///
     /// # Errors
     ///
-    /// Damage, another format, or a version that does not follow from those before it; the store is unchanged then.
+    /// The file is damaged or of another format, or a version does not match the versions before it. The store is unchanged
+    /// then.
     pub fn load(&mut self, file: &[u8]) -> Result<usize, StoreError> {
         let mut loaded = Store::new(self.limits, self.seed);
         let mut intact_bytes = MAGIC.len().min(file.len());
@@ -39,14 +40,14 @@
         self.tables.insert(table, TableHistory::from_base(number, published_at, lines));
     }
 
-    /// Adds a version behind those loaded so far, the last of which was `last_loaded`; gives its number.
+    /// Appends a version to those loaded so far, the newest of which is `last_loaded`; returns its number.
     fn load_version(
         &mut self,
-        read: VersionRead,
+        stored: StoredVersion,
         last_loaded: VersionNumber,
     ) -> Result<VersionNumber, StoreError> {
-        let VersionRead { number, table, parent, published_at, provenance, digest, salt, changes, encoded } =
-            read;
+        let StoredVersion { number, table, parent, published_at, provenance, digest, salt, changes, encoded } =
+            stored;
         let history = self.tables.entry(table).or_default();
         let changes: Vec<LineChange> = changes
             .into_iter()
--- a/crates/store/src/replica.rs
+++ b/crates/store/src/replica.rs
@@ -1,6 +1,6 @@
-//! A proxy's replica of one table: applies deltas, verifies them by their digest and requests the table again where they do
-//! not match. Whatever is wrong with a delta, servers that it removes or drains get no new requests from then on: fewer
-//! servers are safe, more are not.
+//! A proxy's replica of one table: applies deltas, verifies them by their digest and requests the table again if they do not
+//! match. Servers that a delta removes or drains get no new requests from then on, even if the delta cannot be applied: it is
+//! safe to use fewer servers, but not to use one that must not be used.
 
 use std::collections::BTreeMap;
 
@@ -12,33 +12,35 @@
 use crate::resync::ResyncBackoff;
 use crate::version::VersionNumber;
 
-/// What became of a received delta.
+/// How a received delta was handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeltaOutcome {
-    /// In force and verified; to be acknowledged.
+    /// Applied and verified; the proxy acknowledges it.
     Applied,
-    /// Older than the replica's version, duplicated or overtaken; to be acknowledged, since the replica has more.
+    /// Older than the replica's version, since it was duplicated or overtaken. The proxy acknowledges it, since the replica
+    /// contains its changes already.
     Stale,
-    /// A delta before it is missing and may still arrive. Not to be acknowledged.
+    /// A delta before it is missing and may still arrive. The proxy does not acknowledge it.
     Gap,
-    /// The lines do not match the digest; the complete table is needed. Not to be acknowledged.
+    /// The resulting lines do not match the digest; the complete table is needed. The proxy does not acknowledge it.
     Mismatch,
 }
 
 /// A proxy's replica of one table.
 #[derive(Clone, Debug)]
 pub struct Replica {
-    /// As of the last verified version.
+    /// Lines as of the last verified version.
     lines: Lines,
     digest: Digest,
+    /// Check of the verified version; `None` since a mismatch.
     verified: Option<Check>,
-    /// Last verified version, also where a mismatch followed.
+    /// Number of the last verified version, kept also after a mismatch.
     last_verified: VersionNumber,
-    /// Newest version that any delta of this stream was of.
+    /// Newest version among the deltas received on this stream, applied or not.
     newest_seen: VersionNumber,
-    /// No delta of this stream was applied yet: another supervisor's numbers may be lower.
+    /// Whether no delta was applied on this stream yet. The stream may be of another supervisor, whose version numbers are lower.
     new_stream: bool,
-    /// Servers that deltas which were not applied removed or drained, with the version that did.
+    /// Servers that were removed or drained by a delta that could not be applied, with that delta's version.
     removed_or_draining: BTreeMap<ServerId, VersionNumber>,
     resync_at: Option<Nanos>,
     backoff: ResyncBackoff,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Lines that new requests may go by.
+    /// Lines of the servers that may get new requests.
     pub fn usable_lines(&self) -> impl Iterator<Item = (ServerId, &Line)> {
         let usable = |(server, line): &(&ServerId, &Line)| {
             !line.draining && !self.removed_or_draining.contains_key(*server)
@@ -73,12 +75,12 @@
         &self.lines
     }
 
-    /// The verified version, to be sent along when a stream is opened.
+    /// The verified version, which the proxy sends when it opens a stream.
     pub fn verified(&self) -> Option<Check> {
         self.verified
     }
 
-    /// A new stream was opened: the lines stay in force until a delta arrives on it.
+    /// Records that a new stream was opened. The lines stay in force until a delta arrives on it.
     pub fn stream_reopened(&mut self) {
         self.new_stream = true;
         self.newest_seen = 0;
@@ -105,8 +107,8 @@
         DeltaOutcome::Applied
     }
 
-    /// Whether the delta begins after what the replica has. On a new stream numbers may be another supervisor's, and the
-    /// digest alone decides.
+    /// Whether the delta's base is newer than the replica's version. On a new stream the numbers may be another supervisor's,
+    /// so only the digest decides.
     fn misses_base_of(&self, delta: &Delta) -> bool {
         if delta.is_complete_table() {
             return false;
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Applies the whole delta if the lines match its digest then, else nothing; tells which.
+    /// Applies the delta if the resulting lines match its digest, and otherwise changes nothing. Returns whether they match.
     fn apply(&mut self, delta: &Delta) -> bool {
         if delta.is_complete_table() {
             self.apply_complete_table(delta)
@@ -149,7 +151,7 @@
 
     fn apply_changes(&mut self, delta: &Delta) -> bool {
         let salt = delta.check.salt;
-        let mut digest = self.digest_by(salt);
+        let mut digest = self.digest_with(salt);
         let mut undo = Vec::with_capacity(delta.line_count());
         let changed = delta.changed.iter().map(|&(server, line)| (server, Some(line)));
         let removed = delta.removed.iter().map(|&server| (server, None));
@@ -169,30 +171,31 @@
         matches
     }
 
-    /// Digest of the lines under a salt.
-    fn digest_by(&self, salt: Salt) -> Digest {
+    /// Digest of the lines with this salt.
+    fn digest_with(&self, salt: Salt) -> Digest {
         match self.verified {
             Some(verified) if verified.salt == salt => self.digest,
             _ => Digest::of(&self.lines, salt),
         }
     }
 
-    /// Of a delta that cannot be applied only the servers that it takes out are heeded.
+    /// Handles a delta that cannot be applied: marks the servers that it removes or drains, and schedules a resync.
     fn reject(&mut self, now: Nanos, delta: &Delta) {
         let drained = delta.changed.iter().filter(|(_, line)| line.draining).map(|(server, _)| server);
-        let taken_out = delta.removed.iter().chain(drained);
-        self.removed_or_draining.extend(taken_out.map(|&server| (server, delta.check.number)));
+        let unavailable = delta.removed.iter().chain(drained);
+        self.removed_or_draining.extend(unavailable.map(|&server| (server, delta.check.number)));
         if self.resync_at.is_none() {
             self.resync_at = Some(self.backoff.next(now));
         }
     }
 
-    /// When the table is to be requested again, ns; `None` where nothing is wrong.
+    /// Time at which the table is to be requested again, ns; `None` if the replica is up to date.
     pub fn resync_due(&self) -> Option<Nanos> {
         self.resync_at
     }
 
-    /// The table is requested again now; gives the check to be sent along, `None` for the complete table.
+    /// Records that the table is requested again now. Returns the check to send with the request; `None` requests the complete
+    /// table.
     pub fn resync(&mut self, now: Nanos) -> Option<Check> {
         self.resync_at = Some(self.backoff.next(now));
         self.verified
--- a/crates/store/src/resync.rs
+++ b/crates/store/src/resync.rs
@@ -1,11 +1,11 @@
-//! When a proxy whose table does not match requests it again.
+//! Decides when a proxy whose replica does not match its digest requests the table again.
 
 use shalereel::interface::Nanos;
 
-/// Doublings of the delay at most.
+/// Largest number of times that the delay is doubled.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// Exponential backoff with jitter, so that proxies that lose a table together do not request it together.
+/// Exponential backoff with jitter, so that proxies that lose a table at the same time do not all request it at once.
 #[derive(Clone, Debug)]
 pub struct ResyncBackoff {
     min_delay: Nanos,
@@ -14,12 +14,12 @@
 }
 
 impl ResyncBackoff {
-    /// `min_delay`: the first delay, ns; a delta that was only overtaken arrives within it.
+    /// `min_delay`: the first delay, ns. It must be long enough for an overtaken delta to arrive. `seed`: of the jitter.
     pub fn new(min_delay: Nanos, seed: u64) -> Self {
         ResyncBackoff { min_delay, attempts: 0, random: oorandom::Rand64::new(seed.into()) }
     }
 
-    /// Time of the next attempt, ns: half to all of the delay from now.
+    /// Time of the next attempt, ns: between half the delay and the whole delay from now.
     pub(crate) fn next(&mut self, now: Nanos) -> Nanos {
         let delay = (self.min_delay << self.attempts.min(MAX_DOUBLINGS)) as f64;
         self.attempts += 1;
--- a/crates/store/src/retention.rs
+++ b/crates/store/src/retention.rs
@@ -1,29 +1,29 @@
-//! How much history of tables is retained.
+//! Limits on the retained history of tables.
 
 use shalereel::interface::{ControllerConfig, Nanos};
 
-/// Most versions retained: two days at one version per second.
+/// Largest number of retained versions: two days at one version per second.
 const MAX_VERSIONS: usize = 2 * 24 * 3600;
-/// Age of history in report intervals: two days at an interval of a second.
+/// Largest age of history, in report intervals: two days at an interval of one second.
 const MAX_AGE_INTERVALS: Nanos = 2 * 24 * 3600;
-/// Bytes that a line of a version takes in the file.
+/// Estimated bytes that one line of a version takes in the file.
 const BYTES_PER_LINE: f64 = 50.0;
-/// Bytes of history, in ratio to the bytes of the lines that fill the channel once.
+/// Largest size of the history, as a multiple of the lines that fill the channel once.
 const CHANNEL_FILLS: f64 = 256.0;
 
-/// How much history is retained: the oldest versions go as soon as one limit is exceeded.
+/// Limits on the retained history: the oldest versions are dropped as soon as any limit is exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetentionLimits {
-    /// Versions of all tables.
+    /// Number of versions of all tables.
     pub versions: usize,
-    /// Bytes of the versions as they are written.
+    /// Bytes of the encoded versions.
     pub bytes: usize,
     /// Age of a version, ns.
     pub age: Nanos,
 }
 
 impl RetentionLimits {
-    /// The limits where the settings name none.
+    /// The default limits for a controller's settings.
     pub fn new(config: &ControllerConfig) -> Self {
         RetentionLimits {
             versions: MAX_VERSIONS,
--- a/crates/store/src/rollback.rs
+++ b/crates/store/src/rollback.rs
@@ -1,8 +1,8 @@
-//! Rollback of a table's weights to those of an earlier version. Decisions, free of I/O and clock.
+//! Rollback of a table's weights to those of an earlier version. The module only decides; it does no I/O and reads no clock.
 //!
-//! A rollback is a factor for each server by which the controller's own weight is multiplied, never a weight: a server that
-//! the controller ejects or drains stays out, and what it does to a weight later it does to the multiplied one. So no rule
-//! of the controller is overridden.
+//! A rollback never sets a weight: it multiplies the controller's weight of each server by a factor. So it overrides no rule
+//! of the controller: a server that the controller ejects or drains stays out of use, and later changes of a weight by the
+//! controller take effect on the multiplied weight.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -11,58 +11,58 @@
 use crate::line::{Lines, UNIT_WEIGHT};
 use crate::version::VersionNumber;
 
-/// A rollback raises no weight by more than this factor, nor lowers one below its inverse. Where the controller moved a
-/// weight further, it had a reason that the earlier version did not know.
+/// A rollback multiplies no weight by more than this factor or by less than its inverse. If the controller has moved a weight
+/// further, it had a reason that the earlier version does not reflect.
 const MAX_FACTOR: f64 = 2.0;
-/// A factor this near to 1 changes no line.
+/// A factor that differs from 1 by no more than this changes no line.
 const MIN_FACTOR_CHANGE: f64 = 1.0 / UNIT_WEIGHT;
 
 /// A server that the controller has in the table now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CurrentEndpoint {
-    /// Which server.
+    /// Number of the server.
     pub server: ServerId,
-    /// As ordered by the controller, above 0.
+    /// Weight from the controller, above 0.
     pub weight: f64,
-    /// No new requests go there.
+    /// Whether the server is draining: it receives no new requests.
     pub draining: bool,
-    /// It is in its slow start.
+    /// Whether the server is in slow start.
     pub warming_up: bool,
-    /// Number of its start.
+    /// Number that identifies the current start of the server.
     pub incarnation: u64,
 }
 
-/// Why a server keeps the weight that the controller has for it.
+/// Why the rollback leaves the controller's weight of a server unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SkipReason {
-    /// It is not in the table now.
+    /// The server is not in the table now.
     NotInTable,
-    /// It is draining now.
+    /// The server is draining now.
     Draining,
-    /// It was draining or not in the table at some time since the earlier version.
+    /// The server was draining or not in the table at some time since the earlier version.
     UnavailableSince,
-    /// It is in its slow start.
+    /// The server is in slow start.
     WarmingUp,
-    /// It has restarted since the earlier version.
+    /// The server has restarted since the earlier version.
     Restarted,
-    /// It is not in the earlier version.
+    /// The server is not in the earlier version.
     NotInEarlierVersion,
-    /// The controller moved its weight too far since.
+    /// The controller has moved the server's weight too far since the earlier version.
     WeightMovedTooFar,
 }
 
-/// What a rollback would do.
+/// The effect that a rollback would have.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RollbackPlan {
-    /// Factor of each weight that changes.
+    /// Factors of the weights that change, by server.
     pub factors: BTreeMap<ServerId, f64>,
-    /// How many servers take the weights of the earlier version.
+    /// Number of servers that get their weight of the earlier version, changed or not.
     pub restored: usize,
-    /// Servers that do not.
+    /// Servers that keep the controller's weight, with the reason.
     pub skipped: BTreeMap<ServerId, SkipReason>,
 }
 
-/// Weights of a server that may be rolled back.
+/// Current and earlier weight of a server that may be rolled back.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     current: f64,
@@ -76,7 +76,8 @@
 }
 
 /// Plans a rollback of the current weights to those of `earlier`. `unavailable_since`: servers that were draining or not in
-/// the table in any version since. The sum of the weights concerned stays as it is, so that no other server's share moves.
+/// the table in any version since. The rollback preserves the sum of the weights that it changes, so that the shares of the
+/// other servers do not change.
 pub fn plan_rollback(
     endpoints: &[CurrentEndpoint],
     earlier: &Lines,
@@ -125,19 +126,19 @@
     Ok(Candidate { current: endpoint.weight, earlier: f64::from(line.weight) / UNIT_WEIGHT })
 }
 
-/// Removes and gives servers whose weight moved far from what the median server's did. The median is the measure, since the
-/// sum moves with a single server that moved far.
+/// Removes and returns the servers whose weight has changed by a much different ratio than the median server's. The median is
+/// used rather than the sum of the weights, since a single server whose weight has moved far would shift the sum.
 fn remove_moved_too_far(candidates: &mut BTreeMap<ServerId, Candidate>) -> Vec<ServerId> {
     let mut ratios: Vec<f64> = candidates.values().map(Candidate::ratio).collect();
     ratios.sort_by(f64::total_cmp);
     let median = ratios.get(ratios.len() / 2).copied().unwrap_or(1.0);
     let mut removed = Vec::new();
     candidates.retain(|&server, candidate| {
-        let near = (candidate.ratio() / median).ln().abs() <= MAX_FACTOR.ln();
-        if !near {
+        let is_near_median = (candidate.ratio() / median).ln().abs() <= MAX_FACTOR.ln();
+        if !is_near_median {
             removed.push(server);
         }
-        near
+        is_near_median
     });
     removed
 }
@@ -159,24 +160,24 @@
     Ending,
 }
 
-/// A rollback in force. Its factors are applied in steps, those that raise weights first, and end in steps in the opposite
-/// order.
+/// A rollback in force. Its factors are applied in steps, the largest first, so that weights are
+/// raised before others are lowered, and removed in steps in the opposite order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rollback {
-    /// The earlier version.
+    /// The earlier version whose weights are restored.
     pub target: VersionNumber,
-    /// When it begins to end, ns of the monotonic clock.
+    /// Time at which the removal of the factors begins, ns of the monotonic clock.
     pub until: Nanos,
     factors: BTreeMap<ServerId, f64>,
-    /// Servers whose factor is in force.
+    /// Servers whose factor is applied.
     applied: BTreeSet<ServerId>,
-    /// Servers whose factor comes into force, or ends, next.
+    /// Servers whose factor is still to be applied or removed, in this order.
     pending: VecDeque<ServerId>,
     phase: Phase,
 }
 
 impl Rollback {
-    /// A rollback by a plan, with no factor in force yet.
+    /// Starts a rollback from a plan; no factor is applied yet.
     pub fn new(target: VersionNumber, until: Nanos, plan: &RollbackPlan) -> Self {
         let mut rollback = Rollback {
             target,
@@ -186,7 +187,8 @@
             pending: VecDeque::new(),
             phase: Phase::Applying,
         };
-        rollback.pending = rollback.by_falling_factor(rollback.factors.keys().copied().collect()).into();
+        rollback.pending =
+            rollback.sorted_by_falling_factor(rollback.factors.keys().copied().collect()).into();
         rollback
     }
 
@@ -194,27 +196,27 @@
         self.factors.get(server).copied().unwrap_or(1.0)
     }
 
-    fn by_falling_factor(&self, mut servers: Vec<ServerId>) -> Vec<ServerId> {
+    fn sorted_by_falling_factor(&self, mut servers: Vec<ServerId>) -> Vec<ServerId> {
         servers.sort_by(|a, b| self.planned_factor(b).total_cmp(&self.planned_factor(a)).then(a.cmp(b)));
         servers
     }
 
-    fn by_rising_factor(&self, mut servers: Vec<ServerId>) -> Vec<ServerId> {
+    fn sorted_by_rising_factor(&self, mut servers: Vec<ServerId>) -> Vec<ServerId> {
         servers.sort_by(|a, b| self.planned_factor(a).total_cmp(&self.planned_factor(b)).then(a.cmp(b)));
         servers
     }
 
-    /// Lines that are still to change.
+    /// Number of lines that are still to change.
     pub fn pending_lines(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether its factors are being taken back.
+    /// Whether the factors are being removed.
     pub fn is_ending(&self) -> bool {
         self.phase == Phase::Ending
     }
 
-    /// Whether no factor is in force any more.
+    /// Whether all factors have been removed.
     pub(crate) fn has_ended(&self) -> bool {
         self.is_ending() && self.pending.is_empty()
     }
@@ -223,16 +225,16 @@
         self.applied
     }
 
-    /// Begins to take its factors back.
+    /// Begins to remove the factors.
     pub(crate) fn end(&mut self) {
         if self.is_ending() {
             return;
         }
         self.phase = Phase::Ending;
-        self.pending = self.by_rising_factor(self.applied.iter().copied().collect()).into();
+        self.pending = self.sorted_by_rising_factor(self.applied.iter().copied().collect()).into();
     }
 
-    /// Changes at most so many lines; gives their servers.
+    /// Applies or removes the factors of at most `max_lines` servers; returns these servers.
     pub(crate) fn advance(&mut self, max_lines: usize) -> BTreeSet<ServerId> {
         let count = max_lines.min(self.pending.len());
         let changed: BTreeSet<ServerId> = self.pending.drain(..count).collect();
@@ -249,7 +251,7 @@
         self.pending.retain(|pending| *pending != server);
     }
 
-    /// Factor that is in force for a server.
+    /// The factor that is applied to a server's weight; 1 if there is none.
     pub(crate) fn factor(&self, server: ServerId) -> f64 {
         let factor = self.factors.get(&server).filter(|_| self.applied.contains(&server));
         factor.copied().unwrap_or(1.0)
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,5 +1,5 @@
-//! The tables of one supervisor in versions. What is sent to proxies is the newest version of a table; older ones are
-//! retained within limits. Changes come out as writes to the history file.
+//! The versioned tables of one supervisor. Proxies are sent the newest version of a table; older versions are retained within
+//! limits. The caller takes the resulting writes to the history file from the store.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,31 +15,31 @@
 use crate::retention::RetentionLimits;
 use crate::version::{Provenance, Version, VersionNumber};
 
-/// The file is rewritten once it is so many times as long as the retained versions.
+/// The file is rewritten once it is this many times as long as the retained versions.
 const MAX_FILE_RATIO: usize = 2;
-/// A file is not rewritten for versions of fewer bytes than this.
+/// For the decision to rewrite the file, the retained versions count as at least this many bytes.
 const MIN_REWRITE_BYTES: usize = 1 << 16;
 
-/// Records to be written to the history file, each to be framed by `shalereel_journal`; the records of one write may be
-/// one frame, one after another.
+/// Records to be written to the history file, framed by `shalereel_journal`: each in a frame of its own, or all records of one
+/// write concatenated in one frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileWrite {
-    /// They replace the file's content; otherwise they are appended.
+    /// Whether the records replace the file's content; otherwise they are appended.
     pub replaces_file: bool,
-    /// In the order of the file.
+    /// Encoded records in the order of the file.
     pub records: Vec<Bytes>,
 }
 
 /// Size of the retained history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HistorySize {
-    /// As its versions are written.
+    /// Bytes of the encoded versions.
     pub bytes: usize,
-    /// Of all tables.
+    /// Number of versions of all tables.
     pub versions: usize,
 }
 
-/// A retained version as the file has it.
+/// A retained version in its encoded form.
 #[derive(Clone, Debug)]
 pub(crate) struct EncodedVersion {
     pub(crate) number: VersionNumber,
@@ -47,7 +47,7 @@
     pub(crate) record: Bytes,
 }
 
-/// All tables of one supervisor in versions.
+/// The versioned tables of one supervisor.
 #[derive(Clone, Debug)]
 pub struct Store {
     pub(crate) tables: BTreeMap<TableId, TableHistory>,
@@ -55,18 +55,18 @@
     pub(crate) last_number: VersionNumber,
     pub(crate) limits: RetentionLimits,
     pub(crate) seed: u64,
-    /// Retained versions in the order of their numbers, so that a rewrite of the file encodes none again.
+    /// Encoded records of the retained versions in the order of their numbers. They are reused when the file is rewritten.
     encoded: VecDeque<EncodedVersion>,
     encoded_bytes: usize,
-    /// Bytes of the file's records so far.
+    /// Bytes of the records in the file so far.
     file_bytes: usize,
-    /// The next write replaces the file.
+    /// Whether the next write replaces the file's content.
     rewrite_due: bool,
     writes: Vec<FileWrite>,
 }
 
 impl Store {
-    /// An empty store. `seed`: of the digests' salts.
+    /// Creates an empty store. `seed`: of the digests' salts.
     pub fn new(limits: RetentionLimits, seed: u64) -> Self {
         Store {
             tables: BTreeMap::new(),
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Publishes a version of the lines that differ from the newest one; `None` where none does. `touched`: servers whose
-    /// lines may have changed, with their lines now. `now`: by the wall clock, ns since 1970.
+    /// Publishes a new version if any line differs from the newest one; returns its number, or `None` if no line differs.
+    /// `touched`: servers whose lines may have changed, with their current lines. `now`: wall-clock time, ns since 1970.
     pub fn publish(
         &mut self,
         table: TableId,
@@ -126,7 +126,7 @@
         self.encoded.push_back(version);
     }
 
-    /// Drops the oldest versions beyond the limits. A table keeps its lines and the number of its newest version.
+    /// Drops the oldest versions until all limits are kept. A table keeps its lines and the number of its newest version.
     fn drop_over_limits(&mut self, now: Nanos) {
         while let Some(EncodedVersion { number, table, record }) = self.encoded.front() {
             let Some(history) = self.tables.get_mut(table) else { return };
@@ -155,7 +155,7 @@
         }
     }
 
-    /// All records of the file.
+    /// All records of a rewritten file.
     fn all_records(&self) -> Vec<Bytes> {
         let base = |(&table, history): (&TableId, &TableHistory)| {
             codec::encode_base(&TableBase {
@@ -170,12 +170,12 @@
         self.tables.iter().map(base).chain(versions).collect()
     }
 
-    /// Takes the writes to the history file that are due, in order.
+    /// Takes the pending writes to the history file, in order.
     pub fn take_writes(&mut self) -> Vec<FileWrite> {
         std::mem::take(&mut self.writes)
     }
 
-    /// A write failed: the next one replaces the file, and so has what was missed.
+    /// Records that a write has failed. The next write replaces the whole file, so that it contains the missing records too.
     pub fn write_failed(&mut self) {
         self.rewrite_due = true;
     }
@@ -191,12 +191,12 @@
         self.tables.get(&table)?.lines.get(&server)
     }
 
-    /// Tables that were ever published.
+    /// The tables of which at least one version was published.
     pub fn tables(&self) -> impl Iterator<Item = TableId> + '_ {
         self.tables.keys().copied()
     }
 
-    /// Number of a table's newest version; 0 where it was never published.
+    /// Number of a table's newest version; 0 if it was never published.
     pub fn newest_version(&self, table: TableId) -> VersionNumber {
         self.tables.get(&table).map_or(0, TableHistory::newest)
     }
@@ -219,25 +219,26 @@
         self.tables.values().find_map(|history| history.version(number))
     }
 
-    /// The table of a version, and its lines as of then; `None` where the version is not known any more.
+    /// The table that a version belongs to, and its lines as of that version; `None` if the version is not known any more.
     pub fn lines_at(&self, number: VersionNumber) -> Option<(TableId, Lines)> {
         let (&table, history) = self.tables.iter().find(|(_, history)| history.knows(number))?;
         Some((table, history.lines_at(number)))
     }
 
-    /// Servers whose lines changed after a version of a table; `None` where the version is not known any more.
+    /// The servers whose lines have changed since a version of a table; `None` if the version is not known any more.
     pub fn changes_since(&self, table: TableId, from: VersionNumber) -> Option<ChangesSince> {
         self.tables.get(&table)?.changes_since(from)
     }
 
-    /// The delta to the newest version of a table for whoever has version `base` or a later one. From 0, or from a version
-    /// that is not known any more, the complete table. `None` where the table was never published.
+    /// The delta to the newest version of a table for a receiver that has version `base` or a later one. It is the complete
+    /// table if `base` is 0 or not known any more. `None` if the table was never published.
     pub fn delta_from(&self, table: TableId, base: VersionNumber) -> Option<Delta> {
         self.tables.get(&table).map(|history| history.delta_from(base))
     }
 
-    /// The version of a table that a proxy with this check has: a retained one by number and digest, or the newest one by its
-    /// digest alone, since another supervisor may have numbered it. 0 where it is neither.
+    /// The version of a table that a proxy's check refers to: a retained version with the same number and digest, or the
+    /// newest version if its digest is the same, since another supervisor may have given it another number. 0 if there is
+    /// none.
     pub fn recognize(&self, table: TableId, check: &Check) -> VersionNumber {
         self.tables.get(&table).map_or(0, |history| history.recognize(check))
     }
--- a/crates/store/src/version.rs
+++ b/crates/store/src/version.rs
@@ -1,24 +1,24 @@
-//! A version of a table: what changed against the one before it, when and why.
+//! A version of a table: what has changed since the version before it, when and why.
 
 use shalereel::interface::{Nanos, ServerId, TableId};
 
 use crate::digest::{Check, Digest, Salt};
 use crate::line::Line;
 
-/// Number of a version; it grows over all tables of a store, and over restarts. 0 stands for no version.
+/// Number of a version. Numbers increase over all tables of a store, and across restarts. 0 stands for no version.
 pub type VersionNumber = u64;
 
-/// Who made a version, and for what reason.
+/// Who made a change, and why.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Provenance {
-    /// `module`, `list`, or an operator's name.
+    /// `module` (the controller), `list` (the endpoint list), or an operator's name.
     pub actor: String,
-    /// In the actor's words.
+    /// The reason as the actor stated it.
     pub reason: String,
 }
 
 impl Provenance {
-    /// The provenance of a version by `actor`.
+    /// A provenance with this actor and reason.
     pub fn new(actor: &str, reason: impl Into<String>) -> Self {
         Provenance { actor: actor.into(), reason: reason.into() }
     }
@@ -27,28 +27,28 @@
 /// One server's line before and after a version; `None` stands for no line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LineChange {
-    /// Which server.
+    /// Number of the server.
     pub server: ServerId,
-    /// Its line in the version before.
+    /// The server's line in the version before.
     pub before: Option<Line>,
-    /// Its line in this version.
+    /// The server's line in this version.
     pub after: Option<Line>,
 }
 
 /// A version of a table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Version {
-    /// Its number.
+    /// Number of the version.
     pub number: VersionNumber,
-    /// Of which table.
+    /// The table that it is a version of.
     pub table: TableId,
-    /// The version of the same table before it; 0: none.
+    /// Number of the version of the same table before it; 0 if there is none.
     pub parent: VersionNumber,
-    /// When it was published, by the wall clock, ns since 1970.
+    /// Time of publication by the wall clock, ns since 1970.
     pub published_at: Nanos,
-    /// Who made it and why.
+    /// Who made the version, and why.
     pub provenance: Provenance,
-    /// Digest of all lines of the table.
+    /// Digest of all lines of the table as of this version.
     pub digest: Digest,
     /// Salt of the digest.
     pub salt: Salt,
@@ -57,7 +57,7 @@
 }
 
 impl Version {
-    /// Number and digest.
+    /// The check of this version: its number and digest.
     pub fn check(&self) -> Check {
         Check { number: self.number, digest: self.digest, salt: self.salt }
     }
--- a/crates/store/tests/history.rs
+++ b/crates/store/tests/history.rs
@@ -1,4 +1,4 @@
-//! The history and its file: limits, files that were cut or damaged, and failed writes.
+//! The retained history and its file: limits, truncated or damaged files, and failed writes.
 
 use std::collections::BTreeSet;
 
@@ -14,17 +14,17 @@
 fn store_and_file() -> (Store, Vec<u8>) {
     let mut store = Store::new(limits(), 9);
     let mut file = MAGIC.to_vec();
-    let mut chance = Rand64::new(4);
+    let mut rng = Rand64::new(4);
     for at in 0..60_u64 {
-        let server = chance.rand_range(0..6) as u32;
+        let server = rng.rand_range(0..6) as u32;
         let line = Line {
             address: ([127, 1, 0, server as u8], 80).into(),
-            weight: 1 + chance.rand_range(0..50) as u32,
-            draining: chance.rand_range(0..5) == 0,
+            weight: 1 + rng.rand_range(0..50) as u32,
+            draining: rng.rand_range(0..5) == 0,
             incarnation: at / 20,
         };
-        let after = (chance.rand_range(0..4) > 0).then_some(line);
-        let table = chance.rand_range(0..2) as u16;
+        let after = (rng.rand_range(0..4) > 0).then_some(line);
+        let table = rng.rand_range(0..2) as u16;
         store.publish(table, [(server, after)], 1000 + at, &Provenance::new("module", "change"));
         for write in store.take_writes() {
             if write.replaces_file {
@@ -36,9 +36,10 @@
     (store, file)
 }
 
-/// Guards against a kill at any byte of a write: what is loaded is an earlier state, and versions go on from there.
+/// Guards against a file that cannot be loaded after the process was killed during a write. Truncated at any byte, the file
+/// loads as an earlier state, and the numbers of new versions continue from there.
 #[test]
-fn file_cut_at_any_byte_loads_an_earlier_state() {
+fn file_truncated_at_any_byte_loads_an_earlier_state() {
     let (store, file) = store_and_file();
     let all = store.versions();
     let mut reached = BTreeSet::new();
@@ -49,8 +50,8 @@
         let number = loaded.versions().last().map_or(0, |version| version.number);
         reached.insert(number);
         for version in loaded.versions() {
-            let was = store.version(version.number);
-            assert!(was.is_none_or(|was| was == version), "cut at {cut}");
+            let original = store.version(version.number);
+            assert!(original.is_none_or(|original| original == version), "cut at {cut}");
         }
         for table in loaded.tables() {
             let lines: Lines = loaded.lines(table).map(|(id, line)| (id, *line)).collect();
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn inconsistent_file_is_rejected() {
+fn file_with_missing_swapped_or_damaged_records_is_rejected() {
     let (_, file) = store_and_file();
     let records: Vec<Vec<u8>> = shalereel_journal::records(&file, MAGIC)
         .unwrap()
@@ -83,7 +84,7 @@
         file
     };
     let rejection = |file: &[u8]| Store::new(limits(), 9).load(file).unwrap_err();
-    // A record lost, two swapped, one of another file: each frame is intact, the history is not.
+    // One record is missing, two are swapped, or one cannot be decoded: the frames are intact, but the history is not.
     let last = records.len() - 1;
     let mut lost = records.clone();
     lost.remove(last - 12);
@@ -91,16 +92,16 @@
     let mut swapped = records.clone();
     swapped.swap(last, last - 1);
     assert!(matches!(rejection(&build(&swapped)), StoreError::Inconsistent { .. }));
-    let mut strange = records.clone();
-    strange[last] = b"something else".to_vec();
-    assert!(matches!(rejection(&build(&strange)), StoreError::Malformed { .. }));
+    let mut undecodable = records.clone();
+    undecodable[last] = b"something else".to_vec();
+    assert!(matches!(rejection(&build(&undecodable)), StoreError::Malformed { .. }));
     let mut damaged = file.clone();
     damaged[40] ^= 1;
     assert!(matches!(rejection(&damaged), StoreError::Journal(_)));
 }
 
 #[test]
-fn history_stays_within_limits_and_a_failed_write_is_repeated() {
+fn history_stays_within_limits_and_the_write_after_a_failed_one_replaces_the_file() {
     let line =
         |weight| Line { address: ([127, 1, 0, 1], 80).into(), weight, draining: false, incarnation: 1 };
     let provenance = Provenance::default();
@@ -113,7 +114,7 @@
         (10, 21, true)
     );
     assert!(store.lines_at(19).is_none() && store.changes_since(TABLE, 19).is_none());
-    // A base that is not retained gets the complete table.
+    // The delta from a base that is not retained is the complete table.
     assert_eq!(
         (store.delta_from(TABLE, 19).unwrap().base, store.delta_from(TABLE, 20).unwrap().base),
         (0, 0)
@@ -121,7 +122,7 @@
     store.publish(TABLE, [(2, Some(line(1)))], 200, &provenance);
     assert_eq!((store.size().versions, store.newest_version(TABLE)), (1, 31));
     assert_eq!(store.delta_from(TABLE, 30).unwrap().base, 30);
-    // Guards against a gap after a full disk: the next write has everything.
+    // Guards against a gap in the file after a failed write, such as one to a full disk: the next write contains all records.
     store.take_writes();
     store.publish(TABLE, [(2, Some(line(2)))], 201, &provenance);
     store.take_writes();
@@ -129,7 +130,7 @@
     store.publish(TABLE, [(2, Some(line(3)))], 202, &provenance);
     let writes = store.take_writes();
     assert!(writes.len() == 1 && writes[0].replaces_file);
-    // What is written together is one frame.
+    // The records of one write may be in one frame.
     let file = [&MAGIC[..], &shalereel_journal::frame(&writes[0].records.concat())].concat();
     let mut loaded = Store::new(RetentionLimits { versions: 10, bytes: 1 << 20, age: 100 }, 1);
     loaded.load(&file).unwrap();
--- a/crates/store/tests/rollback.rs
+++ b/crates/store/tests/rollback.rs
@@ -41,10 +41,13 @@
 #[case::not_in_earlier_version(endpoint(7, 1.0), SkipReason::NotInEarlierVersion)]
 #[case::lowered_by_the_controller(endpoint(1, 0.1), SkipReason::WeightMovedTooFar)]
 #[case::raised_by_the_controller(endpoint(1, 9.0), SkipReason::WeightMovedTooFar)]
-fn rollback_skips_server_with_the_reason(#[case] server: CurrentEndpoint, #[case] reason: SkipReason) {
+fn rollback_skips_server_that_cannot_take_its_earlier_weight(
+    #[case] server: CurrentEndpoint,
+    #[case] reason: SkipReason,
+) {
     let now = [server, endpoint(2, 1.0), endpoint(3, 1.2), endpoint(4, 1.0), endpoint(5, 1.0)];
-    let was = earlier(&[(1, 1.0), (2, 1.2), (3, 1.0), (4, 1.0), (5, 1.0), (6, 1.0)]);
-    let plan = plan_rollback(&now, &was, &BTreeSet::from([5]));
+    let earlier_lines = earlier(&[(1, 1.0), (2, 1.2), (3, 1.0), (4, 1.0), (5, 1.0), (6, 1.0)]);
+    let plan = plan_rollback(&now, &earlier_lines, &BTreeSet::from([5]));
     assert_eq!(plan.skipped.get(&server.server), Some(&reason), "{plan:?}");
     assert_eq!(
         (plan.skipped.get(&5), plan.skipped.get(&6)),
@@ -55,7 +58,7 @@
 }
 
 #[test]
-fn rollback_is_applied_in_steps_raising_first_and_ends_in_steps() {
+fn rollback_raises_weights_first_and_is_applied_and_removed_in_steps() {
     let now = [endpoint(1, 2.0), endpoint(2, 1.0), endpoint(3, 1.0)];
     let plan = plan_rollback(&now, &earlier(&[(1, 1.4), (2, 1.2), (3, 1.4)]), &BTreeSet::new());
     let mut constraints = WeightConstraints::default();
@@ -65,7 +68,7 @@
     assert!(constraints.factor(3) > 1.0 && constraints.factor(1) == 1.0);
     constraints.on_time(99);
     assert_eq!(constraints.advance_rollback(9), BTreeSet::from([1]));
-    // A server that left and is back has no factor.
+    // A server that leaves the table and returns has no factor.
     constraints.on_server_left(3);
     assert_eq!(constraints.factor(3), 1.0);
     constraints.on_time(100);
@@ -75,7 +78,7 @@
 }
 
 #[test]
-fn slow_start_weights_follow_a_capped_sum_down() {
+fn slow_start_weights_are_lowered_with_a_capped_sum() {
     let mut constraints = WeightConstraints::default();
     assert_eq!(constraints.slow_start_factor([(1, 1.0), (2, 1.0)].into_iter()), 1.0);
     assert_eq!(constraints.set_caps(BTreeMap::from([(1, 0.5)])), BTreeSet::from([1]));
--- a/crates/store/tests/stored.rs
+++ b/crates/store/tests/stored.rs
@@ -1,8 +1,10 @@
-//! A file written by an earlier version is read with the same content.
+//! Compatibility of the stored history: a file of an earlier program version is read with the same content, and the bytes of
+//! a written file do not change.
 
 use shalereel_store::{Line, Provenance, RetentionLimits, Store, MAGIC};
 
-/// The literals of a value in the order of its fields, without the names of types and fields, which may change.
+/// The literals in the debug output of a value, in the order of its fields. Names of types and fields are left out, since they
+/// may change.
 fn literals(value: &impl std::fmt::Debug) -> String {
     let text = format!("{value:?}");
     let mut words = text.split(|c: char| !(c.is_alphanumeric() || "\"._-:".contains(c)));
@@ -16,9 +18,9 @@
     line
 }
 
-/// Guards against a renamed or moved field that changes the stored form without a word from the compiler.
+/// Guards against a renamed or moved field that changes the stored form without a compiler error.
 #[test]
-fn table_history_of_an_earlier_version_is_read() {
+fn history_file_of_an_earlier_program_version_is_read() {
     let file = include_bytes!("stored/tables.log");
     let mut store = Store::new(RetentionLimits { versions: 1000, bytes: 1 << 20, age: u64::MAX }, 1);
     assert_eq!(store.load(file), Ok(file.len()));
@@ -29,9 +31,9 @@
     assert_eq!(read, include_str!("stored/tables.txt"));
 }
 
-/// Guards against a change of the written form: other versions of the program would not read it.
+/// Guards against a change of the written form, which other versions of the program could not read.
 #[test]
-fn table_file_is_written_byte_by_byte_as_before() {
+fn history_file_is_written_with_unchanged_bytes() {
     let mut store = Store::new(RetentionLimits { versions: 2, bytes: 1 << 20, age: u64::MAX }, 1);
     let first =
         Line { address: ([127, 1, 0, 1], 80).into(), weight: 10_000, draining: false, incarnation: 7 };
--- a/crates/xds-supervisor/tests/core/operators.rs
+++ b/crates/xds-supervisor/tests/core/operators.rs
@@ -43,8 +43,8 @@
     let answer = request(&mut harness, roll_back(from, 1000, true)).unwrap();
     assert_eq!((answer["takes"].as_u64(), answer["moves"].as_array().unwrap().len()), (Some(4), 0));
     assert_eq!(answer["stays"][0]["server"], 3);
-    assert!(request(&mut harness, roll_back(to, 1000, false)).unwrap_err().contains("nothing to go back to"));
-    assert!(request(&mut harness, roll_back(999, 1000, false)).unwrap_err().contains("not kept"));
+    assert!(request(&mut harness, roll_back(to, 1000, false)).unwrap_err().contains("nothing to roll back"));
+    assert!(request(&mut harness, roll_back(999, 1000, false)).unwrap_err().contains("not retained"));
     assert!(request(&mut harness, roll_back(from, 0, false)).unwrap_err().contains("must end"));
     assert!(harness.core.handle_admin(harness.now, b"\xff\xff").is_err());
 }
@@ -81,11 +81,11 @@
     request(&mut harness, pin(0.0, 0)).unwrap();
     harness.run_ms(100);
     assert_eq!(weight(&mut harness), 1.0);
-    assert!(request(&mut harness, pin(0.0, 5)).unwrap_err().contains("no part"));
+    assert!(request(&mut harness, pin(0.0, 5)).unwrap_err().contains("not a valid factor"));
     let nobody = CapServer { server: 99, factor: 0.5, duration_ms: 5, ..CapServer::default() };
     assert!(request(&mut harness, AdminQuery::CapServer(nobody))
         .unwrap_err()
-        .contains("no table has server 99"));
+        .contains("server 99 is not in any table"));
 }
 
 /// Five servers, one of which was given less; a rollback that waits for capacity of the channel, goes on over a drain, and
