--- a/crates/guard/src/inspect.rs
+++ b/crates/guard/src/inspect.rs
@@ -172,7 +172,7 @@
     load_ratio: f64,
     ready: &ReadyServers,
 ) -> Option<Finding> {
-    let value = load_ratio / limits.warmed_part(line.known);
+    let value = load_ratio / limits.capacity_fraction(line.known);
     let limit = limits.overload_ratio;
     let finding = Finding { rule: Rule::SlowStartOverload, server: Some(line.server), value, limit };
     // Where no warm server is ready, one in slow start has to bear it.
--- a/crates/guard/src/limits.rs
+++ b/crates/guard/src/limits.rs
@@ -43,7 +43,7 @@
     }
 
     /// Part of its capacity that a server has reached, 0 to 1; 1: it is warm.
-    pub fn warmed_part(&self, server: &Server) -> f64 {
+    pub fn capacity_fraction(&self, server: &Server) -> f64 {
         match server.age {
             Some(age) if age < self.slow_start_duration => {
                 let progress =
@@ -55,6 +55,6 @@
     }
 
     pub(crate) fn is_warm(&self, server: &Server) -> bool {
-        self.warmed_part(server) >= 1.0
+        self.capacity_fraction(server) >= 1.0
     }
 }
--- a/crates/routing-checks/src/fleet.rs
+++ b/crates/routing-checks/src/fleet.rs
@@ -204,7 +204,7 @@
             weight: line.map_or(0.0, |line| f64::from(line.weight)),
             draining: line.is_some_and(|line| line.draining),
             out: known.availability == Availability::Unavailable,
-            able: limits.warmed_part(&known),
+            able: limits.capacity_fraction(&known),
             listed: known.capacity,
         })
     };
--- a/crates/sasp/src/frames.rs
+++ b/crates/sasp/src/frames.rs
@@ -31,7 +31,7 @@
     }
 
     /// Bytes of a message that is not complete yet.
-    pub fn unfinished(&self) -> usize {
+    pub fn incomplete_bytes(&self) -> usize {
         self.buffered.len()
     }
 
--- a/crates/sasp/src/lib.rs
+++ b/crates/sasp/src/lib.rs
@@ -19,4 +19,4 @@
 pub use decode::DecodeError;
 pub use frames::Frames;
 pub use message::{Body, Group, GroupOf, LbFlags, Member, MemberState, Message, ReturnCode, WeightEntry};
-pub use session::{Advisor, Answer, Bounds, Change, Lookup, Peer};
+pub use session::{Advisor, Answer, BalancerLimits, Change, Peer, WeightLookup};
--- a/crates/sasp/src/session/mod.rs
+++ b/crates/sasp/src/session/mod.rs
@@ -17,7 +17,7 @@
 
 /// Limits of one load balancer and its connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct BalancerLimits {
     /// Members of one load balancer, in all its groups together.
     pub members: usize,
     /// Groups of one load balancer.
@@ -73,7 +73,7 @@
 }
 
 /// Looks up the weight of a member of a group; `None` where no table has the member.
-pub type Lookup<'a> = &'a dyn Fn(&Group, &Member) -> Option<TableWeight>;
+pub type WeightLookup<'a> = &'a dyn Fn(&Group, &Member) -> Option<TableWeight>;
 
 /// State of a registered member.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -108,7 +108,7 @@
 /// The workload manager's side of all connections.
 #[derive(Debug)]
 pub struct Advisor {
-    bounds: Bounds,
+    limits: BalancerLimits,
     connections: BTreeMap<Peer, Connection>,
     groups: BTreeMap<Group, BTreeMap<Member, Registration>>,
     last_id: u32,
@@ -116,8 +116,8 @@
 
 impl Advisor {
     /// A manager without connections.
-    pub fn new(bounds: Bounds) -> Self {
-        Advisor { bounds, connections: BTreeMap::new(), groups: BTreeMap::new(), last_id: 0 }
+    pub fn new(limits: BalancerLimits) -> Self {
+        Advisor { limits, connections: BTreeMap::new(), groups: BTreeMap::new(), last_id: 0 }
     }
 
     /// A connection was opened.
@@ -147,7 +147,7 @@
         &mut self,
         peer: Peer,
         message: Message,
-        lookup: Lookup<'_>,
+        lookup: WeightLookup<'_>,
         changes: &mut Vec<Change>,
     ) -> Vec<Answer> {
         let id = message.id;
@@ -191,7 +191,7 @@
     }
 
     /// Registered members, in all groups together.
-    pub fn members(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.groups.values().map(BTreeMap::len).sum()
     }
 }
--- a/crates/sasp/src/session/registration.rs
+++ b/crates/sasp/src/session/registration.rs
@@ -22,7 +22,7 @@
                 self.check_not_registered(sender, group, member)?;
             }
         }
-        self.check_bounds(&groups, requested.len())?;
+        self.check_limits(&groups, requested.len())?;
         let self_registered_by = (sender.role == Role::Member).then_some(sender.peer);
         for (group, members) in groups {
             let registrations = self.groups.entry(group.clone()).or_default();
@@ -48,7 +48,7 @@
     }
 
     /// Checks the limits of groups and members. All load balancers that the request names count together.
-    fn check_bounds(&self, requested: &[GroupOf<Member>], new_members: usize) -> Result<(), ReturnCode> {
+    fn check_limits(&self, requested: &[GroupOf<Member>], new_members: usize) -> Result<(), ReturnCode> {
         let balancers: BTreeSet<&Vec<u8>> = requested.iter().map(|(group, _)| &group.balancer).collect();
         let mut total_members = new_members;
         let mut total_groups = requested.iter().filter(|(group, _)| !self.groups.contains_key(group)).count();
@@ -58,7 +58,7 @@
                 total_groups += 1;
             }
         }
-        if total_members > self.bounds.members || total_groups > self.bounds.groups {
+        if total_members > self.limits.members || total_groups > self.limits.groups {
             return Err(ReturnCode::TryLater);
         }
         Ok(())
--- a/crates/sasp/src/session/weight_messages.rs
+++ b/crates/sasp/src/session/weight_messages.rs
@@ -1,12 +1,12 @@
 //! Weights of groups: replies to Get Weights, and Send Weights where a load balancer wants them pushed.
 
-use super::{Advisor, Lookup, Peer, PushedWeight};
+use super::{Advisor, Peer, PushedWeight, WeightLookup};
 use crate::message::{Body, Group, GroupOf, Message, ReturnCode, WeightEntry};
 use crate::weights::{round_to_u16, TableWeight};
 
 impl Advisor {
-    pub(super) fn get_weights(&mut self, peer: Peer, groups: &[Group], lookup: Lookup<'_>) -> Body {
-        let interval = self.bounds.interval;
+    pub(super) fn get_weights(&mut self, peer: Peer, groups: &[Group], lookup: WeightLookup<'_>) -> Body {
+        let interval = self.limits.interval;
         match self.authorize_weights(peer, groups) {
             Ok(()) => Body::Weights {
                 code: ReturnCode::Successful,
@@ -21,7 +21,7 @@
     fn authorize_weights(&mut self, peer: Peer, groups: &[Group]) -> Result<(), ReturnCode> {
         let connection = self.connections.get_mut(&peer).ok_or(ReturnCode::WillNotAccept)?;
         connection.weight_requests += 1;
-        if connection.weight_requests > self.bounds.weight_requests {
+        if connection.weight_requests > self.limits.weight_requests {
             return Err(ReturnCode::TryLater);
         }
         let balancer = connection.balancer.as_ref().ok_or(ReturnCode::NoGroupYet)?;
@@ -37,7 +37,7 @@
     /// The Send Weights message that is due to a load balancer; `None` where it wants no pushes or nothing has changed
     /// since the last one. Has all entries of a group in which something changed; with the no-change flag, only the
     /// entries that changed.
-    pub fn push(&mut self, peer: Peer, lookup: Lookup<'_>) -> Option<Message> {
+    pub fn push(&mut self, peer: Peer, lookup: WeightLookup<'_>) -> Option<Message> {
         let connection = self.connections.get(&peer).filter(|connection| connection.flags.push)?;
         let only_changed = connection.flags.no_change;
         let own_groups = self.groups_of(connection.balancer.as_ref()?);
@@ -73,7 +73,7 @@
     }
 
     /// The weight entries of a group's members, in the members' order.
-    fn entries(&self, group: &Group, lookup: Lookup<'_>) -> Vec<WeightEntry> {
+    fn entries(&self, group: &Group, lookup: WeightLookup<'_>) -> Vec<WeightEntry> {
         const NO_WEIGHT: TableWeight = TableWeight { weight: 0.0, warming_up: false };
         let Some(registrations) = self.groups.get(group) else { return Vec::new() };
         let listed: Vec<Option<TableWeight>> =
--- a/crates/sasp/tests/protocol/codec.rs
+++ b/crates/sasp/tests/protocol/codec.rs
@@ -91,7 +91,7 @@
         frames.push(&wire);
         assert_eq!(frames.take(), Ok(Some(message.clone())));
         assert_eq!(frames.take(), Ok(Some(message.clone())));
-        assert_eq!((frames.take(), frames.unfinished()), (Ok(None), 0));
+        assert_eq!((frames.take(), frames.incomplete_bytes()), (Ok(None), 0));
     }
 }
 
--- a/crates/sasp/tests/protocol/session.rs
+++ b/crates/sasp/tests/protocol/session.rs
@@ -8,7 +8,7 @@
 
 use super::{group, member};
 
-const BOUNDS: Bounds = Bounds { members: 100, groups: 10, weight_requests: 3, interval: 5 };
+const LIMITS: BalancerLimits = BalancerLimits { members: 100, groups: 10, weight_requests: 3, interval: 5 };
 
 struct Harness {
     advisor: Advisor,
@@ -33,7 +33,7 @@
     /// Load balancer "lb" on peer 1 with two members, a second connection on peer 2.
     fn new() -> Self {
         let table = BTreeMap::from([(1, table_weight(2.0)), (2, table_weight(1.0))]);
-        let mut harness = Harness { advisor: Advisor::new(BOUNDS), changes: vec![], table };
+        let mut harness = Harness { advisor: Advisor::new(LIMITS), changes: vec![], table };
         [1, 2].into_iter().for_each(|peer| harness.advisor.opened(peer));
         let groups = vec![(group("lb", "view"), vec![member(1), member(2)])];
         assert_eq!(
@@ -154,9 +154,12 @@
     assert_eq!(harness.changes.last(), Some(&member_9(true, true)));
     // The end of its connection deregisters it.
     harness.advisor.closed(2, &mut harness.changes);
-    assert_eq!((harness.changes.last(), harness.advisor.members()), (Some(&member_9(false, false)), 2));
+    assert_eq!((harness.changes.last(), harness.advisor.member_count()), (Some(&member_9(false, false)), 2));
     harness.advisor.closed(1, &mut harness.changes);
-    assert_eq!((harness.changes.last(), harness.advisor.members()), (Some(&Change::Left { peer: 1 }), 0));
+    assert_eq!(
+        (harness.changes.last(), harness.advisor.member_count()),
+        (Some(&Change::Left { peer: 1 }), 0)
+    );
 }
 
 #[rstest]
@@ -178,7 +181,7 @@
         .map(|(balancer, name, ports)| (group(balancer, name), ports.into_iter().map(member).collect()));
     let groups = groups.collect();
     let answer = harness.request(peer, Body::Deregister { from_balancer, reason: 0, groups });
-    assert_eq!((answer, harness.advisor.members()), (Body::Deregistered(code), 2));
+    assert_eq!((answer, harness.advisor.member_count()), (Body::Deregistered(code), 2));
 }
 
 #[rstest]
@@ -193,7 +196,7 @@
     let mut harness = Harness::new();
     let groups = vec![(group("lb", "view"), ports.map(member).collect())];
     let answer = harness.request(peer, Body::Register { from_balancer: true, groups });
-    assert_eq!((answer, harness.advisor.members()), (Body::Registered(code), 2));
+    assert_eq!((answer, harness.advisor.member_count()), (Body::Registered(code), 2));
 }
 
 #[test]
--- a/crates/xds-supervisor/src/client_limits.rs
+++ b/crates/xds-supervisor/src/client_limits.rs
@@ -117,10 +117,10 @@
     }
 
     /// What one balancer may cost.
-    pub fn balancer(&self) -> shalereel_sasp::Bounds {
+    pub fn balancer(&self) -> shalereel_sasp::BalancerLimits {
         // SASP counts whole seconds.
         let interval = self.report_interval.div_ceil(NANOS_PER_S).clamp(1, 3600) as u16;
-        shalereel_sasp::Bounds {
+        shalereel_sasp::BalancerLimits {
             members: MAX_MEMBERS_PER_BALANCER,
             groups: MAX_GROUPS_PER_BALANCER,
             weight_requests: MAX_WEIGHT_REQUESTS_PER_INTERVAL,
--- a/crates/xds-supervisor/src/sasp_front.rs
+++ b/crates/xds-supervisor/src/sasp_front.rs
@@ -5,7 +5,9 @@
 
 use shalereel::interface::{Nanos, TableId};
 use shalereel_sasp::weights::TableWeight;
-use shalereel_sasp::{Advisor, Answer, Body, Bounds, Change, Frames, Group, Member, Message, ReturnCode};
+use shalereel_sasp::{
+    Advisor, Answer, BalancerLimits, Body, Change, Frames, Group, Member, Message, ReturnCode,
+};
 
 use crate::client_limits::MAX_MESSAGE_BYTES;
 use crate::core::Peer;
@@ -70,7 +72,7 @@
 
 impl SaspFront {
     /// No connections yet.
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(bounds: BalancerLimits) -> Self {
         SaspFront { advisor: Advisor::new(bounds), interval: bounds.interval, frames: BTreeMap::new() }
     }
 
--- a/crates/xds-supervisor/src/tables/inspection.rs
+++ b/crates/xds-supervisor/src/tables/inspection.rs
@@ -33,7 +33,7 @@
     pub fn pool(&self, context: &TableContext) -> BTreeMap<ServerId, PoolServer> {
         let servers = pool_servers(context, self.removal_is_binding, self.nominal_capacity_listed);
         let with_part = |(id, server): (ServerId, Server)| {
-            let warmed_part = self.guard_limits.map_or(1.0, |limits| limits.warmed_part(&server));
+            let warmed_part = self.guard_limits.map_or(1.0, |limits| limits.capacity_fraction(&server));
             (id, PoolServer { server, warmed_part })
         };
         servers.into_iter().map(with_part).collect()
