--- a/crates/guard/src/guard.rs
+++ b/crates/guard/src/guard.rs
@@ -1,4 +1,4 @@
-//! What of a wrong table is published, and for how long the rest is refused.
+//! Decides which lines of a wrong table are published, and for how long the others are refused.
 
 use std::collections::BTreeSet;
 
@@ -6,35 +6,34 @@
 
 use crate::inspect::{inspect, Finding, Rule};
 use crate::limits::Limits;
-use crate::pool::{put, Line, Lines, Pool};
+use crate::pool::{replace_line, Line, Lines, Pool};
 
-/// A value that is so many times another one is worse; less is rounding.
+/// A value counts as worse than another one if it is more than this many times as large; smaller differences are rounding.
 const WORSE_RATIO: f64 = 1.05;
-/// Attempts to mend a wrong table line by line.
+/// Largest number of attempts to repair a wrong table line by line.
 const MAX_REPAIRS: usize = 3;
-/// A refused table is inspected again so many times within `max_refusal_time`.
+/// Number of times that a refused table is inspected again within `max_refusal_time`.
 const INSPECTIONS_PER_MAX_REFUSAL_TIME: Nanos = 32;
 
-/// Why some lines are refused.
+/// A refusal of lines, as it is reported.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refusal {
-    /// What is wrong with them.
+    /// What is wrong with the lines.
     pub finding: Finding,
-    /// Since when the guard has refused the table without a break, ns.
+    /// Time since which the guard has refused lines of the table without a break, ns.
     pub since: Nanos,
 }
 
-/// What is published of a table.
+/// The guard's decision on a table: which of its lines are published.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Decision {
-    /// Servers whose lines stay as they were; all others are published.
+    /// Servers whose lines stay as they were in the table before; the lines of all other servers are published.
     pub reverted: BTreeSet<ServerId>,
-    /// Servers whose lines are published as draining, whatever was meant.
+    /// Servers that are draining or removed but have a usable line; their lines are published as draining.
     pub drained: BTreeSet<ServerId>,
-    /// To be logged: at the first refusal, and now and then while it lasts.
+    /// Refusals that the caller logs: at the first refusal, and every `max_refusal_time` while it lasts.
     pub refusals: Vec<Refusal>,
-    /// Findings of rules that may be waived which were published after all: they were refused for too long, and no
-    /// mandatory rule is broken.
+    /// Findings that are published nevertheless, since they were refused for too long. All are of rules that may be waived.
     pub waived: Vec<Finding>,
 }
 
@@ -43,39 +42,44 @@
 pub struct Guard {
     limits: Limits,
     refusing_since: Option<Nanos>,
-    /// When a refusal was last reported; 0: never.
+    /// When a refusal was last reported, ns; 0 if never.
     reported_at: Nanos,
 }
 
 impl Guard {
-    /// The guard of a table that was not published yet.
+    /// Creates the guard of a table that was not published yet.
     pub fn new(limits: Limits) -> Self {
         Guard { limits, refusing_since: None, reported_at: 0 }
     }
 
-    /// When a refused table is inspected again, ns, if nothing changes before: the pool changes by time alone.
+    /// Time at which a refused table is inspected again if nothing changes before, ns; `None` if nothing is refused. The
+    /// inspection is repeated since servers in slow start warm up as time passes.
     pub fn next_inspection(&self, now: Nanos) -> Option<Nanos> {
         self.refusing_since.map(|_| now + self.limits.max_refusal_time / INSPECTIONS_PER_MAX_REFUSAL_TIME)
     }
 
-    /// Whether a table is to be withheld from proxies, which have something better: one without a usable line is, while a
-    /// warm server is ready.
+    /// Whether a table is to be withheld from proxies: it has no usable line although a warm server is ready, so whatever the
+    /// proxies have is better.
     pub fn must_withhold(&self, pool: &Pool, has_usable_line: bool) -> bool {
-        !has_usable_line && pool.ready().any(|known| self.limits.is_warm(known))
+        !has_usable_line && pool.ready().any(|ready| self.limits.is_warm(ready))
     }
 
-    /// Judges a table that is about to replace another one. Usable lines of draining or removed servers are published as
-    /// draining in any case.
+    /// Decides which lines of a new table replace those of the table before. Usable lines of draining or removed servers are
+    /// always published as draining.
     ///
-    /// Compares the new table with a fallback: the table before, without usable lines of draining or removed servers and
-    /// with the reductions of servers in slow start. A finding that the fallback has to the same degree is ignored: the
-    /// pool has changed, and the controller follows it piece by piece. For each other finding the lines concerned (its
-    /// server's, or, where it names none, each that takes a ready server out) are set back to the fallback's, at most
-    /// `MAX_REPAIRS` times; if findings remain, the fallback is published. If the fallback breaks worse rules than the
-    /// new table, or rules that may be waived alone were refused for too long, the new table is published as it is.
+    /// The new table is compared with a fallback: the table before, without usable lines of draining or removed servers and
+    /// with the lower weights that the new table has for servers in slow start.
+    ///
+    /// - A finding that the fallback has to the same degree is ignored: the pool has changed, and the controller adapts the
+    ///   table to it step by step.
+    /// - For each other finding, the lines concerned are reverted to those of the fallback: the line of the finding's server
+    ///   or, if it names none, each line that takes a ready server out of use. This is repeated at most `MAX_REPAIRS` times;
+    ///   if findings remain, the fallback is published.
+    /// - The new table is published as it is if the fallback breaks worse rules, or if only rules that may be waived are
+    ///   broken and they were refused for too long.
     pub fn judge(&mut self, now: Nanos, pool: &Pool, before: &Lines, after: &Lines) -> Decision {
         let drained = usable_but_unavailable(pool, after);
-        let next = with_drained(after, &drained);
+        let next = with_lines_draining(after, &drained);
         let mut decision = Decision { drained, ..Decision::default() };
         let findings = inspect(&self.limits, pool, &next);
         if findings.is_empty() {
@@ -101,13 +105,13 @@
         decision
     }
 
-    /// Rules that may be waived are waived where they alone have been refused for too long.
+    /// Whether the findings are waived: none is of a mandatory rule, and they were refused for too long.
     fn may_waive(&self, now: Nanos, since: Nanos, findings: &[Finding]) -> bool {
         let refused_too_long = now.saturating_sub(since) >= self.limits.max_refusal_time;
         refused_too_long && !findings.iter().any(|finding| finding.rule.is_mandatory())
     }
 
-    /// The findings as refusals if a report of them is due; else none.
+    /// Returns the findings as refusals if a report is due, and otherwise nothing.
     fn due_refusals(&mut self, now: Nanos, since: Nanos, findings: Vec<Finding>) -> Vec<Refusal> {
         if !self.is_report_due(now, since) {
             return Vec::new();
@@ -121,7 +125,7 @@
         first || now.saturating_sub(self.reported_at) >= self.limits.max_refusal_time
     }
 
-    /// The new table with the lines of findings taken back to the fallback's; the fallback where that does not help.
+    /// Reverts the lines that the findings concern to those of the fallback. Returns the fallback if findings remain.
     fn repair(
         &self,
         pool: &Pool,
@@ -135,7 +139,7 @@
         for _ in 0..MAX_REPAIRS {
             for finding in &remaining {
                 for server in servers_to_revert(finding, pool, &fallback, &repaired) {
-                    put(&mut repaired, server, fallback.get(&server).copied());
+                    replace_line(&mut repaired, server, fallback.get(&server).copied());
                 }
             }
             remaining = new_findings(fallback_findings, inspect(&self.limits, pool, &repaired));
@@ -147,19 +151,18 @@
     }
 }
 
-/// Whether no better table than the new one is at hand: all that is wrong with it is wrong with the fallback too, or the
-/// fallback is worse.
+/// Whether the new table is at least as good as the fallback: the fallback has all of its findings too, or is worse.
 fn is_best_available(findings: &[Finding], new_findings: &[Finding], fallback_findings: &[Finding]) -> bool {
     new_findings.is_empty() || is_worse(fallback_findings, findings)
 }
 
-/// Servers with a usable line that are draining or removed.
+/// Servers that have a usable line although they are draining or removed.
 fn usable_but_unavailable(pool: &Pool, lines: &Lines) -> BTreeSet<ServerId> {
     let unavailable = lines.iter().filter(|(&server, line)| !line.draining && pool.is_unavailable(server));
     unavailable.map(|(&server, _)| server).collect()
 }
 
-fn with_drained(lines: &Lines, drained: &BTreeSet<ServerId>) -> Lines {
+fn with_lines_draining(lines: &Lines, drained: &BTreeSet<ServerId>) -> Lines {
     let mut lines = lines.clone();
     for server in drained {
         lines.entry(*server).and_modify(|line| line.draining = true);
@@ -167,17 +170,17 @@
     lines
 }
 
-/// The table before, with the removals of the next one that keep a rule: those of unavailable servers and of servers in
-/// slow start.
+/// The table before, with those removals and reductions of the new table that are safe in any case: those of unavailable
+/// servers and of servers in slow start.
 fn fallback(pool: &Pool, before: &Lines, next: &Lines) -> Lines {
     let mut fallback = before.clone();
     for (&server, line) in before {
         let unavailable = pool.is_unavailable(server);
-        let in_slow_start = pool.servers.get(&server).is_some_and(|known| known.age.is_some());
+        let in_slow_start = pool.servers.get(&server).is_some_and(|state| state.age.is_some());
         let next_line = next.get(&server).copied();
         let is_withdrawal = next_line.is_none_or(|next| next.draining || next.weight < line.weight);
         if (unavailable || in_slow_start) && is_withdrawal {
-            put(&mut fallback, server, next_line);
+            replace_line(&mut fallback, server, next_line);
         } else if unavailable {
             fallback.insert(server, Line { draining: true, ..*line });
         }
@@ -185,7 +188,7 @@
     fallback
 }
 
-/// Servers whose lines a finding takes back.
+/// Servers whose lines are reverted because of a finding.
 fn servers_to_revert(finding: &Finding, pool: &Pool, fallback: &Lines, next: &Lines) -> Vec<ServerId> {
     match finding.server {
         Some(server) => vec![server],
@@ -206,7 +209,7 @@
     servers.filter(|server| one.get(server) != other.get(server)).collect()
 }
 
-/// Findings of a table that the table before does not have, or less of.
+/// Findings of a table that another table (`before`) does not have, or has to a lesser degree.
 fn new_findings(before: &[Finding], mut after: Vec<Finding>) -> Vec<Finding> {
     after.retain(|finding| {
         let same = before.iter().find(|old| old.rule == finding.rule && old.server == finding.server);
@@ -219,7 +222,7 @@
     after
 }
 
-/// Whether the first table is worse than the second: by the worst rule that one of them breaks more often.
+/// Whether the first table is worse than the second. The worst rule that one table breaks more often than the other decides.
 fn is_worse(one: &[Finding], other: &[Finding]) -> bool {
     let count =
         |findings: &[Finding], rule: Rule| findings.iter().filter(|finding| finding.rule == rule).count();
--- a/crates/guard/src/inspect.rs
+++ b/crates/guard/src/inspect.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a table, in view of the servers that it is drawn from.
+//! Finds what is wrong with a table, given the servers of its pool.
 
 use std::fmt;
 
@@ -7,35 +7,36 @@
 use crate::limits::Limits;
 use crate::pool::{Line, Lines, Pool, Server};
 
-/// Part of the warm, ready servers that a table has at least: a third may be ejected, and some more be on the way.
-const MIN_WARM_PART: f64 = 0.5;
-/// Most load of a server in ratio to its capacity: learned capacity may triple its share, and the others may have come down
-/// to a quarter, 3 x 4.
+/// Smallest fraction of the warm, ready servers that a table must contain: the controller may eject a third of them, and
+/// further changes may still be in progress.
+const MIN_WARM_FRACTION: f64 = 0.5;
+/// Largest load of a server, as a multiple of its capacity. Learned capacity may triple its share, and the weights of the
+/// others may have fallen to a quarter: 3 x 4.
 const MAX_LOAD_RATIO: f64 = 12.0;
-/// Most of all requests that one server gets, 0 to 1.
-const MAX_TRAFFIC_PART: f64 = 0.6;
-/// A load ratio that is always allowed, whatever part of all requests it is.
+/// Largest fraction of all requests that one server may get.
+const MAX_TRAFFIC_FRACTION: f64 = 0.6;
+/// A load up to this multiple of a server's capacity is allowed, whatever fraction of all requests it is.
 const ALWAYS_ALLOWED_LOAD_RATIO: f64 = 4.0;
-/// In a pool of fewer servers the load ratio says nothing.
+/// The load ratio is not checked in smaller pools, where it is not meaningful.
 const MIN_SERVERS_FOR_LOAD_RATIO: usize = 4;
 
-/// A rule that a table breaks, the worst first.
+/// The rules for tables, the one whose violation is worst first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// No line is usable, while a warm server is ready.
+    /// No line is usable although a warm server is ready.
     NoUsableLine,
-    /// A line is usable whose server is draining or removed.
+    /// A draining or removed server has a usable line.
     UnavailableServer,
-    /// A server in slow start gets more than it bears.
+    /// A server in slow start would get more load than it can bear.
     SlowStartOverload,
-    /// Too few of the warm servers have a line.
+    /// Too few of the warm servers have a usable line.
     TooFewServers,
-    /// One server gets too much.
+    /// One server would get too large a share of the requests.
     TooConcentrated,
 }
 
 impl Rule {
-    /// Every rule, the worst first.
+    /// All rules, the worst first.
     pub(crate) const ALL: [Rule; 5] = [
         Rule::NoUsableLine,
         Rule::UnavailableServer,
@@ -44,22 +45,22 @@
         Rule::TooConcentrated,
     ];
 
-    /// Whether the rule is never waived: all but `TooFewServers` and `TooConcentrated`.
+    /// Whether the rule is never waived. Only `TooFewServers` and `TooConcentrated` may be waived.
     pub fn is_mandatory(self) -> bool {
         self < Rule::TooFewServers
     }
 }
 
-/// One thing that is wrong with a table.
+/// A violation of a rule by a table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Finding {
-    /// The rule that it breaks.
+    /// The rule that the table breaks.
     pub rule: Rule,
-    /// The server concerned, where it is one.
+    /// The server concerned, if the finding concerns a single one.
     pub server: Option<ServerId>,
-    /// What the table has; its unit depends on the rule.
+    /// Measured value; its unit depends on the rule.
     pub value: f64,
-    /// What it may have, in the same unit.
+    /// Limit that the value violates, in the same unit.
     pub limit: f64,
 }
 
@@ -68,13 +69,14 @@
         let Finding { value, limit, .. } = self;
         let server = self.server.unwrap_or_default();
         match self.rule {
-            Rule::NoUsableLine => write!(f, "no usable line, with {limit} warm servers ready"),
+            Rule::NoUsableLine => write!(f, "no usable line although {limit} warm servers are ready"),
             Rule::UnavailableServer => {
-                write!(f, "a usable line for server {server}, which is draining or removed")
+                write!(f, "server {server} is draining or removed but has a usable line")
             }
             Rule::SlowStartOverload => write!(
                 f,
-                "server {server} in slow start would get {value:.2} times its capacity, {limit:.2} at most"
+                "server {server} is in slow start and would get {value:.2} times the capacity that it has reached; \
+                 at most {limit:.2} is allowed"
             ),
             Rule::TooFewServers => write!(
                 f,
@@ -83,20 +85,21 @@
             ),
             Rule::TooConcentrated => write!(
                 f,
-                "server {server} would get {value:.1} times its part of the pool's capacity, {limit:.1} at most"
+                "server {server} would get {value:.1} times its share of the pool's capacity; at most {limit:.1} is \
+                 allowed"
             ),
         }
     }
 }
 
-/// A line by which new requests may go to its server.
+/// A line whose server may get new requests.
 struct UsableLine<'a> {
     server: ServerId,
     weight: f64,
-    known: &'a Server,
+    state: &'a Server,
 }
 
-/// The ready servers of a pool.
+/// Totals of the ready servers of a pool.
 struct ReadyServers {
     count: usize,
     warm: usize,
@@ -106,29 +109,30 @@
 impl ReadyServers {
     fn of(limits: &Limits, pool: &Pool) -> Self {
         let mut ready = ReadyServers { count: 0, warm: 0, capacity: 0.0 };
-        for known in pool.ready() {
+        for state in pool.ready() {
             ready.count += 1;
-            ready.warm += usize::from(limits.is_warm(known));
-            ready.capacity += known.capacity;
+            ready.warm += usize::from(limits.is_warm(state));
+            ready.capacity += state.capacity;
         }
         ready
     }
 }
 
-/// All that is wrong with a table, the worst first. Drains in progress count: a line of an unavailable server is no line.
+/// Finds all violations of a table, the worst rule first. A line of an unavailable server counts as a violation, and otherwise
+/// as if it were missing.
 pub fn inspect(limits: &Limits, pool: &Pool, lines: &Lines) -> Vec<Finding> {
     let ready = ReadyServers::of(limits, pool);
     let (usable, mut findings) = usable_lines(pool, lines);
-    let warm_usable = usable.iter().filter(|line| limits.is_warm(line.known)).count();
+    let warm_usable = usable.iter().filter(|line| limits.is_warm(line.state)).count();
     findings.extend(no_usable_line(&usable, &ready));
     findings.extend(too_few_servers(warm_usable, pool, &ready));
     let total_weight: f64 = usable.iter().map(|line| line.weight).sum();
     for line in &usable {
-        let traffic_part = line.weight / total_weight * pool.traffic_share;
-        let load_ratio = traffic_part * ready.capacity / line.known.capacity.max(f64::MIN_POSITIVE);
+        let traffic_fraction = line.weight / total_weight * pool.traffic_share;
+        let load_ratio = traffic_fraction * ready.capacity / line.state.capacity.max(f64::MIN_POSITIVE);
         findings.extend(slow_start_overload(limits, line, load_ratio, &ready));
-        // With a single warm server in the table everything goes there.
-        if limits.is_warm(line.known) && warm_usable > 1 {
+        // A single warm server in the table gets all requests in any case.
+        if limits.is_warm(line.state) && warm_usable > 1 {
             findings.extend(too_concentrated(line, load_ratio, &ready));
         }
     }
@@ -139,10 +143,10 @@
 fn usable_lines<'a>(pool: &'a Pool, lines: &Lines) -> (Vec<UsableLine<'a>>, Vec<Finding>) {
     let mut usable = Vec::with_capacity(lines.len());
     let mut findings = Vec::new();
-    let meant_usable = lines.iter().filter(|(_, line): &(&ServerId, &Line)| line.is_usable());
-    for (&server, line) in meant_usable {
+    let marked_usable = lines.iter().filter(|(_, line): &(&ServerId, &Line)| line.is_usable());
+    for (&server, line) in marked_usable {
         match pool.servers.get(&server).filter(|_| !pool.is_unavailable(server)) {
-            Some(known) => usable.push(UsableLine { server, weight: line.weight, known }),
+            Some(state) => usable.push(UsableLine { server, weight: line.weight, state }),
             None => findings.push(Finding {
                 rule: Rule::UnavailableServer,
                 server: Some(server),
@@ -161,7 +165,7 @@
 
 fn too_few_servers(warm_usable: usize, pool: &Pool, ready: &ReadyServers) -> Option<Finding> {
     let value = warm_usable as f64;
-    let limit = MIN_WARM_PART * pool.traffic_share * ready.warm as f64;
+    let limit = MIN_WARM_FRACTION * pool.traffic_share * ready.warm as f64;
     let finding = Finding { rule: Rule::TooFewServers, server: None, value, limit };
     (value < limit.min(ready.warm as f64).floor()).then_some(finding)
 }
@@ -172,15 +176,15 @@
     load_ratio: f64,
     ready: &ReadyServers,
 ) -> Option<Finding> {
-    let value = load_ratio / limits.capacity_fraction(line.known);
+    let value = load_ratio / limits.capacity_fraction(line.state);
     let limit = limits.overload_ratio;
     let finding = Finding { rule: Rule::SlowStartOverload, server: Some(line.server), value, limit };
-    // Where no warm server is ready, one in slow start has to bear it.
-    (!limits.is_warm(line.known) && ready.warm > 0 && value > limit).then_some(finding)
+    // If no warm server is ready, the servers in slow start have to take the load.
+    (!limits.is_warm(line.state) && ready.warm > 0 && value > limit).then_some(finding)
 }
 
 fn too_concentrated(line: &UsableLine, load_ratio: f64, ready: &ReadyServers) -> Option<Finding> {
-    let at_max_traffic = MAX_TRAFFIC_PART * ready.capacity / line.known.capacity.max(f64::MIN_POSITIVE);
+    let at_max_traffic = MAX_TRAFFIC_FRACTION * ready.capacity / line.state.capacity.max(f64::MIN_POSITIVE);
     let limit = at_max_traffic.clamp(ALWAYS_ALLOWED_LOAD_RATIO, MAX_LOAD_RATIO);
     let finding =
         Finding { rule: Rule::TooConcentrated, server: Some(line.server), value: load_ratio, limit };
--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -1,8 +1,9 @@
-//! The pool guard: inspects each version of a table before it is published, whoever made it, and refuses what would empty a
-//! pool, leave too few servers in it, overload a server in slow start or send most requests to one server. Decisions, free of
-//! I/O and clock. Called by `crates/xds-supervisor/src/tables.rs`; `docs/guard.md` has the design.
+//! The pool guard: inspects each version of a table before it is published, whoever made it. It refuses changes that would
+//! empty a pool, leave too few servers in it, overload a server in slow start or send most requests to one server. It only
+//! decides; it does no I/O and reads no clock. Called by `crates/xds-supervisor/src/tables.rs`; `docs/guard.md` describes the
+//! design.
 //!
-//! It shares no code with what makes tables: a fault there must not be a fault here.
+//! The guard shares no code with the modules that make tables, so that a fault in them does not affect the guard as well.
 
 #![deny(missing_docs)]
 
--- a/crates/guard/src/limits.rs
+++ b/crates/guard/src/limits.rs
@@ -1,27 +1,28 @@
-//! The guard's limits as the settings give them.
+//! The guard's limits, derived from the controller's settings.
 
 use shalereel::interface::{ControllerConfig, Nanos};
 
 use crate::pool::Server;
 
-/// Rounds of reports until a rule that may be waived is waived: what a table did shows within one, and after two nothing
-/// is on its way.
+/// Number of report rounds after which a rule that may be waived is waived. The effect of a table shows within one round, and
+/// after two no report from before is still on its way.
 const MAX_REFUSAL_ROUNDS: Nanos = 2;
-/// Part of the drain grace that the controller has to take a server out; the guard's own change needs the rest to arrive.
+/// The drain grace period divided by this is the time that the controller has to take a server out of use. The guard's own
+/// change needs the rest of the period to reach the proxies.
 const DRAIN_CHECK_GRACE_DIVISOR: Nanos = 2;
 
-/// Figures from the settings.
+/// The guard's limits.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Part of its capacity that a server has at its start.
+    /// Fraction of its capacity that a server has at its start.
     pub(crate) slow_start_capacity: f64,
-    /// Time until it has all of it, ns.
+    /// Time after its start until a server has its full capacity, ns.
     pub(crate) slow_start_duration: Nanos,
-    /// Most load of a server in slow start, in ratio to its capacity.
+    /// Largest load of a server in slow start, as a multiple of the capacity that it has reached.
     pub(crate) overload_ratio: f64,
-    /// Time between reports of a refusal that lasts, and until rules that may be waived are waived, ns.
+    /// Time between reports of a lasting refusal, and time until rules that may be waived are waived, ns.
     pub(crate) max_refusal_time: Nanos,
-    /// Time until lines of a server that is draining or was removed are inspected again, ns.
+    /// Time from the start of a server's drain, or from its removal, until the table is inspected again, ns.
     pub(crate) drain_check_delay: Nanos,
 }
 
@@ -37,12 +38,12 @@
         }
     }
 
-    /// When a table is inspected again for servers that began to drain, or were removed, now.
+    /// Time at which a table is inspected again for servers that begin to drain, or are removed, now.
     pub fn drain_check_at(&self, now: Nanos) -> Nanos {
         now + self.drain_check_delay
     }
 
-    /// Part of its capacity that a server has reached, 0 to 1; 1: it is warm.
+    /// Fraction of its full capacity that a server has reached, 0 to 1. A server at 1 is warm.
     pub fn capacity_fraction(&self, server: &Server) -> f64 {
         match server.age {
             Some(age) if age < self.slow_start_duration => {
--- a/crates/guard/src/pool.rs
+++ b/crates/guard/src/pool.rs
@@ -1,63 +1,63 @@
-//! What is known of servers and of a table's lines.
+//! The servers of a pool, and the lines of a table, as the guard knows them.
 
 use std::collections::BTreeMap;
 
 use shalereel::interface::{Nanos, ServerId};
 
-/// Whether new requests may go to a server, by the endpoint list.
+/// Whether new requests may go to a server, according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It is listed as ready.
+    /// The server is listed as ready.
     Ready,
-    /// It is not listed any more, and removal without draining is advisory (`removal_is_advisory`): a table may have it or
-    /// not.
+    /// The server is not listed any more, but removal without draining is only advisory (`removal_is_advisory`): a table may
+    /// contain the server or not.
     Unlisted,
-    /// It is draining or removed: no new requests may go there.
+    /// The server is draining or removed: it must get no new requests.
     Unavailable,
 }
 
-/// What is known of one server.
+/// A server of the pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Server {
-    /// By the endpoint list.
+    /// Whether new requests may go to it, according to the endpoint list.
     pub availability: Availability,
-    /// Its capacity in ratio to the others'.
+    /// Capacity relative to that of the other servers.
     pub capacity: f64,
-    /// Time since its start, ns; `None`: long ago.
+    /// Time since the server's start, ns; `None` if it started long ago.
     pub age: Option<Nanos>,
 }
 
 /// One line of a table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// Share of requests in ratio to other lines.
+    /// Share of requests relative to the other lines.
     pub weight: f64,
-    /// No new requests go there.
+    /// Whether the server is draining: it gets no new requests.
     pub draining: bool,
 }
 
 impl Line {
-    /// Whether new requests go there.
+    /// Whether new requests are sent to the line's server.
     pub(crate) fn is_usable(&self) -> bool {
         !self.draining && self.weight > 0.0
     }
 }
 
-/// The lines of a table.
+/// The lines of a table, by server.
 pub type Lines = BTreeMap<ServerId, Line>;
 
-/// The servers that a table is drawn from.
+/// The servers from which a table is made.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    /// Each known server.
+    /// All known servers.
     pub servers: BTreeMap<ServerId, Server>,
-    /// Share of all requests that go by the table, 0 to 1.
+    /// Fraction of all requests that are distributed by the table, 0 to 1.
     pub traffic_share: f64,
 }
 
 impl Pool {
     pub(crate) fn availability(&self, server: ServerId) -> Availability {
-        self.servers.get(&server).map_or(Availability::Unavailable, |known| known.availability)
+        self.servers.get(&server).map_or(Availability::Unavailable, |state| state.availability)
     }
 
     pub(crate) fn is_unavailable(&self, server: ServerId) -> bool {
@@ -68,14 +68,14 @@
         self.availability(server) == Availability::Ready
     }
 
-    /// Servers that are listed as ready.
+    /// The servers that are listed as ready.
     pub(crate) fn ready(&self) -> impl Iterator<Item = &Server> {
-        self.servers.values().filter(|known| known.availability == Availability::Ready)
+        self.servers.values().filter(|server| server.availability == Availability::Ready)
     }
 }
 
-/// Sets or removes a line.
-pub(crate) fn put(lines: &mut Lines, server: ServerId, line: Option<Line>) {
+/// Sets or removes a server's line.
+pub(crate) fn replace_line(lines: &mut Lines, server: ServerId, line: Option<Line>) {
     match line {
         Some(line) => lines.insert(server, line),
         None => lines.remove(&server),
