--- a/crates/snapshot/src/freshness.rs
+++ b/crates/snapshot/src/freshness.rs
@@ -1,54 +1,59 @@
-//! Whether a stored snapshot is fresh enough to be used, and how often one is written. Decisions, free of I/O and clock.
+//! Freshness of stored snapshots: whether one may still be used, and how often one is written. Free of I/O
+//! and of clocks.
 
 use shalereel::interface::{ControllerConfig, Nanos};
 use thiserror::Error;
 
-/// Report intervals between two writes: a crash loses at most so many intervals of learning.
+/// Number of report intervals between two writes; a crash loses at most this much of the learned state.
 const WRITE_INTERVALS: Nanos = 2;
-/// Age beyond which a snapshot is rejected, in report intervals: ten minutes at an interval of a second.
+/// Maximum age of a snapshot, in report intervals: ten minutes at an interval of one second.
 const MAX_AGE_INTERVALS: Nanos = 600;
-/// How far ahead of the clock a snapshot may be, in report intervals; beyond, a clock was set.
+/// Maximum lead of a snapshot over the present time, in report intervals; a larger lead means that a clock
+/// was set.
 const MAX_LEAD_INTERVALS: Nanos = 1;
-/// Weight of a proxy's stored request rate beside the one that it reports, for a snapshot of age zero.
+/// Weight of a proxy's stored request rate relative to the rate that it reports, 0 to 1, for a snapshot of
+/// age zero.
 const STORED_RATE_WEIGHT: f64 = 0.5;
-/// Time constant by which that weight decays, in report intervals.
+/// Time constant with which that weight decays, in report intervals.
 const STORED_RATE_DECAY_INTERVALS: f64 = 30.0;
 
+/// One second, in [`Nanos`].
 const SECOND: Nanos = 1_000_000_000;
 
-/// Why an intact snapshot is not used.
+/// Reason why an intact snapshot is not used.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum RejectReason {
-    /// It was taken this far after the present time, ns: a clock was set back, and its age is unknown.
-    #[error("it was taken {} s in the future by this clock", .0 / SECOND)]
+    /// The snapshot was taken this far after the present time, ns: a clock was set back, so the snapshot's
+    /// age is unknown.
+    #[error("it was taken {} s after the present time by this clock", .0 / SECOND)]
     FromFuture(Nanos),
-    /// Its age, ns.
+    /// The snapshot has this age, ns, which is above the maximum.
     #[error("it is {} s old", .0 / SECOND)]
     TooOld(Nanos),
 }
 
-/// Rules for the age of snapshots, in ratios to the report interval.
+/// Rules for the age of snapshots, relative to the report interval.
 #[derive(Clone, Copy, Debug)]
 pub struct FreshnessPolicy {
     pub(crate) report_interval: Nanos,
 }
 
 impl FreshnessPolicy {
-    /// The policy for a controller's report interval.
+    /// Creates the policy for a controller's report interval.
     pub fn new(config: &ControllerConfig) -> Self {
         FreshnessPolicy { report_interval: config.report_interval }
     }
 
-    /// When the next snapshot is due, ns, by the time of the last write.
+    /// Returns when the next snapshot must be written, ns, given the time of the last write.
     pub fn next_write(&self, last_write: Nanos) -> Nanos {
         last_write + WRITE_INTERVALS * self.report_interval
     }
 
-    /// Age of a snapshot, ns. Both times are of the wall clock, ns since 1970.
+    /// Returns the age of a snapshot, ns. Both times are by the wall clock, ns since 1970.
     ///
     /// # Errors
     ///
-    /// The reason why the snapshot is not to be used.
+    /// Returns the reason if the snapshot must not be used.
     pub fn age(&self, taken_at: Nanos, now: Nanos) -> Result<Nanos, RejectReason> {
         let max_age = MAX_AGE_INTERVALS * self.report_interval;
         let max_lead = MAX_LEAD_INTERVALS * self.report_interval;
@@ -60,11 +65,12 @@
         }
     }
 
-    /// Request rate that a joining proxy is expected to bring, per second: between the rate that it reports and the stored one.
+    /// Returns the request rate expected of a proxy that joins, per second: between the rate that it reports
+    /// and its stored rate.
     pub fn expected_rate(&self, reported: f64, stored: Option<f64>, age: Nanos) -> f64 {
         let Some(stored) = stored else { return reported };
-        let decay = STORED_RATE_DECAY_INTERVALS * self.report_interval as f64;
-        let remaining = (-(age as f64) / decay).exp();
-        reported + (stored - reported) * STORED_RATE_WEIGHT * remaining
+        let time_constant = STORED_RATE_DECAY_INTERVALS * self.report_interval as f64;
+        let decay = (-(age as f64) / time_constant).exp();
+        reported + (stored - reported) * STORED_RATE_WEIGHT * decay
     }
 }
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,10 +1,11 @@
-//! Snapshots of what a controller has learned, stored in a file so that a restarted supervisor does not begin from nothing.
-//! Free of I/O and clock. Called by `shalereeld` (`crates/xds-supervisor`), which reads and writes the file.
-//! `docs/memory.md` has the design.
+//! Stored snapshots of the state that a controller has learned, so that a restarted supervisor does not start
+//! without it. Free of I/O and of clocks. `shalereeld` (`crates/xds-supervisor`) reads and writes the file.
+//! `docs/memory.md` describes the design.
 //!
-//! The file is one frame of `shalereel_journal` behind a magic of its own: it is either intact or not used. The record is a
-//! schema number and the snapshot in postcard's format (`postcard` 1). [`FreshnessPolicy`] decides whether a snapshot is
-//! still used and how often one is written; how much the parts of a used one weigh is the controller's decision.
+//! The file is a single frame of `shalereel_journal` after a magic number of its own; it is used only if it
+//! is intact. The record is a schema number followed by the snapshot in postcard's format (`postcard` 1).
+//! [`FreshnessPolicy`] decides whether a snapshot may still be used and how often one is written; the
+//! controller decides how much weight the parts of a restored snapshot have.
 
 #![deny(missing_docs)]
 
--- a/crates/snapshot/src/schema.rs
+++ b/crates/snapshot/src/schema.rs
@@ -1,4 +1,5 @@
-//! Schemas of the stored snapshot. Postcard stores fields in their order and without names: the order must not change.
+//! Schemas of the stored snapshot. Postcard stores fields in order and without names, so the order of fields
+//! must not change.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +8,10 @@
 
 use crate::stored::{SnapshotError, StoredSnapshot};
 
-/// Number of the schema that is written.
+/// Number of the schema that this program writes.
 pub(crate) const CURRENT_SCHEMA: u16 = 2;
 
-/// What was learned of one incarnation of a server.
+/// State learned about one incarnation of a server.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct ServerRecord {
     server: u32,
@@ -18,20 +19,20 @@
     attempts: f32,
     failures: f32,
     responses: f32,
-    /// In ns.
+    /// In nanoseconds.
     mean_response_time: u64,
     missing_responses: f32,
     applied_share: f32,
     health: u8,
     recovery: f32,
-    /// In ns.
+    /// In nanoseconds.
     ejected_for: Option<u64>,
     unresponsive: bool,
-    /// In ns.
+    /// In nanoseconds.
     ejection_time: u64,
 }
 
-/// What was learned of all servers together.
+/// State learned about all servers together.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct FleetRecord {
     attempts: f64,
@@ -39,13 +40,13 @@
     usual_weight: f64,
     peak_load: f64,
     load_limit: Option<f64>,
-    /// In ns.
+    /// In nanoseconds.
     isolation_left: u64,
-    /// In ns.
+    /// In nanoseconds.
     isolation_time: u64,
 }
 
-/// Schema 1: without proxies' request rates.
+/// Schema 1, which lacks the proxies' request rates.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct SchemaV1 {
     pub(crate) taken_at: u64,
@@ -53,10 +54,10 @@
     pub(crate) fleet: FleetRecord,
 }
 
-/// Schema 2.
+/// Schema 2, the current one.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct SchemaV2 {
-    /// By the wall clock, ns since 1970.
+    /// Time of the snapshot by the wall clock, ns since 1970.
     pub(crate) taken_at: u64,
     pub(crate) servers: Vec<ServerRecord>,
     pub(crate) fleet: FleetRecord,
@@ -71,27 +72,27 @@
 }
 
 impl ServerRecord {
-    fn new(learned: &ServerSnapshot, incarnation: u64) -> Self {
-        let has_responses = learned.responses > 0.0;
-        let mean = if has_responses { learned.response_time_sum / learned.responses } else { 0.0 };
+    fn new(snapshot: &ServerSnapshot, incarnation: u64) -> Self {
+        let has_responses = snapshot.responses > 0.0;
+        let mean = if has_responses { snapshot.response_time_sum / snapshot.responses } else { 0.0 };
         ServerRecord {
-            server: learned.server,
+            server: snapshot.server,
             incarnation,
-            attempts: learned.attempts as f32,
-            failures: learned.failures as f32,
-            responses: learned.responses as f32,
+            attempts: snapshot.attempts as f32,
+            failures: snapshot.failures as f32,
+            responses: snapshot.responses as f32,
             mean_response_time: mean as u64,
-            missing_responses: learned.missing_responses as f32,
-            applied_share: learned.applied_share as f32,
-            health: learned.health,
-            recovery: learned.recovery as f32,
-            ejected_for: learned.ejected_for,
-            unresponsive: learned.unresponsive,
-            ejection_time: learned.ejection_time,
+            missing_responses: snapshot.missing_responses as f32,
+            applied_share: snapshot.applied_share as f32,
+            health: snapshot.health,
+            recovery: snapshot.recovery as f32,
+            ejected_for: snapshot.ejected_for,
+            unresponsive: snapshot.unresponsive,
+            ejection_time: snapshot.ejection_time,
         }
     }
 
-    fn learned(&self) -> ServerSnapshot {
+    fn snapshot(&self) -> ServerSnapshot {
         ServerSnapshot {
             server: self.server,
             attempts: self.attempts.into(),
@@ -121,19 +122,19 @@
 }
 
 impl FleetRecord {
-    fn new(learned: &Snapshot) -> Self {
+    fn new(snapshot: &Snapshot) -> Self {
         FleetRecord {
-            attempts: learned.attempts,
-            failures: learned.failures,
-            usual_weight: learned.usual_weight,
-            peak_load: learned.peak_load,
-            load_limit: learned.load_limit,
-            isolation_left: learned.isolation_left,
-            isolation_time: learned.isolation_time,
+            attempts: snapshot.attempts,
+            failures: snapshot.failures,
+            usual_weight: snapshot.usual_weight,
+            peak_load: snapshot.peak_load,
+            load_limit: snapshot.load_limit,
+            isolation_left: snapshot.isolation_left,
+            isolation_time: snapshot.isolation_time,
         }
     }
 
-    fn learned(&self, servers: Vec<ServerSnapshot>) -> Snapshot {
+    fn snapshot(&self, servers: Vec<ServerSnapshot>) -> Snapshot {
         Snapshot {
             servers,
             attempts: self.attempts,
@@ -154,9 +155,9 @@
 
 impl From<&StoredSnapshot> for SchemaV2 {
     fn from(stored: &StoredSnapshot) -> Self {
-        let record = |learned: &ServerSnapshot| {
-            let incarnation = stored.incarnations.get(&learned.server).copied().unwrap_or(0);
-            ServerRecord::new(learned, incarnation)
+        let record = |snapshot: &ServerSnapshot| {
+            let incarnation = stored.incarnations.get(&snapshot.server).copied().unwrap_or(0);
+            ServerRecord::new(snapshot, incarnation)
         };
         SchemaV2 {
             taken_at: stored.taken_at,
@@ -171,19 +172,22 @@
     type Error = SnapshotError;
 
     fn try_from(record: SchemaV2) -> Result<Self, SnapshotError> {
-        let of_servers = record.servers.iter().flat_map(ServerRecord::numbers_to_validate);
-        let of_proxies = record.proxy_rates.values().copied();
-        let mut numbers =
-            record.fleet.numbers_to_validate().into_iter().chain(of_servers.chain(of_proxies).map(f64::from));
+        let server_numbers = record.servers.iter().flat_map(ServerRecord::numbers_to_validate);
+        let proxy_numbers = record.proxy_rates.values().copied();
+        let mut numbers = record
+            .fleet
+            .numbers_to_validate()
+            .into_iter()
+            .chain(server_numbers.chain(proxy_numbers).map(f64::from));
         if numbers.any(|number| !number.is_finite() || number < 0.0) {
             return Err(SnapshotError::InvalidNumber);
         }
-        let servers = record.servers.iter().map(ServerRecord::learned).collect();
+        let servers = record.servers.iter().map(ServerRecord::snapshot).collect();
         Ok(StoredSnapshot {
             taken_at: record.taken_at,
             incarnations: record.servers.iter().map(|server| (server.server, server.incarnation)).collect(),
             proxy_rates: record.proxy_rates.into_iter().map(|(id, rate)| (id, rate.into())).collect(),
-            learned: record.fleet.learned(servers),
+            learned: record.fleet.snapshot(servers),
         })
     }
 }
--- a/crates/snapshot/src/stored.rs
+++ b/crates/snapshot/src/stored.rs
@@ -1,4 +1,4 @@
-//! The stored snapshot and its file.
+//! The stored snapshot and the format of its file.
 
 use std::collections::BTreeMap;
 
@@ -9,54 +9,56 @@
 
 use crate::schema::{SchemaV1, SchemaV2, CURRENT_SCHEMA};
 
-/// First bytes of the file.
+/// Magic number at the start of the file.
 pub const MAGIC: &shalereel_journal::Magic = b"shlrmem1";
 
-/// Why a file is rejected. Nothing but the snapshot is lost by that.
+/// Reason why a snapshot file is rejected. Only the snapshot is lost.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// The file's frames are damaged or of another format.
+    /// The file's frames are damaged or have another format.
     #[error(transparent)]
     Journal(#[from] JournalError),
-    /// No record was written into the file yet.
-    #[error("the file has no record yet")]
+    /// The file does not contain a record yet.
+    #[error("the file does not contain a record yet")]
     Empty,
-    /// The number of a schema that this program does not know.
-    #[error("schema {0} is not supported, only 1 and 2 are; the file will be rewritten")]
+    /// The record has this schema number, which this program does not know.
+    #[error("schema {0} is not supported (supported: 1 and 2); the file will be rewritten")]
     UnsupportedSchema(u16),
-    /// The checksum is right, but the record cannot be decoded.
-    #[error("the checksum is right but the record cannot be decoded; the file will be rewritten")]
+    /// The checksum is correct, but the record cannot be decoded.
+    #[error("the checksum is correct, but the record cannot be decoded; the file will be rewritten")]
     Malformed,
-    /// A number is negative or not finite.
-    #[error("a number is negative or not finite; the file will be rewritten")]
+    /// A number in the record is negative or not finite.
+    #[error("a number in the record is negative or not finite; the file will be rewritten")]
     InvalidNumber,
 }
 
-/// What a controller had learned at one moment.
+/// State that a controller had learned at one point in time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredSnapshot {
-    /// When it was taken, by the wall clock, ns since 1970.
+    /// Time of the snapshot by the wall clock, ns since 1970.
     pub taken_at: Nanos,
-    /// What the controller had learned.
+    /// State that the controller had learned.
     pub learned: Snapshot,
-    /// Incarnation of each server that it was learned of: it does not hold for a later one.
+    /// Incarnation of each server about which state was learned; the state does not apply to a later
+    /// incarnation.
     pub incarnations: BTreeMap<ServerId, u64>,
-    /// Requests per second that came to proxies, by their node id.
+    /// Requests per second that each proxy received, by node id.
     pub proxy_rates: BTreeMap<String, f64>,
 }
 
 impl StoredSnapshot {
-    /// The record of the file, to be framed.
+    /// Encodes the record of the file, without its frame.
     pub fn encode_record(&self) -> Vec<u8> {
-        // Writing into a vector does not fail.
+        // Writing into a vector cannot fail.
         postcard::to_extend(&(CURRENT_SCHEMA, SchemaV2::from(self)), Vec::new()).unwrap_or_default()
     }
 
-    /// Reads the newest snapshot of a file.
+    /// Decodes the newest snapshot of a file.
     ///
     /// # Errors
     ///
-    /// Damage, another schema, or a record that no supervisor writes; nothing of the file is to be used then.
+    /// Returns an error if the file is damaged, has an unknown schema, or contains a record that no
+    /// supervisor writes; nothing of the file may be used then.
     pub fn decode_file(file: &[u8]) -> Result<Self, SnapshotError> {
         let records = shalereel_journal::records(file, MAGIC)?;
         let record = records.last().ok_or(SnapshotError::Empty)?.payload;
@@ -70,8 +72,8 @@
         StoredSnapshot::try_from(decoded)
     }
 
-    /// What was learned, without servers that have restarted or were removed since. `current_incarnation` gives that of a
-    /// listed server.
+    /// Returns the learned state without servers that have since restarted or been removed.
+    /// `current_incarnation` returns the incarnation of a listed server.
     pub fn for_current_incarnations(
         &self,
         current_incarnation: impl Fn(ServerId) -> Option<u64>,
@@ -85,7 +87,7 @@
     }
 }
 
-/// Decodes a value that takes up all the bytes.
+/// Decodes a value that takes up all of the bytes.
 fn decode_exactly<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, SnapshotError> {
     match postcard::take_from_bytes(bytes) {
         Ok((value, [])) => Ok(value),
--- a/crates/snapshot/src/tests.rs
+++ b/crates/snapshot/src/tests.rs
@@ -1,4 +1,4 @@
-//! The snapshot's file read intact, damaged and of other schemas; the age of snapshots.
+//! Tests of reading the snapshot file intact, damaged and with other schemas, and of the age of snapshots.
 
 use oorandom::Rand64;
 use rstest::rstest;
@@ -6,7 +6,7 @@
 use shalereel_journal::frame;
 
 use crate::schema::{SchemaV1, SchemaV2};
-use crate::*;
+use crate::{FreshnessPolicy, RejectReason, SnapshotError, StoredSnapshot, MAGIC};
 
 const SECOND: Nanos = 1_000_000_000;
 
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn file_of_schema_1_is_read_without_proxy_rates() {
+fn file_with_schema_1_is_read_without_proxy_rates() {
     let written = snapshot(3);
     let (_, SchemaV2 { taken_at, servers, fleet, .. }): (u16, SchemaV2) =
         postcard::from_bytes(&written.encode_record()).unwrap();
@@ -78,7 +78,8 @@
     assert_eq!(StoredSnapshot::decode_file(&file(&record)), Err(error));
 }
 
-/// Guards against the use of a torn or damaged file: cut at every byte, blocks zeroed, changed or swapped.
+/// Guards against using a torn or damaged file: the file is cut at every byte, and blocks are zeroed, changed
+/// or swapped.
 #[test]
 fn damaged_file_is_rejected_or_read_unchanged() {
     let written = snapshot(40);
@@ -86,8 +87,8 @@
     for cut in 0..intact.len() {
         assert!(StoredSnapshot::decode_file(&intact[..cut]).is_err(), "cut at {cut}");
     }
-    let mut chance = Rand64::new(3);
-    let mut draw = |most: usize| chance.rand_range(0..most as u64) as usize;
+    let mut random = Rand64::new(3);
+    let mut draw = |bound: usize| random.rand_range(0..bound as u64) as usize;
     for _ in 0..3000 {
         let mut damaged = intact.clone();
         match draw(3) {
@@ -120,7 +121,7 @@
 #[case::slightly_ahead(100, 99, Ok(0))]
 #[case::clock_set_back(100, 40, Err(RejectReason::FromFuture(60)))]
 #[case::a_week(0, 604_800, Err(RejectReason::TooOld(604_800)))]
-fn snapshot_age_is_by_the_wall_clock(
+fn snapshot_age_is_measured_by_the_wall_clock(
     #[case] taken_at: u64,
     #[case] now: u64,
     #[case] expected: Result<u64, RejectReason>,
--- a/crates/snapshot/tests/stored.rs
+++ b/crates/snapshot/tests/stored.rs
@@ -1,9 +1,10 @@
-//! A file written by an earlier version is read with the same content.
+//! Checks that a file written by an earlier version is read with the same content.
 
 use shalereel::interface::Snapshot;
 use shalereel_snapshot::StoredSnapshot;
 
-/// The literals of a value in the order of its fields, without the names of types and fields, which may change.
+/// Formats the literals of a value in the order of its fields, without the names of types and fields, which
+/// may change.
 fn literals(value: &impl std::fmt::Debug) -> String {
     let text = format!("{value:?}");
     let mut words = text.split(|c: char| !(c.is_alphanumeric() || "\"._-:".contains(c)));
@@ -17,7 +18,8 @@
     line
 }
 
-/// Guards against a renamed or moved field that changes the stored form without a word from the compiler.
+/// Guards against renaming or moving a field in a way that changes the stored form, which the compiler does
+/// not report.
 #[test]
 fn learned_state_of_an_earlier_version_is_read() {
     let stored = StoredSnapshot::decode_file(include_bytes!("stored/memory.bin")).unwrap();
@@ -27,7 +29,7 @@
     assert_eq!(read, include_str!("stored/memory.txt"));
 }
 
-/// Guards against a change of the written form: other versions of the program would not read it.
+/// Guards against a change of the stored form: other versions of the program could not read it.
 #[test]
 fn learned_state_of_an_earlier_version_is_written_with_the_same_bytes() {
     let file = include_bytes!("stored/memory.bin");
