--- a/src/channel/obligations.rs
+++ b/src/channel/obligations.rs
@@ -1,5 +1,5 @@
 //! Delivery obligations: removals of servers that are not ready, and tables for newly joined proxies,
-//! whatever these hold. They determine the choice of tables and the order of assignments.
+//! whatever state these hold. They determine the choice of tables and the order of assignments.
 
 use std::collections::BTreeMap;
 
@@ -28,8 +28,8 @@
         self.unready_since.get(&server).copied().unwrap_or(now) + self.drain_grace
     }
 
-    /// Deadline after which a newly joined proxy may not send to servers that are not ready, whatever it held
-    /// when it joined.
+    /// Deadline after which a newly joined proxy must not send to servers that are not ready, whatever state
+    /// it held when it joined.
     pub(super) fn newly_joined_deadline(&self, proxy: &Proxy) -> Nanos {
         // Half of the range of `Nanos`, so that adding the grace period cannot overflow.
         let first = self.unready_since.values().min().copied().unwrap_or(Nanos::MAX / 2);
--- a/src/channel/table_choice.rs
+++ b/src/channel/table_choice.rs
@@ -1,8 +1,8 @@
-//! Choice between the full table and a fallback subset for each proxy. Guards the deadlines of drains, and of
-//! what newly joined proxies hold, against a channel that cannot deliver full tables and their changes to all
-//! proxies in time. In that case newly joined proxies, and if necessary all proxies, use fallback subsets,
-//! whose messages are short. A fallback subset distributes load less evenly, so proxies return to the full
-//! table when the channel keeps up.
+//! Choice between the full table and a fallback subset for each proxy. Guards draining servers, and newly
+//! joined proxies that hold outdated state, against a channel that cannot deliver full tables and their
+//! changes to all proxies in time. In that case newly joined proxies, and if necessary all proxies, use
+//! fallback subsets, whose messages are short. A fallback subset distributes load less evenly, so proxies
+//! return to the full table when the channel keeps up.
 
 use std::collections::BTreeMap;
 
@@ -95,7 +95,7 @@
         self.move_to_fallback_subsets(&waiting);
     }
 
-    /// Keeps proxies on their fallback subsets that were about to return to the full table.
+    /// Keeps proxies that were about to return to the full table on their fallback subsets.
     fn keep_fallback_subsets(&mut self) {
         for proxy in self.proxies.by_id.values_mut() {
             if proxy.intended_table != FULL_TABLE {
--- a/src/channel/updates.rs
+++ b/src/channel/updates.rs
@@ -38,7 +38,7 @@
 struct Allowance {
     /// Deferrable changes may be sent.
     takes_deferrable: bool,
-    /// The queue is longer than deferrable changes may be added to.
+    /// The queue is too long to add deferrable changes.
     queue_is_long: bool,
     urgent_lines: f64,
     admission_limit_lines: f64,
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -15,10 +15,10 @@
 #[cfg(test)]
 mod tests;
 
-/// A warming server may get this share of `overload_ratio` times its capacity, and at least its capacity.
+/// A warming server may get this share of `overload_ratio` times its capacity, but at least its capacity.
 const SLOW_START_OVERLOAD_SHARE: f64 = 0.6;
-/// The failure rate at which warming servers are held back is multiplied by this share of `overload_ratio`,
-/// or by 1 if that is less.
+/// This share of `overload_ratio`, but at least 1, multiplies the failure rate at which warming servers are
+/// held back.
 const HOLD_BACK_OVERLOAD_SHARE: f64 = 0.4;
 /// Avoidance counts as common when a proxy sees `failures_to_avoid` consecutive failures with this
 /// probability, 0 to 1.
@@ -33,8 +33,7 @@
 const REPORT_GAP_INTERVALS: Nanos = 2;
 /// Factor on the failure rate at which warming servers are held back after a gap in the reports, 0 to 1.
 pub(crate) const CAUTIOUS_FAILURE_SHARE: f64 = 0.4;
-/// When the warm servers have less than this share of the usual ready weight, they are about to be
-/// overloaded.
+/// Share of the usual ready weight below which the remaining warm servers are about to be overloaded.
 const MIN_WARM_SHARE: f64 = 0.4;
 /// Time constant of the usual ready weight.
 pub(crate) const USUAL_WEIGHT_TIME_CONSTANT: Nanos = 40 * SECOND;
@@ -59,7 +58,7 @@
         }
     }
 
-    /// Share of its weight that a server may get that started at `started_at` (0: unknown or long ago); 1
+    /// Share of its weight that a server with the start time `started_at` (0: unknown or long ago) may get; 1
     /// once it is warm.
     pub(crate) fn weight_share(&self, started_at: Nanos, now: Nanos) -> f64 {
         let age = now.saturating_sub(started_at);
