--- a/crates/xds-supervisor/src/channel/tests.rs
+++ b/crates/xds-supervisor/src/channel/tests.rs
@@ -1,4 +1,4 @@
-//! The channel's rate and its account.
+//! Pacing and line counts of the channel.
 
 use super::*;
 
@@ -21,7 +21,7 @@
     assert_eq!(channel.depart(15_999_999), None);
     let first = channel.depart(60_000_000).unwrap();
     assert_eq!((first.proxy, first.mark, channel.backlog().queued_lines), (1, Some(7), 30.0));
-    // The second began to leave when the first had left, not when it was taken.
+    // The second message began to leave when the first had left the channel, not when the first was taken.
     assert_eq!(channel.next_departure(), Some(46_000_000));
     channel.enqueue(50_000_000, &BTreeMap::from([(3, 0.0)]), None);
     channel.drop_messages_to(2);
--- a/crates/xds-supervisor/src/client_limits/tests.rs
+++ b/crates/xds-supervisor/src/client_limits/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn third_rejection_terminates_the_stream_and_time_outs_follow_the_report_interval() {
+fn third_rejection_terminates_the_stream_and_timeouts_follow_the_report_interval() {
     let limits = ClientLimits { report_interval: 40, round_trip_and_report: 100, channel_drain_time: 50 };
     assert_eq!(limits.on_nack(1000, 1), NackResponse::ResendAt(1100));
     assert_eq!(limits.on_nack(1000, 2), NackResponse::ResendAt(1200));
--- a/crates/xds-supervisor/src/peer_reports/tests.rs
+++ b/crates/xds-supervisor/src/peer_reports/tests.rs
@@ -1,4 +1,4 @@
-//! Which reports of other members' proxies count.
+//! Selection of the reports of other members' proxies.
 
 use super::*;
 
@@ -14,7 +14,7 @@
         load: Vec::new(),
     };
     let reports = vec![report(1, 10, 4), report(2, 10, 5), report(3, 0, 0), report(4, 2, 2)];
-    let counted: Vec<EndpointReport> = failures_of_peers(reports).collect();
+    let selected: Vec<EndpointReport> = failures_of_peers(reports).collect();
     let failed = |server, failures| EndpointReport { response_time: 0, ..report(server, failures, failures) };
-    assert_eq!(counted, vec![failed(2, 5), failed(4, 2)]);
+    assert_eq!(selected, vec![failed(2, 5), failed(4, 2)]);
 }
--- a/crates/xds-supervisor/src/storage/tests.rs
+++ b/crates/xds-supervisor/src/storage/tests.rs
@@ -1,4 +1,4 @@
-//! Torn writes and failing disks under a [`FileWriter`].
+//! Torn and failing writes of a [`FileWriter`].
 
 use std::time::{Duration, Instant};
 
@@ -22,13 +22,13 @@
     WriteRequest { replaces_file: true, ..append(sequence, text) }
 }
 
-/// Writes all; gives the result of the last write and the records of the file after it.
+/// Writes all requests; returns the result of the last write and the records of the file after it.
 fn write(folder: &Path, requests: &[WriteRequest]) -> (io::Result<u64>, Vec<String>) {
     let before = read_file(folder, TABLE_HISTORY_FILE).unwrap();
     let complete_bytes =
         before.map(|bytes| records(&bytes, MAGIC).unwrap().last().map_or(MAGIC.len(), |record| record.end));
-    let (ours, theirs) = UnixStream::pair().unwrap();
-    let writer = FileWriter::open(folder, TABLE_HISTORY_FILE, MAGIC, complete_bytes, theirs).unwrap();
+    let (wake_receiver, wake_sender) = UnixStream::pair().unwrap();
+    let writer = FileWriter::open(folder, TABLE_HISTORY_FILE, MAGIC, complete_bytes, wake_sender).unwrap();
     let started_at = Instant::now();
     let mut result = Ok(0);
     for request in requests {
@@ -42,7 +42,7 @@
             std::thread::yield_now();
         }
     }
-    drop(ours);
+    drop(wake_receiver);
     let bytes = read_file(folder, TABLE_HISTORY_FILE).unwrap().unwrap();
     let found = records(&bytes, MAGIC).unwrap();
     (result, found.iter().map(|record| String::from_utf8(record.payload.to_vec()).unwrap()).collect())
@@ -57,7 +57,7 @@
     fs::write(&path, [&fs::read(&path).unwrap()[..], &torn[..torn.len() - 1]].concat()).unwrap();
     assert_eq!(write(&folder, &[append(1, "c")]).1, ["a", "b", "c"]);
     assert_eq!(write(&folder, &[replace(1, "d"), append(2, "e")]).1, ["d", "e"]);
-    // A file that was torn when it was created.
+    // A crash during the file's creation leaves a part of the magic.
     fs::write(&path, &MAGIC[..3]).unwrap();
     assert_eq!(write(&folder, &[append(1, "f")]).1, ["f"]);
     let _ = fs::remove_dir_all(folder);
--- a/crates/xds-supervisor/tests/core/channel.rs
+++ b/crates/xds-supervisor/tests/core/channel.rs
@@ -1,4 +1,4 @@
-//! The channel's rate as clients see it.
+//! The rate of the channel, observed by clients.
 
 use super::*;
 
@@ -12,7 +12,8 @@
         let message = client.subscribe(types::ASSIGNMENT, ["view".to_owned(), EXCLUDED.to_owned()]);
         harness.core.handle_message(harness.now, peer as Peer, &message);
     }
-    // Each is assigned a table of five: 10 of overhead, 1 + 5 lines + 2 admission limits, 1 mark: 19 ms at 1 a ms.
+    // Each client is assigned a table of five servers. Its message costs 10 lines of overhead, 1 for the assignment, 5
+    // for the servers, 2 for the admission limits and 1 for the mark: 19 lines, or 19 ms at 1 line per ms.
     harness.run_ms(18);
     assert_eq!(harness.sent.len(), 0);
     assert_eq!(harness.core.backlog().queued_lines, 4.0 * 19.0);
--- a/crates/xds-supervisor/tests/core/deployment_file.rs
+++ b/crates/xds-supervisor/tests/core/deployment_file.rs
@@ -1,4 +1,4 @@
-//! Deployment files that are rejected.
+//! Rejection of invalid deployment files.
 
 use rstest::rstest;
 
@@ -37,9 +37,9 @@
 fn invalid_file_is_rejected_with_line_key_and_remedy(
     #[case] from: &str,
     #[case] to: &str,
-    #[case] said: &str,
+    #[case] expected: &str,
 ) {
     let text = DEPLOYMENT.replace("supervisors = 1", "supervisors = 1\nseed = 3").replacen(from, to, 1);
     let error = Deployment::parse(Path::new("file"), &text).unwrap_err().to_string();
-    assert!(error.contains(said), "{error}");
+    assert!(error.contains(expected), "{error}");
 }
--- a/crates/xds-supervisor/tests/core/discovery.rs
+++ b/crates/xds-supervisor/tests/core/discovery.rs
@@ -1,10 +1,11 @@
-//! Tables as discovery clients receive, acknowledge and reject them.
+//! Delivery of tables to discovery clients, with their acknowledgements and rejections.
 
 use rstest::rstest;
 
 use super::*;
 
-/// From the listener to the endpoints as the specification has it, with none of our own features.
+/// The client requests listener, routes, clusters and endpoints in the order of the specification, and uses none of the
+/// extensions.
 #[rstest]
 #[case(Variant::StateOfTheWorld)]
 #[case(Variant::Incremental)]
@@ -27,7 +28,7 @@
     assert_eq!(clusters[0].resources.len(), 2);
     let tables = subscribe(&mut harness, &mut client, types::ASSIGNMENT, &["view", "order"]);
     assert_eq!(summaries(tables.last().unwrap()), [summary("view", 5, 0), summary("order", 5, 0)]);
-    // A drain leaves at once, not with the next ordinary batch.
+    // A drain is sent at once, not with the next regular batch.
     harness.list_draining(&[3]);
     harness.run_ms(200);
     let tables = harness.read_and_acknowledge(7, &mut client);
@@ -65,8 +66,8 @@
         }
         let (_, message) = harness.sent.remove(0);
         let update = client.handle(&message).unwrap();
-        assert_eq!(summaries(&update), [summary("view", 5, 0)], "the whole table each time");
-        let rejection = client.nack(&update, "not like this".into());
+        assert_eq!(summaries(&update), [summary("view", 5, 0)], "each response has the full table");
+        let rejection = client.nack(&update, "rejected by the test".into());
         harness.core.handle_message(harness.now, 1, &rejection);
     }
     harness.run_ms(1);
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn unresponsive_client_is_closed_and_holds_up_nobody() {
+fn unresponsive_client_is_closed_and_does_not_delay_others() {
     let mut harness = Harness::new(None);
     harness.list_draining(&[]);
     for peer in [1, 2] {
@@ -84,7 +85,8 @@
             assert_eq!(harness.read_and_acknowledge(peer, &mut client).len(), 1);
         }
     }
-    // Four times a round of 1.2 s and the 2 s in which a full channel empties.
+    // The timeout is four times the sum of a round trip with report interval (1.2 s) and the time in which a full
+    // channel empties (2 s).
     harness.run_ms(12_000);
     assert!(harness.closed.is_empty());
     harness.run_ms(2_500);
--- a/crates/xds-supervisor/tests/core/harness.rs
+++ b/crates/xds-supervisor/tests/core/harness.rs
@@ -1,4 +1,4 @@
-//! A supervisor without sockets and with a simulated clock, and clients of it.
+//! Harness around a supervisor without sockets and with a simulated clock, and helpers for its clients.
 
 use std::path::Path;
 
@@ -58,7 +58,7 @@
 billed_value = 5.0
 "#;
 
-/// A core with a simulated clock, and what it sent to each peer.
+/// A core with a simulated clock, and the messages that it has sent.
 pub struct Harness {
     pub core: Core,
     pub now: Nanos,
@@ -67,7 +67,7 @@
     pub closed: Vec<(Peer, Code)>,
     /// Listed capacity of servers 1 to 5.
     pub capacities: Vec<f64>,
-    /// Records of the tables' history.
+    /// Records of the table history.
     pub history: Vec<bytes::Bytes>,
 }
 
@@ -91,6 +91,7 @@
         harness
     }
 
+    /// Polls the core once per millisecond, and collects what it sends and stores.
     pub fn run_ms(&mut self, ms: u64) {
         for _ in 0..ms {
             self.now += MILLI;
@@ -115,12 +116,12 @@
         }
     }
 
-    /// Lists servers 1 to 5, some as draining.
+    /// Sends the core a list of servers 1 to 5, with the given ones draining.
     pub fn list_draining(&mut self, draining: &[u32]) {
         self.list_servers(draining, &self.capacities.clone());
     }
 
-    /// Lists all with other capacities from now on.
+    /// Sends the core a list of servers 1 to 5 with new capacities, which later lists keep.
     pub fn list_capacities(&mut self, capacities: &[f64]) {
         self.capacities = capacities.to_vec();
         self.list_draining(&[]);
@@ -139,6 +140,7 @@
         self.core.handle_endpoint_list(self.now, &list);
     }
 
+    /// Opens a discovery stream of a client that has not sent a message yet.
     pub fn open_client(&mut self, peer: Peer, id: &str, variant: Variant) -> ClientStream {
         self.core.stream_opened(peer, variant);
         ClientStream::new(variant, NodeInfo { id: id.into(), zone: "a".into(), ..NodeInfo::default() })
@@ -152,15 +154,15 @@
         client
     }
 
-    /// Takes what was sent to a peer.
+    /// Takes the messages that were sent to a peer.
     pub fn take_sent(&mut self, peer: Peer) -> Vec<Vec<u8>> {
-        let (ours, rest): (Vec<_>, Vec<_>) =
+        let (to_peer, to_others): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.sent).into_iter().partition(|(to, _)| *to == peer);
-        self.sent = rest;
-        ours.into_iter().map(|(_, message)| message).collect()
+        self.sent = to_others;
+        to_peer.into_iter().map(|(_, message)| message).collect()
     }
 
-    /// Lets a client read all that was sent to it and acknowledge it; gives the updates.
+    /// Has a client read and acknowledge all messages that were sent to it, and returns the updates.
     pub fn read_and_acknowledge(&mut self, peer: Peer, client: &mut ClientStream) -> Vec<Update> {
         self.take_sent(peer)
             .into_iter()
@@ -174,7 +176,7 @@
     }
 }
 
-/// An operation's table, in short.
+/// Number of endpoints in an operation's table, and how many of them are draining.
 #[derive(Debug, PartialEq, Eq)]
 pub struct TableSummary {
     pub operation: String,
@@ -186,7 +188,7 @@
     TableSummary { operation: operation.to_owned(), endpoints, draining }
 }
 
-/// The tables of an update.
+/// Summaries of the tables in an update.
 pub fn summaries(update: &Update) -> Vec<TableSummary> {
     let tables = update.resources.iter().map(|any| Assignment::decode(any).unwrap());
     let draining =
--- a/crates/xds-supervisor/tests/core/lines.rs
+++ b/crates/xds-supervisor/tests/core/lines.rs
@@ -1,23 +1,24 @@
-//! Clients that take tables line by line.
+//! Clients that receive tables as collections of lines.
 
 use shalereel_store::{Check, Delta, DeltaOutcome, Line, Replica, ResyncBackoff};
 
 use super::*;
 
-/// What a client does with deltas.
+/// Reaction of a client to deltas.
 #[derive(Clone, Copy, PartialEq)]
-enum Received {
-    AppliedAndAcknowledged,
-    Ignored,
+enum DeltaHandling {
+    ApplyAndAcknowledge,
+    Ignore,
 }
 
-/// A client that takes tables line by line: what it holds, and the versions it knows.
+/// A client that receives tables as collections of lines: its stream, and its replica of table 0.
 struct Client {
     stream: ClientStream,
     replica: Replica,
     peer: Peer,
-    /// Deltas received so far: base version and number of lines.
+    /// Base version and number of lines of each received delta.
     received: Vec<(u64, usize)>,
+    /// The client has subscribed to the collection.
     subscribed: bool,
 }
 
@@ -37,6 +38,7 @@
         }
     }
 
+    /// Reconnects with a new stream that reports the held version.
     fn reopen(&mut self, harness: &mut Harness, peer: Peer) {
         self.peer = peer;
         harness.core.stream_opened(peer, Variant::Incremental);
@@ -48,17 +50,17 @@
         }
     }
 
-    /// Runs, applies all that is received, and acknowledges it.
+    /// Runs the core, and applies and acknowledges all received deltas.
     fn run_ms(&mut self, harness: &mut Harness, ms: u64) {
-        self.run(harness, ms, Received::AppliedAndAcknowledged);
+        self.run(harness, ms, DeltaHandling::ApplyAndAcknowledge);
     }
 
-    /// Runs and acknowledges no delta.
+    /// Runs the core, and neither applies nor acknowledges deltas.
     fn run_ms_unresponsive(&mut self, harness: &mut Harness, ms: u64) {
-        self.run(harness, ms, Received::Ignored);
+        self.run(harness, ms, DeltaHandling::Ignore);
     }
 
-    fn run(&mut self, harness: &mut Harness, ms: u64, received: Received) {
+    fn run(&mut self, harness: &mut Harness, ms: u64, delta_handling: DeltaHandling) {
         for _ in 0..ms {
             harness.run_ms(1);
             for message in harness.take_sent(self.peer) {
@@ -68,10 +70,10 @@
                     assert_eq!(named, leds::collection(0));
                     let answer = self.stream.ack(&update);
                     harness.core.handle_message(harness.now, self.peer, &answer);
-                    // Later streams ask for it as they are opened.
+                    // Reopened streams repeat this subscription by themselves.
                     if !std::mem::replace(&mut self.subscribed, true) {
-                        let ask = self.stream.resubscribe(types::LINE, [(named, None)].into());
-                        harness.core.handle_message(harness.now, self.peer, &ask);
+                        let request = self.stream.resubscribe(types::LINE, [(named, None)].into());
+                        harness.core.handle_message(harness.now, self.peer, &request);
                     }
                     continue;
                 }
@@ -88,7 +90,7 @@
                     removed: update.removed.iter().map(|name| leds::line_of(name).unwrap().1).collect(),
                 };
                 self.received.push((delta.base, delta.line_count()));
-                if received == Received::AppliedAndAcknowledged {
+                if delta_handling == DeltaHandling::ApplyAndAcknowledge {
                     assert_eq!(self.replica.receive(harness.now, &delta), DeltaOutcome::Applied);
                     let answer = self.stream.ack(&update);
                     harness.core.handle_message(harness.now, self.peer, &answer);
@@ -103,7 +105,7 @@
 }
 
 #[test]
-fn drain_is_one_line_for_all_operations_and_a_rejoin_sends_what_differs() {
+fn drain_is_one_line_for_all_operations_and_rejoin_sends_only_differing_lines() {
     let mut harness = Harness::new(None);
     harness.list_draining(&[]);
     let mut client = Client::join(&mut harness, 1, "f");
@@ -113,7 +115,7 @@
     harness.list_draining(&[3]);
     client.run_ms(&mut harness, 100);
     assert_eq!((client.servers(), client.received[1]), (vec![1, 2, 4, 5], (first, 1)));
-    // The stream breaks; what changed meanwhile is all that is sent.
+    // After a reconnect, only the lines that have changed meanwhile are sent.
     harness.core.stream_closed(1);
     harness.list_draining(&[3, 4]);
     harness.run_ms(100);
@@ -124,7 +126,7 @@
     client.reopen(&mut harness, 3);
     client.run_ms(&mut harness, 100);
     assert_eq!((client.received[3].1, client.received.len()), (0, 4));
-    // One that holds an unknown version is sent the full table.
+    // A client that reports no known version is sent the full table.
     harness.core.stream_closed(3);
     client.replica = Replica::new(ResyncBackoff::new(MILLI, 1));
     client.reopen(&mut harness, 4);
@@ -145,7 +147,8 @@
     harness.list_draining(&[3, 4]);
     client.run_ms_unresponsive(&mut harness, 100);
     assert_eq!(client.received[1], (held, 1));
-    // A quarter of a report interval and its transit later, all at once, until it is acknowledged.
+    // Both changes are sent again together, after a quarter of a report interval and the transit time each, until they
+    // are acknowledged.
     client.received.clear();
     client.run_ms_unresponsive(&mut harness, 600);
     assert!(
@@ -162,7 +165,7 @@
 }
 
 #[test]
-fn restart_with_stored_history_sends_only_what_differs() {
+fn restart_with_stored_history_sends_only_differing_lines() {
     let mut harness = Harness::new(None);
     harness.list_draining(&[]);
     let mut client = Client::join(&mut harness, 1, "f");
@@ -180,7 +183,7 @@
     client.reopen(&mut harness, 1);
     client.run_ms(&mut harness, 200);
     assert_eq!((client.servers(), client.received.clone()), (vec![1, 3, 4, 5], vec![(held, 1)]));
-    // A file that is damaged is not used, and nothing stops.
+    // A damaged file is not used, and the supervisor keeps serving.
     let mut damaged = file.clone();
     damaged[12] ^= 1;
     let mut harness = Harness::new(Some(&list));
--- a/crates/xds-supervisor/tests/core/load_reports.rs
+++ b/crates/xds-supervisor/tests/core/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports as they become events.
+//! Conversion of load reports to events.
 
 use shalereel::interface::Event;
 use shalereel_xds_supervisor::{EndpointList, LoadReports, ReportingProxy};
@@ -7,7 +7,7 @@
 
 /// Attempts at a server that was never listed count neither as attempts nor as demand.
 #[test]
-fn load_of_a_server_that_was_never_listed_is_no_demand() {
+fn load_of_never_listed_server_does_not_count_as_demand() {
     let mut endpoints = EndpointList::new(&["a".to_owned()]);
     let row = AssignedEndpoint {
         address: ([127, 1, 0, 1], 80).into(),
@@ -18,7 +18,7 @@
     };
     let list = |rows| Assignment { cluster: "fleet".into(), endpoints: rows, admitted: 1.0 };
     endpoints.apply_list(SECOND, &list(vec![row]));
-    // Removed by now: what is reported of it still counts, since attempts were in flight.
+    // The server is removed, but reports about it still count, since attempts may have been in flight.
     endpoints.apply_list(SECOND, &list(vec![]));
     let load = |last: u8, failures| EndpointLoad {
         address: ([127, 1, 0, last], 80).into(),
--- a/crates/xds-supervisor/tests/core/main.rs
+++ b/crates/xds-supervisor/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! A supervisor without sockets: streams as clients open them, lists as a registry sends them.
+//! Tests of the supervisor's core without sockets: they open streams as clients do, and send lists as a registry does.
 
 use std::path::Path;
 
--- a/crates/xds-supervisor/tests/core/operators.rs
+++ b/crates/xds-supervisor/tests/core/operators.rs
@@ -11,10 +11,10 @@
     Ok(serde_json::from_str(&AdminResponse::decode(&answer[..]).unwrap().json).unwrap())
 }
 
-fn roll_back(version: u64, for_ms: u64, dry_run: bool) -> AdminQuery {
+fn roll_back(version: u64, duration_ms: u64, dry_run: bool) -> AdminQuery {
     AdminQuery::StartRollback(StartRollback {
         version,
-        duration_ms: for_ms,
+        duration_ms,
         dry_run,
         actor: "night".into(),
         reason: "a test".into(),
@@ -39,7 +39,7 @@
     );
     let answer = request(&mut harness, AdminQuery::Show(ShowVersion { version: from })).unwrap();
     assert_eq!(answer["lines"].as_array().unwrap().len(), 5);
-    // What drained since stays out; the others have their weights already.
+    // The server that drains since then is skipped; the weights of the others are already those of the version.
     let answer = request(&mut harness, roll_back(from, 1000, true)).unwrap();
     assert_eq!((answer["takes"].as_u64(), answer["moves"].as_array().unwrap().len()), (Some(4), 0));
     assert_eq!(answer["stays"][0]["server"], 3);
@@ -50,15 +50,15 @@
 }
 
 #[test]
-fn pinned_weight_expires_and_is_bounded() {
+fn cap_expires_and_invalid_caps_are_rejected() {
     let mut harness = Harness::new(None);
     harness.list_draining(&[]);
     harness.run_ms(100);
-    let pin = |part, for_ms| {
+    let cap = |factor, duration_ms| {
         AdminQuery::CapServer(CapServer {
             server: 2,
-            factor: part,
-            duration_ms: for_ms,
+            factor,
+            duration_ms,
             actor: "night".into(),
             reason: "hot".into(),
         })
@@ -67,7 +67,7 @@
         let answer = request(harness, AdminQuery::Show(ShowVersion { version: 0 })).unwrap();
         answer["lines"][1]["line"]["weight"].as_f64().unwrap()
     };
-    request(&mut harness, pin(0.5, 1000)).unwrap();
+    request(&mut harness, cap(0.5, 1000)).unwrap();
     harness.run_ms(100);
     assert_eq!(weight(&mut harness), 0.5);
     assert_eq!(
@@ -76,20 +76,20 @@
     );
     harness.run_ms(1100);
     assert_eq!(weight(&mut harness), 1.0);
-    request(&mut harness, pin(0.25, 60_000)).unwrap();
+    request(&mut harness, cap(0.25, 60_000)).unwrap();
     harness.run_ms(100);
-    request(&mut harness, pin(0.0, 0)).unwrap();
+    request(&mut harness, cap(0.0, 0)).unwrap();
     harness.run_ms(100);
     assert_eq!(weight(&mut harness), 1.0);
-    assert!(request(&mut harness, pin(0.0, 5)).unwrap_err().contains("no part"));
-    let nobody = CapServer { server: 99, factor: 0.5, duration_ms: 5, ..CapServer::default() };
-    assert!(request(&mut harness, AdminQuery::CapServer(nobody))
+    assert!(request(&mut harness, cap(0.0, 5)).unwrap_err().contains("no part"));
+    let unknown_server = CapServer { server: 99, factor: 0.5, duration_ms: 5, ..CapServer::default() };
+    assert!(request(&mut harness, AdminQuery::CapServer(unknown_server))
         .unwrap_err()
         .contains("no table has server 99"));
 }
 
-/// Five servers, one of which was given less; a rollback that waits for capacity of the channel, goes on over a drain,
-/// and expires.
+/// After two of five servers were given other capacities, a rollback restores the earlier weights as the channel has
+/// capacity. It continues after a drain, and expires.
 #[test]
 fn rollback_is_sent_and_expires_and_a_drain_overrides_it() {
     let mut harness = Harness::new(None);
@@ -119,7 +119,7 @@
         (answer["versions"][0]["who"].as_str(), answer["ways"][0]["lines_to_move"].as_u64()),
         (Some("night"), Some(0))
     );
-    // A drain overrides it.
+    // A drain overrides the rollback.
     harness.list_draining(&[2]);
     harness.run_ms(500);
     let drained = weights(&mut harness, &mut client).unwrap();
--- a/crates/xds-supervisor/tests/core/restart.rs
+++ b/crates/xds-supervisor/tests/core/restart.rs
@@ -1,9 +1,9 @@
-//! A restart with the stored endpoint list.
+//! Restart with a stored endpoint list.
 
 use super::*;
 
 #[test]
-fn restart_uses_the_stored_list_and_nothing_else() {
+fn restart_serves_the_stored_list_and_ignores_a_damaged_one() {
     let mut harness = Harness::new(None);
     harness.list_draining(&[2]);
     let stored = harness.core.endpoint_list_json();
--- a/crates/xds-supervisor/tests/core/sasp.rs
+++ b/crates/xds-supervisor/tests/core/sasp.rs
@@ -1,10 +1,10 @@
-//! Balancers that take weights by SASP.
+//! Balancers and members that connect by SASP.
 
 use shalereel_sasp::{Body, Frames, Group, LbFlags, Member, MemberState, Message, ReturnCode, WeightEntry};
 
 use super::*;
 
-/// A balancer that requests its weights.
+/// Flags of a balancer that requests its weights instead of having them pushed.
 const POLLING: LbFlags = LbFlags { push: false, trust: false, no_change: false };
 
 fn member(server: u8) -> Member {
@@ -43,7 +43,7 @@
     quiesced: bool,
 }
 
-/// The last weights of one group.
+/// The last received weights of one group.
 fn weights(bodies: &[Body], name: &str) -> Option<Vec<SaspWeight>> {
     let groups = bodies.iter().rev().find_map(|body| match body {
         Body::SendWeights { groups } | Body::Weights { code: ReturnCode::Successful, groups, .. } => {
@@ -61,7 +61,7 @@
     Some(entries.iter().map(weight).collect())
 }
 
-/// At every version, the weights differ by rounding alone.
+/// The weights of each version differ only by rounding.
 #[test]
 fn xds_and_sasp_give_the_same_weights() {
     let mut harness = Harness::new(None);
@@ -89,7 +89,7 @@
             assert!(!draining.contains(&server.into()) || weight == 0);
         }
     }
-    // What is sent to a balancer counts as acknowledged: nothing waits for it.
+    // Updates to a balancer count as acknowledged, so its connection is not closed as unresponsive.
     assert!(harness.closed.is_empty());
 }
 
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn self_registered_members_are_served_and_drain_by_their_own_report() {
+fn self_registered_member_is_served_until_it_quiesces_or_disconnects() {
     let mut harness = Harness::new(None);
     harness.list_draining(&[]);
     let mut client = harness.join_viewer(1, "f");
@@ -125,7 +125,7 @@
     let groups = vec![(group("view"), vec![member(77)])];
     send(&mut harness, 3, Body::Register { from_balancer: false, groups });
     let received = |harness: &mut Harness, client: &mut ClientStream| {
-        // It is in slow start at first, and in no table as long as nothing is known of the others.
+        // The member is in slow start at first, and in no table while nothing is known about the other servers.
         harness.run_ms(10_000);
         harness.sasp_written.clear();
         let update = harness.read_and_acknowledge(1, client).pop().unwrap();
@@ -134,7 +134,7 @@
             rows.iter().find(|row| row.address.ip().to_string() == "127.1.0.77").map(|row| row.zone.clone());
         (rows.len(), zone)
     };
-    // Its label is a zone.
+    // The member's label names a zone.
     assert_eq!(received(&mut harness, &mut client), (6, Some("b".to_owned())));
     let quiesce = |quiesce| {
         let member = MemberState { state: 0, contact: false, quiesce, member: member(77) };
--- a/crates/xds-supervisor/tests/core/streams.rs
+++ b/crates/xds-supervisor/tests/core/streams.rs
@@ -1,4 +1,4 @@
-//! Nodes as they join and replace their streams.
+//! Joining of nodes, and replacement of their streams.
 
 use rstest::rstest;
 
@@ -6,7 +6,7 @@
 
 #[rstest]
 #[case::unknown_zone(NodeInfo { id: "f".into(), zone: "z".into(), ..NodeInfo::default() }, Code::FailedPrecondition)]
-#[case::nobody(NodeInfo { zone: "a".into(), ..NodeInfo::default() }, Code::InvalidArgument)]
+#[case::missing_id(NodeInfo { zone: "a".into(), ..NodeInfo::default() }, Code::InvalidArgument)]
 fn invalid_node_is_rejected_with_the_reason(#[case] node: NodeInfo, #[case] code: Code) {
     let mut harness = Harness::new(None);
     harness.core.stream_opened(1, Variant::StateOfTheWorld);
@@ -26,7 +26,7 @@
         harness.run_ms(1);
     }
     assert_eq!((harness.closed.clone(), harness.core.proxy_count()), (vec![(1, Code::Cancelled)], 1));
-    // The close of the older stream does not remove the node.
+    // Closing the older stream does not remove the node.
     harness.core.stream_closed(1);
     assert_eq!(harness.core.proxy_count(), 1);
 }
--- a/crates/xds-supervisor/tests/stored.rs
+++ b/crates/xds-supervisor/tests/stored.rs
@@ -1,8 +1,8 @@
-//! A file written by an earlier version is read with the same content, and written as it was.
+//! Compatibility of stored files: a file of an earlier version is read, and written back byte for byte.
 
 use shalereel_xds_supervisor::EndpointList;
 
-/// Guards against a renamed field that changes the stored form without a word from the compiler.
+/// Guards against a renamed field that changes the stored format, which the compiler does not report.
 #[test]
 fn last_list_of_an_earlier_version_is_read() {
     let file = include_bytes!("stored/last-list.json");
