--- a/crates/xds-supervisor/src/admin/json.rs
+++ b/crates/xds-supervisor/src/admin/json.rs
@@ -1,4 +1,8 @@
 //! JSON content of the answers to operators. `shalereel tables`, the drills and operators' scripts read the keys.
+//!
+//! Some keys have terms that the code does not use: `ways` are rollbacks and `holds` are caps; `takes`, `moves` and
+//! `stays` describe the restored, moved and skipped servers of a rollback; `out` means unavailable, and `able` is the
+//! warmed-up share of a server's capacity.
 
 use std::collections::BTreeSet;
 
--- a/crates/xds-supervisor/src/core.rs
+++ b/crates/xds-supervisor/src/core.rs
@@ -110,7 +110,7 @@
     /// Events for the controller's next decision.
     events: Vec<Event>,
     /// Time of the controller's last decision.
-    decided_at: Option<Nanos>,
+    last_decision_at: Option<Nanos>,
     commands: Vec<ShellCommand>,
 }
 
@@ -148,7 +148,7 @@
             snapshot_taken_at: now,
             timers: BTreeMap::new(),
             events: Vec::new(),
-            decided_at: None,
+            last_decision_at: None,
             commands: Vec::new(),
             config,
             deployment,
@@ -204,7 +204,7 @@
 
     /// Latest time of the next [`poll`](Core::poll), even if no input arrives, ns.
     pub fn next_deadline(&self) -> Nanos {
-        let next_batch = self.decided_at.map_or(0, |at| at + self.deployment.min_batch_interval);
+        let next_batch = self.last_decision_at.map_or(0, |at| at + self.deployment.min_batch_interval);
         let next_report = self.last_report_at + self.config.report_interval;
         let deadlines = [
             (!self.events.is_empty()).then_some(next_batch),
@@ -248,7 +248,7 @@
 
     /// Passes the queued events to the controller, if there are any and the minimum batch interval has passed.
     fn decide(&mut self, now: Nanos) {
-        if self.decided_at.is_some_and(|at| now < at + self.deployment.min_batch_interval) {
+        if self.last_decision_at.is_some_and(|at| now < at + self.deployment.min_batch_interval) {
             return;
         }
         while let Some(timer) = self.timers.first_entry().filter(|timer| timer.key().0 <= now) {
@@ -257,7 +257,7 @@
         if self.events.is_empty() {
             return;
         }
-        self.decided_at = Some(now);
+        self.last_decision_at = Some(now);
         let actions = self.controller.decide(now, std::mem::take(&mut self.events));
         self.apply_actions(now, actions);
     }
--- a/crates/xds-supervisor/src/core/actions.rs
+++ b/crates/xds-supervisor/src/core/actions.rs
@@ -50,6 +50,7 @@
         if batch.tables_assigned {
             self.update_table_shares();
         }
+        // The stored history and operators' tools know the controller as "module".
         self.publish(now, &Provenance::new("module", batch.log_lines.join("; ")));
         self.channel.enqueue(now, &batch.lines, batch.mark.map(|mark| mark.serial));
     }
--- a/crates/xds-supervisor/src/core/sasp.rs
+++ b/crates/xds-supervisor/src/core/sasp.rs
@@ -80,9 +80,9 @@
     pub(super) fn sasp_connection_closed(&mut self, peer: Peer) {
         for event in self.sasp.on_closed(peer) {
             if let SaspEvent::MemberUpdate(report) = event {
-                let event = self.endpoints.apply_member_state(self.decided_at.unwrap_or(0), &report);
-                let by_itself = report.reporter == Reporter::Member;
-                self.events.extend(by_itself.then_some(Event::Endpoints(event)));
+                let event = self.endpoints.apply_member_state(self.last_decision_at.unwrap_or(0), &report);
+                let reported_by_member = report.reporter == Reporter::Member;
+                self.events.extend(reported_by_member.then_some(Event::Endpoints(event)));
             }
         }
     }
--- a/crates/xds-supervisor/src/core/snapshot.rs
+++ b/crates/xds-supervisor/src/core/snapshot.rs
@@ -53,7 +53,7 @@
     pub(super) fn store_snapshot(&mut self, now: Nanos) {
         // Guards against a run that has received no endpoint list yet overwriting the snapshot of an earlier run.
         let restore_pending = self.restored.is_some() && !self.snapshot_applied;
-        let has_learned = self.decided_at.is_some() && self.endpoints.address_version() > 0;
+        let has_learned = self.last_decision_at.is_some() && self.endpoints.address_version() > 0;
         let is_due = now >= self.freshness.next_write(self.snapshot_taken_at);
         if !is_due || !has_learned || restore_pending || self.deployment.snapshot_disabled {
             return;
--- a/crates/xds-supervisor/src/deployment.rs
+++ b/crates/xds-supervisor/src/deployment.rs
@@ -80,9 +80,9 @@
         check.supervisor_index(&settings)?;
         let operations = check.operations(&settings.operations)?;
         let config = check.controller_config(&settings, locality, operations)?;
-        let table_history = check.table_history(&settings.tables)?;
-        let group = match &settings.shared {
-            Some(shared) => Some(check.group(shared, &settings, &config)?),
+        let table_history = check.table_history(&settings.table_history)?;
+        let group = match &settings.group {
+            Some(group) => Some(check.group(group, &settings, &config)?),
             None => None,
         };
         Ok(Deployment {
@@ -91,16 +91,16 @@
             sasp_listen: settings.sasp.map(|section| section.listen),
             admin_listen: settings.admin.map(|section| section.listen),
             folder: settings.folder,
-            min_batch_interval: check.top_level().duration("tick_ms", settings.tick_ms, 0.0)?,
+            min_batch_interval: check.top_level().duration("tick_ms", settings.min_batch_interval_ms, 0.0)?,
             operations: settings.operations.into_iter().map(|operation| operation.name).collect(),
             localities: settings.localities,
             paced: settings.channel.paced,
             config,
             table_history,
             group,
-            snapshot_disabled: settings.forgets,
-            injected_fault: settings.planted,
-            guard_disabled: settings.unguarded,
+            snapshot_disabled: settings.snapshot_disabled,
+            injected_fault: settings.injected_fault,
+            guard_disabled: settings.guard_disabled,
         })
     }
 }
--- a/crates/xds-supervisor/src/deployment/controller.rs
+++ b/crates/xds-supervisor/src/deployment/controller.rs
@@ -10,8 +10,8 @@
 use super::checks::Checker;
 use super::error::FileError;
 use super::file::{
-    AdmissionSetting, DeploymentFile, EffectSetting, MembershipSetting, OperationSection, RepeatScopeSetting,
-    SizesSetting,
+    AdmissionSetting, DeduplicationScopeSetting, DeploymentFile, IdempotencySetting, ListedCapacitySetting,
+    MembershipSetting, OperationSection,
 };
 
 /// Maximum number of operations of a deployment. The error text below repeats this number.
@@ -55,26 +55,26 @@
         let section = self.repeated_section("operation", index);
         let objective_ms = operation.latency_objective_ms;
         let latency_objective = section.duration("latency_objective_ms", objective_ms, 1.0)?;
-        let deduplication_window = section.duration("repeat_window_ms", operation.repeat_window_ms, 0.0)?;
-        let timeout =
-            section.duration("integration_timeout_ms", operation.integration_timeout_ms, objective_ms)?;
+        let deduplication_window =
+            section.duration("repeat_window_ms", operation.deduplication_window_ms, 0.0)?;
+        let timeout = section.duration("integration_timeout_ms", operation.timeout_ms, objective_ms)?;
         Ok(Operation {
-            idempotency: match operation.effect {
-                EffectSetting::Idempotent => Idempotency::Idempotent,
-                EffectSetting::Fingerprinted => Idempotency::Keyed,
-                EffectSetting::SideEffecting => Idempotency::NonIdempotent,
+            idempotency: match operation.idempotency {
+                IdempotencySetting::Idempotent => Idempotency::Idempotent,
+                IdempotencySetting::Keyed => Idempotency::Keyed,
+                IdempotencySetting::NonIdempotent => Idempotency::NonIdempotent,
             },
-            deduplication_scope: match operation.repeat_scope {
-                RepeatScopeSetting::Everywhere => DeduplicationScope::Everywhere,
-                RepeatScopeSetting::Locality => DeduplicationScope::Locality,
-                RepeatScopeSetting::Cell => DeduplicationScope::Cell,
+            deduplication_scope: match operation.deduplication_scope {
+                DeduplicationScopeSetting::Everywhere => DeduplicationScope::Everywhere,
+                DeduplicationScopeSetting::Locality => DeduplicationScope::Locality,
+                DeduplicationScopeSetting::Cell => DeduplicationScope::Cell,
             },
             deduplication_window,
             latency_objective,
             timeout,
-            priority_weight: section.number("billed_value", operation.billed_value, 0.0..=1e6)?,
+            priority_weight: section.number("billed_value", operation.priority_weight, 0.0..=1e6)?,
             local_only: false,
-            writes: !matches!(operation.effect, EffectSetting::Idempotent),
+            writes: !matches!(operation.idempotency, IdempotencySetting::Idempotent),
         })
     }
 
@@ -85,7 +85,7 @@
         locality: u16,
         operations: Vec<Operation>,
     ) -> Result<ControllerConfig, FileError> {
-        let DeploymentFile { list, channel, rules, forwarders, .. } = settings;
+        let DeploymentFile { endpoint_list, channel, rules, forwarders, .. } = settings;
         let in_channel = self.section("channel");
         let in_rules = self.section("rules");
         let in_forwarders = self.section("forwarders");
@@ -93,41 +93,53 @@
         let worst_transit = in_channel.duration("worst_transit_ms", channel.worst_transit_ms, 0.0)?;
         Ok(ControllerConfig {
             seed: settings.seed,
-            supervisor_index: settings.supervisor,
-            supervisor_count: settings.supervisors,
+            supervisor_index: settings.supervisor_index,
+            supervisor_count: settings.supervisor_count,
             locality,
             locality_count: settings.localities.len() as u16,
             operations,
-            polls_endpoints: matches!(list.membership, MembershipSetting::Asked),
+            polls_endpoints: matches!(endpoint_list.membership, MembershipSetting::Polled),
             admission_mode: admission_mode(&forwarders.admission),
             load_source: LoadSource::Reports,
             load_columns: vec![LoadColumn::Cpu],
             health_checks_allowed: true,
-            listed_capacity: listed_capacity(&list.sizes),
+            listed_capacity: listed_capacity(&endpoint_list.listed_capacity),
             proxy_count: in_forwarders.number("count", forwarders.count.into(), 1.0..=60_000.0)? as u32,
-            channel_capacity: in_channel.number("backlog", channel.backlog, overhead + 2.0..=1e9)?,
+            channel_capacity: in_channel.number("backlog", channel.capacity, overhead + 2.0..=1e9)?,
             lines_per_s: in_channel.number("lines_per_s", channel.lines_per_s, 1.0..=1e9)?,
             message_overhead: overhead,
-            report_interval: in_forwarders.duration("report_cycle_ms", forwarders.report_cycle_ms, 10.0)?,
-            max_unserved_time: in_rules.duration("empty_for_ms", rules.empty_for_ms, 0.0)?,
+            report_interval: in_forwarders.duration(
+                "report_cycle_ms",
+                forwarders.report_interval_ms,
+                10.0,
+            )?,
+            max_unserved_time: in_rules.duration("empty_for_ms", rules.max_unserved_time_ms, 0.0)?,
             first_wait: in_forwarders.number("first_wait", forwarders.first_wait, 0.0..=100.0)?,
-            failures_to_avoid: forwarders.fails_to_avoid,
+            failures_to_avoid: forwarders.failures_to_avoid,
             slices: 0,
             sole_owner: false,
             lease_duration: 0,
             in_flight_max: 0,
             mean_transit: in_channel.duration("mean_transit_ms", channel.mean_transit_ms, 0.0)?,
             worst_transit,
-            message_limit: channel.messages_max,
-            message_limit_window: in_channel.duration("messages_over_ms", channel.messages_over_ms, 0.0)?,
+            message_limit: channel.message_limit,
+            message_limit_window: in_channel.duration(
+                "messages_over_ms",
+                channel.message_limit_window_ms,
+                0.0,
+            )?,
             retry_default: 0,
-            poll_interval: self.section("list").duration("ask_every_ms", list.ask_every_ms, 0.0)?,
-            slow_start_capacity: in_rules.number("cold_from", rules.cold_from, 0.001..=1.0)?,
-            slow_start_duration: in_rules.duration("cold_for_ms", rules.cold_for_ms, 0.0)?,
-            overload_ratio: in_rules.number("tip_multiple", rules.tip_multiple, 1.0..=1e6)?,
-            overload_delay: in_rules.duration("tip_after_ms", rules.tip_after_ms, 0.0)?,
+            poll_interval: self.section("list").duration(
+                "ask_every_ms",
+                endpoint_list.poll_interval_ms,
+                0.0,
+            )?,
+            slow_start_capacity: in_rules.number("cold_from", rules.slow_start_capacity, 0.001..=1.0)?,
+            slow_start_duration: in_rules.duration("cold_for_ms", rules.slow_start_duration_ms, 0.0)?,
+            overload_ratio: in_rules.number("tip_multiple", rules.overload_ratio, 1.0..=1e6)?,
+            overload_delay: in_rules.duration("tip_after_ms", rules.overload_delay_ms, 0.0)?,
             drain_grace: in_rules.duration("drain_grace_ms", rules.drain_grace_ms, 0.0)?,
-            removal_is_advisory: rules.gone_does_not_bind,
+            removal_is_advisory: rules.removal_is_advisory,
         })
     }
 }
@@ -139,10 +151,10 @@
     }
 }
 
-fn listed_capacity(setting: &SizesSetting) -> ListedCapacity {
+fn listed_capacity(setting: &ListedCapacitySetting) -> ListedCapacity {
     match setting {
-        SizesSetting::Untold => ListedCapacity::Unknown,
-        SizesSetting::Rough => ListedCapacity::Approximate,
-        SizesSetting::Nominal => ListedCapacity::Nominal,
+        ListedCapacitySetting::Unknown => ListedCapacity::Unknown,
+        ListedCapacitySetting::Approximate => ListedCapacity::Approximate,
+        ListedCapacitySetting::Nominal => ListedCapacity::Nominal,
     }
 }
--- a/crates/xds-supervisor/src/deployment/file.rs
+++ b/crates/xds-supervisor/src/deployment/file.rs
@@ -1,5 +1,5 @@
-//! The file format: structures whose fields have the names of the settings, as `docs/supervisor.md` lists them.
-//! Durations are in milliseconds unless the key names another unit.
+//! The file format. A field whose name differs from its key in the file has a `rename` attribute; `docs/supervisor.md`
+//! lists the keys. Durations are in milliseconds unless the key names another unit.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,60 +15,77 @@
     pub(super) folder: PathBuf,
     #[serde(default)]
     pub(super) seed: u64,
-    pub(super) supervisor: u16,
-    pub(super) supervisors: u16,
+    #[serde(rename = "supervisor")]
+    pub(super) supervisor_index: u16,
+    #[serde(rename = "supervisors")]
+    pub(super) supervisor_count: u16,
     pub(super) locality: String,
     pub(super) localities: Vec<String>,
-    pub(super) tick_ms: f64,
+    #[serde(rename = "tick_ms")]
+    pub(super) min_batch_interval_ms: f64,
     #[serde(rename = "operation")]
     pub(super) operations: Vec<OperationSection>,
-    pub(super) list: EndpointListSection,
+    #[serde(rename = "list")]
+    pub(super) endpoint_list: EndpointListSection,
     /// SASP listener, if any.
     pub(super) sasp: Option<ListenSection>,
     /// Group of supervisors, if this supervisor is a member of one.
-    pub(super) shared: Option<GroupSection>,
+    #[serde(rename = "shared")]
+    pub(super) group: Option<GroupSection>,
     /// Limits of the table history; limits that are not set are derived.
     #[serde(default)]
-    pub(super) tables: TableHistorySection,
+    #[serde(rename = "tables")]
+    pub(super) table_history: TableHistorySection,
     /// Snapshots are neither read nor written.
     #[serde(default)]
-    pub(super) forgets: bool,
+    #[serde(rename = "forgets")]
+    pub(super) snapshot_disabled: bool,
     /// Operators' listener, if any.
     pub(super) admin: Option<ListenSection>,
     pub(super) forwarders: ForwardersSection,
     pub(super) channel: ChannelSection,
     pub(super) rules: RulesSection,
-    pub(super) planted: Option<InjectedFault>,
+    /// Fault that is injected for tests. Never set in production.
+    #[serde(rename = "planted")]
+    pub(super) injected_fault: Option<InjectedFault>,
     /// The guard is disabled, so that injected faults take effect. Never set in production.
     #[serde(default)]
-    pub(super) unguarded: bool,
+    #[serde(rename = "unguarded")]
+    pub(super) guard_disabled: bool,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct OperationSection {
     pub(super) name: String,
-    pub(super) effect: EffectSetting,
+    #[serde(rename = "effect")]
+    pub(super) idempotency: IdempotencySetting,
     #[serde(default)]
-    pub(super) repeat_scope: RepeatScopeSetting,
+    #[serde(rename = "repeat_scope")]
+    pub(super) deduplication_scope: DeduplicationScopeSetting,
     #[serde(default)]
-    pub(super) repeat_window_ms: f64,
+    #[serde(rename = "repeat_window_ms")]
+    pub(super) deduplication_window_ms: f64,
     pub(super) latency_objective_ms: f64,
-    pub(super) integration_timeout_ms: f64,
-    pub(super) billed_value: f64,
+    #[serde(rename = "integration_timeout_ms")]
+    pub(super) timeout_ms: f64,
+    #[serde(rename = "billed_value")]
+    pub(super) priority_weight: f64,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(super) enum EffectSetting {
+pub(super) enum IdempotencySetting {
     Idempotent,
-    Fingerprinted,
-    SideEffecting,
+    #[serde(rename = "fingerprinted")]
+    Keyed,
+    #[serde(rename = "side_effecting")]
+    NonIdempotent,
 }
 
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(super) enum RepeatScopeSetting {
+pub(super) enum DeduplicationScopeSetting {
     Everywhere,
     Locality,
     #[default]
@@ -93,16 +110,21 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct GroupSection {
     pub(super) name: String,
-    /// Addresses of the group's initial members, by member number.
+    /// Addresses of the group's initial members, by member number. They include this supervisor's own unless it joins an
+    /// existing group.
     pub(super) members: Vec<SocketAddr>,
     #[serde(default)]
     pub(super) joining: bool,
-    pub(super) election_ms: f64,
-    pub(super) drift: f64,
+    #[serde(rename = "election_ms")]
+    pub(super) election_timeout_ms: f64,
+    #[serde(rename = "drift")]
+    pub(super) max_clock_drift: f64,
     #[serde(default)]
-    pub(super) ranges: u32,
+    #[serde(rename = "ranges")]
+    pub(super) range_count: u32,
     pub(super) tenure_ms: f64,
-    pub(super) in_flight_ms: f64,
+    #[serde(rename = "in_flight_ms")]
+    pub(super) max_in_flight_ms: f64,
 }
 
 #[derive(Debug, Deserialize)]
@@ -110,22 +132,27 @@
 pub(super) struct EndpointListSection {
     pub(super) membership: MembershipSetting,
     #[serde(default)]
-    pub(super) ask_every_ms: f64,
-    pub(super) sizes: SizesSetting,
+    #[serde(rename = "ask_every_ms")]
+    pub(super) poll_interval_ms: f64,
+    #[serde(rename = "sizes")]
+    pub(super) listed_capacity: ListedCapacitySetting,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum MembershipSetting {
     Pushed,
-    Asked,
+    #[serde(rename = "asked")]
+    Polled,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(super) enum SizesSetting {
-    Untold,
-    Rough,
+pub(super) enum ListedCapacitySetting {
+    #[serde(rename = "untold")]
+    Unknown,
+    #[serde(rename = "rough")]
+    Approximate,
     Nominal,
 }
 
@@ -134,9 +161,11 @@
 pub(super) struct ForwardersSection {
     pub(super) count: u32,
     pub(super) admission: AdmissionSetting,
-    pub(super) report_cycle_ms: f64,
+    #[serde(rename = "report_cycle_ms")]
+    pub(super) report_interval_ms: f64,
     #[serde(default)]
-    pub(super) fails_to_avoid: u32,
+    #[serde(rename = "fails_to_avoid")]
+    pub(super) failures_to_avoid: u32,
     pub(super) first_wait: f64,
 }
 
@@ -151,28 +180,37 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct ChannelSection {
     pub(super) lines_per_s: f64,
-    pub(super) backlog: f64,
+    #[serde(rename = "backlog")]
+    pub(super) capacity: f64,
     pub(super) message_overhead: f64,
     pub(super) mean_transit_ms: f64,
     pub(super) worst_transit_ms: f64,
     #[serde(default)]
-    pub(super) messages_max: u32,
+    #[serde(rename = "messages_max")]
+    pub(super) message_limit: u32,
     #[serde(default)]
-    pub(super) messages_over_ms: f64,
+    #[serde(rename = "messages_over_ms")]
+    pub(super) message_limit_window_ms: f64,
     pub(super) paced: bool,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RulesSection {
-    pub(super) empty_for_ms: f64,
+    #[serde(rename = "empty_for_ms")]
+    pub(super) max_unserved_time_ms: f64,
     pub(super) drain_grace_ms: f64,
-    pub(super) cold_from: f64,
-    pub(super) cold_for_ms: f64,
-    pub(super) tip_multiple: f64,
-    pub(super) tip_after_ms: f64,
+    #[serde(rename = "cold_from")]
+    pub(super) slow_start_capacity: f64,
+    #[serde(rename = "cold_for_ms")]
+    pub(super) slow_start_duration_ms: f64,
+    #[serde(rename = "tip_multiple")]
+    pub(super) overload_ratio: f64,
+    #[serde(rename = "tip_after_ms")]
+    pub(super) overload_delay_ms: f64,
     #[serde(default)]
-    pub(super) gone_does_not_bind: bool,
+    #[serde(rename = "gone_does_not_bind")]
+    pub(super) removal_is_advisory: bool,
 }
 
 /// A fault that is injected into a supervisor to show that traffic checks detect it. Never set in production.
--- a/crates/xds-supervisor/src/deployment/group.rs
+++ b/crates/xds-supervisor/src/deployment/group.rs
@@ -29,19 +29,19 @@
         config: &ControllerConfig,
     ) -> Result<GroupDeployment, FileError> {
         let section = self.section("shared");
-        let own_number = usize::from(settings.supervisor);
+        let own_number = usize::from(settings.supervisor_index);
         check_members(&section, group, own_number)?;
-        section.number("drift", group.drift, 0.0..=0.2)?;
-        section.number("ranges", group.ranges.into(), 0.0..=4096.0)?;
+        section.number("drift", group.max_clock_drift, 0.0..=0.2)?;
+        section.number("ranges", group.range_count.into(), 0.0..=4096.0)?;
         let timing = TimingSettings {
-            election_timeout: section.duration("election_ms", group.election_ms, 50.0)?,
-            max_clock_drift: group.drift,
+            election_timeout: section.duration("election_ms", group.election_timeout_ms, 50.0)?,
+            max_clock_drift: group.max_clock_drift,
             tenure: section.duration("tenure_ms", group.tenure_ms, 50.0)?,
-            max_in_flight: section.duration("in_flight_ms", group.in_flight_ms, 0.0)?,
+            max_in_flight: section.duration("in_flight_ms", group.max_in_flight_ms, 0.0)?,
             max_batch_entries: ClientLimits::new(config).max_log_entries(),
         };
         let voters = group.members.iter().enumerate();
-        let no_fencing = settings.planted == Some(InjectedFault::NoFencing);
+        let no_fencing = settings.injected_fault == Some(InjectedFault::NoFencing);
         let config = GroupConfig {
             id: own_number as u32,
             address: group.members.get(own_number).unwrap_or(&settings.listen).to_string(),
@@ -52,10 +52,10 @@
             joining: group.joining,
             timing,
             seed: settings.seed,
-            duties: duties(settings, group.ranges),
+            duties: duties(settings, group.range_count),
             injected_fault: no_fencing.then_some(shalereel_group::InjectedFault::NoFence),
         };
-        Ok(GroupDeployment { config, range_count: group.ranges })
+        Ok(GroupDeployment { config, range_count: group.range_count })
     }
 }
 
--- a/crates/xds-supervisor/src/deployment/listeners.rs
+++ b/crates/xds-supervisor/src/deployment/listeners.rs
@@ -29,12 +29,12 @@
     }
 
     pub(super) fn supervisor_index(&self, settings: &DeploymentFile) -> Result<(), FileError> {
-        if settings.supervisor < settings.supervisors {
+        if settings.supervisor_index < settings.supervisor_count {
             return Ok(());
         }
         let problem = format!(
             "{} is not below the number of supervisors, {}",
-            settings.supervisor, settings.supervisors
+            settings.supervisor_index, settings.supervisor_count
         );
         Err(self.top_level().reject("supervisor", problem, "number the supervisors from 0"))
     }
