--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,29 +1,30 @@
-//! Frames of an append-only file, free of I/O. Used by the files of table versions, of learned state and of the group's log.
+//! Frames of append-only files, free of I/O. The files of table versions, of learned state and of the group's log use them.
 //!
-//! A file is a magic of eight bytes, then frames: length and CRC-32C (RFC 3720) of the record, four bytes each, little
-//! endian, then the record. Each frame is synced before the next one is written, so that a crash can tear only the last
-//! frame, which is left out. Damage before an intact frame is an error, and nothing of the file is used.
+//! A file begins with a magic of eight bytes; frames follow. A frame is the length and the CRC-32C (RFC 3720) of a record,
+//! four bytes each, little endian, and then the record. The caller syncs each frame before it writes the next one, so that a
+//! crash can tear only the last frame, which readers ignore. If an intact frame follows a damaged one, the whole file is
+//! rejected.
 
 #![deny(missing_docs)]
 
 use thiserror::Error;
 
-/// First bytes of a file: its kind and format version.
+/// First bytes of a file; they identify its kind and format version.
 pub type Magic = [u8; 8];
 
-/// Length and checksum before each record.
+/// Bytes of the length and the checksum before each record.
 const FRAME_HEADER_BYTES: usize = 8;
-/// Longest record; a greater length is damage.
+/// Longest record, in bytes; a frame with a greater length counts as damaged.
 const MAX_RECORD_BYTES: usize = 16 << 20;
 
-/// Why a file is rejected. What to do about it depends on the file and is said by its reader.
+/// Why a file is rejected. The remedy depends on the file; the reader of the file adds it to the message.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum JournalError {
     /// The file begins with another magic.
-    #[error("the file does not begin with the magic of this version")]
+    #[error("the first bytes of the file do not match this kind and version of file")]
     UnknownFormat,
-    /// An intact frame follows a damaged one, which no crash during a write explains.
-    #[error("damaged at byte {at}, with intact frames after it")]
+    /// An intact frame follows a damaged one. A crash during a write cannot cause this.
+    #[error("the frame at byte {at} is damaged, but intact frames follow it")]
     Damaged {
         /// Offset of the first frame that cannot be read, in bytes.
         at: usize,
@@ -33,13 +34,13 @@
 /// An intact record of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record<'a> {
-    /// Content, without the frame's header.
+    /// Content of the record, without the frame's header.
     pub payload: &'a [u8],
     /// Offset at which its frame ends, in bytes.
     pub end: usize,
 }
 
-/// The frame of a record, to be appended to a file.
+/// Returns the frame of a record, ready to be appended to a file.
 pub fn frame(record: &[u8]) -> Vec<u8> {
     let mut frame = Vec::with_capacity(FRAME_HEADER_BYTES + record.len());
     frame.extend_from_slice(&(record.len() as u32).to_le_bytes());
@@ -48,7 +49,7 @@
     frame
 }
 
-/// The intact record whose frame begins at byte `start`.
+/// The record whose frame begins at byte `start`; `None` unless the frame is complete and intact.
 fn record_at(file: &[u8], start: usize) -> Option<Record<'_>> {
     let payload_start = start + FRAME_HEADER_BYTES;
     let header = file.get(start..payload_start)?;
@@ -62,12 +63,12 @@
     (crc32c::crc32c(payload) == checksum).then_some(Record { payload, end })
 }
 
-/// Reads the intact records of a file, in order. A torn frame at the end is left out; a file that ends inside its magic
-/// was torn when it was created, and has no records.
+/// Reads the intact records of a file, in order. A torn frame at the end is ignored. A file that ends inside its magic was
+/// torn when it was created, and has no records.
 ///
 /// # Errors
 ///
-/// [`JournalError::UnknownFormat`] for another magic, [`JournalError::Damaged`] where an intact frame follows a damaged one.
+/// [`JournalError::UnknownFormat`] if the magic differs, [`JournalError::Damaged`] if an intact frame follows a damaged one.
 pub fn records<'a>(file: &'a [u8], magic: &Magic) -> Result<Vec<Record<'a>>, JournalError> {
     if !file.starts_with(magic) {
         let torn_at_creation = magic.starts_with(file);
--- a/crates/journal/tests/frames.rs
+++ b/crates/journal/tests/frames.rs
@@ -1,10 +1,10 @@
-//! Frames of append-only files: their bytes, files that were cut, and damage.
+//! Frames of append-only files: their bytes, truncated files, and damaged files.
 
 use shalereel_journal::{frame, records, JournalError, Record};
 
 const MAGIC: &[u8; 8] = b"testing1";
 
-/// Guards against a change of the stored form: existing files would not be read.
+/// Guards against a change of the stored form, after which existing files could not be read.
 #[test]
 fn frame_is_length_then_checksum_then_record() {
     // CRC-32C of "123456789" is e3069283 (RFC 3720's polynomial).
@@ -15,20 +15,20 @@
 }
 
 #[test]
-fn file_cut_at_any_byte_holds_the_frames_before_the_cut() {
-    let parts: [&[u8]; 3] = [b"one", b"the second", b"3"];
+fn truncated_file_has_the_frames_before_the_cut_and_damaged_file_is_rejected() {
+    let payloads: [&[u8]; 3] = [b"one", b"the second", b"3"];
     let mut file = MAGIC.to_vec();
-    let ends: Vec<usize> = parts
+    let ends: Vec<usize> = payloads
         .iter()
-        .map(|part| {
-            file.extend(frame(part));
+        .map(|payload| {
+            file.extend(frame(payload));
             file.len()
         })
         .collect();
     for cut in 0..=file.len() {
         let found = records(&file[..cut], MAGIC).unwrap();
         assert_eq!(found.len(), ends.iter().filter(|end| **end <= cut).count(), "cut at {cut}");
-        assert!(found.iter().zip(parts).all(|(record, part)| record.payload == part));
+        assert!(found.iter().zip(payloads).all(|(record, payload)| record.payload == payload));
     }
     let mut damaged = file.clone();
     damaged[MAGIC.len() + 9] ^= 1;
