--- a/crates/xds/src/assignment.rs
+++ b/crates/xds/src/assignment.rs
@@ -1,4 +1,4 @@
-//! Tables and endpoint lists as `envoy.config.endpoint.v3.ClusterLoadAssignment`.
+//! Encodes and decodes tables and endpoint lists as `envoy.config.endpoint.v3.ClusterLoadAssignment`.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, SocketAddr};
@@ -19,30 +19,31 @@
 
 use crate::{decoded, types};
 
-/// Name of the resource that lists the excluded endpoints: nobody may send to them, whatever tables say. The one resource
-/// that the specification does not know: a client that does not ask for it learns the same from its tables.
+/// Name of the resource that lists the excluded endpoints. Clients must not send requests to these, even if their tables have
+/// them. It is the only resource that the specification does not define; a client that does not subscribe to it gets the
+/// same information from its tables.
 pub const EXCLUDED: &str = "shalereel.shunned";
-/// Metadata filter that carries [`ServerInfo`], as a message of this type.
+/// Key of the metadata filter that carries [`ServerInfo`] as a message of type `SERVER_INFO_TYPE`.
 const SERVER_INFO: &str = "shalereel.server";
 const SERVER_INFO_TYPE: &str = "type.googleapis.com/shalereel.v1.ServerFacts";
-/// Category of the drops that carry an admission limit.
+/// Category of the `drop_overloads` that carry an admission limit.
 pub(crate) const ADMISSION_CATEGORY: &str = "level";
-/// A weight of 1 on the wire, where weights are whole numbers from 1 up.
+/// The integer that stands for a weight of 1 on the wire, where weights are integers from 1 up.
 const UNIT_WEIGHT: f64 = 10_000.0;
 const MILLION: f64 = 1e6;
 
-/// Health of an endpoint, as far as it is distinguished here.
+/// Health of an endpoint. The health statuses of the specification are reduced to these three.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Health {
-    /// It takes requests.
+    /// The endpoint takes requests.
     Ready,
-    /// It finishes what it has.
+    /// The endpoint finishes the requests that it has and takes no new ones.
     Draining,
-    /// Any other status: it is not to be used.
+    /// Any other status: clients must not use the endpoint.
     Unhealthy,
 }
 
-/// [`ServerInfo`] on the wire.
+/// The message that carries [`ServerInfo`].
 #[derive(Clone, PartialEq, Message)]
 struct ServerInfoMessage {
     #[prost(uint32, tag = "1")]
@@ -53,49 +54,50 @@
     cell: u32,
     #[prost(uint64, tag = "4")]
     incarnation: u64,
-    /// Milliseconds since that start as of sending; absent: long ago.
+    /// Age of the incarnation when the message is sent, in milliseconds; absent if the server started long ago.
     #[prost(uint64, optional, tag = "5")]
     age_ms: Option<u64>,
 }
 
-/// What a registry says of a server beyond the fields of the specification.
+/// Properties of a server that a registry reports in addition to the fields of the specification.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerInfo {
-    /// Its number in the registry.
+    /// Number of the server in the registry.
     pub server: u32,
-    /// Hardware kind.
+    /// Number of the server's hardware type.
     pub kind: u16,
-    /// Group of servers within its locality.
+    /// Number of the cell, a group of servers within a locality.
     pub cell: u16,
-    /// Another number at every start.
+    /// Number that identifies the current start of the server; it differs at every start.
     pub incarnation: u64,
-    /// Time since that start as of sending, whole milliseconds; nothing: long ago.
+    /// Time between the start and the sending of the message, ns rounded down to milliseconds; `None` if the server started
+    /// long ago.
     pub age: Option<Nanos>,
 }
 
-/// One endpoint of a table or list.
+/// One endpoint of a table or endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AssignedEndpoint {
-    /// Where it listens.
+    /// Address at which the endpoint listens.
     pub address: SocketAddr,
-    /// `Locality.zone`.
+    /// Zone of the endpoint (`Locality.zone`).
     pub zone: String,
-    /// Whether it takes requests.
+    /// Whether the endpoint takes requests.
     pub health: Health,
-    /// Above 0; kept to 1/10,000 and never rounded to nothing.
+    /// Weight, above 0. It is rounded to 1/10,000 on the wire, but never to 0.
     pub weight: f64,
-    /// What a registry says of the server beyond the fields of the specification.
+    /// Properties of the server that a registry reports, if it does.
     pub info: Option<ServerInfo>,
 }
 
-/// One table as the specification has it (`envoy.config.endpoint.v3.ClusterLoadAssignment`).
+/// The content of a `ClusterLoadAssignment`: one operation's table, or the registry's endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Assignment {
-    /// The operation, or the registry's list.
+    /// Name of the cluster: the operation, or the registry's endpoint list.
     pub cluster: String,
-    /// Its endpoints.
+    /// Endpoints of the cluster.
     pub endpoints: Vec<AssignedEndpoint>,
-    /// Share of the requests that is admitted, 0 to 1; encoded as `drop_overloads`.
+    /// Fraction of the requests that are admitted, 0 to 1; encoded as `drop_overloads`.
     pub admitted: f64,
 }
 
@@ -115,7 +117,7 @@
     Some(SocketAddr::new(socket.address.parse::<IpAddr>().ok()?, u16::try_from(port).ok()?))
 }
 
-/// An admission limit as drops; none where everything is admitted.
+/// Encodes an admission limit as a drop policy; `None` if all requests are admitted.
 pub(crate) fn policy(admitted: f64) -> Option<Policy> {
     let dropped = 1.0 - admitted.clamp(0.0, 1.0);
     let drops = DropOverload {
@@ -158,17 +160,18 @@
     }
 }
 
-/// An encoded assignment but for its name; protobuf fields may come in any order and be put one after another.
+/// An encoded assignment without its name. The name is encoded separately and put in front, since the fields of a protobuf
+/// message may be concatenated in any order.
 #[derive(Clone, Debug)]
 pub struct EncodedAssignment(Vec<u8>);
 
 impl EncodedAssignment {
-    /// The assignment of the cluster with this name.
+    /// Returns the assignment as the resource of the cluster with this name.
     pub fn named(&self, cluster: &str) -> Any {
         let name =
             ClusterLoadAssignment { cluster_name: cluster.to_owned(), ..ClusterLoadAssignment::default() };
         let mut value = Vec::with_capacity(name.encoded_len() + self.0.len());
-        // A vector takes all that is put into it.
+        // Encoding into a vector cannot fail, since the vector grows.
         let _ = name.encode(&mut value);
         value.extend_from_slice(&self.0);
         Any { type_url: types::ASSIGNMENT.into(), value }
@@ -176,38 +179,42 @@
 }
 
 impl Assignment {
-    /// The resource.
+    /// Encodes the assignment as a resource.
     pub fn encode(&self) -> Any {
         self.body().named(&self.cluster)
     }
 
-    /// All but the name, to be shared by clusters that have the same endpoints and admission limit.
+    /// Encodes everything but the name, so that clusters with the same endpoints and admission limit can share the bytes.
     pub fn body(&self) -> EncodedAssignment {
-        let sum: f64 = self.endpoints.iter().map(|row| row.weight).sum();
-        // The specification bounds the sum of a priority's weights by 32 bits.
+        let sum: f64 = self.endpoints.iter().map(|endpoint| endpoint.weight).sum();
+        // The specification limits the sum of a priority's weights to 32 bits.
         let unit = UNIT_WEIGHT.min(f64::from(u32::MAX / 2) / sum.max(f64::MIN_POSITIVE));
         let mut zones: BTreeMap<&str, Vec<&AssignedEndpoint>> = BTreeMap::new();
-        for row in &self.endpoints {
-            zones.entry(&row.zone).or_default().push(row);
+        for endpoint in &self.endpoints {
+            zones.entry(&endpoint.zone).or_default().push(endpoint);
         }
-        let endpoints = zones.into_iter().map(|(zone, rows)| {
-            let weights: Vec<u32> =
-                rows.iter().map(|row| ((row.weight * unit).round() as u32).max(1)).collect();
-            let lb_endpoints = rows.iter().zip(&weights).map(|(row, &weight)| LbEndpoint {
-                health_status: match row.health {
+        let endpoints = zones.into_iter().map(|(zone, zone_endpoints)| {
+            let weights: Vec<u32> = zone_endpoints
+                .iter()
+                .map(|endpoint| ((endpoint.weight * unit).round() as u32).max(1))
+                .collect();
+            let lb_endpoints = zone_endpoints.iter().zip(&weights).map(|(endpoint, &weight)| LbEndpoint {
+                health_status: match endpoint.health {
                     Health::Ready => HealthStatus::Healthy,
                     Health::Draining => HealthStatus::Draining,
                     Health::Unhealthy => HealthStatus::Unhealthy,
                 } as i32,
-                metadata: row.info.map(ServerInfo::encode),
+                metadata: endpoint.info.map(ServerInfo::encode),
                 load_balancing_weight: Some(UInt32Value { value: weight }),
                 host_identifier: Some(HostIdentifier::Endpoint(Endpoint {
-                    address: Some(encode_address(row.address)),
+                    address: Some(encode_address(endpoint.address)),
                     ..Endpoint::default()
                 })),
             });
-            let ready = rows.iter().zip(&weights).filter(|(row, _)| row.health == Health::Ready);
-            // Clients that weigh localities first then pick as if there were none.
+            let ready =
+                zone_endpoints.iter().zip(&weights).filter(|(endpoint, _)| endpoint.health == Health::Ready);
+            // A locality's weight is the sum of its ready endpoints' weights, so that clients that choose a locality first
+            // distribute requests as if there were no localities.
             let value = ready.map(|(_, weight)| weight).sum::<u32>().max(1);
             LocalityLbEndpoints {
                 locality: Some(Locality { zone: zone.to_owned(), ..Locality::default() }),
@@ -222,11 +229,11 @@
         EncodedAssignment(message.encode_to_vec())
     }
 
-    /// Decodes the resource.
+    /// Decodes an assignment from a resource.
     ///
     /// # Errors
     ///
-    /// It is no assignment, or an endpoint has no socket address or a weight of 0.
+    /// The resource is not an assignment, or an endpoint has no socket address or a weight of 0.
     pub fn decode(any: &Any) -> Result<Self, Status> {
         if any.type_url != types::ASSIGNMENT {
             return Err(invalid(format!("{} where a ClusterLoadAssignment was asked for", any.type_url)));
@@ -270,14 +277,14 @@
                 HealthStatus::Draining => Health::Draining,
                 _ => Health::Unhealthy,
             },
-            // A sender that had to use a smaller unit scaled all weights alike: only ratios count.
+            // A sender that had to use a smaller unit has scaled all weights by the same factor, and only their ratios matter.
             weight: f64::from(weight) / UNIT_WEIGHT,
             info: endpoint.metadata.as_ref().and_then(ServerInfo::decode),
         })
     }
 }
 
-/// The share of requests that a policy's drops leave, 0 to 1.
+/// Decodes the fraction of requests that a policy admits, 0 to 1.
 fn decode_admitted(policy: &Policy) -> f64 {
     let mut admitted = 1.0;
     for dropped in policy.drop_overloads.iter().filter_map(|drop| drop.drop_percentage.as_ref()) {
@@ -286,7 +293,7 @@
             DenominatorType::TenThousand => 10_000.0,
             DenominatorType::Million => MILLION,
         };
-        // Each category drops from what the ones before let through.
+        // Each category drops a fraction of the requests that the categories before have admitted.
         admitted *= 1.0 - (f64::from(dropped.numerator) / denominator).min(1.0);
     }
     admitted
--- a/crates/xds/src/client_stream.rs
+++ b/crates/xds/src/client_stream.rs
@@ -1,4 +1,4 @@
-//! The subscribing side of discovery streams. It outlives a stream: a new one begins with all subscriptions.
+//! The subscribing side of discovery streams. Its state outlives a stream: each new stream begins with all subscriptions.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -16,47 +16,48 @@
 enum Purpose {
     /// To subscribe to more names, or to all of them on a new stream.
     Subscribe,
-    /// To subscribe anew to names that were subscribed to already.
+    /// To subscribe again to names that are subscription to already.
     Resubscribe,
     /// To acknowledge or reject a response.
     Acknowledge,
 }
 
-/// What is subscribed to and held of one type of resource.
+/// The names that are subscription to of one type of resource, and the versions that the client has.
 #[derive(Debug, Default)]
 struct Subscription {
     names: BTreeSet<String>,
+    /// Version of the last response that was acknowledged.
     version: String,
-    /// Of the last response that was acknowledged or rejected on this stream.
+    /// Nonce of the last response that was acknowledged or rejected on this stream; empty if there is none.
     nonce: String,
-    /// Versions of the single resources that are held.
+    /// Versions of the individual resources that the client has.
     resource_versions: BTreeMap<String, String>,
 }
 
-/// The subscribing side of the streams to one server, one after another.
+/// The subscribing side of the successive streams to one server.
 #[derive(Debug)]
 pub struct ClientStream {
     variant: Variant,
-    /// Who the client is.
+    /// The client's node, sent in the first request of each stream.
     pub node: NodeInfo,
     node_sent: bool,
     subscriptions: BTreeMap<String, Subscription>,
 }
 
 impl ClientStream {
-    /// Nothing is subscribed to yet.
+    /// Creates the client's state, without any subscription.
     pub fn new(variant: Variant, node: NodeInfo) -> Self {
         ClientStream { variant, node, node_sent: false, subscriptions: BTreeMap::new() }
     }
 
-    /// Subscribes to more names of a type; gives the request to send.
+    /// Subscribes to more names of a type; returns the request to send.
     pub fn subscribe(&mut self, type_url: &str, names: impl IntoIterator<Item = String>) -> Vec<u8> {
         let names: Vec<String> = names.into_iter().collect();
         self.subscriptions.entry(type_url.to_owned()).or_default().names.extend(names.iter().cloned());
         self.request(type_url, names, Purpose::Subscribe, None)
     }
 
-    /// Subscribes anew to some names, and says of each which version is held, if any; gives the request to send.
+    /// Subscribes again to names, each with the version that the client has, if any; returns the request to send.
     pub fn resubscribe(&mut self, type_url: &str, names: BTreeMap<String, Option<String>>) -> Vec<u8> {
         let subscription = self.subscriptions.entry(type_url.to_owned()).or_default();
         subscription.names.extend(names.keys().cloned());
@@ -69,7 +70,7 @@
         self.request(type_url, names.into_keys().collect(), Purpose::Resubscribe, None)
     }
 
-    /// Forgets a name and the version held of it.
+    /// Removes a name and the version that the client has of it. No request is sent.
     pub fn unsubscribe(&mut self, type_url: &str, name: &str) {
         if let Some(subscription) = self.subscriptions.get_mut(type_url) {
             subscription.names.remove(name);
@@ -77,17 +78,17 @@
         }
     }
 
-    /// Replaces the versions that came with updates by those that are held.
+    /// Replaces the versions that updates have recorded by those that the client actually has.
     pub fn set_resource_versions(&mut self, type_url: &str, versions: BTreeMap<String, String>) {
         if let Some(subscription) = self.subscriptions.get_mut(type_url) {
             subscription.resource_versions = versions;
         }
     }
 
-    /// Begins a new stream; gives the requests that open it, one for each type.
+    /// Begins a new stream; returns the requests that open it, one for each type.
     pub fn reopen(&mut self) -> Vec<Vec<u8>> {
         self.node_sent = false;
-        self.subscriptions.values_mut().for_each(|subscribed| subscribed.nonce.clear());
+        self.subscriptions.values_mut().for_each(|subscription| subscription.nonce.clear());
         let types: Vec<(String, Vec<String>)> = self
             .subscriptions
             .iter()
@@ -100,7 +101,7 @@
     ///
     /// # Errors
     ///
-    /// The message cannot be decoded, or its type was not subscribed to.
+    /// The message cannot be decoded, or its type was not subscription to.
     pub fn handle(&mut self, message: &[u8]) -> Result<Update, Status> {
         let update = match self.variant {
             Variant::StateOfTheWorld => {
@@ -141,7 +142,7 @@
         Ok(update)
     }
 
-    /// Acknowledges an update that is applied; gives the request to send.
+    /// Acknowledges an update that was applied; returns the request to send.
     pub fn ack(&mut self, update: &Update) -> Vec<u8> {
         if let Some(subscription) = self.subscriptions.get_mut(&update.type_url) {
             (subscription.version, subscription.nonce) = (update.version.clone(), update.nonce.clone());
@@ -151,7 +152,7 @@
         self.request(&update.type_url, Vec::new(), Purpose::Acknowledge, None)
     }
 
-    /// Rejects an update: what was held before stays; gives the request to send.
+    /// Rejects an update, so that the versions before it stay in force; returns the request to send.
     pub fn nack(&mut self, update: &Update, reason: String) -> Vec<u8> {
         if let Some(subscription) = self.subscriptions.get_mut(&update.type_url) {
             subscription.nonce.clone_from(&update.nonce);
@@ -159,7 +160,8 @@
         self.request(&update.type_url, Vec::new(), Purpose::Acknowledge, Some(reason))
     }
 
-    /// Encodes a request. `names`: those to subscribe to, for an incremental stream.
+    /// Encodes a request. `names`: the names to subscribe to, which only incremental requests contain; a state-of-the-world
+    /// request always contains all names. `reason`: why a response is rejected.
     fn request(
         &mut self,
         url: &str,
@@ -189,7 +191,7 @@
             Variant::Incremental => DeltaDiscoveryRequest {
                 node,
                 type_url: url.to_owned(),
-                initial_resource_versions: subscription.held_versions(purpose, &names),
+                initial_resource_versions: subscription.reported_versions(purpose, &names),
                 resource_names_subscribe: names,
                 response_nonce: match purpose {
                     Purpose::Acknowledge => subscription.nonce.clone(),
@@ -204,9 +206,9 @@
 }
 
 impl Subscription {
-    /// The versions that a request says are held: all when a stream is opened, those of `names` when it subscribes to
-    /// these anew.
-    fn held_versions(&self, purpose: Purpose, names: &[String]) -> HashMap<String, String> {
+    /// The versions that a request reports as present: all when it opens a stream, and those of `names` when it subscribes to
+    /// them again.
+    fn reported_versions(&self, purpose: Purpose, names: &[String]) -> HashMap<String, String> {
         match purpose {
             Purpose::Subscribe if self.nonce.is_empty() => {
                 self.resource_versions.clone().into_iter().collect()
--- a/crates/xds/src/discovery.rs
+++ b/crates/xds/src/discovery.rs
@@ -1,4 +1,4 @@
-//! What travels on a discovery stream: resources, responses, and what a client reads of them.
+//! Resources and responses of discovery streams, and the updates that clients decode from them.
 
 use std::collections::BTreeMap;
 
@@ -12,43 +12,44 @@
 /// The two variants of the transport protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
-    /// Every response holds all resources of its type.
+    /// Every response contains all resources of its type.
     StateOfTheWorld,
-    /// A response holds what changed.
+    /// A response contains only the resources that have changed.
     Incremental,
 }
 
 /// A resource to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Resource {
-    /// Its name within its type.
+    /// Name of the resource, unique within its type.
     pub name: String,
-    /// Its version, as text that means nothing to a client.
+    /// Version of the resource; opaque to clients.
     pub version: String,
     /// The encoded resource.
     pub any: Any,
 }
 
-/// A response to a client. Streams that are sent the same share its bytes: nonces need only differ within a stream.
+/// A response to a client. Streams that get the same response share its bytes, since nonces need only be unique within a
+/// stream.
 #[derive(Clone, Debug)]
 pub struct Response<'a> {
     /// Type URL of the resources.
     pub type_url: &'a str,
-    /// Version of the whole.
+    /// Version of the response as a whole.
     pub version: &'a str,
-    /// All resources, or those that changed.
+    /// State of the world: all resources. Incremental: those that have changed.
     pub resources: Vec<Resource>,
-    /// Incremental only: names of resources that do not exist any more, or never did.
+    /// Incremental only: names of resources that do not exist any more, or never existed.
     pub removed: Vec<String>,
-    /// Number of the response on its stream.
+    /// Number of the response on its stream; the first part of its nonce.
     pub nonce: u64,
-    /// Time at which it was decided, ns by the sender's clock: for whoever reads the traffic, and for measurements. It
-    /// means nothing to a client.
+    /// Time of the decision that led to the response, ns by the sender's clock; the second part of its nonce. It serves
+    /// measurements and the analysis of traffic, and is opaque to clients.
     pub stamp: u64,
 }
 
 impl Response<'_> {
-    /// Encodes it. `identifier` goes out as `control_plane.identifier`.
+    /// Encodes the response. `identifier` is sent as `control_plane.identifier`.
     pub fn encode(self, variant: Variant, identifier: &str) -> Vec<u8> {
         let nonce = format!("{}@{}", self.nonce, self.stamp);
         let control_plane = Some(ControlPlane { identifier: identifier.to_owned() });
@@ -86,28 +87,29 @@
     }
 }
 
-/// A response as a client decodes it.
+/// A response as decoded by a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Update {
     /// Type URL of the resources.
     pub type_url: String,
-    /// Version of the whole.
+    /// Version of the response as a whole.
     pub version: String,
-    /// Names the response in its acknowledgement.
+    /// Identifies the response in its acknowledgement.
     pub nonce: String,
-    /// All resources, or those that changed.
+    /// State of the world: all resources. Incremental: those that have changed.
     pub resources: Vec<Any>,
-    /// Incremental only: names of the resources, in their order.
+    /// Incremental only: names of the resources, in the order of `resources`.
     pub names: Vec<String>,
     /// Incremental only: names of resources that do not exist any more.
     pub removed: Vec<String>,
+    /// Incremental only: versions of the resources, by name.
     pub(crate) resource_versions: BTreeMap<String, String>,
-    /// `control_plane.identifier` of the server.
+    /// The server's `control_plane.identifier`.
     pub control_plane: String,
 }
 
 impl Update {
-    /// The number and the stamp in the nonce, where it was made by a [`Response`].
+    /// The number and the stamp in the nonce; `None` if no [`Response`] has made it.
     pub fn stamp(&self) -> Option<(u64, u64)> {
         let (number, stamp) = self.nonce.split_once('@')?;
         Some((number.parse().ok()?, stamp.parse().ok()?))
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -1,7 +1,8 @@
-//! xDS v3 transport and load reporting, free of I/O: messages, and the state of one stream on either side.
+//! xDS v3 discovery and load reporting, free of I/O: the messages, and the state of a stream on the serving and the
+//! subscribing side.
 //!
-//! Message types, field numbers and type URLs are those of the published crate `xds-api`. This crate says what tables,
-//! endpoint lists and load reports look like in them (`docs/design-grpc.md`). `crates/xds-supervisor` serves these streams and
+//! Message types, field numbers and type URLs are those of the published crate `xds-api`. This crate defines how they carry
+//! tables, endpoint lists and load reports (`docs/design-grpc.md`). `crates/xds-supervisor` serves these streams and
 //! subscribes to the registry's; `crates/standins` and the measurements of `crates/cli` subscribe to them.
 
 #![deny(missing_docs, unreachable_pub)]
@@ -26,37 +27,37 @@
 use shalereel_rpc::{Code, Status};
 pub use xds_api::pb::google::protobuf::Any;
 
-/// Aggregated discovery, state of the world.
+/// Method path of aggregated discovery, state of the world.
 pub const ADS: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources";
-/// Aggregated discovery, incremental.
+/// Method path of aggregated discovery, incremental.
 pub const DELTA_ADS: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources";
-/// Endpoint discovery on a stream of its own, state of the world.
+/// Method path of endpoint discovery on a separate stream, state of the world.
 pub const EDS: &str = "/envoy.service.endpoint.v3.EndpointDiscoveryService/StreamEndpoints";
-/// Endpoint discovery on a stream of its own, incremental.
+/// Method path of endpoint discovery on a separate stream, incremental.
 pub const DELTA_EDS: &str = "/envoy.service.endpoint.v3.EndpointDiscoveryService/DeltaEndpoints";
-/// Lines of tables on a stream of their own.
+/// Method path of the discovery of table lines on a separate stream, incremental.
 pub const DELTA_LEDS: &str =
     "/envoy.service.endpoint.v3.LocalityEndpointDiscoveryService/DeltaLocalityEndpoints";
-/// Load reports.
+/// Method path of load reporting.
 pub const LRS: &str = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
-/// A server's own health, `grpc.health.v1`.
+/// Method path of health checks of a server (`grpc.health.v1`).
 pub const HEALTH: &str = "/grpc.health.v1.Health/Check";
 
 /// Type URLs of the resources that are served.
 pub mod types {
-    /// How clients find their routes.
+    /// Listener, from which clients learn the name of their routes.
     pub const LISTENER: &str = "type.googleapis.com/envoy.config.listener.v3.Listener";
-    /// Which cluster an operation goes to.
+    /// Routes, which map operations to clusters.
     pub const ROUTES: &str = "type.googleapis.com/envoy.config.route.v3.RouteConfiguration";
-    /// An operation as a cluster.
+    /// Cluster; there is one for each operation.
     pub const CLUSTER: &str = "type.googleapis.com/envoy.config.cluster.v3.Cluster";
-    /// One line of a table.
+    /// One line of a table ([`leds`](crate::leds)).
     pub const LINE: &str = "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint";
-    /// The endpoints of a cluster.
+    /// Assignment: the endpoints of a cluster.
     pub const ASSIGNMENT: &str = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
 }
 
-/// Decodes a message; one that cannot be decoded ends its stream.
-fn decoded<M: prost::Message + Default>(bytes: &[u8], what: &str) -> Result<M, Status> {
-    M::decode(bytes).map_err(|error| Status::new(Code::InvalidArgument, format!("{what}: {error}")))
+/// Decodes a message. The error is the status with which the stream of a malformed message ends.
+fn decoded<M: prost::Message + Default>(bytes: &[u8], message_type: &str) -> Result<M, Status> {
+    M::decode(bytes).map_err(|error| Status::new(Code::InvalidArgument, format!("{message_type}: {error}")))
 }
--- a/crates/xds/src/load_report.rs
+++ b/crates/xds/src/load_report.rs
@@ -1,4 +1,4 @@
-//! Load reports, as the load reporting service (LRS) carries them.
+//! Messages of the load reporting service (LRS).
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,51 +17,51 @@
 use crate::assignment::{decode_address, encode_address, ADMISSION_CATEGORY};
 use crate::{decoded, NodeInfo};
 
-/// Name of the load metric of successful attempts' response times: their sum in milliseconds.
+/// Name of the load metric that carries the sum of the response times of successful attempts, in milliseconds.
 pub const RESPONSE_TIME_METRIC: &str = "answer_time_ms";
 
-/// Attempts at one endpoint in one interval (`UpstreamEndpointStats`).
+/// The load on one endpoint in one interval (`UpstreamEndpointStats`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointLoad {
-    /// Which endpoint.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// `Locality.zone`.
+    /// Zone of the endpoint (`Locality.zone`).
     pub zone: String,
-    /// Attempts that were successful.
+    /// Number of successful attempts.
     pub successes: u64,
-    /// Attempts that failed.
+    /// Number of failed attempts.
     pub failures: u64,
-    /// Responses with a known time.
+    /// Number of responses whose response time is known.
     pub timed_responses: u64,
-    /// Sum of these times.
+    /// Sum of these response times, ns.
     pub response_time_sum: Nanos,
-    /// Other named metrics: mean values.
+    /// Mean values of other metrics, by name.
     pub metrics: BTreeMap<String, f64>,
 }
 
-/// What came to one cluster in one interval (`ClusterStats`).
+/// The load on one cluster in one interval (`ClusterStats`).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClusterLoad {
     /// Name of the cluster.
     pub cluster: String,
-    /// Time that the report covers.
+    /// Time that the report covers, ns.
     pub interval: Nanos,
-    /// Attempts begun, at any endpoint.
+    /// Number of attempts begun, at all endpoints together.
     pub issued: u64,
-    /// Attempts that failed.
+    /// Number of failed attempts.
     pub failures: u64,
-    /// Requests rejected before an attempt, by the admission limit or for want of an endpoint.
+    /// Number of requests rejected before an attempt, by the admission limit or since no endpoint was available.
     pub dropped: u64,
-    /// The same by endpoint.
+    /// Load on each endpoint.
     pub endpoints: Vec<EndpointLoad>,
 }
 
-/// One report (`LoadStatsRequest`).
+/// One load report (`LoadStatsRequest`).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// In the first report of a stream.
+    /// The reporting node; present in the first report of a stream.
     pub node: Option<NodeInfo>,
-    /// One for each cluster that requests came to.
+    /// Loads of the clusters that got requests.
     pub clusters: Vec<ClusterLoad>,
 }
 
@@ -163,7 +163,7 @@
     ///
     /// # Errors
     ///
-    /// The message is no `LoadStatsRequest`.
+    /// The message is not a `LoadStatsRequest`.
     pub fn decode(bytes: &[u8]) -> Result<Self, Status> {
         let request: LoadStatsRequest = decoded(bytes, "LoadStatsRequest")?;
         let clusters = request.cluster_stats.into_iter().map(|stats| {
@@ -172,7 +172,7 @@
                 let zone = locality.locality.as_ref().map(|l| l.zone.as_str()).unwrap_or_default();
                 locality.upstream_endpoint_stats.iter().filter_map(|stats| EndpointLoad::decode(stats, zone))
             });
-            // Older clients leave `total_issued_requests` out.
+            // Older clients do not set `total_issued_requests`.
             let issued = |l: &UpstreamLocalityStats| {
                 l.total_issued_requests
                     .max(l.total_successful_requests.saturating_add(l.total_error_requests))
@@ -190,12 +190,12 @@
     }
 }
 
-/// What a client is asked to report (`LoadStatsResponse`).
+/// The server's settings for a client's load reports (`LoadStatsResponse`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReportConfig {
-    /// Time from one report to the next.
+    /// Time between reports, ns.
     pub interval: Nanos,
-    /// Loads are to be reported by endpoint.
+    /// Whether loads are reported for each endpoint.
     pub by_endpoint: bool,
 }
 
@@ -215,7 +215,7 @@
     ///
     /// # Errors
     ///
-    /// The message is no `LoadStatsResponse`.
+    /// The message is not a `LoadStatsResponse`.
     pub fn decode(bytes: &[u8]) -> Result<Self, Status> {
         let response: LoadStatsResponse = decoded(bytes, "LoadStatsResponse")?;
         let interval = decode_duration(response.load_reporting_interval.as_ref());
--- a/crates/xds/src/node_info.rs
+++ b/crates/xds/src/node_info.rs
@@ -1,4 +1,4 @@
-//! Who is at the other end of a stream, as `envoy.config.core.v3.Node` says it.
+//! The node at the other end of a stream (`envoy.config.core.v3.Node`).
 
 use std::collections::HashMap;
 
@@ -8,24 +8,24 @@
 /// The node at the other end of a stream.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeInfo {
-    /// Its name.
+    /// Id of the node.
     pub id: String,
-    /// `Locality.zone`.
+    /// Zone of the node (`Locality.zone`).
     pub zone: String,
-    /// Requests per second that it ordinarily gets; metadata `rate`, 0 where it says none.
+    /// Requests per second that the node usually gets (metadata `rate`); 0 if it does not report a rate.
     pub rate: f64,
-    /// No supervisor has sent it anything yet; metadata `standing_only`, an older name that
-    /// other versions read.
+    /// Whether the node is new: no supervisor has sent it anything yet (metadata `standing_only`, an older name that other
+    /// versions read).
     pub is_new: bool,
-    /// It takes tables line by line ([`crate::leds`]); `client_features` has [`LINES`].
+    /// Whether the node takes tables line by line ([`crate::leds`]); encoded as the client feature [`LINES`].
     pub supports_lines: bool,
 }
 
-/// The client feature of taking tables line by line; the specification names none for it.
+/// Client feature of nodes that take tables line by line. The specification defines none for it.
 const LINES: &str = "shalereel.lines";
 
 impl NodeInfo {
-    /// The message of the specification.
+    /// Encodes the node as the message of the specification.
     pub fn encode(&self) -> Node {
         let value = |kind| Value { kind: Some(kind) };
         let fields = HashMap::from([
@@ -42,7 +42,7 @@
         }
     }
 
-    /// What the message says; a field that is missing or of another type counts as not said.
+    /// Decodes a node; a field that is missing or of another type gets its default.
     pub fn decode(node: &Node) -> Self {
         let field = |name: &str| node.metadata.as_ref()?.fields.get(name)?.kind.as_ref();
         NodeInfo {
--- a/crates/xds/src/routing.rs
+++ b/crates/xds/src/routing.rs
@@ -1,4 +1,5 @@
-//! What a client needs before it asks for endpoints: a listener, its routes, and a cluster an operation.
+//! The resources that a client needs before it subscribes to endpoints: a listener, its routes, and a cluster for each
+//! operation.
 
 use prost::Message;
 use shalereel::interface;
@@ -22,11 +23,12 @@
 
 use crate::{decoded, types};
 
-/// Failures that prove that an attempt was not executed.
+/// Retry conditions that are met only if the attempt was not executed.
 const NOT_EXECUTED: &str = "connect-failure,refused-stream";
-/// Any failure.
+/// Retry conditions for any failure.
 const ANY_FAILURE: &str = "5xx,reset,connect-failure,refused-stream,cancelled,deadline-exceeded,unavailable";
 
+/// Tells a client to get a resource from the aggregated stream (ADS).
 pub(crate) fn from_ads() -> ConfigSource {
     ConfigSource {
         config_source_specifier: Some(ConfigSourceSpecifier::Ads(AggregatedConfigSource::default())),
@@ -35,7 +37,7 @@
     }
 }
 
-/// A listener for clients that route by themselves (`api_listener`), with routes of the same name.
+/// Encodes a listener for clients that do their own routing (`api_listener`); its routes have the same name.
 pub fn listener(name: &str) -> Any {
     let manager = HttpConnectionManager {
         stat_prefix: name.into(),
@@ -52,7 +54,7 @@
     Any { type_url: types::LISTENER.into(), value: listener.encode_to_vec() }
 }
 
-/// A cluster whose endpoints are asked for by the operation's own name.
+/// Encodes the cluster of an operation. Clients subscribe to its endpoints by the operation's name.
 pub fn cluster(operation: &str) -> Any {
     let cluster = Cluster {
         name: operation.into(),
@@ -81,7 +83,7 @@
     })
 }
 
-/// One route an operation, by the last part of the path: `/<any service>/<operation>` goes by `prefix`.
+/// Encodes the routes: one for each operation, which matches the path `{prefix}{operation}`.
 pub fn routes<'a>(
     name: &str,
     prefix: &str,
@@ -111,11 +113,11 @@
     Any { type_url: types::ROUTES.into(), value: routes.encode_to_vec() }
 }
 
-/// The retry policies in routes, by operation.
+/// Decodes the retry policies in routes, by operation.
 ///
 /// # Errors
 ///
-/// The message is no `RouteConfiguration`.
+/// The message is not a `RouteConfiguration`.
 pub fn decode_retries(any: &Any) -> Result<Vec<(String, interface::RetryPolicy)>, Status> {
     let routes: RouteConfiguration = decoded(&any.value, "RouteConfiguration")?;
     let mut found = Vec::new();
@@ -127,9 +129,12 @@
         let policy = match &action.retry_policy {
             None => interface::RetryPolicy::Never,
             Some(policy) if max_retries(policy) == 0 => interface::RetryPolicy::Never,
-            // Conditions that do not all prove that nothing was executed count as any failure.
+            // A policy with any other condition counts as one that retries any failure.
             Some(policy)
-                if policy.retry_on.split(',').all(|on| NOT_EXECUTED.split(',').any(|proof| proof == on)) =>
+                if policy
+                    .retry_on
+                    .split(',')
+                    .all(|condition| NOT_EXECUTED.split(',').any(|known| known == condition)) =>
             {
                 interface::RetryPolicy::IfNotExecuted
             }
--- a/crates/xds/src/server_stream.rs
+++ b/crates/xds/src/server_stream.rs
@@ -1,4 +1,4 @@
-//! The serving side of one discovery stream: what its client subscribes to, and which responses it has acknowledged.
+//! The serving side of one discovery stream: the client's subscriptions, and which responses it has acknowledged.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,52 +9,54 @@
 
 use crate::{decoded, types, NodeInfo, Response, Variant};
 
-/// Unacknowledged responses of one type that are distinguished; older ones count as never acknowledged.
+/// Largest number of unacknowledged responses of one type that are tracked; acknowledgements of older ones are ignored.
 const MAX_UNACKNOWLEDGED: usize = 1024;
-/// Names that one stream may subscribe to.
+/// Largest number of names of one type that a stream may subscribe to or report versions of.
 const MAX_NAMES: usize = 4096;
-/// Subscribes to all resources of a type.
+/// Name that subscribes to all resources of a type.
 const WILDCARD: &str = "*";
 
-/// What a client requested.
+/// A request of a client, decoded.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientRequest {
-    /// Who it is; in its first message.
+    /// The client's node, from its first message.
     Node(NodeInfo),
-    /// Resources of a type that it had not subscribed to on this stream; `None` stands for all that there are.
+    /// The client subscribes to resources of a type that must be sent to it now.
     Subscribe {
         /// Type URL.
         type_url: String,
-        /// Names within the type.
+        /// Names within the type; `None` stands for all resources.
         names: Option<Vec<String>>,
     },
-    /// It applies the response with this nonce.
+    /// The client has accepted the response with this nonce.
     Ack {
         /// Type URL.
         type_url: String,
         /// Number of the response.
         nonce: u64,
     },
-    /// It rejected the response and keeps what it had.
+    /// The client has rejected the response and keeps its state from before.
     Nack {
         /// Type URL.
         type_url: String,
         /// Number of the response.
         nonce: u64,
-        /// The client's words.
+        /// Reason given by the client.
         reason: String,
     },
 }
 
-/// What the client of a stream has said about one type of resource.
+/// The client's subscription to one type of resource.
 #[derive(Debug, Default)]
 struct Subscription {
     names: BTreeSet<String>,
+    /// Whether the client subscribes to all resources of the type.
     all: bool,
+    /// Nonces of responses without an acknowledgement, the oldest first.
     unacknowledged: VecDeque<u64>,
-    /// Version that the client held when it opened the stream.
+    /// Version that the client had when it opened the stream.
     initial_version: String,
-    /// Versions of single resources that the client held when it opened the stream or subscribed anew.
+    /// Versions of individual resources that the client had when it opened the stream or subscribed again.
     resource_versions: BTreeMap<String, String>,
 }
 
@@ -62,12 +64,14 @@
 #[derive(Debug)]
 pub struct ServerStream {
     variant: Variant,
-    node_known: bool,
+    /// Whether the client has sent its node.
+    has_node: bool,
     subscriptions: BTreeMap<String, Subscription>,
+    /// Sent as `control_plane.identifier`.
     identifier: String,
 }
 
-/// A request of either variant.
+/// A request of either protocol variant.
 struct Request {
     node: Option<Node>,
     type_url: String,
@@ -117,7 +121,7 @@
     }
 }
 
-/// Whether names that come with an acknowledgement are what the client wants now.
+/// Whether the names in an acknowledgement are the client's current subscription.
 #[derive(PartialEq, Eq)]
 enum Names {
     Current,
@@ -125,8 +129,9 @@
 }
 
 impl Subscription {
-    /// Takes note of the versions that the client holds: one that subscribes anew says its version again, or none.
-    fn note_versions(&mut self, request: &mut Request) -> Result<(), Status> {
+    /// Records the versions that the client has. A client that subscribes again to a name reports its version again; if it
+    /// reports none, it has none.
+    fn record_versions(&mut self, request: &mut Request) -> Result<(), Status> {
         self.resource_versions.retain(|name, _| !request.subscribe.contains(name));
         self.resource_versions.append(&mut request.resource_versions);
         if self.resource_versions.len() > MAX_NAMES {
@@ -136,29 +141,29 @@
         Ok(())
     }
 
-    /// Takes an acknowledgement or rejection.
+    /// Handles the acknowledgement or rejection in a request, if there is one.
     fn acknowledge(&mut self, request: &mut Request, variant: Variant) -> (Option<ClientRequest>, Names) {
         if request.nonce.is_empty() {
             return (None, Names::Current);
         }
         let nonce = nonce_number(&request.nonce).filter(|nonce| self.unacknowledged.contains(nonce));
         let Some(nonce) = nonce else {
-            // From before a reconnect, or forgotten: it says nothing about the present.
+            // The nonce is from before a reconnect or no longer tracked, so the request does not show the current state.
             return (None, Names::Outdated);
         };
         let newest = self.unacknowledged.back() == Some(&nonce);
         self.unacknowledged.retain(|&other| other > nonce);
         let type_url = request.type_url.clone();
-        let answer = match request.error.take() {
+        let acknowledgement = match request.error.take() {
             Some(status) => ClientRequest::Nack { type_url, nonce, reason: status.message },
             None => ClientRequest::Ack { type_url, nonce },
         };
-        // The names that go with an older response are not what the client wants by now.
+        // An acknowledgement of an older response has the names that the client wanted then, not the current ones.
         let outdated = !newest && variant == Variant::StateOfTheWorld;
-        (Some(answer), if outdated { Names::Outdated } else { Names::Current })
+        (Some(acknowledgement), if outdated { Names::Outdated } else { Names::Current })
     }
 
-    /// Takes the names of a request. `first`: it is the first of its type on the stream.
+    /// Applies the names of a request to the subscription. `first`: the request is the first of its type on the stream.
     fn subscribe(
         &mut self,
         request: Request,
@@ -175,7 +180,7 @@
         let all = empty_means_all || request.subscribe.iter().any(|name| name == WILDCARD);
         let names: BTreeSet<String> = request.subscribe.into_iter().filter(|name| name != WILDCARD).collect();
         let added: Vec<String> = match variant {
-            // Incremental clients may subscribe again to what they hold: it is sent again.
+            // If an incremental client subscribes again to a resource that it has, the resource is sent again.
             Variant::Incremental => names.iter().cloned().collect(),
             Variant::StateOfTheWorld => names.difference(&self.names).cloned().collect(),
         };
@@ -195,33 +200,34 @@
     }
 }
 
+/// The number of a response in its nonce, which precedes the stamp.
 fn nonce_number(text: &str) -> Option<u64> {
     text.split('@').next()?.parse().ok()
 }
 
 impl ServerStream {
-    /// A stream that nothing has come on. `identifier` goes out as `control_plane.identifier`.
+    /// Creates the state of a stream on which nothing was received yet. `identifier` is sent as `control_plane.identifier`.
     pub fn new(variant: Variant, identifier: &str) -> Self {
         ServerStream {
             variant,
-            node_known: false,
+            has_node: false,
             subscriptions: BTreeMap::new(),
             identifier: identifier.to_owned(),
         }
     }
 
-    /// Takes one message.
+    /// Handles one message of the client; returns the requests in it.
     ///
     /// # Errors
     ///
-    /// The status with which the stream is to be ended: the message cannot be decoded, names no node where it is the
-    /// first, subscribes to a type that is not served, or to too much.
+    /// The status with which the stream must end: the message cannot be decoded, is the first but has no node, subscribes to
+    /// a type that is not served, or subscribes to too many names.
     pub fn handle(&mut self, message: &[u8]) -> Result<Vec<ClientRequest>, Status> {
         let mut request = Request::decode(self.variant, message)?;
         let mut requests = Vec::new();
-        if !self.node_known {
+        if !self.has_node {
             requests.push(ClientRequest::Node(first_node(request.node.take())?));
-            self.node_known = true;
+            self.has_node = true;
         }
         self.check_type(&request.type_url)?;
         let first = !self.subscriptions.contains_key(&request.type_url);
@@ -229,9 +235,9 @@
         if first {
             subscription.initial_version = std::mem::take(&mut request.initial_version);
         }
-        subscription.note_versions(&mut request)?;
-        let (answer, names) = subscription.acknowledge(&mut request, self.variant);
-        requests.extend(answer);
+        subscription.record_versions(&mut request)?;
+        let (acknowledgement, names) = subscription.acknowledge(&mut request, self.variant);
+        requests.extend(acknowledgement);
         if names == Names::Current {
             requests.extend(subscription.subscribe(request, self.variant, first)?);
         }
@@ -255,17 +261,18 @@
             .is_some_and(|subscription| subscription.all || subscription.names.contains(name))
     }
 
-    /// The version that the client held of a type when it opened the stream (incremental: the highest by text).
+    /// The version of a type that the client had when it opened the stream (incremental: the greatest resource version,
+    /// compared as text); empty if it had none.
     pub fn initial_version(&self, type_url: &str) -> &str {
         self.subscriptions.get(type_url).map_or("", |subscription| subscription.initial_version.as_str())
     }
 
-    /// The version of one resource that the client held when it opened the stream or subscribed anew.
+    /// The version of one resource that the client had when it opened the stream or subscribed again.
     pub fn resource_version(&self, type_url: &str, name: &str) -> Option<&str> {
         self.subscriptions.get(type_url)?.resource_versions.get(name).map(String::as_str)
     }
 
-    /// Expects an acknowledgement of a response with this nonce. Nonces grow from one to the next.
+    /// Records that a response with this nonce was sent and is to be acknowledged. Nonces must increase.
     pub fn expect_ack(&mut self, type_url: &str, nonce: u64) {
         let subscription = self.subscriptions.entry(type_url.to_owned()).or_default();
         subscription.unacknowledged.push_back(nonce);
@@ -279,7 +286,7 @@
         self.variant
     }
 
-    /// Encodes a response to this stream alone, and expects its acknowledgement.
+    /// Encodes a response for this stream only, and records that it is to be acknowledged.
     pub fn encode_response(&mut self, response: Response) -> Vec<u8> {
         self.expect_ack(response.type_url, response.nonce);
         response.encode(self.variant, &self.identifier)
