--- a/crates/rpc/src/connection/call.rs
+++ b/crates/rpc/src/connection/call.rs
@@ -1,4 +1,4 @@
-//! One gRPC call on an HTTP/2 stream, either side: receiving, sending, and how it ends.
+//! One gRPC call on an HTTP/2 stream, on the client or the server side: receives, sends, and ends.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -15,40 +15,40 @@
 use super::{ConnectionEvent, StreamId};
 use crate::{Code, Framer, Status};
 
-/// What is received next.
+/// What the call receives next.
 enum ReceiveState {
-    /// Client side: the request was not sent yet.
+    /// Client side: nothing, since the request was not sent yet.
     RequestPending(Request<()>),
     /// Client side: the headers of the response.
     ResponseHeaders(ResponseFuture),
     Messages(RecvStream),
-    /// Client side: the status.
+    /// Client side: the trailers, which carry the status.
     Trailers(RecvStream),
-    /// Nothing more is received; only a reset is watched for.
+    /// Nothing more; only a reset by the peer is noticed.
     Finished,
 }
 
-/// What receiving has led to.
+/// Result of one step of receiving.
 enum Received {
-    /// Nothing more for now.
+    /// Nothing more is available now.
     Pending,
-    /// The state has changed.
+    /// Something was received; the next step may receive more.
     Progress,
-    /// The call has ended.
+    /// The call has ended with this status.
     Ended(Status),
 }
 
 pub(super) struct Call {
     receive: ReceiveState,
     framer: Framer,
-    /// Where messages are sent, once the headers are.
+    /// Stream on which messages are sent; set once the headers were sent.
     send_stream: Option<SendStream<Bytes>>,
     unsent: VecDeque<Bytes>,
     unsent_bytes: usize,
-    /// What ends the sending side after the unsent bytes: the status (server), or that no more comes
-    /// (client).
+    /// Set once the sending side is to end after the unsent bytes. A server then sends this status; a client only closes its
+    /// side.
     finish: Option<Status>,
-    /// Server side: the handle that accepted the call.
+    /// Server side: the handle by which the response headers were sent; `None` on the client side.
     respond: Option<SendResponse<Bytes>>,
 }
 
@@ -65,13 +65,13 @@
         }
     }
 
-    /// Client side.
+    /// Client side: creates a call whose request is sent when the call is polled.
     pub fn outgoing(request: Request<()>, max_message_bytes: usize) -> Self {
         Call::new(ReceiveState::RequestPending(request), max_message_bytes)
     }
 
-    /// Server side: sends the headers of the response. A request that is not gRPC gets an HTTP error, and an
-    /// event without path.
+    /// Server side: accepts a call and sends the headers of the response. A request that is not gRPC gets an HTTP error, and
+    /// the path in its event is empty.
     pub fn accept(
         stream: StreamId,
         request: Request<RecvStream>,
@@ -127,7 +127,7 @@
         self.respond.is_some()
     }
 
-    /// Client side: sends the request, once the connection takes it.
+    /// Client side: sends the request once the connection takes it.
     pub fn poll_request(
         &mut self,
         cx: &mut Context<'_>,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Receives as much as there is; the status where the call has ended.
+    /// Receives as much as is available; returns the status if the call has ended.
     pub fn poll_receive(
         &mut self,
         cx: &mut Context<'_>,
@@ -181,7 +181,7 @@
         if head.status != StatusCode::OK {
             return Received::Ended(Status::new(Code::Unknown, format!("HTTP status {}", head.status)));
         }
-        if let Some(status) = Status::read(&head.headers) {
+        if let Some(status) = Status::from_headers(&head.headers) {
             return Received::Ended(status);
         }
         self.receive = ReceiveState::Messages(body);
@@ -213,7 +213,7 @@
         }
     }
 
-    /// The peer sends no more messages.
+    /// Handles the end of the peer's messages.
     fn end_messages(&mut self, stream: StreamId, events: &mut Vec<ConnectionEvent>) -> Received {
         if let Err(error) = self.framer.finish() {
             return Received::Ended(self.reject(error.into()));
@@ -227,7 +227,7 @@
         Received::Progress
     }
 
-    /// A server notices at its sending side that the peer has cancelled.
+    /// Server side: checks whether the peer has cancelled the call, which shows as a reset of the sending side.
     fn receive_reset(&mut self, cx: &mut Context<'_>) -> Received {
         let is_server = self.is_server();
         let Some(send_stream) = self.send_stream.as_mut().filter(|_| is_server) else {
@@ -240,7 +240,7 @@
         }
     }
 
-    /// The peer has violated the framing: it is sent the status, and the call ends.
+    /// Ends a call whose peer has violated the framing. A server sends the status; a client resets the stream.
     fn reject(&mut self, status: Status) -> Status {
         match (&mut self.send_stream, self.respond.is_some()) {
             (Some(send_stream), true) => drop(send_stream.send_trailers(status.trailers())),
@@ -249,7 +249,7 @@
         status
     }
 
-    /// Sends what the peer's window admits; the status where that ends the call.
+    /// Sends as much as the peer's window allows; returns the status if the call has ended by it.
     pub fn poll_send(&mut self, cx: &mut Context<'_>, max_unsent_bytes: usize) -> Option<Status> {
         self.send_stream.as_ref()?;
         if let Err(error) = self.send_unsent(cx) {
@@ -257,7 +257,7 @@
         }
         if self.unsent_bytes > max_unsent_bytes {
             self.reset(Reason::ENHANCE_YOUR_CALM);
-            let message = format!("more than {max_unsent_bytes} bytes wait unread");
+            let message = format!("the peer has left more than {max_unsent_bytes} bytes unread");
             return Some(Status::new(Code::ResourceExhausted, message));
         }
         if !self.unsent.is_empty() {
@@ -267,7 +267,7 @@
         let is_server = self.is_server();
         let send_stream = self.send_stream.as_mut()?;
         if is_server {
-            // Where the peer still sends, h2 resets the call once this is written.
+            // If the peer has not finished sending, h2 resets the stream once the trailers are written.
             let _ = send_stream.send_trailers(status.trailers());
             return Some(status);
         }
@@ -303,14 +303,14 @@
         Poll::Pending => Received::Pending,
         Poll::Ready(Err(error)) => Received::Ended(status_of(&error)),
         Poll::Ready(Ok(trailers)) => {
-            let status = trailers.as_ref().and_then(Status::read);
-            let missing = || Status::new(Code::Unknown, "ended without a status");
+            let status = trailers.as_ref().and_then(Status::from_headers);
+            let missing = || Status::new(Code::Unknown, "the call ended without a grpc-status trailer");
             Received::Ended(status.unwrap_or_else(missing))
         }
     }
 }
 
-/// The status of a call that HTTP/2 has ended, as gRPC over HTTP/2 maps its error codes.
+/// The status of a call that an HTTP/2 error has ended. gRPC over HTTP/2 defines the mapping of error codes.
 pub(super) fn status_of(error: &h2::Error) -> Status {
     let code = match error.reason() {
         Some(Reason::CANCEL) => Code::Cancelled,
@@ -323,6 +323,7 @@
     Status::new(code, error.to_string())
 }
 
+/// Decodes the `grpc-timeout` header, in ns; `None` if it is missing or malformed.
 fn grpc_timeout(headers: &HeaderMap) -> Option<Nanos> {
     let text = headers.get("grpc-timeout")?.to_str().ok()?;
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
--- a/crates/rpc/src/connection/mod.rs
+++ b/crates/rpc/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! One HTTP/2 connection with its gRPC calls, either side, polled by the hub.
+//! One HTTP/2 connection with its gRPC calls, on the client or the server side; polled by the hub.
 
 mod call;
 
@@ -17,54 +17,55 @@
 use crate::{frame, Status};
 use call::{status_of, Call};
 
-/// Identifies a call on its connection; not HTTP/2's number. Never assigned twice.
+/// Identifies a call on its connection. It differs from HTTP/2's stream id, and is never reused.
 pub type StreamId = u64;
 
-/// Receive windows of HTTP/2.
+/// HTTP/2 receive window of a stream.
 const STREAM_WINDOW_BYTES: u32 = 1 << 20;
+/// HTTP/2 receive window of a connection.
 const CONNECTION_WINDOW_BYTES: u32 = 4 << 20;
-/// Longest block of headers.
+/// Largest header list that is accepted.
 const MAX_HEADER_BYTES: u32 = 16 * 1024;
 /// `h2` buffers at least this much before it applies backpressure.
 const MIN_SEND_BUFFER_BYTES: usize = 1 << 16;
-/// Largest value of the `grpc-timeout` header: eight digits.
+/// Largest value of the `grpc-timeout` header, which has at most eight digits.
 const MAX_TIMEOUT_MICROS: Nanos = 99_999_999;
 
-/// What one connection may use. A call or connection that exceeds it is ended, never the process.
+/// Resource limits of one connection. A call or connection that exceeds them is ended; the process continues.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Longest message, bytes.
+    /// Longest message that is accepted, bytes.
     pub max_message_bytes: usize,
-    /// Calls at once, of those that the peer makes.
+    /// Largest number of concurrent calls that the peer may make.
     pub max_concurrent_calls: u32,
-    /// Bytes that may wait for a peer that does not read; beyond it the call, or plain connection, ends.
+    /// Largest number of unsent bytes for a peer that does not read. A call or plain connection with more is ended.
     pub max_unsent_bytes: usize,
-    /// A peer whose kernel acknowledges nothing for so long counts as gone.
+    /// A connection ends if the peer's kernel acknowledges no data for this time, ns.
     pub user_timeout: Nanos,
-    /// Delay until a system call is repeated that the kernel refused for lack of memory or descriptors.
+    /// Delay before an operation that the kernel has refused for lack of memory or descriptors is retried, ns.
     pub retry_delay: Nanos,
 }
 
-/// What has come on a connection.
+/// An event on a connection.
 #[derive(Debug)]
 pub enum ConnectionEvent {
     /// The peer makes a call.
     Call {
         /// The call.
         stream: StreamId,
-        /// Path of the method; empty where the request is not gRPC.
+        /// Path of the method; empty if the request is not gRPC.
         path: String,
-        /// How long the peer waits for the end of the call, where it says so.
+        /// Time that the peer waits for the end of the call, ns; `None` if it has set no timeout.
         timeout: Option<Nanos>,
     },
-    /// A message of a call, without its prefix.
+    /// A message of a call was received.
     Message {
         /// The call.
         stream: StreamId,
-        /// The message.
+        /// The message, without its length prefix.
         message: Bytes,
     },
-    /// The peer, which has made the call, sends no more messages.
+    /// The peer that made the call sends no more messages.
     HalfClosed {
         /// The call.
         stream: StreamId,
@@ -73,7 +74,7 @@
     Ended {
         /// The call.
         stream: StreamId,
-        /// How.
+        /// Status with which the call has ended.
         status: Status,
     },
 }
@@ -81,16 +82,16 @@
 /// Why a connection has ended.
 #[derive(Debug, Error)]
 pub enum CloseReason {
-    /// The peer has closed it in order.
+    /// The peer has closed the connection in an orderly way.
     #[error("closed by the peer")]
     ClosedByPeer,
-    /// The peer has left too many bytes unread.
+    /// The peer has left too many bytes unread; their number.
     #[error("{0} bytes left unread by the peer")]
     Unread(usize),
-    /// The system reports an error.
+    /// A system call has failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// HTTP/2 was violated, or its connection broke.
+    /// The peer has violated HTTP/2, or the HTTP/2 connection has failed.
     #[error(transparent)]
     Http2(#[from] h2::Error),
 }
@@ -98,7 +99,7 @@
 type Handshake<T> = Pin<Box<dyn Future<Output = Result<T, h2::Error>>>>;
 type ServerConnection = h2::server::Connection<Socket, Bytes>;
 
-/// The side that dialled.
+/// The client side of an established connection.
 struct ClientConnection {
     requests: SendRequest<Bytes>,
     connection: h2::client::Connection<Socket, Bytes>,
@@ -111,8 +112,8 @@
     Client(ClientConnection),
 }
 
-/// One HTTP/2 connection with its calls. It must be polled when its socket is ready, its waker was called, or
-/// a method has put something into it.
+/// One HTTP/2 connection with its calls. It must be polled when its socket is ready, when its waker was called, and after a
+/// method has sent or ended something.
 pub struct Connection {
     http2: Http2,
     limits: ConnectionLimits,
@@ -121,7 +122,7 @@
 }
 
 impl Connection {
-    /// The side that accepted the socket.
+    /// Creates the server side, from an accepted socket.
     pub fn server(socket: Socket, limits: ConnectionLimits) -> Self {
         let mut builder = h2::server::Builder::new();
         builder
@@ -133,7 +134,7 @@
         Connection::new(Http2::ServerHandshake(Box::pin(builder.handshake(socket))), limits)
     }
 
-    /// The side that dialled.
+    /// Creates the client side, from a dialled socket.
     pub fn client(socket: Socket, limits: ConnectionLimits) -> Self {
         let mut builder = h2::client::Builder::new();
         builder
@@ -149,7 +150,7 @@
         Connection { http2, limits, calls: BTreeMap::new(), last_stream: 0 }
     }
 
-    /// Client side: makes a call; messages may be sent at once.
+    /// Client side: makes a call. Messages may be sent on it at once. `timeout`, ns, is sent as the `grpc-timeout` header.
     pub fn call(&mut self, path: &str, timeout: Option<Nanos>) -> StreamId {
         let mut request = Request::builder()
             .method(Method::POST)
@@ -162,51 +163,51 @@
             request = request.header("grpc-timeout", format!("{micros}u"));
         }
         self.last_stream += 1;
-        // A path that is no URI is rejected by the peer as an empty one.
+        // If the path is not a valid URI, an empty request is sent, which the peer rejects.
         let request = request.body(()).unwrap_or_default();
         let call = Call::outgoing(request, self.limits.max_message_bytes);
         self.calls.insert(self.last_stream, call);
         self.last_stream
     }
 
-    /// Sends a message on a call; ignored where the call has ended.
+    /// Sends a message on a call; ignored if the call has ended.
     pub fn send(&mut self, stream: StreamId, message: &[u8]) {
         self.send_framed(stream, frame(message));
     }
 
-    /// Sends a message that [`frame`] has framed already, so that many calls can share its bytes.
+    /// Sends a message that was framed by [`frame`] before, so that several calls can share its bytes.
     pub fn send_framed(&mut self, stream: StreamId, framed: Bytes) {
         if let Some(call) = self.calls.get_mut(&stream) {
             call.send(framed);
         }
     }
 
-    /// Bytes of a call that the peer has not taken yet.
+    /// Number of bytes of a call that HTTP/2 has not taken yet.
     pub fn unsent_bytes(&self, stream: StreamId) -> usize {
         self.calls.get(&stream).map_or(0, Call::unsent_bytes)
     }
 
-    /// Server side: ends the call with a status. Client side: says that no more messages come.
+    /// Server side: ends the call with a status. Client side: tells the peer that no more messages follow.
     pub fn finish(&mut self, stream: StreamId, status: Status) {
         if let Some(call) = self.calls.get_mut(&stream) {
             call.finish(status);
         }
     }
 
-    /// Gives a call up: it is reset, and no event of it follows.
+    /// Cancels a call: its stream is reset, and no further event of the call follows.
     pub fn cancel(&mut self, stream: StreamId) {
         if let Some(mut call) = self.calls.remove(&stream) {
             call.cancel();
         }
     }
 
-    /// Sends and receives as much as possible, and adds what has come to `events`. Ready once the connection
-    /// has ended; open calls then end without an event of their own.
+    /// Sends and receives as much as possible, and appends the resulting events to `events`. Ready once the connection has
+    /// ended; calls that are still open then end without an event of their own.
     pub fn poll(&mut self, cx: &mut Context<'_>, events: &mut Vec<ConnectionEvent>) -> Poll<CloseReason> {
         if let Err(error) = ready!(self.poll_handshake(cx)) {
             return Poll::Ready(error.into());
         }
-        // Twice, so that what the calls have written is sent in this turn.
+        // Polls twice, so that what the calls write is sent in this turn.
         for _ in 0..2 {
             let closed = self.poll_http2(cx, events);
             self.poll_calls(cx, events);
--- a/crates/rpc/src/framing.rs
+++ b/crates/rpc/src/framing.rs
@@ -5,27 +5,27 @@
 
 use crate::{Code, Status};
 
-/// A flag byte and the length.
+/// Bytes of the prefix: the compression flag, 1 byte, and the length, 4 bytes.
 const PREFIX_BYTES: usize = 5;
 
-/// Why received bytes are no messages.
+/// Why received bytes are not valid messages.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum FrameError {
     /// A message is longer than allowed.
     #[error("a message of {size} bytes is over the limit of {limit}")]
     TooLong {
-        /// Its length, bytes.
+        /// Length of the message, bytes.
         size: usize,
-        /// Bytes that a message may have.
+        /// Longest message that is accepted, bytes.
         limit: usize,
     },
     /// A message is compressed.
     #[error("the message is compressed, which was not agreed on")]
     Compressed,
-    /// The first byte of a message is invalid.
+    /// The flag byte of a message is neither 0 nor 1.
     #[error("flag byte {0:#04x} is neither 0 nor 1")]
     Flag(u8),
-    /// The stream ended within a message, after so many bytes of it.
+    /// The stream ended within a message; the number of its bytes that were received.
     #[error("the stream ends after {0} bytes of a message")]
     Truncated(usize),
 }
@@ -41,7 +41,7 @@
     }
 }
 
-/// A message with its length prefix.
+/// Encodes a message with its length prefix.
 pub fn frame(message: &[u8]) -> Bytes {
     let mut framed = BytesMut::with_capacity(PREFIX_BYTES + message.len());
     framed.put_u8(0);
@@ -50,7 +50,7 @@
     framed.freeze()
 }
 
-/// Cuts received bytes into messages, whatever pieces they come in.
+/// Splits received bytes into messages. The bytes may arrive in chunks of any size.
 #[derive(Debug)]
 pub struct Framer {
     buffered: BytesMut,
@@ -58,7 +58,7 @@
 }
 
 impl Framer {
-    /// A framer that has received nothing.
+    /// Creates a framer. `max_message_bytes`: longest message that is accepted.
     pub fn new(max_message_bytes: usize) -> Self {
         Framer { buffered: BytesMut::new(), max_message_bytes }
     }
@@ -68,10 +68,10 @@
         self.buffered.extend_from_slice(piece);
     }
 
-    /// The next complete message, if there is one.
+    /// Takes the next complete message, if there is one.
     ///
     /// # Errors
-    /// The prefix is invalid or announces too long a message: nothing that follows can be read.
+    /// The prefix is invalid, or the message is too long. Nothing after it can be read.
     pub fn take(&mut self) -> Result<Option<Bytes>, FrameError> {
         let Some(&flag) = self.buffered.first() else { return Ok(None) };
         match flag {
@@ -95,10 +95,10 @@
         Ok(Some(self.buffered.split_to(size).freeze()))
     }
 
-    /// Checks the end of the stream.
+    /// Checks that the stream has ended between messages.
     ///
     /// # Errors
-    /// It ends within a message.
+    /// The stream ends within a message.
     pub fn finish(&self) -> Result<(), FrameError> {
         if self.buffered.is_empty() {
             Ok(())
--- a/crates/rpc/src/hub/connections.rs
+++ b/crates/rpc/src/hub/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of the hub: dialling, sending, polling and closing them.
+//! The hub's connections: opens, sends on, polls and closes them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use crate::connection::{CloseReason, Connection, ConnectionEvent, ConnectionLimits, StreamId};
 use crate::Status;
 
-/// What is spoken on a connection.
+/// The protocol of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Protocol {
     Grpc,
@@ -24,7 +24,7 @@
 enum Transport {
     Grpc {
         connection: Box<Connection>,
-        /// Another handle on the socket, which `connection` owns, to close it.
+        /// Second handle to the socket that `connection` owns, used to close it.
         socket: Socket,
     },
     Plain(PlainConnection),
@@ -86,26 +86,26 @@
 }
 
 impl<L: Clone, K> Hub<L, K> {
-    /// Starts a gRPC connection to a loopback address. One that is refused comes as [`Input::Closed`].
+    /// Starts a gRPC connection to a loopback address. If the peer refuses it, [`Input::Closed`] follows.
     ///
     /// # Errors
-    /// The address is not loopback, or there is no descriptor.
+    /// The address is not a loopback address, or no file descriptor is available.
     pub fn dial(&mut self, address: SocketAddr) -> io::Result<ConnId> {
         self.add(dial(address)?, Transport::grpc_client)
     }
 
-    /// The same for another protocol.
+    /// Starts a plain connection to a loopback address; otherwise like [`Hub::dial`].
     ///
     /// # Errors
-    /// The address is not loopback, or there is no descriptor.
+    /// The address is not a loopback address, or no file descriptor is available.
     pub fn dial_plain(&mut self, address: SocketAddr) -> io::Result<ConnId> {
         self.add(dial(address)?, Transport::plain)
     }
 
-    /// The same to an address that the platform has assigned, loopback or not.
+    /// Starts a plain connection to an address that the platform has assigned, loopback or not.
     ///
     /// # Errors
-    /// There is no descriptor, or no route.
+    /// No file descriptor is available, or there is no route to the address.
     pub fn dial_plain_any_address(&mut self, address: SocketAddr) -> io::Result<ConnId> {
         self.add(dial_any_address(address)?, Transport::plain)
     }
@@ -126,41 +126,41 @@
         let conn = ConnId(self.reactor.add(&socket)?);
         let transport = transport(socket, self.limits)?;
         self.connections.insert(conn, OpenConnection { transport, is_paused: false });
-        self.touched.insert(conn);
+        self.to_poll.insert(conn);
         Ok(conn)
     }
 
-    /// The gRPC connection, to be polled before the next wait.
-    fn touch_grpc(&mut self, conn: ConnId) -> Option<&mut Connection> {
+    /// The gRPC connection with this id, which is marked to be polled before the next wait.
+    fn grpc_to_poll(&mut self, conn: ConnId) -> Option<&mut Connection> {
         match &mut self.connections.get_mut(&conn)?.transport {
             Transport::Grpc { connection, .. } => {
-                self.touched.insert(conn);
+                self.to_poll.insert(conn);
                 Some(connection)
             }
             Transport::Plain(_) => None,
         }
     }
 
-    /// Sends bytes on a plain connection; ignored where it has ended.
+    /// Sends bytes on a plain connection; ignored if the connection has ended.
     pub fn write(&mut self, conn: ConnId, bytes: &[u8]) {
         self.write_shared(conn, Bytes::copy_from_slice(bytes));
     }
 
-    /// The same with bytes that other connections may share.
+    /// Like [`Hub::write`], with bytes that other connections may share.
     pub fn write_shared(&mut self, conn: ConnId, bytes: Bytes) {
         if let Some(plain) = self.connections.get_mut(&conn).and_then(OpenConnection::plain_mut) {
             plain.send(bytes);
-            self.touched.insert(conn);
+            self.to_poll.insert(conn);
         }
     }
 
-    /// Bytes of a plain connection that the peer has not taken yet.
+    /// Number of bytes of a plain connection that the kernel has not taken yet.
     pub fn unsent_plain_bytes(&self, conn: ConnId) -> usize {
         let plain = self.connections.get(&conn).and_then(OpenConnection::plain);
         plain.map_or(0, PlainConnection::unsent_bytes)
     }
 
-    /// Bytes of a call that the peer has not taken yet.
+    /// Number of bytes of a call that HTTP/2 has not taken yet.
     pub fn unsent_call_bytes(&self, conn: ConnId, stream: StreamId) -> usize {
         match self.connections.get(&conn).map(|open| &open.transport) {
             Some(Transport::Grpc { connection, .. }) => connection.unsent_bytes(stream),
@@ -168,40 +168,40 @@
         }
     }
 
-    /// See [`Connection::call`]; none where the connection has ended.
+    /// See [`Connection::call`]; `None` if the connection has ended.
     pub fn call(&mut self, conn: ConnId, path: &str, timeout: Option<Nanos>) -> Option<StreamId> {
-        self.touch_grpc(conn).map(|connection| connection.call(path, timeout))
+        self.grpc_to_poll(conn).map(|connection| connection.call(path, timeout))
     }
 
     /// See [`Connection::send`].
     pub fn send(&mut self, conn: ConnId, stream: StreamId, message: &[u8]) {
-        if let Some(connection) = self.touch_grpc(conn) {
+        if let Some(connection) = self.grpc_to_poll(conn) {
             connection.send(stream, message);
         }
     }
 
     /// See [`Connection::send_framed`].
     pub fn send_framed(&mut self, conn: ConnId, stream: StreamId, framed: Bytes) {
-        if let Some(connection) = self.touch_grpc(conn) {
+        if let Some(connection) = self.grpc_to_poll(conn) {
             connection.send_framed(stream, framed);
         }
     }
 
     /// See [`Connection::finish`].
     pub fn finish(&mut self, conn: ConnId, stream: StreamId, status: Status) {
-        if let Some(connection) = self.touch_grpc(conn) {
+        if let Some(connection) = self.grpc_to_poll(conn) {
             connection.finish(stream, status);
         }
     }
 
     /// See [`Connection::cancel`].
     pub fn cancel(&mut self, conn: ConnId, stream: StreamId) {
-        if let Some(connection) = self.touch_grpc(conn) {
+        if let Some(connection) = self.grpc_to_poll(conn) {
             connection.cancel(stream);
         }
     }
 
-    /// Closes a connection at once; what was written is sent as far as the kernel takes it. No
+    /// Closes a connection at once. Unsent bytes of a plain connection are sent as far as the kernel takes them. No
     /// [`Input::Closed`] follows.
     pub fn close(&mut self, conn: ConnId) {
         let Some(mut open) = self.connections.remove(&conn) else { return };
@@ -218,22 +218,22 @@
         }
     }
 
-    /// Writes what the kernel takes of what waits on plain connections, before a process ends.
+    /// Writes the unsent bytes of plain connections as far as the kernel takes them. Called before the process ends.
     pub fn flush(&mut self) {
-        for conn in std::mem::take(&mut self.touched) {
+        for conn in std::mem::take(&mut self.to_poll) {
             let waker = self.reactor.waker(conn.0);
             if let Some(plain) = self.connections.get_mut(&conn).and_then(OpenConnection::plain_mut) {
-                // A peer that has gone needs no answer.
+                // An error means that the peer has closed the connection, and then no response is needed.
                 let _ = plain.write(&mut Context::from_waker(&waker));
             }
         }
     }
 
-    /// While paused, nothing is read from a connection nor written to it.
+    /// Pauses or resumes a connection. While it is paused, nothing is read from it or written to it.
     pub fn set_paused(&mut self, conn: ConnId, paused: bool) {
         if let Some(open) = self.connections.get_mut(&conn) {
             open.is_paused = paused;
-            self.touched.insert(conn);
+            self.to_poll.insert(conn);
         }
     }
 
@@ -261,12 +261,12 @@
             }
         };
         if let Poll::Ready(reason) = closed {
-            self.ended(conn, reason);
+            self.handle_ended(conn, reason);
         }
     }
 
-    /// A connection has ended. A half-closed one stays until what was read from it is answered.
-    fn ended(&mut self, conn: ConnId, reason: CloseReason) {
+    /// Handles the end of a connection. A half-closed connection stays open until the caller has responded to what was read.
+    fn handle_ended(&mut self, conn: ConnId, reason: CloseReason) {
         let plain = self.connections.get(&conn).and_then(OpenConnection::plain);
         if plain.is_some_and(|plain| plain.is_half_closed) {
             if !self.half_closed_connections.insert(conn) {
--- a/crates/rpc/src/hub/listeners.rs
+++ b/crates/rpc/src/hub/listeners.rs
@@ -1,4 +1,4 @@
-//! Listeners: whom they accept, and when they wait for room or resources.
+//! Listeners: accept connections, within the limit of open connections, and retry when the kernel lacks resources.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,10 +13,10 @@
     name: L,
     protocol: Protocol,
     is_paused: bool,
-    /// Peers may wait for whom there was no room, and no readiness will tell of them again: they are accepted
-    /// once fewer connections than this are open.
+    /// Set if peers may be waiting that could not be accepted. The kernel does not report readiness for them again, so the
+    /// listener accepts once fewer connections than this are open.
     accepts_below: Option<usize>,
-    /// The last attempt to accept failed, and that was logged.
+    /// Whether the last attempt to accept failed, which is logged only once.
     is_failing: bool,
 }
 
@@ -24,23 +24,23 @@
     /// Listens for gRPC on a loopback address; returns the address with the port that was chosen.
     ///
     /// # Errors
-    /// The address is not loopback, or in use.
+    /// The address is not a loopback address, or is in use.
     pub fn listen(&mut self, address: SocketAddr, name: L) -> io::Result<(Token, SocketAddr)> {
         self.add_listener(Listener::bind(address)?, name, Protocol::Grpc)
     }
 
-    /// Listens for another protocol on a loopback address: what comes is [`Input::Bytes`].
+    /// Listens for plain connections on a loopback address; received bytes are returned as [`Input::Bytes`].
     ///
     /// # Errors
-    /// The address is not loopback, or in use.
+    /// The address is not a loopback address, or is in use.
     pub fn listen_plain(&mut self, address: SocketAddr, name: L) -> io::Result<(Token, SocketAddr)> {
         self.add_listener(Listener::bind(address)?, name, Protocol::Plain)
     }
 
-    /// The same on an address that the platform has assigned, loopback or not.
+    /// Listens for plain connections on an address that the platform has assigned, loopback or not.
     ///
     /// # Errors
-    /// The address is in use, or not one of this machine.
+    /// The address is in use, or is not an address of this machine.
     pub fn listen_plain_any_address(
         &mut self,
         address: SocketAddr,
@@ -69,12 +69,12 @@
         Ok((token, address))
     }
 
-    /// Closes a listener; its connections stay.
+    /// Closes a listener; the connections that it has accepted stay open.
     pub fn stop_listening(&mut self, listener: Token) {
         self.listeners.remove(&listener);
     }
 
-    /// While paused, a listener accepts nobody: peers wait in the kernel.
+    /// Pauses or resumes a listener. While it is paused, it accepts no connections, and peers wait in the kernel.
     pub fn set_listener_paused(&mut self, listener: Token, paused: bool) {
         if let Some(state) = self.listeners.get_mut(&listener) {
             state.is_paused = paused;
@@ -84,24 +84,24 @@
         }
     }
 
-    /// While so many connections are open, nobody is accepted: peers wait in the kernel, and descriptors are
-    /// left for what is dialled.
+    /// Limits the number of open connections. At the limit no connections are accepted, so that peers wait in the kernel and
+    /// descriptors remain for outgoing connections.
     pub fn limit_connections(&mut self, max_connections: usize) {
         self.max_connections = max_connections;
     }
 
-    /// Accepts those who wait for room, where there is some.
+    /// Accepts waiting peers on the listeners that could not accept them before, if the limit permits it now.
     pub(super) fn accept_waiting(&mut self) {
         let open = self.connections.len();
-        let has_room = |state: &ListenerState<L>| state.accepts_below.is_some_and(|below| open < below);
+        let can_accept = |state: &ListenerState<L>| state.accepts_below.is_some_and(|below| open < below);
         let waiting: Vec<Token> =
-            self.listeners.iter().filter(|(_, state)| has_room(state)).map(|(&token, _)| token).collect();
+            self.listeners.iter().filter(|(_, state)| can_accept(state)).map(|(&token, _)| token).collect();
         for token in waiting {
             self.accept(token);
         }
     }
 
-    /// Accepts all who wait, as far as there is room.
+    /// Accepts all waiting peers of a listener, up to the limit of open connections.
     pub(super) fn accept(&mut self, token: Token) {
         while let Some(state @ ListenerState { is_paused: false, .. }) = self.listeners.get_mut(&token) {
             let is_full = self.connections.len() >= self.max_connections;
@@ -124,14 +124,14 @@
         }
     }
 
-    /// The peers wait in the kernel. They are accepted when a connection has ended, or after a delay: a lack
-    /// of descriptors or memory may be the whole machine's, and pass while all connections stay open.
+    /// Handles a failed accept: the peers wait in the kernel until a connection has ended or a delay has passed. The delay is
+    /// needed since the whole machine may lack descriptors or memory, which can end while all connections stay open.
     fn accept_failed(&mut self, token: Token, error: &io::Error) {
         let open = self.connections.len();
         let Some(state) = self.listeners.get_mut(&token) else { return };
         state.accepts_below = Some(open.max(1));
         if !std::mem::replace(&mut state.is_failing, true) {
-            tracing::warn!(%error, "accept failed, retrying");
+            tracing::warn!(%error, "cannot accept connections; retrying after a delay");
         }
         self.retries.listeners.insert(token);
         self.retries.schedule(self.limits.retry_delay);
--- a/crates/rpc/src/hub/mod.rs
+++ b/crates/rpc/src/hub/mod.rs
@@ -1,4 +1,4 @@
-//! All sockets and timers of a process, and the one loop that waits on them.
+//! All sockets and timers of a process, and the event loop that waits on them.
 
 mod connections;
 mod listeners;
@@ -21,14 +21,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(Token);
 
-/// What one turn of the loop has brought. `L` names listeners, `K` timers.
+/// An event that the loop returns. `L` identifies listeners, `K` timers.
 #[derive(Debug)]
 pub enum Input<L, K> {
     /// A peer has connected.
     Opened {
-        /// Its connection.
+        /// The peer's connection.
         conn: ConnId,
-        /// The listener that it has connected to.
+        /// The listener that the peer has connected to.
         at: L,
     },
     /// The peer makes a call.
@@ -37,9 +37,9 @@
         conn: ConnId,
         /// The call.
         stream: StreamId,
-        /// Path of the method; empty where the request is not gRPC.
+        /// Path of the method; empty if the request is not gRPC.
         path: String,
-        /// How long the peer waits for the end of the call, where it says so.
+        /// Time that the peer waits for the end of the call, ns; `None` if it has set no timeout.
         timeout: Option<Nanos>,
     },
     /// A message of a call.
@@ -51,7 +51,7 @@
         /// The message, without its prefix.
         message: Bytes,
     },
-    /// The peer, which has made the call, sends no more messages.
+    /// The peer that made the call sends no more messages.
     HalfClosed {
         /// The connection.
         conn: ConnId,
@@ -64,38 +64,38 @@
         conn: ConnId,
         /// The call.
         stream: StreamId,
-        /// How.
+        /// Status with which the call has ended.
         status: Status,
     },
-    /// A connection has ended, not by [`Hub::close`] or [`Hub::reset`].
+    /// A connection has ended other than by [`Hub::close`] or [`Hub::reset`].
     Closed {
         /// The connection.
         conn: ConnId,
-        /// Why.
+        /// Why it has ended.
         reason: CloseReason,
     },
-    /// Bytes on a plain connection, in pieces of any size.
+    /// Bytes were received on a plain connection, in chunks of any size.
     Bytes {
         /// The connection.
         conn: ConnId,
         /// The bytes.
         bytes: Bytes,
     },
-    /// The time of a timer has come.
+    /// A timer is due.
     Timer(K),
-    /// One line of standard input, without its end.
+    /// One line of standard input, without its line feed.
     Line(String),
     /// Standard input has ended.
     EndOfLines,
     /// Another thread has written to [`Hub::wake_stream`].
     Woken,
-    /// SIGHUP.
+    /// SIGHUP was received.
     Reload,
-    /// SIGTERM or SIGINT.
+    /// SIGTERM or SIGINT was received.
     Stop,
 }
 
-/// What the kernel has refused for lack of resources, and when it is tried again.
+/// Operations that the kernel has refused for lack of resources, and when they are retried.
 #[derive(Default)]
 struct Retries {
     due_at: Option<Nanos>,
@@ -109,18 +109,19 @@
     }
 }
 
-/// All sockets and timers of a process, and the loop that waits on them. `L` names listeners, `K` timers.
+/// All sockets and timers of a process, and the event loop that waits on them. `L` identifies listeners, `K` timers.
 pub struct Hub<L, K> {
     reactor: Reactor,
     limits: ConnectionLimits,
     timers: Timers<K>,
     listeners: BTreeMap<Token, ListenerState<L>>,
-    /// Nobody is accepted while so many connections are open.
+    /// No connections are accepted while this many are open.
     max_connections: usize,
     connections: BTreeMap<ConnId, OpenConnection>,
-    /// To be polled before the next wait: something was put into them.
-    touched: BTreeSet<ConnId>,
-    /// Plain connections that the peer has half closed: open until what was read from them is answered.
+    /// Connections to be polled before the next wait, since a method has changed their state.
+    to_poll: BTreeSet<ConnId>,
+    /// Plain connections that the peer has half closed. They stay open until the caller has responded to what was read, and
+    /// are closed at the next wait.
     half_closed_connections: BTreeSet<ConnId>,
     retries: Retries,
     stop_signals: Option<WakeStream>,
@@ -131,10 +132,10 @@
 }
 
 impl<L: Clone, K> Hub<L, K> {
-    /// A hub without sockets.
+    /// Creates a hub without sockets.
     ///
     /// # Errors
-    /// Those of `epoll_create1`.
+    /// The errors of `epoll_create1`.
     pub fn new(limits: ConnectionLimits) -> io::Result<Self> {
         Ok(Hub {
             reactor: Reactor::new()?,
@@ -143,7 +144,7 @@
             listeners: BTreeMap::new(),
             max_connections: usize::MAX,
             connections: BTreeMap::new(),
-            touched: BTreeSet::new(),
+            to_poll: BTreeSet::new(),
             half_closed_connections: BTreeSet::new(),
             retries: Retries::default(),
             stop_signals: None,
@@ -154,27 +155,26 @@
         })
     }
 
-    /// Sets a timer; it comes as [`Input::Timer`].
+    /// Sets a timer; when it is due, [`Input::Timer`] is returned.
     pub fn set_timer(&mut self, at: Nanos, key: K) -> TimerId {
         self.timers.set(at, key)
     }
 
-    /// Cancels a timer that has not come yet.
+    /// Cancels a timer that has not been returned yet.
     pub fn cancel_timer(&mut self, timer: TimerId) {
         self.timers.cancel(timer);
     }
 
-    /// Waits for the next turn and returns everything that it has brought: at least one input, unless `until`
-    /// came first.
+    /// Waits for events and returns them: at least one, unless `until` is reached before.
     ///
     /// # Errors
-    /// Those of `epoll_wait`.
+    /// The errors of `epoll_wait`.
     pub fn wait(&mut self, until: Option<Nanos>) -> io::Result<Vec<Input<L, K>>> {
         loop {
             for conn in std::mem::take(&mut self.half_closed_connections) {
                 self.close(conn);
             }
-            for conn in std::mem::take(&mut self.touched) {
+            for conn in std::mem::take(&mut self.to_poll) {
                 self.poll(conn);
             }
             self.accept_waiting();
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Polls what a token stands for.
+    /// Polls the connection, listener or other source that has this token.
     fn dispatch(&mut self, token: Token) {
         if self.connections.contains_key(&ConnId(token)) {
             self.poll(ConnId(token));
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Tries again what the kernel has refused, once it is due.
+    /// Retries the operations that the kernel has refused, once the retry is due.
     fn retry_refused(&mut self) {
         if self.retries.due_at.is_none_or(|due_at| due_at > now()) {
             return;
--- a/crates/rpc/src/hub/plain.rs
+++ b/crates/rpc/src/hub/plain.rs
@@ -1,4 +1,4 @@
-//! A connection of a protocol that is not gRPC: bytes in, bytes out.
+//! A plain connection, of a protocol other than gRPC: sends and receives bytes without interpreting them.
 
 use std::collections::VecDeque;
 use std::io;
@@ -15,11 +15,11 @@
 
 pub(super) struct PlainConnection {
     pub socket: Socket,
-    /// Bytes to send; where many peers are sent the same they share it.
+    /// Bytes to send. Connections that are sent the same bytes share them.
     unsent: VecDeque<Bytes>,
-    /// The peer has ended its side in order.
+    /// Whether the peer has closed its sending side in an orderly way.
     pub is_half_closed: bool,
-    /// The kernel has refused a read or a write for lack of resources.
+    /// Whether the kernel has refused a read or a write for lack of resources.
     was_refused: bool,
 }
 
@@ -36,7 +36,7 @@
         self.unsent.iter().map(Bytes::len).sum()
     }
 
-    /// Whether the kernel has refused a read or a write since the last call of this.
+    /// Whether the kernel has refused a read or a write since the last call of this method.
     pub fn take_refused(&mut self) -> bool {
         std::mem::take(&mut self.was_refused)
     }
@@ -58,14 +58,13 @@
             }
         }
         if self.unsent.is_empty() {
-            // Returns the memory of a long queue.
+            // Frees the memory of a queue that was long.
             self.unsent = VecDeque::new();
         }
         Ok(())
     }
 
-    /// Writes what the kernel takes and adds what has come to `received`; ready once the connection has
-    /// ended.
+    /// Writes as much as the kernel takes, and appends received bytes to `received`. Ready once the connection has ended.
     pub fn poll(
         &mut self,
         cx: &mut Context<'_>,
@@ -77,7 +76,7 @@
         }
         let unsent_bytes = self.unsent_bytes();
         if unsent_bytes > max_unsent_bytes {
-            // The peer does not read: nothing of it may linger in the kernel.
+            // The peer does not read. A reset discards the bytes that the kernel still holds for it.
             let _ = self.socket.reset_at_close();
             return Poll::Ready(CloseReason::Unread(unsent_bytes));
         }
--- a/crates/rpc/src/hub/sources.rs
+++ b/crates/rpc/src/hub/sources.rs
@@ -1,4 +1,4 @@
-//! What wakes the loop besides sockets and timers: signals, other threads, and standard input.
+//! Event sources of the loop other than sockets and timers: signals, other threads, and standard input.
 
 use std::io::{self, Read};
 use std::os::fd::AsFd;
@@ -10,7 +10,7 @@
 
 const READ_BUFFER_BYTES: usize = 65536;
 
-/// A stream whose bytes mean nothing but that something has happened.
+/// A stream that only signals: any byte on it means that an event has happened.
 pub(super) struct WakeStream {
     token: Token,
     stream: UnixStream,
@@ -21,8 +21,8 @@
         Ok(WakeStream { token: reactor.add(&stream)?, stream })
     }
 
-    /// Whether this is its token and there was a byte; empties the stream. An interrupted read is repeated:
-    /// no further readiness follows for what it has left.
+    /// Whether the token is this stream's and bytes were received; reads all of them. An interrupted read is repeated, since
+    /// the kernel does not report readiness again for bytes that were left unread.
     fn was_woken(&mut self, token: Token) -> bool {
         if self.token != token {
             return false;
@@ -47,7 +47,7 @@
 }
 
 impl StandardInput {
-    /// Reads what there is; whether the input has ended.
+    /// Reads all available bytes; returns whether the input has ended.
     fn read(&mut self) -> bool {
         let mut buffer = [0; READ_BUFFER_BYTES];
         loop {
@@ -67,44 +67,45 @@
 }
 
 impl<L: Clone, K> Hub<L, K> {
-    /// SIGTERM and SIGINT come as [`Input::Stop`].
+    /// Installs handlers for SIGTERM and SIGINT, which are returned as [`Input::Stop`].
     ///
     /// # Errors
-    /// Handlers cannot be installed, or see [`Hub::stop_on`].
+    /// The handlers cannot be installed, or [`Hub::stop_on`] fails.
     pub fn stop_on_signals(&mut self) -> io::Result<()> {
         self.stop_on(stop_signals()?)
     }
 
-    /// The same with handlers that are installed already: a signal that came since counts.
+    /// Like [`Hub::stop_on_signals`], with handlers that are installed already. A signal that has arrived since they were
+    /// installed is returned too.
     ///
     /// # Errors
-    /// Those of `epoll_ctl`.
+    /// The errors of `epoll_ctl`.
     pub fn stop_on(&mut self, signals: UnixStream) -> io::Result<()> {
         self.stop_signals = Some(WakeStream::new(&mut self.reactor, signals)?);
         Ok(())
     }
 
-    /// SIGHUP comes as [`Input::Reload`].
+    /// Installs a handler for SIGHUP, which is returned as [`Input::Reload`].
     ///
     /// # Errors
-    /// The handler cannot be installed, or see [`Hub::reload_on`].
+    /// The handler cannot be installed, or [`Hub::reload_on`] fails.
     pub fn reload_on_signal(&mut self) -> io::Result<()> {
         self.reload_on(reload_signals()?)
     }
 
-    /// The same with a handler that is installed already, see [`Hub::stop_on`].
+    /// Like [`Hub::reload_on_signal`], with a handler that is installed already; see [`Hub::stop_on`].
     ///
     /// # Errors
-    /// Those of `epoll_ctl`.
+    /// The errors of `epoll_ctl`.
     pub fn reload_on(&mut self, signals: UnixStream) -> io::Result<()> {
         self.reload_signals = Some(WakeStream::new(&mut self.reactor, signals)?);
         Ok(())
     }
 
-    /// For another thread: whatever is written to this stream comes as [`Input::Woken`].
+    /// Returns a stream by which another thread can wake the loop: whatever it writes is returned as [`Input::Woken`].
     ///
     /// # Errors
-    /// The streams cannot be created.
+    /// The streams cannot be created or registered.
     pub fn wake_stream(&mut self) -> io::Result<UnixStream> {
         let (ours, theirs) = UnixStream::pair()?;
         ours.set_nonblocking(true)?;
@@ -113,10 +114,10 @@
         Ok(theirs)
     }
 
-    /// Standard input comes as [`Input::Line`] and [`Input::EndOfLines`].
+    /// Reads standard input, which is returned as [`Input::Line`] and [`Input::EndOfLines`].
     ///
     /// # Errors
-    /// Standard input cannot be watched: it is a file.
+    /// Standard input cannot be polled, for example since it is a file.
     pub fn read_lines(&mut self) -> io::Result<()> {
         let stdin = io::stdin();
         let flags = rustix::fs::fcntl_getfl(&stdin)?;
@@ -126,7 +127,7 @@
         Ok(())
     }
 
-    /// Reads the source that has this token, if one has.
+    /// Reads the source that has this token, if there is one.
     pub(super) fn read_sources(&mut self, token: Token) {
         if self.stop_signals.as_mut().is_some_and(|signals| signals.was_woken(token)) {
             self.ready.push_back(Input::Stop);
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,9 +1,9 @@
-//! The sockets and timers of a process, plain connections, and gRPC over HTTP/2, client and server, polled from the
-//! reactor's loop. `crates/platform-supervisor` uses the plain part alone; `crates/xds-supervisor`, `crates/standins` and
-//! `crates/cli` use all of it.
+//! The sockets and timers of a process, with plain connections and gRPC over HTTP/2 as client and server, in one event loop.
+//! `crates/platform-supervisor` uses only plain connections; `crates/xds-supervisor`, `crates/standins` and `crates/cli` use
+//! both.
 //!
-//! [`Framer`] and [`Status`] are free of I/O; a [`Connection`] drives one connection by `h2`; a [`Hub`] owns
-//! the sockets, connections and timers of a process and returns what came, one turn at a time.
+//! [`Framer`] and [`Status`] are free of I/O. A [`Connection`] drives one HTTP/2 connection by means of `h2`. A [`Hub`] owns
+//! the sockets, connections and timers of a process; each wait returns the events of one turn of the loop.
 
 #![deny(missing_docs)]
 
--- a/crates/rpc/src/status.rs
+++ b/crates/rpc/src/status.rs
@@ -1,40 +1,41 @@
-//! How a call ends: gRPC's codes, and the trailers that carry them.
+//! The status of a call: gRPC's status codes, and the trailers that carry them.
 
 use std::fmt;
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 
-/// The codes of gRPC that this program gives or distinguishes; others are read as `Unknown`.
+/// The gRPC status codes that this program sends or distinguishes; others are decoded as `Unknown`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Code {
     /// The call succeeded.
     Ok = 0,
-    /// The caller gave it up.
+    /// The caller cancelled the call.
     Cancelled = 1,
     /// Any other error.
     Unknown = 2,
     /// The request is invalid, whatever the state of the server.
     InvalidArgument = 3,
-    /// It did not end in time.
+    /// The call did not end in time.
     DeadlineExceeded = 4,
-    /// What was requested does not exist.
+    /// The requested entity does not exist.
     NotFound = 5,
-    /// The caller may not do this.
+    /// The caller is not permitted to make the call.
     PermissionDenied = 7,
-    /// A limit was exceeded.
+    /// A resource limit was exceeded.
     ResourceExhausted = 8,
-    /// The server is not in the state that the request needs.
+    /// The server is not in the state that the request requires.
     FailedPrecondition = 9,
-    /// The server does not know the method.
+    /// The server does not implement the method.
     Unimplemented = 12,
     /// An invariant was violated.
     Internal = 13,
-    /// The server cannot be reached now.
+    /// The server is currently unavailable.
     Unavailable = 14,
 }
 
 impl Code {
-    fn read(number: u16) -> Code {
+    /// The code with this number; `Unknown` if there is none.
+    fn from_number(number: u16) -> Code {
         use Code::*;
         let known = [
             Ok,
@@ -53,25 +54,25 @@
     }
 }
 
-/// How a call ended.
+/// The result of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// gRPC's code.
+    /// Status code.
     pub code: Code,
-    /// Message for people.
+    /// Message for people; may be empty.
     pub message: String,
 }
 
 impl Status {
-    /// The call succeeded.
+    /// The status of a call that succeeded.
     pub const OK: Status = Status { code: Code::Ok, message: String::new() };
 
-    /// A status with a message.
+    /// Creates a status with a message.
     pub fn new(code: Code, message: impl Into<String>) -> Self {
         Status { code, message: message.into() }
     }
 
-    /// The trailers that carry it, with the message percent-encoded as gRPC over HTTP/2 requires.
+    /// Encodes the status as trailers. The message is percent-encoded, as gRPC over HTTP/2 requires.
     pub(crate) fn trailers(&self) -> HeaderMap {
         let mut trailers = HeaderMap::new();
         trailers.insert("grpc-status", HeaderValue::from(self.code as u16));
@@ -82,11 +83,12 @@
         trailers
     }
 
-    /// The status in a block of headers; none: trailers will follow.
-    pub(crate) fn read(headers: &HeaderMap) -> Option<Status> {
+    /// Decodes the status in a header block. `None` if it has no valid status; in the headers of a response this means that
+    /// trailers follow.
+    pub(crate) fn from_headers(headers: &HeaderMap) -> Option<Status> {
         let code = headers.get("grpc-status")?.to_str().ok()?.parse().ok()?;
         let message = headers.get("grpc-message").map_or(&b""[..], HeaderValue::as_bytes);
-        Some(Status { code: Code::read(code), message: percent_decoded(message) })
+        Some(Status { code: Code::from_number(code), message: percent_decoded(message) })
     }
 }
 
--- a/crates/rpc/src/status/tests.rs
+++ b/crates/rpc/src/status/tests.rs
@@ -1,10 +1,10 @@
-//! The status of a call as headers.
+//! The encoding of a status as trailers.
 
 use super::*;
 
 #[test]
-fn message_of_any_characters_is_read_back() {
+fn status_with_any_characters_in_its_message_is_decoded_unchanged() {
     let status = Status::new(Code::NotFound, "no table \"æ\" 100%\n");
-    assert_eq!(Status::read(&status.trailers()), Some(status));
-    assert_eq!(Status::read(&HeaderMap::new()), None);
+    assert_eq!(Status::from_headers(&status.trailers()), Some(status));
+    assert_eq!(Status::from_headers(&HeaderMap::new()), None);
 }
--- a/crates/rpc/tests/descriptors.rs
+++ b/crates/rpc/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! A listener for which the kernel has no descriptor for a while. Alone in its file: the limit is the
-//! process's.
+//! A listener while no file descriptor is available. The test has its own file, and so its own process, since the limit
+//! applies to the whole process.
 
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -8,19 +8,19 @@
 use shalereel_reactor::{now, SECOND};
 use shalereel_rpc::{ConnectionLimits, Hub, Input};
 
-/// Waits until so many connections are accepted, or a second has passed; how many are.
+/// Waits until the expected number of connections are accepted or a second has passed; returns the number accepted.
 fn accepted(hub: &mut Hub<(), ()>, expected: usize) -> usize {
-    let (until, by) = (now() + SECOND, Instant::now() + Duration::from_secs(1));
+    let (until, deadline) = (now() + SECOND, Instant::now() + Duration::from_secs(1));
     let mut count = 0;
-    while count < expected && Instant::now() < by {
+    while count < expected && Instant::now() < deadline {
         let inputs = hub.wait(Some(until)).unwrap();
         count += inputs.iter().filter(|input| matches!(input, Input::Opened { .. })).count();
     }
     count
 }
 
-/// Guards against a listener that accepts nobody until a connection ends, though descriptors are available
-/// again.
+/// Guards against a listener that, after a lack of descriptors, accepts no peer until a connection ends, although descriptors
+/// are available again.
 #[test]
 fn peers_are_accepted_once_descriptors_are_available_again() {
     let limits = ConnectionLimits {
@@ -36,10 +36,10 @@
     assert_eq!(accepted(&mut hub, 1), 1);
     let _waiting = TcpStream::connect(address).unwrap();
     let limit = getrlimit(Resource::Nofile);
-    // Fewer than are open already: none can be had.
+    // The limit is below the number of open descriptors, so no new one is available.
     setrlimit(Resource::Nofile, Rlimit { current: Some(3), ..limit }).unwrap();
     let without_descriptors = accepted(&mut hub, 1);
     setrlimit(Resource::Nofile, limit).unwrap();
-    assert_eq!(without_descriptors, 0, "no descriptor was to be had");
-    assert_eq!(accepted(&mut hub, 1), 1, "the lack is over");
+    assert_eq!(without_descriptors, 0, "accepted without a descriptor");
+    assert_eq!(accepted(&mut hub, 1), 1, "not accepted although descriptors are available again");
 }
--- a/crates/rpc/tests/framing.rs
+++ b/crates/rpc/tests/framing.rs
@@ -5,7 +5,7 @@
 use shalereel_rpc::{frame, FrameError, Framer};
 
 #[test]
-fn messages_are_framed_as_specified() {
+fn message_is_framed_as_specified_and_invalid_prefixes_are_rejected() {
     assert_eq!(&frame(b"abc")[..], [0, 0, 0, 0, 3, b'a', b'b', b'c']);
     let cases: [(&[u8], FrameError); 3] = [
         (&[1, 0, 0, 0, 0], FrameError::Compressed),
@@ -22,20 +22,20 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, rng_seed: RngSeed::Fixed(10), ..ProptestConfig::default() })]
     #[test]
-    fn messages_are_the_same_however_bytes_are_cut(
+    fn messages_are_decoded_from_chunks_of_any_size(
         messages in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..8),
-        cut in 1_usize..17,
+        chunk_bytes in 1_usize..17,
     ) {
         let bytes: Vec<u8> = messages.iter().flat_map(|message| frame(message)).collect();
         let mut framer = Framer::new(64);
-        let mut read = Vec::new();
-        for piece in bytes.chunks(cut) {
-            framer.push(piece);
+        let mut decoded = Vec::new();
+        for chunk in bytes.chunks(chunk_bytes) {
+            framer.push(chunk);
             while let Some(message) = framer.take().unwrap() {
-                read.push(message.to_vec());
+                decoded.push(message.to_vec());
             }
         }
-        prop_assert_eq!(read, messages);
+        prop_assert_eq!(decoded, messages);
         prop_assert_eq!(framer.finish(), Ok(()));
     }
 }
--- a/crates/rpc/tests/wire.rs
+++ b/crates/rpc/tests/wire.rs
@@ -1,4 +1,4 @@
-//! gRPC on real sockets: hand-assembled frames against the server, floods, and the client against the server.
+//! gRPC on real sockets: hand-assembled frames sent to the server, malformed input and floods, and the client with the server.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -22,18 +22,21 @@
     (hub, address)
 }
 
-/// Waits until `done` finds what it looks for in an input; 10 s at most.
-fn until<T>(hub: &mut Hub<(), ()>, mut done: impl FnMut(&mut Hub<(), ()>, &Input<(), ()>) -> Option<T>) -> T {
+/// Waits until `find` returns a result for an input, for at most 10 s.
+fn wait_until<T>(
+    hub: &mut Hub<(), ()>,
+    mut find: impl FnMut(&mut Hub<(), ()>, &Input<(), ()>) -> Option<T>,
+) -> T {
     let end = now() + 10 * SECOND;
     while now() < end {
         let inputs: Inputs = hub.wait(Some(now() + SECOND / 100)).unwrap();
         for input in &inputs {
-            if let Some(found) = done(hub, input) {
+            if let Some(found) = find(hub, input) {
                 return found;
             }
         }
     }
-    panic!("not within 10 s");
+    panic!("the expected input did not arrive within 10 s");
 }
 
 /// An HTTP/2 frame: 24-bit length, type, flags, 31-bit stream (RFC 9113, section 4.1).
@@ -72,13 +75,13 @@
 }
 
 #[test]
-fn hand_assembled_frames_are_read_and_answered() {
+fn hand_assembled_call_is_received_and_its_response_sent() {
     let (mut hub, address) = hub();
     let mut peer = TcpStream::connect(address).unwrap();
     peer.set_nonblocking(true).unwrap();
     let data = http2_frame(0, 1, 1, &[0, 0, 0, 0, 2, b'h', b'i']);
     peer.write_all(&[preface(), request_headers(1), data].concat()).unwrap();
-    let (conn, stream) = until(&mut hub, |_, input| match input {
+    let (conn, stream) = wait_until(&mut hub, |_, input| match input {
         Input::Call { conn, stream, path, timeout } => {
             assert_eq!((path.as_str(), *timeout), ("/some.Service/Call", Some(SECOND / 4)));
             Some((*conn, *stream))
@@ -87,17 +90,20 @@
     });
     hub.send(conn, stream, b"yes");
     hub.finish(conn, stream, Status::OK);
-    let mut got = Vec::new();
+    let mut received = Vec::new();
     let end = now() + 10 * SECOND;
     let expected = http2_frame(0, 0, 1, &[0, 0, 0, 0, 3, b'y', b'e', b's']);
-    // The status travels in a block of headers that ends the stream.
-    let trailers = |got: &[u8]| got.windows(9).any(|head| head[3] == 1 && head[4] == 5 && head[8] == 1);
-    while !(got.windows(expected.len()).any(|part| part == expected) && trailers(&got)) && now() < end {
+    // The status is in a header block (type 1) that ends the stream (flags 5) of the call (stream 1).
+    let trailers =
+        |received: &[u8]| received.windows(9).any(|head| head[3] == 1 && head[4] == 5 && head[8] == 1);
+    while !(received.windows(expected.len()).any(|part| part == expected) && trailers(&received))
+        && now() < end
+    {
         hub.wait(Some(now() + SECOND / 100)).unwrap();
-        let _ = peer.read_to_end(&mut got);
+        let _ = peer.read_to_end(&mut received);
     }
-    assert!(got.windows(expected.len()).any(|part| part == expected), "the message, framed, is on the wire");
-    assert!(trailers(&got));
+    assert!(received.windows(expected.len()).any(|part| part == expected), "the framed message was not sent");
+    assert!(trailers(&received));
 }
 
 #[test]
@@ -105,7 +111,7 @@
     let (mut hub, address) = hub();
     let healthy = hub.dial(address).unwrap();
     let call = hub.call(healthy, "/a/b", None).unwrap();
-    let (conn, stream) = until(&mut hub, |_, input| match input {
+    let (conn, stream) = wait_until(&mut hub, |_, input| match input {
         Input::Call { conn, stream, .. } => Some((*conn, *stream)),
         _ => None,
     });
@@ -115,17 +121,17 @@
         })
         .collect();
     let oversized = [preface(), vec![0xff; 9], vec![0; 70000]].concat();
-    let bad: [Vec<u8>; 4] = [
+    let malformed: [Vec<u8>; 4] = [
         b"GET / HTTP/1.1\r\n\r\n".to_vec(),
         oversized,
         [preface(), resets].concat(),
         [preface(), http2_frame(4, 0, 0, &[0; 5])].concat(),
     ];
-    for bytes in bad {
+    for bytes in malformed {
         let mut peer = TcpStream::connect(address).unwrap();
         peer.set_write_timeout(Some(Duration::from_secs(1))).unwrap();
         let _ = peer.write_all(&bytes);
-        until(&mut hub, |_, input| match input {
+        wait_until(&mut hub, |_, input| match input {
             Input::Closed { conn: closed, .. } => {
                 assert!(*closed != conn && *closed != healthy);
                 Some(())
@@ -134,7 +140,7 @@
         });
     }
     hub.send(conn, stream, b"still here");
-    until(&mut hub, |_, input| match input {
+    wait_until(&mut hub, |_, input| match input {
         Input::Message { stream, message, .. } if *stream == call => {
             assert_eq!(&message[..], b"still here");
             Some(())
@@ -150,43 +156,44 @@
     let (large, small) =
         (hub.call(conn, "/a/large", None).unwrap(), hub.call(conn, "/a/small", None).unwrap());
     hub.send(conn, large, &[0; 2000]);
-    let mut sides = (None, false);
-    until(&mut hub, |hub, input| {
+    // The status code of the large call, and whether the small call got its own status.
+    let mut results = (None, false);
+    wait_until(&mut hub, |hub, input| {
         match input {
             Input::Ended { conn: at, stream, status } if *at == conn && *stream == large => {
-                sides.0 = Some(status.code);
+                results.0 = Some(status.code);
             }
             Input::Call { conn, stream, path, .. } if path == "/a/small" => {
-                hub.finish(*conn, *stream, Status::new(Code::NotFound, "nothing of the kind"));
+                hub.finish(*conn, *stream, Status::new(Code::NotFound, "not found"));
             }
             Input::Ended { conn: at, stream, status } if *at == conn && *stream == small => {
-                sides.1 = status.code == Code::NotFound;
+                results.1 = status.code == Code::NotFound;
             }
             _ => {}
         }
-        (sides == (Some(Code::ResourceExhausted), true)).then_some(())
+        (results == (Some(Code::ResourceExhausted), true)).then_some(())
     });
 }
 
 #[test]
-fn call_ends_when_the_peer_does_not_read() {
+fn call_ends_with_resource_exhausted_if_the_peer_does_not_read() {
     let (mut hub, address) = hub();
     let conn = hub.dial(address).unwrap();
     let call = hub.call(conn, "/a/b", None).unwrap();
-    let (far, stream) = until(&mut hub, |_, input| match input {
+    let (server_conn, stream) = wait_until(&mut hub, |_, input| match input {
         Input::Call { conn, stream, .. } => Some((*conn, *stream)),
         _ => None,
     });
     hub.set_paused(conn, true);
-    // More than the windows of HTTP/2 and the limit on unsent bytes together.
-    (0..4000).for_each(|_| hub.send(far, stream, &[0; 1000]));
-    let status = until(&mut hub, |_, input| match input {
-        Input::Ended { conn, status, .. } if *conn == far => Some(status.clone()),
+    // More bytes than the HTTP/2 windows and the limit of unsent bytes together.
+    (0..4000).for_each(|_| hub.send(server_conn, stream, &[0; 1000]));
+    let status = wait_until(&mut hub, |_, input| match input {
+        Input::Ended { conn, status, .. } if *conn == server_conn => Some(status.clone()),
         _ => None,
     });
     assert_eq!(status.code, Code::ResourceExhausted);
     hub.set_paused(conn, false);
-    let status = until(&mut hub, |_, input| match input {
+    let status = wait_until(&mut hub, |_, input| match input {
         Input::Ended { conn: at, stream, status } if *at == conn && *stream == call => Some(status.clone()),
         _ => None,
     });
