--- a/crates/sasp/src/decode.rs
+++ b/crates/sasp/src/decode.rs
@@ -1,4 +1,4 @@
-//! Bytes to messages (RFC 4678, section 6). All integers are big-endian. [`crate::Frames`] calls it with one message.
+//! Decodes messages (RFC 4678, section 6). All integers are big-endian. [`crate::Frames`] passes one message at a time.
 
 use std::net::Ipv6Addr;
 
@@ -8,53 +8,55 @@
 use crate::message::*;
 use crate::numbers::*;
 
-/// What is malformed in a stream. After any of these nothing more of it can be read.
+/// Why a stream is malformed. Nothing after the error can be decoded.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
-    /// A component of another type than the message requires at this place.
+    /// A component has another type than the message requires at this position.
     #[error("component {found:#06x} where {expected:#06x} was expected")]
     UnexpectedComponent {
-        /// Its type.
+        /// Type of the component.
         found: u16,
         /// The type that is required.
         expected: u16,
     },
-    /// A message of this type is not defined.
+    /// The type of the message is not defined.
     #[error("unknown message type {0:#06x}")]
     UnknownMessage(u16),
-    /// The header has this version of the protocol.
+    /// The header has an unsupported protocol version.
     #[error("unsupported version {0}, expected 1")]
     Version(u8),
-    /// The header has this length, in bytes.
+    /// The header has a wrong length, in bytes.
     #[error("header length of {0} bytes, expected 13")]
     HeaderLength(u16),
-    /// A message over the limit that [`crate::Frames::new`] was given.
+    /// A message is longer than the limit that was passed to [`crate::Frames::new`].
     #[error("message of {size} bytes is over the limit of {limit}")]
     MessageTooLong {
-        /// Bytes of the message, header included, by its header.
+        /// Length of the message according to its header, in bytes, header included.
         size: usize,
-        /// Bytes that are accepted.
+        /// Longest message that is accepted, in bytes.
         limit: usize,
     },
-    /// A component whose length does not match its fields.
-    #[error("component {component:#06x} has a length of {stated} bytes, its fields have {actual}")]
+    /// The length field of a component does not match its fields.
+    #[error(
+        "the length field of component {component:#06x} is {stated} bytes, but its fields have {actual}"
+    )]
     ComponentLength {
         /// Type of the component.
         component: u16,
-        /// Its length, in bytes, by its own length field.
+        /// Value of its length field, in bytes.
         stated: usize,
-        /// Its bytes as decoded.
+        /// Bytes of its fields as decoded, type and length included.
         actual: usize,
     },
-    /// The message ends inside a component of this type.
+    /// The message ends inside a component; the type of the component.
     #[error("message ends inside component {0:#06x}")]
     Truncated(u16),
-    /// So many bytes follow the message's last component.
-    #[error("{0} bytes after the message's last component")]
+    /// Bytes follow the last component of the message; their number.
+    #[error("{0} bytes follow the last component of the message")]
     TrailingBytes(usize),
 }
 
-/// Reads the fields of one component; running out of bytes is an error that names the component.
+/// Reads the fields of one component. If the bytes run out, the error contains the type of the component.
 struct Fields<'a> {
     rest: &'a mut Bytes,
     component: u16,
@@ -75,7 +77,7 @@
         Ok(Ipv6Addr::from(octets))
     }
 
-    /// A text with its length, in bytes, before it.
+    /// Reads a text that its length precedes: one byte, the number of bytes.
     fn read_counted(&mut self) -> Result<Vec<u8>, DecodeError> {
         let count = usize::from(self.read_u8()?);
         if count > self.rest.len() {
@@ -89,7 +91,8 @@
     }
 }
 
-/// Type and length of the next component; the length counts its own fields, not the components after it.
+/// Reads the type and the length field of the next component. The length covers the component's own fields, type and length
+/// included, but not the components nested after it.
 fn read_component_length(rest: &mut Bytes, expected: u16) -> Result<usize, DecodeError> {
     let mut fields = Fields { rest, component: expected };
     let found = fields.read_u16()?;
@@ -99,7 +102,7 @@
     Ok(usize::from(fields.read_u16()?))
 }
 
-/// Reads a component's own fields, and checks its length.
+/// Reads a component's own fields, and checks its length field.
 fn read_component<T>(
     rest: &mut Bytes,
     component: u16,
@@ -159,7 +162,7 @@
     })
 }
 
-/// One of the three components "Group of ...": a count, the group, then so many items.
+/// Reads one of the three components "Group of ...": a count, the group, and as many items.
 fn read_group_of<T>(
     rest: &mut Bytes,
     component: u16,
@@ -188,7 +191,7 @@
 }
 
 impl Body {
-    /// The body of a message; at least its type must be there.
+    /// Decodes the body of a message. `rest` must have at least the two bytes of the type.
     pub(crate) fn decode(rest: &mut Bytes) -> Result<Self, DecodeError> {
         let message_type = u16::from_be_bytes([rest[0], rest[1]]);
         match message_type {
@@ -208,9 +211,9 @@
     }
 }
 
-/// A reply that has a return code alone.
+/// Reads a reply that consists of a return code.
 fn read_reply(rest: &mut Bytes, message_type: u16) -> Result<ReturnCode, DecodeError> {
-    read_component(rest, message_type, |fields| fields.read_u8()).map(ReturnCode::read)
+    read_component(rest, message_type, |fields| fields.read_u8()).map(ReturnCode::from_number)
 }
 
 fn read_registration(rest: &mut Bytes) -> Result<Body, DecodeError> {
@@ -238,7 +241,7 @@
         Ok((fields.read_u8()?, fields.read_u16()?, fields.read_u16()?))
     })?;
     let groups = read_groups_of_weights(rest, count)?;
-    Ok(Body::Weights { code: ReturnCode::read(code), interval, groups })
+    Ok(Body::Weights { code: ReturnCode::from_number(code), interval, groups })
 }
 
 fn read_send_weights(rest: &mut Bytes) -> Result<Body, DecodeError> {
--- a/crates/sasp/src/encode.rs
+++ b/crates/sasp/src/encode.rs
@@ -1,12 +1,15 @@
-//! Messages to bytes (RFC 4678, section 6). All integers are big-endian.
+//! Encodes messages (RFC 4678, section 6). All integers are big-endian.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
 use crate::message::*;
 use crate::numbers::*;
 
+/// Longest text: its length has 8 bits.
+const MAX_TEXT_BYTES: usize = 255;
+
 impl Message {
-    /// The complete message, header included.
+    /// Encodes the complete message, header included.
     pub fn encode(&self) -> Bytes {
         let mut body = BytesMut::new();
         self.body.encode(&mut body);
@@ -101,7 +104,7 @@
     put_groups_of(out, GROUP_OF_MEMBER_STATE_DATA, groups, put_member_state);
 }
 
-/// Components "Group of ...": for each group a count, the group, then its items.
+/// Writes components "Group of ...": for each group its number of items, the group, and the items.
 fn put_groups_of<T>(
     out: &mut BytesMut,
     component: u16,
@@ -153,7 +156,7 @@
     put_member(out, &state.member);
 }
 
-/// A component's type, length and own fields.
+/// Writes a component's type, length and own fields.
 fn put_component(out: &mut BytesMut, component: u16, put_fields: impl FnOnce(&mut BytesMut)) {
     let mut fields = BytesMut::new();
     put_fields(&mut fields);
@@ -162,13 +165,14 @@
     out.put_slice(&fields);
 }
 
-/// A counted text; what is over 255 bytes is cut, since its count has 8 bits.
+/// Writes a text with its length before it. A longer text than `MAX_TEXT_BYTES` is truncated.
 fn put_counted(out: &mut BytesMut, text: &[u8]) {
-    let text = &text[..text.len().min(255)];
+    let text = &text[..text.len().min(MAX_TEXT_BYTES)];
     out.put_u8(text.len() as u8);
     out.put_slice(text);
 }
 
+/// Returns the bit if the flag is set, and otherwise 0.
 fn flag(set: bool, bit: u8) -> u8 {
     if set {
         bit
--- a/crates/sasp/src/frames.rs
+++ b/crates/sasp/src/frames.rs
@@ -1,4 +1,4 @@
-//! Cuts a byte stream into messages (RFC 4678, section 6). Both ends of a connection use it.
+//! Splits a byte stream into messages (RFC 4678, section 6). Both ends of a connection use it.
 
 use bytes::{Buf, BytesMut};
 
@@ -12,7 +12,8 @@
 const MESSAGE_LENGTH_AT: usize = 5;
 const MESSAGE_ID_AT: usize = 9;
 
-/// Cuts a stream into messages, whatever pieces it arrives in. Buffers one incomplete message at most.
+/// Splits a stream into messages. The stream may arrive in chunks of any size; complete messages should be taken after each
+/// chunk, so that at most one incomplete message stays buffered.
 #[derive(Debug)]
 pub struct Frames {
     buffered: BytesMut,
@@ -20,26 +21,26 @@
 }
 
 impl Frames {
-    /// A decoder at the start of a stream. `max_message_bytes` limits one message, header included.
+    /// Creates a decoder for a new stream. `max_message_bytes`: longest message that is accepted, header included.
     pub fn new(max_message_bytes: usize) -> Self {
         Frames { buffered: BytesMut::new(), max_message_bytes }
     }
 
-    /// Appends bytes as they were read.
-    pub fn push(&mut self, piece: &[u8]) {
-        self.buffered.extend_from_slice(piece);
+    /// Appends received bytes.
+    pub fn push(&mut self, chunk: &[u8]) {
+        self.buffered.extend_from_slice(chunk);
     }
 
-    /// Bytes of a message that is not complete yet.
+    /// Number of buffered bytes; after [`Frames::take`] has returned `None`, those of an incomplete message.
     pub fn incomplete_bytes(&self) -> usize {
         self.buffered.len()
     }
 
-    /// The next complete message; `None` until more bytes arrive.
+    /// Takes the next complete message; `None` if more bytes are needed.
     ///
     /// # Errors
     ///
-    /// Any [`DecodeError`]: the stream cannot be read any further.
+    /// Any [`DecodeError`]; the stream cannot be decoded any further.
     pub fn take(&mut self) -> Result<Option<Message>, DecodeError> {
         self.check_header_start()?;
         if !self.has(HEADER_BYTES) {
@@ -59,7 +60,7 @@
         Ok(Some(Message { id, body }))
     }
 
-    /// Reports a malformed header as soon as its first wrong field is there, not once the rest has arrived.
+    /// Checks the fields of the header that have arrived, so that a malformed header is reported before the rest arrives.
     fn check_header_start(&self) -> Result<(), DecodeError> {
         if self.has(2) && self.u16_at(0) != HEADER {
             return Err(DecodeError::UnexpectedComponent { found: self.u16_at(0), expected: HEADER });
@@ -73,7 +74,7 @@
         Ok(())
     }
 
-    /// Bytes of the message whose header is buffered, header included.
+    /// Length of the message whose header is buffered, in bytes, header included.
     fn message_size(&self) -> Result<usize, DecodeError> {
         let size = self.u32_at(MESSAGE_LENGTH_AT) as usize;
         if size > self.max_message_bytes {
--- a/crates/sasp/src/lib.rs
+++ b/crates/sasp/src/lib.rs
@@ -1,10 +1,10 @@
-//! SASP, the Server/Application State Protocol, version 1 (RFC 4678): messages between load balancers or members and
-//! a workload manager, and the manager's side of all connections. Free of I/O.
+//! SASP, the Server/Application State Protocol, version 1 (RFC 4678): the messages that load balancers and members exchange
+//! with a workload manager, and the manager's state of all connections. Free of I/O.
 //!
-//! [`Frames`] cuts a stream into messages, [`Message`] is decoded and encoded, [`Advisor`] registers load balancers
-//! and members and replies to them, [`weights`] rounds a table's weights to the 16 bits of the protocol.
-//! `docs/sasp.md` has the table of numbers and says which of them are certain. `crates/xds-supervisor` serves these
-//! connections.
+//! [`Frames`] splits a stream into messages and decodes them, [`Message::encode`] encodes them, [`Advisor`] is the workload
+//! manager, which registers load balancers and members and replies to them, and [`weights`] rounds a table's weights to the
+//! 16 bits of the protocol. `docs/sasp.md` lists the numbers of the protocol and how certain each is.
+//! `crates/xds-supervisor` serves these connections.
 
 #![deny(missing_docs, unreachable_pub)]
 
--- a/crates/sasp/src/message.rs
+++ b/crates/sasp/src/message.rs
@@ -10,15 +10,15 @@
 pub enum ReturnCode {
     /// The request has been carried out.
     Successful,
-    /// The message was not understood.
+    /// The manager did not understand the message.
     NotUnderstood,
-    /// The sender may not make this request.
+    /// The sender is not permitted to make this request.
     WillNotAccept,
-    /// A member is registered already, by its load balancer or by the sender.
+    /// A member is registered already.
     AlreadyRegistered,
     /// A member is not registered.
     NotRegistered,
-    /// A member stands twice in one request.
+    /// A member occurs twice in one request.
     DuplicateMember,
     /// The group is not registered.
     InvalidGroup,
@@ -26,16 +26,17 @@
     InvalidGroupNameSize,
     /// The load balancer's id is empty.
     InvalidUidSize,
-    /// A load balancer registers a member that has registered itself.
+    /// A load balancer tries to register a member that has registered itself.
     MemberRegistersItself,
     /// The load balancer of the group has not registered yet.
     NoGroupYet,
     /// A limit is reached; retry later.
     TryLater,
-    /// A code that is not defined here; kept as received.
+    /// A code that is not defined here, as received.
     Other(u8),
 }
 
+/// The defined return codes and their numbers on the wire.
 const CODES: [(ReturnCode, u8); 12] = [
     (ReturnCode::Successful, SUCCESSFUL),
     (ReturnCode::NotUnderstood, NOT_UNDERSTOOD),
@@ -52,7 +53,7 @@
 ];
 
 impl ReturnCode {
-    /// The code on the wire.
+    /// The number of the code on the wire.
     pub fn number(self) -> u8 {
         match self {
             ReturnCode::Other(number) => number,
@@ -62,27 +63,27 @@
         }
     }
 
-    /// The result that a code on the wire stands for.
-    pub fn read(number: u8) -> Self {
+    /// The code with this number on the wire.
+    pub fn from_number(number: u8) -> Self {
         CODES.iter().find(|(_, known)| *known == number).map_or(ReturnCode::Other(number), |(code, _)| *code)
     }
 }
 
-/// A server as the protocol names it (Member Data Component).
+/// A member: a server as the protocol identifies it (Member Data Component).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Member {
-    /// IP protocol number; 6: TCP.
+    /// IP protocol number, such as 6 for TCP.
     pub protocol: u8,
-    /// Port at which the member serves.
+    /// Port of the member.
     pub port: u16,
-    /// IPv4 in its mapped form.
+    /// IP address of the member; an IPv4 address in its IPv6-mapped form.
     pub address: Ipv6Addr,
-    /// At most 255 bytes.
+    /// Label of the member, at most 255 bytes.
     pub label: Vec<u8>,
 }
 
 impl Member {
-    /// A server that is reached by TCP at an address.
+    /// The member that serves TCP at an address, without a label.
     pub fn tcp(address: SocketAddr) -> Self {
         let ip = match address.ip() {
             IpAddr::V4(ip) => ip.to_ipv6_mapped(),
@@ -91,13 +92,13 @@
         Member { protocol: 6, port: address.port(), address: ip, label: Vec::new() }
     }
 
-    /// Address and port; an IPv4 address in its own form.
+    /// Address and port of the member; a mapped IPv4 address is converted back to IPv4.
     pub fn socket(&self) -> SocketAddr {
         SocketAddr::new(self.address.to_canonical(), self.port)
     }
 }
 
-/// The name of a group of members of a load balancer (Group Data Component).
+/// Identifies a group of a load balancer's members (Group Data Component).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Group {
     /// The load balancer's id (LB UID); at most 255 bytes.
@@ -113,52 +114,52 @@
 /// One member's weight (Weight Entry Data Component).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightEntry {
-    /// Opaque to the protocol.
+    /// State of the member, which the protocol does not interpret.
     pub state: u8,
-    /// The load balancer said that it reaches the member.
+    /// Whether the load balancer has reported that it reaches the member.
     pub contact: bool,
-    /// The member is to receive no new work.
+    /// Whether the member is to receive no new work.
     pub quiesce: bool,
-    /// The load balancer registered the member; otherwise it registered itself.
+    /// Whether the load balancer registered the member; otherwise the member registered itself.
     pub registered_by_balancer: bool,
-    /// The workload manager knows the member, so that its weight has a meaning.
+    /// Whether the workload manager knows the member, so that its weight is meaningful.
     pub confident: bool,
-    /// Share of the group's work relative to its other members; 0: none.
+    /// Share of the group's work relative to the other members; 0 for no work.
     pub weight: u16,
-    /// The member that the weight is for.
+    /// The member that has the weight.
     pub member: Member,
 }
 
-/// State of one member, as reported by itself or by its load balancer (Member State Instance).
+/// State of one member, as reported by the member itself or by its load balancer (Member State Instance).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberState {
-    /// Opaque to the protocol.
+    /// State of the member, which the protocol does not interpret.
     pub state: u8,
-    /// The load balancer reaches the member.
+    /// Whether the load balancer reaches the member.
     pub contact: bool,
-    /// The member is to receive no new work.
+    /// Whether the member is to receive no new work.
     pub quiesce: bool,
-    /// The member that it is the state of.
+    /// The member that has the state.
     pub member: Member,
 }
 
 /// Flags of a load balancer (Set Load Balancer State).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LbFlags {
-    /// Push weights: send them without a request.
+    /// Whether weights are pushed: sent without a request.
     pub push: bool,
-    /// Trust members: they may register themselves.
+    /// Whether members are trusted: they may register themselves.
     pub trust: bool,
-    /// Leave members without a change out of pushes.
+    /// Whether pushes contain only the members that have changed.
     pub no_change: bool,
 }
 
-/// What a message says: a request, its reply, or pushed weights.
+/// The content of a message: a request, a reply, or pushed weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Body {
     /// Registration Request.
     Register {
-        /// A load balancer sends it; otherwise a member for itself.
+        /// Whether a load balancer sends the request; otherwise a member sends it for itself.
         from_balancer: bool,
         /// Members to register.
         groups: Vec<GroupOf<Member>>,
@@ -167,61 +168,61 @@
     Registered(ReturnCode),
     /// Deregistration Request.
     Deregister {
-        /// A load balancer sends it; otherwise a member for itself.
+        /// Whether a load balancer sends the request; otherwise a member sends it for itself.
         from_balancer: bool,
-        /// Why, by the sender; not interpreted.
+        /// Reason given by the sender; not interpreted.
         reason: u8,
-        /// Members to deregister; a group without members stands for all of its members.
+        /// Members to deregister; a group with an empty list stands for all of its members.
         groups: Vec<GroupOf<Member>>,
     },
     /// Deregistration Reply.
     Deregistered(ReturnCode),
     /// Get Weights Request.
     GetWeights {
-        /// Groups of the load balancer that requests.
+        /// Groups of the requesting load balancer.
         groups: Vec<Group>,
     },
     /// Get Weights Reply.
     Weights {
         /// Result of the request.
         code: ReturnCode,
-        /// Seconds until the next request is due.
+        /// Time until the load balancer is to send its next request, seconds.
         interval: u16,
-        /// Weights of the requested groups; empty unless successful.
+        /// Weights of the requested groups; empty unless the request succeeded.
         groups: Vec<GroupOf<WeightEntry>>,
     },
-    /// Send Weights: weights that are pushed.
+    /// Send Weights: pushed weights.
     SendWeights {
-        /// Weights of the groups in which something changed.
+        /// Weights of the groups that have changed.
         groups: Vec<GroupOf<WeightEntry>>,
     },
     /// Set Load Balancer State Request.
     SetLbState {
         /// The load balancer's id (LB UID).
         balancer: Vec<u8>,
-        /// Its health; not interpreted.
+        /// Health of the load balancer; not interpreted.
         health: u8,
-        /// How it is to be served.
+        /// How the load balancer is to be served.
         flags: LbFlags,
     },
     /// Set Load Balancer State Reply.
     LbStateSet(ReturnCode),
     /// Set Member State Request.
     SetMemberState {
-        /// A load balancer sends it; otherwise a member for itself.
+        /// Whether a load balancer sends the request; otherwise a member sends it for itself.
         from_balancer: bool,
-        /// States of members.
+        /// States of members, by group.
         groups: Vec<GroupOf<MemberState>>,
     },
     /// Set Member State Reply.
     MemberStateSet(ReturnCode),
 }
 
-/// One message.
+/// A message of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Chosen by the sender of a request; a reply has the id of its request.
+    /// Id of the message. The sender of a request chooses it, and the reply has the same id.
     pub id: u32,
-    /// What it says.
+    /// Content of the message.
     pub body: Body,
 }
--- a/crates/sasp/src/numbers.rs
+++ b/crates/sasp/src/numbers.rs
@@ -1,11 +1,11 @@
-//! Every number of the protocol, in one table. `docs/sasp.md` says how certain each is.
+//! All numbers of the protocol. `docs/sasp.md` says how certain each is.
 
-/// Registered TCP port.
+/// TCP port registered for the protocol.
 pub const PORT: u16 = 3860;
 /// Version of the protocol.
 pub const VERSION: u8 = 1;
 
-// Components: type (16 bits) and length (16 bits, these four bytes included).
+// Types of components. A component begins with its type (16 bits) and its length (16 bits, these four bytes included).
 /// SASP Header.
 pub const HEADER: u16 = 0x2010;
 /// Registration Request.
@@ -50,25 +50,25 @@
 /// Bytes of a component's type and length.
 pub const COMPONENT_BYTES: usize = 4;
 
-/// Sender of a request: set by a load balancer, clear where a member sends it for itself.
+/// Flag of requests: set if a load balancer is the sender, clear if a member sends the request for itself.
 pub const FLAG_FROM_BALANCER: u8 = 0x01;
 
-// Set Load Balancer State.
+// Flags of Set Load Balancer State.
 /// Push weights: send them without a request.
 pub const LB_PUSH: u8 = 0x01;
 /// Trust members: they may register themselves.
 pub const LB_TRUST: u8 = 0x02;
-/// Leave members without a change out of pushes.
+/// Push only the members that have changed.
 pub const LB_NO_CHANGE: u8 = 0x04;
 
-// Weight entries and member states.
+// Flags of weight entries and member states.
 /// The load balancer reaches the member.
 pub const CONTACT_SUCCESS: u8 = 0x01;
 /// The member is to receive no new work.
 pub const QUIESCE: u8 = 0x02;
-/// The load balancer registered the member, not it itself.
+/// The load balancer registered the member; clear if the member registered itself.
 pub const REGISTERED_BY_BALANCER: u8 = 0x04;
-/// The weight has a meaning: the member is known.
+/// The weight is meaningful, since the workload manager knows the member.
 pub const CONFIDENT: u8 = 0x08;
 
 // Return codes.
--- a/crates/sasp/src/session/authorization.rs
+++ b/crates/sasp/src/session/authorization.rs
@@ -1,4 +1,5 @@
-//! Who may send a request for a load balancer, a group, or a member. Errors are the return code of the reply.
+//! Checks that a sender may make a request for a load balancer, a group, or a member. The error of a check is the return code
+//! of the reply.
 
 use super::{Advisor, Change, Peer, Role, Sender};
 use crate::message::{Group, Member, ReturnCode};
@@ -12,8 +13,8 @@
             .map(|(&peer, _)| peer)
     }
 
-    /// Makes this peer the load balancer with this id, unless it is already. A connection has one id for good, and an
-    /// id one connection at a time.
+    /// Makes this peer the load balancer with this id, unless it is that already. A connection cannot change its id, and an id
+    /// belongs to one connection at a time.
     pub(super) fn claim_balancer_id(
         &mut self,
         peer: Peer,
@@ -37,8 +38,8 @@
         }
     }
 
-    /// Checks that the sender may send requests for a group. A member may only where the group's load balancer
-    /// trusts members.
+    /// Checks that the sender may make requests for a group. A member may do so only if the group's load balancer trusts
+    /// members.
     pub(super) fn authorize_group(
         &mut self,
         sender: Sender,
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Checks that the sender may send requests for each of these registered members. A member may only for itself.
+    /// Checks that the sender may make requests for each of these members, which must be registered. A member may do so only
+    /// for itself.
     pub(super) fn authorize_members<'a>(
         &mut self,
         sender: Sender,
--- a/crates/sasp/src/session/member_state.rs
+++ b/crates/sasp/src/session/member_state.rs
@@ -1,4 +1,4 @@
-//! Set Load Balancer State and Set Member State. A request is carried out completely or not at all.
+//! The requests Set Load Balancer State and Set Member State. A request is carried out completely or not at all.
 
 use super::{Advisor, Change, Peer, Role, Sender};
 use crate::message::{Group, GroupOf, LbFlags, MemberState, ReturnCode};
--- a/crates/sasp/src/session/mod.rs
+++ b/crates/sasp/src/session/mod.rs
@@ -1,6 +1,6 @@
-//! The workload manager's side of all connections: which load balancer registered which members, who may send which
-//! request, and the replies. Free of I/O and clock. One state for all connections, since what a member may do depends
-//! on its load balancer's connection.
+//! The workload manager's state of all connections: registers load balancers and members, checks which requests a sender may
+//! make, and replies. Does no I/O and reads no clock. All connections share one state, since what a member may do depends on
+//! its load balancer's connection.
 
 mod authorization;
 mod member_state;
@@ -12,47 +12,47 @@
 use crate::message::{Body, Group, LbFlags, Member, Message, ReturnCode};
 use crate::weights::TableWeight;
 
-/// Number of a connection, given by the owner of the connections; never given twice.
+/// Number of a connection, assigned by the caller; never reused.
 pub type Peer = u64;
 
 /// Limits of one load balancer and its connection.
 #[derive(Clone, Copy, Debug)]
 pub struct BalancerLimits {
-    /// Members of one load balancer, in all its groups together.
+    /// Largest number of members of one load balancer, in all its groups together.
     pub members: usize,
-    /// Groups of one load balancer.
+    /// Largest number of groups of one load balancer.
     pub groups: usize,
-    /// Get Weights Requests that a connection may send in a report interval; further ones are rejected with
+    /// Largest number of Get Weights Requests that a connection may send in a report interval; further ones are rejected with
     /// [`ReturnCode::TryLater`].
     pub weight_requests: u32,
-    /// Seconds until a load balancer that polls is to send its next request.
+    /// Time after which a polling load balancer is to send its next request, seconds.
     pub interval: u16,
 }
 
-/// What has changed, for the caller's decisions.
+/// A change of the state, reported to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A load balancer gave its id for the first time.
+    /// A load balancer has sent its id for the first time on its connection.
     Joined {
-        /// Its connection.
+        /// The load balancer's connection.
         peer: Peer,
-        /// Its id (LB UID).
+        /// The load balancer's id (LB UID).
         balancer: Vec<u8>,
     },
     /// A load balancer's connection has ended.
     Left {
-        /// Its connection.
+        /// The connection.
         peer: Peer,
     },
     /// A member was registered, deregistered, or changed its state, by itself or by its load balancer.
     Member {
-        /// The group it is in.
+        /// The group that the member is in.
         group: Group,
         /// The member.
         member: Member,
-        /// It is registered; otherwise it has been deregistered.
+        /// Whether the member is registered; otherwise it was deregistered.
         registered: bool,
-        /// It is to receive no new work.
+        /// Whether the member is to receive no new work.
         quiesce: bool,
     },
 }
@@ -63,7 +63,7 @@
     }
 }
 
-/// What the caller is to do for a message.
+/// What the caller must do in response to a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// Send this message to this peer.
@@ -75,19 +75,19 @@
 /// Looks up the weight of a member of a group; `None` where no table has the member.
 pub type WeightLookup<'a> = &'a dyn Fn(&Group, &Member) -> Option<TableWeight>;
 
-/// State of a registered member.
+/// State of one registered member.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Registration {
-    /// The connection on which the member registered itself; `None`: its load balancer registered it.
+    /// The connection on which the member registered itself; `None` if its load balancer registered it.
     self_registered_by: Option<Peer>,
     state: u8,
     contact: bool,
     quiesce: bool,
-    /// What the load balancer was sent last.
+    /// The weight that was last pushed to the load balancer.
     pushed: Option<PushedWeight>,
 }
 
-/// The part of a weight entry whose change is pushed.
+/// The fields of a weight entry whose changes are pushed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct PushedWeight {
     weight: u16,
@@ -98,14 +98,14 @@
 /// State of one connection.
 #[derive(Debug, Default)]
 struct Connection {
-    /// The load balancer's id, once it has given one.
+    /// The load balancer's id, once it has sent one.
     balancer: Option<Vec<u8>>,
     flags: LbFlags,
-    /// Since the report interval began.
+    /// Number of Get Weights Requests since the report interval began.
     weight_requests: u32,
 }
 
-/// The workload manager's side of all connections.
+/// The workload manager, with the state of all connections.
 #[derive(Debug)]
 pub struct Advisor {
     limits: BalancerLimits,
@@ -115,18 +115,18 @@
 }
 
 impl Advisor {
-    /// A manager without connections.
+    /// Creates a manager without connections.
     pub fn new(limits: BalancerLimits) -> Self {
         Advisor { limits, connections: BTreeMap::new(), groups: BTreeMap::new(), last_id: 0 }
     }
 
-    /// A connection was opened.
+    /// Records that a connection was opened.
     pub fn opened(&mut self, peer: Peer) {
         self.connections.insert(peer, Connection::default());
     }
 
-    /// A connection has ended. A load balancer's groups are removed, and so are members that registered themselves on
-    /// the connection.
+    /// Records that a connection has ended. If it was a load balancer's, its groups are removed, and so are members that
+    /// registered themselves on the connection.
     pub fn closed(&mut self, peer: Peer, changes: &mut Vec<Change>) {
         let Some(connection) = self.connections.remove(&peer) else { return };
         if let Some(balancer) = connection.balancer {
@@ -135,14 +135,14 @@
         self.remove_self_registered(peer, changes);
     }
 
-    /// Starts a new count of requests; called once a report interval.
+    /// Resets the counts of requests; the caller does so at the start of each report interval.
     pub fn start_report_interval(&mut self) {
         self.connections.values_mut().for_each(|connection| connection.weight_requests = 0);
     }
 
-    /// Handles one message of a peer. Appends what has changed to `changes`.
+    /// Handles one message of a peer; returns what the caller must do. Appends the resulting changes to `changes`.
     ///
-    /// A reply closes the connection: only a manager sends replies.
+    /// A peer that sends a reply is disconnected, since only a manager sends replies.
     pub fn handle_message(
         &mut self,
         peer: Peer,
@@ -180,34 +180,34 @@
         vec![Answer::Send(peer, Message { id, body })]
     }
 
-    /// Whether this peer is a load balancer that wants weights pushed.
+    /// Whether this peer is a load balancer that has requested pushed weights.
     pub fn pushes(&self, peer: Peer) -> bool {
         self.connections.get(&peer).is_some_and(|connection| connection.flags.push)
     }
 
-    /// Whether this peer is a load balancer: it has given an id.
+    /// Whether this peer is a load balancer, that is, has sent an id.
     pub fn is_balancer(&self, peer: Peer) -> bool {
         self.connections.get(&peer).is_some_and(|connection| connection.balancer.is_some())
     }
 
-    /// Registered members, in all groups together.
+    /// Number of registered members, in all groups together.
     pub fn member_count(&self) -> usize {
         self.groups.values().map(BTreeMap::len).sum()
     }
 }
 
-/// Who sends a request.
+/// The sender of a request.
 #[derive(Clone, Copy)]
 struct Sender {
     peer: Peer,
     role: Role,
 }
 
-/// For whom a request is sent, by its flag.
+/// The role in which a request is sent, according to its flag.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Role {
     LoadBalancer,
-    /// A member that sends it for itself.
+    /// A member that sends the request for itself.
     Member,
 }
 
--- a/crates/sasp/src/session/registration.rs
+++ b/crates/sasp/src/session/registration.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Checks the limits of groups and members. All load balancers that the request names count together.
+    /// Checks the limits of groups and members. The groups and members of all load balancers in the request are added up.
     fn check_limits(&self, requested: &[GroupOf<Member>], new_members: usize) -> Result<(), ReturnCode> {
         let balancers: BTreeSet<&Vec<u8>> = requested.iter().map(|(group, _)| &group.balancer).collect();
         let mut total_members = new_members;
@@ -92,7 +92,7 @@
 
     /// Removes the groups of a load balancer whose connection `peer` has ended.
     pub(super) fn remove_balancer(&mut self, peer: Peer, balancer: &[u8], changes: &mut Vec<Change>) {
-        // Another connection has the id by now; its groups stay.
+        // Another connection has taken over the id, so the groups stay.
         if self.connection_of(balancer).is_some() {
             return;
         }
--- a/crates/sasp/src/session/weight_messages.rs
+++ b/crates/sasp/src/session/weight_messages.rs
@@ -1,4 +1,4 @@
-//! Weights of groups: replies to Get Weights, and Send Weights where a load balancer wants them pushed.
+//! Weights of groups: the replies to Get Weights, and Send Weights for load balancers that have requested pushed weights.
 
 use super::{Advisor, Peer, PushedWeight, WeightLookup};
 use crate::message::{Body, Group, GroupOf, Message, ReturnCode, WeightEntry};
@@ -17,7 +17,8 @@
         }
     }
 
-    /// Counts a request for weights, and checks that it is within the limit and for groups of the sender.
+    /// Counts a request for weights, and checks that it is within the limit and that the groups are registered groups of the
+    /// sender.
     fn authorize_weights(&mut self, peer: Peer, groups: &[Group]) -> Result<(), ReturnCode> {
         let connection = self.connections.get_mut(&peer).ok_or(ReturnCode::WillNotAccept)?;
         connection.weight_requests += 1;
@@ -34,9 +35,9 @@
         Ok(())
     }
 
-    /// The Send Weights message that is due to a load balancer; `None` where it wants no pushes or nothing has changed
-    /// since the last one. Has all entries of a group in which something changed; with the no-change flag, only the
-    /// entries that changed.
+    /// The Send Weights message to push to a load balancer; `None` if it has not requested pushes, or nothing has changed
+    /// since the last push. The message contains all entries of each group that has changed; with the no-change flag, only the
+    /// entries that have changed.
     pub fn push(&mut self, peer: Peer, lookup: WeightLookup<'_>) -> Option<Message> {
         let connection = self.connections.get(&peer).filter(|connection| connection.flags.push)?;
         let only_changed = connection.flags.no_change;
@@ -56,7 +57,7 @@
         Some(Message { id: self.last_id, body: Body::SendWeights { groups } })
     }
 
-    /// Records the entries of a group as pushed; returns those that differ from the last push.
+    /// Records the entries of a group as pushed; returns the entries that differ from the last push.
     fn record_pushed(&mut self, group: &Group, entries: &[WeightEntry]) -> Vec<WeightEntry> {
         let Some(registrations) = self.groups.get_mut(group) else { return Vec::new() };
         let mut changed = Vec::new();
@@ -72,32 +73,32 @@
         changed
     }
 
-    /// The weight entries of a group's members, in the members' order.
+    /// The weight entries of a group's members, ordered by member.
     fn entries(&self, group: &Group, lookup: WeightLookup<'_>) -> Vec<WeightEntry> {
         const NO_WEIGHT: TableWeight = TableWeight { weight: 0.0, warming_up: false };
         let Some(registrations) = self.groups.get(group) else { return Vec::new() };
-        let listed: Vec<Option<TableWeight>> =
+        let table_weights: Vec<Option<TableWeight>> =
             registrations.keys().map(|member| lookup(group, member)).collect();
-        let effective: Vec<TableWeight> = registrations
+        let effective_weights: Vec<TableWeight> = registrations
             .values()
-            .zip(&listed)
-            .map(|(registration, listed)| match listed {
+            .zip(&table_weights)
+            .map(|(registration, table_weight)| match table_weight {
                 Some(weight) if !registration.quiesce => *weight,
                 _ => NO_WEIGHT,
             })
             .collect();
-        let weights = round_to_u16(&effective);
+        let weights = round_to_u16(&effective_weights);
         registrations
             .iter()
-            .zip(listed)
+            .zip(table_weights)
             .zip(weights)
-            .map(|(((member, registration), listed), weight)| WeightEntry {
+            .map(|(((member, registration), table_weight), weight)| WeightEntry {
                 state: registration.state,
                 contact: registration.contact,
-                // A load balancer stops new work by this flag, not by the weight 0.
+                // A load balancer stops new work because of this flag, and not because of a weight of 0.
                 quiesce: registration.quiesce || weight == 0,
                 registered_by_balancer: registration.self_registered_by.is_none(),
-                confident: listed.is_some(),
+                confident: table_weight.is_some(),
                 weight,
                 member: member.clone(),
             })
--- a/crates/sasp/src/weights.rs
+++ b/crates/sasp/src/weights.rs
@@ -1,4 +1,4 @@
-//! Rounds the weights of a table to the 16 bits of the protocol. [`crate::Advisor`] calls it for each group.
+//! Rounds the weights of a table to the 16 bits of the protocol. [`crate::Advisor`] does so for each group.
 
 #[cfg(test)]
 mod tests;
@@ -6,9 +6,9 @@
 /// The weight of one member in a table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TableWeight {
-    /// As sent to proxies, relative to the table's other weights; 0: the member is to receive nothing.
+    /// Weight as sent to proxies, relative to the other weights of the table; 0 if the member is to receive no work.
     pub weight: f64,
-    /// The member is in slow start: its share of the group's work must not grow by rounding.
+    /// Whether the member is in slow start. Rounding must then not raise its share of the group's work.
     pub warming_up: bool,
 }
 
@@ -18,12 +18,12 @@
     }
 }
 
-/// Weights of 16 bits, in the order given.
+/// Rounds weights to 16 bits; returns them in the given order.
 ///
-/// The greatest becomes 65,535, so that rounding costs least. A warm member with any weight keeps at least 1: a healthy
-/// server must stay in use. A member that is warming up is rounded down, and further down as long as its share exceeds
-/// the share it was given: in a group of few members rounding could overload it. Where all members are warming up, the
-/// greatest keeps its weight, since shares then say nothing of load.
+/// The greatest weight becomes 65,535, so that the rounding error is smallest. A warm member with a weight above 0 gets at
+/// least 1, since a healthy server must stay in use. The weight of a member that is warming up is rounded down, and lowered
+/// further as long as its share exceeds its share before rounding, since in a group of few members rounding could overload it.
+/// If all members are warming up, the greatest weight is not lowered, since shares then do not indicate load.
 pub fn round_to_u16(weights: &[TableWeight]) -> Vec<u16> {
     let usable = || weights.iter().filter(|weight| weight.is_usable());
     let greatest = usable().map(|weight| weight.weight).fold(0.0, f64::max);
@@ -31,7 +31,7 @@
         return vec![0; weights.len()];
     }
     let scale = f64::from(u16::MAX) / greatest;
-    let mut rounded: Vec<u16> = weights.iter().map(|weight| scale_one(weight, scale)).collect();
+    let mut rounded: Vec<u16> = weights.iter().map(|weight| scaled(weight, scale)).collect();
     if usable().any(|weight| !weight.warming_up) {
         let sum: f64 = usable().map(|weight| weight.weight).sum();
         lower_shares_of_warming_up(weights, sum, &mut rounded);
@@ -39,7 +39,7 @@
     rounded
 }
 
-fn scale_one(weight: &TableWeight, scale: f64) -> u16 {
+fn scaled(weight: &TableWeight, scale: f64) -> u16 {
     if !weight.is_usable() {
         0
     } else if weight.warming_up {
@@ -49,17 +49,17 @@
     }
 }
 
-/// Lowers weights of members that are warming up until no share exceeds its share of `sum`. Each step lowers the total,
-/// and with it raises every other share, so that it repeats until nothing changes.
+/// Lowers the weights of members that are warming up until the share of none exceeds its share of `sum`, the total before
+/// rounding. Each step lowers the total and so raises the other shares; therefore the steps repeat until nothing changes.
 fn lower_shares_of_warming_up(weights: &[TableWeight], sum: f64, rounded: &mut [u16]) {
     loop {
         let total: f64 = rounded.iter().map(|&weight| f64::from(weight)).sum();
         let mut changed = false;
         let warming_up = weights.iter().zip(rounded.iter_mut()).filter(|(weight, _)| weight.warming_up);
         for (weight, rounded) in warming_up {
-            let fair = (weight.weight / sum * total) as u16;
-            if *rounded > fair {
-                *rounded = fair;
+            let max_weight = (weight.weight / sum * total) as u16;
+            if *rounded > max_weight {
+                *rounded = max_weight;
                 changed = true;
             }
         }
--- a/crates/sasp/src/weights/tests.rs
+++ b/crates/sasp/src/weights/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 
 #[test]
-fn usable_weight_rounds_to_at_least_1_and_unusable_weight_to_0() {
+fn usable_weight_is_rounded_to_at_least_1_and_unusable_weight_to_0() {
     let row = |weight, warming_up| TableWeight { weight, warming_up };
     let weights = [row(1e6, false), row(1e-6, false), row(0.0, false), row(f64::NAN, false)];
     assert_eq!(round_to_u16(&weights), [u16::MAX, 1, 0, 0]);
@@ -29,8 +29,8 @@
         let total: f64 = rounded.iter().map(|&weight| f64::from(weight)).sum();
         let sum: f64 = weights.iter().map(|row| row.weight).sum();
         for (row, weight) in weights.iter().zip(rounded) {
-            let (share, fair) = (f64::from(weight) / total, row.weight / sum);
-            prop_assert!(!row.warming_up || share <= fair * (1.0 + 1e-12));
+            let (share, share_before) = (f64::from(weight) / total, row.weight / sum);
+            prop_assert!(!row.warming_up || share <= share_before * (1.0 + 1e-12));
             prop_assert!(row.warming_up || weight > 0);
         }
     }
--- a/crates/sasp/tests/protocol/codec.rs
+++ b/crates/sasp/tests/protocol/codec.rs
@@ -1,4 +1,4 @@
-//! Every message as bytes assembled by hand, partial and malformed input.
+//! Encoding and decoding of every message against hand-assembled bytes, and partial and malformed input.
 
 use std::net::Ipv6Addr;
 
@@ -9,9 +9,9 @@
 
 use super::{group, member};
 
-/// The header of a message of so many bytes, with id 7.
-fn header(body: usize) -> Vec<u8> {
-    [&[0x20, 0x10, 0, 13, 1][..], &(13 + body as u32).to_be_bytes(), &[0, 0, 0, 7]].concat()
+/// The header of a message with id 7 whose body has this length.
+fn header(body_bytes: usize) -> Vec<u8> {
+    [&[0x20, 0x10, 0, 13, 1][..], &(13 + body_bytes as u32).to_be_bytes(), &[0, 0, 0, 7]].concat()
 }
 
 /// Member data: type, 25 bytes, TCP, port 80, ::ffff:127.0.0.1, label "m".
@@ -82,7 +82,7 @@
     let wire = [header(content.len()), content].concat();
     let message = Message { id: 7, body };
     assert_eq!(message.encode(), wire);
-    // One message in two reads, cut at every byte, then two messages in one read.
+    // The first message arrives in two chunks, split at every byte in turn; the second chunk contains another message too.
     for cut in 0..wire.len() {
         let mut frames = Frames::new(1024);
         frames.push(&wire[..cut]);
--- a/crates/sasp/tests/protocol/main.rs
+++ b/crates/sasp/tests/protocol/main.rs
@@ -1,4 +1,4 @@
-//! SASP: bytes of its messages, and the manager's side of its connections.
+//! Tests of SASP: the encoding of messages, and the workload manager.
 
 mod codec;
 mod session;
--- a/crates/sasp/tests/protocol/session.rs
+++ b/crates/sasp/tests/protocol/session.rs
@@ -1,4 +1,4 @@
-//! The manager's side: registration, weights, and what each peer may do.
+//! The workload manager: registration, weights, and which requests each peer may make.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 struct Harness {
     advisor: Advisor,
     changes: Vec<Change>,
-    /// By the member's port.
+    /// Weights in the table, by the member's port.
     table: BTreeMap<u16, TableWeight>,
 }
 
@@ -30,7 +30,7 @@
 }
 
 impl Harness {
-    /// Load balancer "lb" on peer 1 with two members, a second connection on peer 2.
+    /// Peer 1 is the load balancer "lb" with two members; peer 2 is another connection.
     fn new() -> Self {
         let table = BTreeMap::from([(1, table_weight(2.0)), (2, table_weight(1.0))]);
         let mut harness = Harness { advisor: Advisor::new(LIMITS), changes: vec![], table };
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn get_weights_replies_quiesce_a_drained_member_and_are_limited_per_report_interval() {
+fn get_weights_reply_quiesces_member_without_a_line_and_requests_are_limited_per_report_interval() {
     let mut harness = Harness::new();
     let get_weights = || Body::GetWeights { groups: vec![group("lb", "view")] };
     let Body::Weights { code, interval, groups } = harness.request(1, get_weights()) else { panic!() };
@@ -88,7 +88,7 @@
             Weight { port: 2, weight: 32768, quiesce: false }
         ]
     );
-    // In no table: weight 0 and quiesce, though the load balancer registered it.
+    // A member in no table has weight 0 and the quiesce flag, although the load balancer registered it.
     harness.table.remove(&1);
     let Body::Weights { groups, .. } = harness.request(1, get_weights()) else { panic!() };
     assert_eq!(
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn weights_are_pushed_on_request_of_the_balancer_and_only_on_change() {
+fn weights_are_pushed_only_if_the_balancer_requests_it_and_they_have_changed() {
     let mut harness = Harness::new();
     assert_eq!(harness.push(1), [], "no push flag");
     harness.request(1, lb_state(LbFlags { push: true, no_change: true, ..NO_FLAGS }));
@@ -143,7 +143,7 @@
     assert_eq!(
         harness.request(2, quiesce(1, true)),
         Body::MemberStateSet(ReturnCode::WillNotAccept),
-        "not itself"
+        "another member"
     );
     let member_9 = |registered, quiesce| Change::Member {
         group: group("lb", "view"),
@@ -152,7 +152,7 @@
         quiesce,
     };
     assert_eq!(harness.changes.last(), Some(&member_9(true, true)));
-    // The end of its connection deregisters it.
+    // The member is deregistered when its connection ends.
     harness.advisor.closed(2, &mut harness.changes);
     assert_eq!((harness.changes.last(), harness.advisor.member_count()), (Some(&member_9(false, false)), 2));
     harness.advisor.closed(1, &mut harness.changes);
