--- a/crates/platform-supervisor/tests/wire_bytes.rs
+++ b/crates/platform-supervisor/tests/wire_bytes.rs
@@ -1,9 +1,9 @@
-//! The exact bytes of every kind of line that a supervisor writes, and every field of each message that it
-//! reads.
+//! Tests of the exact bytes of each kind of update that a supervisor sends, and of each field of the messages that it
+//! decodes.
 
 mod common;
 
-use common::registry_of;
+use common::registry_with_servers;
 use shalereel::interface::{Action, Readiness, RetryPolicy};
 use shalereel_platform_supervisor::{
     decode_message, Acknowledgement, Clocks, DemandReportMessage, EndpointList, EndpointReportMessage,
@@ -32,10 +32,10 @@
     Action::RequestAck { serial, everyone }
 }
 
-/// What one proxy reads after each batch of actions.
+/// The lines that one proxy is sent after each batch of actions.
 fn updates(kind: JoinKind, servers: u32, batches: &[Vec<Action>]) -> Vec<String> {
-    // The first server has started again since it was not ready.
-    let registry = registry_of(servers, |server| if server == 1 { 5.0 } else { 0.0 });
+    // The first server has a listed start, so a reconnected proxy may still exclude it.
+    let registry = registry_with_servers(servers, |server| if server == 1 { 5.0 } else { 0.0 });
     let operations = ["look", "buy"].map(String::from);
     let mut tables = ProxyTables::new(operations.len());
     tables.join(PROXY, kind);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_complete_table_with_an_ack_request() {
+fn complete_table_is_sent_with_an_ack_request() {
     let actions =
         vec![weight(0, 1, 1.0), weight(0, 2, 0.1), weight(0, 3, 1e-60), assign(0, 0), ack(7, false)];
     let expected = "{\"t\":\"push\",\"whole\":true,\"lines\":[[\"s1\",1.0],[\"s2\",0.1],[\"s3\",1.1754944e-38]],\"ticket\":7}\n";
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn tables_of_single_operations_are_linked_parts() {
+fn tables_of_single_operations_are_sent_as_linked_parts() {
     let actions = vec![weight(0, 1, 1.0), weight(1, 2, 0.5), assign(0, 1), assign(1, 2), ack(65535, true)];
     let expected = concat!(
         "{\"t\":\"push\",\"classes\":[\"look\"],\"whole\":true,\"lines\":[[\"s1\",1.0]],\"more\":true}\n",
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_empty_table() {
+fn empty_table_is_sent_as_a_part_without_weights() {
     assert_eq!(
         updates(JoinKind::New, 3, &[vec![assign(0, 0)]]),
         ["{\"t\":\"push\",\"whole\":true,\"lines\":[]}\n"]
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn changed_weights_and_a_cleared_table() {
+fn changed_weights_and_a_cleared_table_are_sent() {
     let batches = [
         vec![weight(0, 1, 1.0), assign(0, 0)],
         vec![weight(0, 3, 0.25), weight(0, 1, 0.0)],
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn admission_limits_with_each_retry_policy() {
+fn admission_limits_are_sent_with_each_retry_policy() {
     let batches = [
         vec![weight(0, 1, 1.0), assign(0, 0)],
         vec![admit(Some(0), 0, 0.5, RetryPolicy::Never)],
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn servers_excluded_and_included_again() {
+fn exclusions_and_inclusions_are_sent() {
     let batches = [
         vec![weight(0, 1, 1.0), weight(0, 2, 1.0), assign(0, 0)],
         vec![exclude(2, true)],
@@ -138,20 +138,20 @@
 }
 
 #[test]
-fn a_proxy_that_was_connected_before_gets_restarted_servers_back() {
+fn reconnected_proxy_is_told_to_include_restarted_servers() {
     let batches = [vec![weight(0, 1, 1.0), assign(0, 0)], vec![exclude(3, true)]];
     let expected = ["{\"t\":\"push\",\"whole\":true,\"lines\":[[\"s1\",1.0]],\"back\":[\"s1\"]}\n", ""];
     assert_eq!(updates(JoinKind::Reconnected, 3, &batches), expected);
 }
 
 #[test]
-fn an_ack_request_alone() {
+fn ack_request_to_everyone_is_sent_without_changes() {
     let batches = [vec![ack(1, true)], vec![ack(2, false)]];
     assert_eq!(updates(JoinKind::New, 3, &batches), ["{\"t\":\"push\",\"ticket\":1}\n", ""]);
 }
 
 #[test]
-fn a_table_longer_than_a_part_is_cut() {
+fn table_longer_than_one_part_is_split() {
     let mut actions: Vec<Action> = (1..=4097).map(|server| weight(0, server, 1.0)).collect();
     actions.extend([assign(0, 0), ack(1, false), exclude(5, true), admit(None, 0, 1.0, RetryPolicy::Once)]);
     let lines: Vec<String> = (1..=4096).map(|at| format!("[\"s{at}\",1.0]")).collect();
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn every_message_is_read_with_all_its_fields() {
+fn every_message_is_decoded_with_all_its_fields() {
     let cases = [
         (r#"{"t":"probe"}"#, Message::LivenessProbe {}),
         (r#"{"t":"agent","site":"north"}"#, Message::CollectorJoin { locality: "north".into() }),
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn an_endpoint_list_is_read_with_all_its_fields() {
+fn endpoint_list_is_decoded_with_all_its_fields() {
     let line = r#"{"version":7,"full":false,"servers":[{"id":"a","addr":"10.0.0.1:80","zone":"z","kind":"k","cell":3,"state":"Ready","weight":1.5,"started_ms":4.0},{"id":"b","addr":"","zone":"z","kind":"k","cell":0,"state":"Terminating","weight":2.0},{"id":"c","addr":"","zone":"z","kind":"k","cell":0,"state":"Gone","weight":0.0}]}"#;
     let list: EndpointList = serde_json::from_str(line).unwrap();
     assert_eq!((list.version, list.is_full, list.entries.len()), (7, false, 3));
