--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -8,7 +8,7 @@
 use shalereel::interface::{Event, Nanos};
 use shalereel::Controller;
 use shalereel_simulator_codec::{
-    decode_batch, decode_settings, encode_action, encode_failure, encode_reply, InstanceId, Message, Reply,
+    decode_batch, decode_settings, encode_action, encode_failure, encode_reply, InstanceId, Record, Reply,
 };
 
 /// All instances of the controller. None shares anything with another one.
@@ -27,20 +27,20 @@
     pub(crate) fn answer(&mut self, batch: &[u8]) -> Result<Vec<u8>> {
         let batch = decode_batch(batch)?;
         let mut events: BTreeMap<InstanceId, Vec<Event>> = BTreeMap::new();
-        for message in batch.messages {
-            match message {
-                Message::Start { instance, seed, settings } => {
+        for record in batch.records {
+            match record {
+                Record::Start { instance, seed, settings } => {
                     let config =
                         decode_settings(seed, &settings).with_context(|| format!("instance {instance}"))?;
                     self.controllers.insert(instance, Controller::new(&config));
                     events.insert(instance, Vec::new());
                 }
-                Message::Stop { instance } => {
+                Record::Stop { instance } => {
                     self.controllers.remove(&instance);
                     events.remove(&instance);
                 }
-                Message::Event { instance, event } => events.entry(instance).or_default().push(event),
-                Message::Unusable { .. } => {}
+                Record::Event { instance, event } => events.entry(instance).or_default().push(event),
+                Record::InvalidValue { .. } => {}
             }
         }
         let mut reply = Reply::default();
--- a/crates/simulator-codec/src/decode.rs
+++ b/crates/simulator-codec/src/decode.rs
@@ -15,12 +15,12 @@
     /// Time of the batch, ns.
     pub now: Nanos,
     /// Its records, in order.
-    pub messages: Vec<Message>,
+    pub records: Vec<Record>,
 }
 
 /// A record of a batch.
 #[derive(Debug, PartialEq)]
-pub enum Message {
+pub enum Record {
     /// An instance starts, in place of one with the same number.
     Start {
         /// Its number.
@@ -43,7 +43,7 @@
         event: Event,
     },
     /// A well-formed record with a value that is of no use: not a number, negative or out of range.
-    Unusable {
+    InvalidValue {
         /// Number of the instance.
         instance: InstanceId,
     },
@@ -54,7 +54,7 @@
 pub enum DecodeError {
     /// The time of the header is no time.
     #[error("the clock of the batch is no time: {0}")]
-    InvalidClock(f64),
+    InvalidTime(f64),
     /// The batch ends inside its header.
     #[error("the batch is cut short inside its header")]
     TruncatedHeader,
@@ -86,18 +86,18 @@
 pub fn decode_batch(frame: &[u8]) -> Result<Batch, DecodeError> {
     let mut rest = frame;
     let clock = rest.try_get_f64().map_err(|_| DecodeError::TruncatedHeader)?;
-    let now = nanos(clock).ok_or(DecodeError::InvalidClock(clock))?;
-    let mut messages = Vec::new();
+    let now = nanos(clock).ok_or(DecodeError::InvalidTime(clock))?;
+    let mut records = Vec::new();
     while rest.has_remaining() {
-        let record = messages.len();
+        let record = records.len();
         let offset = frame.len() - rest.len();
-        let message = read_record(&mut rest).map_err(|error| match error {
+        let decoded = read_record(&mut rest).map_err(|error| match error {
             RecordError::UnknownCode(code) => DecodeError::UnknownCode { record, offset, code },
             RecordError::Truncated => DecodeError::TruncatedRecord { record, offset },
         })?;
-        messages.push(message);
+        records.push(decoded);
     }
-    Ok(Batch { now, messages })
+    Ok(Batch { now, records })
 }
 
 /// Why a record is rejected.
@@ -114,7 +114,7 @@
 
 type Read<T> = Result<T, TryGetError>;
 
-fn read_record(rest: &mut &[u8]) -> Result<Message, RecordError> {
+fn read_record(rest: &mut &[u8]) -> Result<Record, RecordError> {
     let code = rest.try_get_u8()?;
     if !incoming::is_known(code) {
         return Err(RecordError::UnknownCode(code));
@@ -122,7 +122,7 @@
     let instance = rest.try_get_u32()?;
     let event = match code {
         incoming::START => return Ok(start(instance, rest)?),
-        incoming::STOP => return Ok(Message::Stop { instance }),
+        incoming::STOP => return Ok(Record::Stop { instance }),
         incoming::TIMER_FIRED => Some(Event::TimerFired { token: rest.try_get_u64()? }),
         incoming::DEMAND_REPORT => demand_report(rest)?,
         incoming::PEER_MESSAGE => Some(peer_message(rest)?),
@@ -137,13 +137,13 @@
         incoming::ACKNOWLEDGED => acknowledged(rest)?,
         unknown => return Err(RecordError::UnknownCode(unknown)),
     };
-    Ok(event.map_or(Message::Unusable { instance }, |event| Message::Event { instance, event }))
+    Ok(event.map_or(Record::InvalidValue { instance }, |event| Record::Event { instance, event }))
 }
 
-fn start(instance: InstanceId, rest: &mut &[u8]) -> Read<Message> {
+fn start(instance: InstanceId, rest: &mut &[u8]) -> Read<Record> {
     let seed = rest.try_get_u64()?;
     let length = rest.try_get_u32()?;
-    Ok(Message::Start { instance, seed, settings: bytes(rest, length as usize)? })
+    Ok(Record::Start { instance, seed, settings: bytes(rest, length as usize)? })
 }
 
 fn demand_report(rest: &mut &[u8]) -> Read<Option<Event>> {
--- a/crates/simulator-codec/src/lib.rs
+++ b/crates/simulator-codec/src/lib.rs
@@ -14,7 +14,7 @@
 mod encode;
 mod settings;
 
-pub use decode::{decode_batch, Batch, DecodeError, Message};
+pub use decode::{decode_batch, Batch, DecodeError, Record};
 pub use encode::{encode_action, encode_failure, encode_reply, Reply};
 pub use settings::{decode_settings, SettingsError};
 
--- a/crates/simulator-codec/tests/codec.rs
+++ b/crates/simulator-codec/tests/codec.rs
@@ -5,7 +5,7 @@
     Action, Endpoint, EndpointReport, Event, HealthCheckOutcome, Readiness, RetryPolicy, WatchEvent,
 };
 use shalereel_simulator_codec::{
-    decode_batch, encode_action, encode_failure, encode_reply, DecodeError, Message, Reply,
+    decode_batch, encode_action, encode_failure, encode_reply, DecodeError, Record, Reply,
 };
 
 const CLOCK: &str = "40c06e2000000000";
@@ -14,8 +14,8 @@
     hex::decode(hex.replace(' ', "")).expect("test data is hex")
 }
 
-fn decode(records: &str) -> Result<Vec<Message>, DecodeError> {
-    decode_batch(&bytes(&format!("{CLOCK} {records}"))).map(|batch| batch.messages)
+fn decode(records: &str) -> Result<Vec<Record>, DecodeError> {
+    decode_batch(&bytes(&format!("{CLOCK} {records}"))).map(|batch| batch.records)
 }
 
 fn row(server: u32, locality: u16, weight: f64, started_at: u64) -> Endpoint {
@@ -29,7 +29,7 @@
 #[rstest]
 fn empty_batch_has_only_its_clock() {
     let batch = decode_batch(&bytes(CLOCK)).expect("well formed");
-    assert_eq!((batch.now, batch.messages), (8_412_250_000, vec![]));
+    assert_eq!((batch.now, batch.records), (8_412_250_000, vec![]));
 }
 
 #[rstest]
@@ -58,14 +58,14 @@
 #[case::acknowledged("0e 00000003 0029 000000000000000c 4079c80000000000",
     Event::Acknowledged { proxy: 41, serial: 12, elapsed: 412_500_000 })]
 fn event_is_decoded_field_by_field(#[case] record: &str, #[case] event: Event) {
-    assert_eq!(decode(record), Ok(vec![Message::Event { instance: 3, event }]));
+    assert_eq!(decode(record), Ok(vec![Record::Event { instance: 3, event }]));
 }
 
 #[rstest]
 fn instance_start_and_stop_are_decoded() {
-    let start = Message::Start { instance: 3, seed: 5, settings: b"{}".to_vec() };
+    let start = Record::Start { instance: 3, seed: 5, settings: b"{}".to_vec() };
     let records = "0b 00000003 07 00000003 0000000000000005 00000002 7b7d";
-    assert_eq!(decode(records), Ok(vec![Message::Stop { instance: 3 }, start]));
+    assert_eq!(decode(records), Ok(vec![Record::Stop { instance: 3 }, start]));
 }
 
 #[rstest]
@@ -74,7 +74,7 @@
 #[case::negative("02 00000003 00000009 0000 0029 00000000 c09f400000000000")]
 #[case::unknown_watch_event("0c 00000003 09 0000000000000029 00000000")]
 fn record_with_an_unusable_value_is_reported_as_such(#[case] record: &str) {
-    assert_eq!(decode(record), Ok(vec![Message::Unusable { instance: 3 }]));
+    assert_eq!(decode(record), Ok(vec![Record::InvalidValue { instance: 3 }]));
 }
 
 #[rstest]
