--- a/crates/simulator-adapter/tests/pipe.rs
+++ b/crates/simulator-adapter/tests/pipe.rs
@@ -45,7 +45,7 @@
 #[case::code(frame(&[200]), "unknown code 200")]
 #[case::not_json(frame(&start("ready")), "settings")]
 #[case::missing_key(frame(&start(&SETTINGS.replace("cold_from", "warm_from"))), "cold_from")]
-#[case::no_time(frame(&start(&SETTINGS.replace("9000.0", "-1.0"))), "no span of time")]
+#[case::invalid_duration(frame(&start(&SETTINGS.replace("9000.0", "-1.0"))), "invalid duration in milliseconds")]
 fn malformed_input_is_reported_on_standard_error_without_a_reply(
     #[case] input: Vec<u8>,
     #[case] named: &str,
--- a/crates/simulator-codec/src/codes.rs
+++ b/crates/simulator-codec/src/codes.rs
@@ -1,6 +1,7 @@
-//! Codes of the records on the simulator's wire. Each record is its code, the number of the instance, and its fields.
+//! Codes of the records in the simulator's protocol. A record consists of its code, the number of the instance, and its
+//! fields.
 
-/// Records of a batch, sent by the simulator.
+/// Codes of the records in a batch, which the simulator sends.
 pub(crate) mod incoming {
     pub(crate) const TIMER_FIRED: u8 = 1;
     pub(crate) const DEMAND_REPORT: u8 = 2;
@@ -8,31 +9,31 @@
     pub(crate) const HEALTH_CHECKED: u8 = 4;
     pub(crate) const LEASE_CHANGED: u8 = 5;
     pub(crate) const ENDPOINT_REPORT: u8 = 6;
-    /// `enlist`.
+    /// The simulator calls it `enlist`.
     pub(crate) const START: u8 = 7;
     pub(crate) const LEFT: u8 = 8;
     pub(crate) const JOINED: u8 = 9;
     pub(crate) const RECORDED_WEIGHT: u8 = 10;
-    /// `kill`.
+    /// The simulator calls it `kill`.
     pub(crate) const STOP: u8 = 11;
-    /// `roster`.
+    /// The simulator calls it `roster`.
     pub(crate) const ENDPOINTS: u8 = 12;
     pub(crate) const TABLE_DEMAND: u8 = 13;
     pub(crate) const ACKNOWLEDGED: u8 = 14;
 
-    /// Whether the simulator has a record with this code.
+    /// Whether this is the code of a record that the simulator can send.
     pub(crate) fn is_known(code: u8) -> bool {
         (TIMER_FIRED..=ACKNOWLEDGED).contains(&code)
     }
 }
 
-/// Records of a reply, sent to the simulator.
+/// Codes of the records in a reply, which the simulator receives.
 pub(crate) mod outgoing {
     pub(crate) const SET_TIMER: u8 = 65;
     pub(crate) const CHECK_HEALTH: u8 = 66;
     pub(crate) const SEND_TO_PEER: u8 = 67;
     pub(crate) const LOG: u8 = 68;
-    /// `bug`.
+    /// The simulator calls it `bug`.
     pub(crate) const FAILURE: u8 = 69;
     pub(crate) const WATCH_ENDPOINTS: u8 = 70;
     pub(crate) const FETCH_ENDPOINTS: u8 = 71;
--- a/crates/simulator-codec/src/decode.rs
+++ b/crates/simulator-codec/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes batches: a header with the time, then records.
+//! Decodes batches. A batch consists of a header with the time and a sequence of records.
 
 use bytes::{Buf, TryGetError};
 use shalereel::interface::{
@@ -14,79 +14,80 @@
 pub struct Batch {
     /// Time of the batch, ns.
     pub now: Nanos,
-    /// Its records, in order.
+    /// The records, in the order in which they were sent.
     pub records: Vec<Record>,
 }
 
 /// A record of a batch.
 #[derive(Debug, PartialEq)]
 pub enum Record {
-    /// An instance starts, in place of one with the same number.
+    /// An instance of the controller starts and replaces an earlier one with the same number.
     Start {
-        /// Its number.
+        /// Number of the instance.
         instance: InstanceId,
-        /// Seed of its random choices.
+        /// Seed of its random number generator.
         seed: u64,
-        /// Its settings, to be decoded by [`crate::decode_settings`].
+        /// Its encoded settings, for [`crate::decode_settings`].
         settings: Vec<u8>,
     },
-    /// An instance ends.
+    /// An instance stops.
     Stop {
-        /// Its number.
+        /// Number of the instance.
         instance: InstanceId,
     },
-    /// An event of an instance.
+    /// An event for an instance.
     Event {
         /// Number of the instance.
         instance: InstanceId,
         /// The event.
         event: Event,
     },
-    /// A well-formed record with a value that is of no use: not a number, negative or out of range.
+    /// A record of valid length with an invalid value: a time that is negative, not finite or out of range, or an
+    /// unknown code of a field. It is to be ignored.
     InvalidValue {
         /// Number of the instance.
         instance: InstanceId,
     },
 }
 
-/// Why a batch is rejected. Offsets count from behind the frame's length, in bytes.
+/// Why a batch is rejected. Offsets are in bytes and start after the length of the frame.
 #[derive(Debug, Error, PartialEq)]
 pub enum DecodeError {
-    /// The time of the header is no time.
-    #[error("the clock of the batch is no time: {0}")]
+    /// The time in the header is negative, not finite or out of range.
+    #[error("the header of the batch has an invalid time in milliseconds: {0}")]
     InvalidTime(f64),
     /// The batch ends inside its header.
-    #[error("the batch is cut short inside its header")]
+    #[error("the batch ends inside its header")]
     TruncatedHeader,
-    /// No record has this code.
+    /// A record has an unknown code.
     #[error("record {record} at byte {offset}: unknown code {code}")]
     UnknownCode {
-        /// Position of the record, from 0.
+        /// Index of the record in the batch.
         record: usize,
-        /// Its offset.
+        /// Offset of the record.
         offset: usize,
-        /// Its code.
+        /// The unknown code.
         code: u8,
     },
     /// The batch ends inside a record.
-    #[error("record {record} at byte {offset}: runs past its frame")]
+    #[error("record {record} at byte {offset}: extends beyond the end of the frame")]
     TruncatedRecord {
-        /// Position of the record, from 0.
+        /// Index of the record in the batch.
         record: usize,
-        /// Its offset.
+        /// Offset of the record.
         offset: usize,
     },
 }
 
-/// Decodes a frame without its length.
+/// Decodes the content of a frame as a batch.
 ///
 /// # Errors
 ///
-/// The first thing that is wrong, with the record concerned; nothing of the batch is to be used then.
+/// The batch is malformed. The error describes the first fault, and none of the records may be used.
 pub fn decode_batch(frame: &[u8]) -> Result<Batch, DecodeError> {
     let mut rest = frame;
-    let clock = rest.try_get_f64().map_err(|_| DecodeError::TruncatedHeader)?;
-    let now = nanos(clock).ok_or(DecodeError::InvalidTime(clock))?;
+    let time_ms = rest.try_get_f64().map_err(|_| DecodeError::TruncatedHeader)?;
+    let now = nanos(time_ms).ok_or(DecodeError::InvalidTime(time_ms))?;
     let mut records = Vec::new();
     while rest.has_remaining() {
         let record = records.len();
@@ -100,7 +101,7 @@
     Ok(Batch { now, records })
 }
 
-/// Why a record is rejected.
+/// Why a record cannot be decoded.
 enum RecordError {
     UnknownCode(u8),
     Truncated,
@@ -112,8 +113,10 @@
     }
 }
 
+/// The result of decoding a field or a sequence of fields.
 type Read<T> = Result<T, TryGetError>;
 
+/// Decodes the next record. All its fields are read even if a value is invalid, so that the next record can be decoded.
 fn read_record(rest: &mut &[u8]) -> Result<Record, RecordError> {
     let code = rest.try_get_u8()?;
     if !incoming::is_known(code) {
@@ -229,7 +232,7 @@
     Ok(Some(Event::Endpoints(watch_event)))
 }
 
-/// An endpoint of a list; `None` where its readiness is unknown.
+/// Decodes an endpoint of a list; `None` if the code of its readiness is unknown.
 fn endpoint(rest: &mut &[u8]) -> Read<Option<Endpoint>> {
     let server = rest.try_get_u32()?;
     let locality = rest.try_get_u16()?;
@@ -271,9 +274,10 @@
     (0..count).map(|_| Ok(f64::from(rest.try_get_f32()?))).collect()
 }
 
+/// Reads a field of this length in bytes.
 fn bytes(rest: &mut &[u8], length: usize) -> Read<Vec<u8>> {
-    let (content, behind) =
+    let (content, remaining) =
         rest.split_at_checked(length).ok_or(TryGetError { requested: length, available: rest.len() })?;
-    *rest = behind;
+    *rest = remaining;
     Ok(content.to_vec())
 }
--- a/crates/simulator-codec/src/encode.rs
+++ b/crates/simulator-codec/src/encode.rs
@@ -1,4 +1,5 @@
-//! Encodes replies: a header with the count of records and their length, then one record for each action.
+//! Encodes replies. A reply consists of a header with the number of records and their total length, and one record for each
+//! action.
 
 use bytes::BufMut;
 use shalereel::interface::{Action, RetryPolicy};
@@ -6,21 +7,23 @@
 use crate::codes::outgoing;
 use crate::{millis, InstanceId};
 
-/// Table number that stands for all tables.
+/// The table number that stands for all tables.
 const ALL_TABLES: u16 = u16::MAX;
-/// Peer number that stands for all peers.
+/// The peer number that stands for all peers.
 const ALL_PEERS: u16 = u16::MAX;
 
-/// Records gathered for one reply.
+/// A reply under construction.
 #[derive(Debug, Default)]
 pub struct Reply {
+    /// Number of records.
     count: u32,
+    /// The encoded records.
     records: Vec<u8>,
 }
 
 impl Reply {
-    /// Begins a record; gives where its fields go.
-    fn begin(&mut self, code: u8, instance: InstanceId) -> &mut Vec<u8> {
+    /// Starts a record. Returns the buffer to which its fields are appended.
+    fn begin_record(&mut self, code: u8, instance: InstanceId) -> &mut Vec<u8> {
         self.count += 1;
         self.records.put_u8(code);
         self.records.put_u32(instance);
@@ -28,14 +31,14 @@
     }
 }
 
-/// Adds a record that the controller of an instance has panicked, with the panic's text.
+/// Appends a record to the reply that the controller of an instance has panicked with this message.
 pub fn encode_failure(reply: &mut Reply, instance: InstanceId, text: &str) {
-    put_text(reply.begin(outgoing::FAILURE, instance), text);
+    put_text(reply.begin_record(outgoing::FAILURE, instance), text);
 }
 
-/// Adds the record of an action.
+/// Appends the record of an action to the reply.
 pub fn encode_action(reply: &mut Reply, instance: InstanceId, action: &Action) {
-    let fields = reply.begin(code(action), instance);
+    let fields = reply.begin_record(record_code(action), instance);
     match action {
         Action::SetTimer { delay, token } => {
             fields.put_f64(millis(*delay));
@@ -78,7 +81,7 @@
     }
 }
 
-fn code(action: &Action) -> u8 {
+fn record_code(action: &Action) -> u8 {
     match action {
         Action::SetTimer { .. } => outgoing::SET_TIMER,
         Action::CheckHealth { .. } => outgoing::CHECK_HEALTH,
@@ -104,7 +107,7 @@
     }
 }
 
-/// A text with its length, cut to what the length can say.
+/// Appends a text and its length. A text that is too long for the 16-bit length is truncated at a character boundary.
 fn put_text(fields: &mut Vec<u8>, text: &str) {
     let mut end = text.len().min(u16::MAX.into());
     while !text.is_char_boundary(end) {
@@ -114,7 +117,7 @@
     fields.put_slice(&text.as_bytes()[..end]);
 }
 
-/// The complete frame of a reply.
+/// Encodes the complete frame of a reply.
 pub fn encode_reply(reply: Reply) -> Vec<u8> {
     let mut frame = Vec::with_capacity(reply.records.len() + 8);
     frame.put_u32(reply.count);
--- a/crates/simulator-codec/src/lib.rs
+++ b/crates/simulator-codec/src/lib.rs
@@ -1,11 +1,14 @@
-//! Codec of the operators' simulator: batches of events in, replies of actions out; and of the settings, which the platform
-//! writes in the same form. It decides nothing and is free of I/O. `shalereel-wirehost` uses all of it; `shalereel node`
-//! decodes the `settings` of its configuration with [`decode_settings`].
+//! The codec of the operators' simulator. It decodes batches of events and encodes replies of actions. It also decodes the
+//! controller's settings, which the platform writes in the same form as the simulator. It makes no decisions and does no
+//! I/O.
 //!
-//! The simulator has names of its own for the records of its wire (`enlist`, `roster`, `digest` and so on) and for the keys of
-//! its settings (`worth`, `cycle_ms`, `tip_multiple` and so on). They are mapped to the terms of `shalereel::interface` once,
-//! here: records by their codes (`codes`), settings by `serde` attributes. Names of operations,
-//! kinds and zones, which the controller does not need, are read in `crates/platform-supervisor/src/config.rs`.
+//! `shalereel-wirehost` uses the whole codec; `shalereel node` decodes the `settings` of its configuration with
+//! [`decode_settings`].
+//!
+//! The simulator has its own names for the records of its protocol (`enlist`, `roster`, `digest` and so on) and for the keys
+//! of its settings (`worth`, `cycle_ms`, `tip_multiple` and so on). Only this crate maps them to the terms of
+//! `shalereel::interface`: records by their codes (`codes`), settings by `serde` attributes. The names of operations, kinds
+//! and zones, which the controller does not need, are decoded in `crates/platform-supervisor/src/config.rs`.
 
 #![deny(missing_docs)]
 
@@ -25,13 +28,13 @@
 
 const NANOS_PER_MS: f64 = 1e6;
 
-/// Whole nanoseconds of a time in milliseconds; `None` where the number is no time.
+/// Converts milliseconds to nanoseconds, rounded; `None` if the number is negative, not finite or too large.
 pub(crate) fn nanos(ms: f64) -> Option<Nanos> {
-    let is_time = ms.is_finite() && ms >= 0.0 && ms < Nanos::MAX as f64 / NANOS_PER_MS;
-    is_time.then(|| (ms * NANOS_PER_MS).round() as Nanos)
+    let is_valid = ms.is_finite() && ms >= 0.0 && ms < Nanos::MAX as f64 / NANOS_PER_MS;
+    is_valid.then(|| (ms * NANOS_PER_MS).round() as Nanos)
 }
 
-/// Milliseconds of a time in nanoseconds.
+/// Converts nanoseconds to milliseconds.
 pub(crate) fn millis(span: Nanos) -> f64 {
     span as f64 / NANOS_PER_MS
 }
--- a/crates/simulator-codec/src/settings.rs
+++ b/crates/simulator-codec/src/settings.rs
@@ -1,8 +1,8 @@
-//! Decodes the settings of an instance, as the simulator hands them over in JSON, to the controller's configuration.
+//! Decodes the settings of an instance from the simulator's JSON into the controller's configuration.
 //!
-//! The structures mirror the sections of the JSON and have their names, since serde's error messages contain them; fields
-//! have the interface's terms and are renamed to the simulator's keys. Of several missing fields the first in this order is
-//! reported.
+//! Each struct mirrors a section of the JSON and has its name, since serde's error messages contain the names of structs.
+//! Fields have the names of `shalereel::interface`, and attributes map them to the simulator's keys. If several fields of a
+//! struct are missing, serde reports the first in the order of declaration.
 
 use serde::{Deserialize, Deserializer};
 use shalereel::interface::{
@@ -11,7 +11,7 @@
 };
 use thiserror::Error;
 
-/// A setting that is missing or malformed, with its key.
+/// A setting is missing or malformed. The text contains its key.
 #[derive(Debug, Error)]
 #[error("settings of the instance: {0}")]
 pub struct SettingsError(#[from] serde_json::Error);
@@ -63,9 +63,9 @@
     max_unserved_time: Nanos,
     #[serde(default, rename = "fails_to_eject")]
     failures_to_avoid: u32,
-    /// Share of the latency objective that a first attempt may take where a retry may follow.
+    /// Fraction of the latency objective that a first attempt may take if it may be followed by a retry.
     first_wait: f64,
-    /// By position of the operation.
+    /// One flag per operation, in the order of `classes`.
     #[serde(default, rename = "home_only")]
     local_only: Vec<bool>,
     #[serde(default, rename = "in_flight_max_ms", deserialize_with = "millis")]
@@ -75,7 +75,7 @@
     lines_per_s: f64,
     #[serde(default, rename = "messages_over_ms", deserialize_with = "millis")]
     message_limit_window: Nanos,
-    /// By position of the operation.
+    /// One flag per operation, in the order of `classes`.
     #[serde(default, rename = "mutating")]
     writes: Vec<bool>,
     #[serde(rename = "overhead")]
@@ -86,7 +86,7 @@
     mean_transit: Nanos,
     #[serde(default, rename = "reloads_max")]
     message_limit: u32,
-    /// Retries of a proxy that was sent no policy.
+    /// Retries by a proxy that was sent no retry policy.
     retry_default: u8,
     #[serde(default)]
     sole_owner: bool,
@@ -110,7 +110,7 @@
     overload_delay: Nanos,
     #[serde(rename = "tip_multiple")]
     overload_ratio: f64,
-    /// Only draining excludes a server: a removal without it is advisory.
+    /// Whether only draining excludes a server, so that a removal without draining is advisory.
     #[serde(default, rename = "drain_binds_alone")]
     removal_is_advisory: bool,
 }
@@ -228,10 +228,11 @@
     }
 }
 
-/// A time in milliseconds.
+/// Decodes a duration in milliseconds.
 fn millis<'de, D: Deserializer<'de>>(from: D) -> Result<Nanos, D::Error> {
     let ms = f64::deserialize(from)?;
-    crate::nanos(ms).ok_or_else(|| serde::de::Error::custom(format!("no span of time: {ms}")))
+    crate::nanos(ms)
+        .ok_or_else(|| serde::de::Error::custom(format!("invalid duration in milliseconds: {ms}")))
 }
 
 fn load_column(name: &str) -> LoadColumn {
@@ -244,7 +245,7 @@
     }
 }
 
-/// An operation by its position; positions beyond a list of flags have none set.
+/// Converts an operation. If a list of flags is too short for its position, the flag is not set.
 fn operation(position: usize, class: Class, family: &FamilyInfo) -> Operation {
     let is_set = |flags: &[bool]| flags.get(position).copied().unwrap_or(false);
     Operation {
@@ -259,7 +260,7 @@
     }
 }
 
-/// Decodes the settings of an instance; keys that the controller does not need are ignored.
+/// Decodes the settings of an instance. Keys that the controller does not need are ignored.
 ///
 /// # Errors
 ///
@@ -267,7 +268,7 @@
 pub fn decode_settings(seed: u64, json: &[u8]) -> Result<ControllerConfig, SettingsError> {
     let profile: Profile = serde_json::from_slice(json)?;
     let family = profile.family_info;
-    let rules = profile.invariants;
+    let invariants = profile.invariants;
     let classes = profile.classes.into_iter().enumerate();
     Ok(ControllerConfig {
         seed,
@@ -299,12 +300,12 @@
         message_limit: family.message_limit,
         message_limit_window: family.message_limit_window,
         retry_default: family.retry_default,
-        poll_interval: rules.poll_interval,
-        slow_start_capacity: rules.slow_start_capacity,
-        slow_start_duration: rules.slow_start_duration,
-        overload_ratio: rules.overload_ratio,
-        overload_delay: rules.overload_delay,
-        drain_grace: rules.drain_grace,
-        removal_is_advisory: rules.removal_is_advisory,
+        poll_interval: invariants.poll_interval,
+        slow_start_capacity: invariants.slow_start_capacity,
+        slow_start_duration: invariants.slow_start_duration,
+        overload_ratio: invariants.overload_ratio,
+        overload_delay: invariants.overload_delay,
+        drain_grace: invariants.drain_grace,
+        removal_is_advisory: invariants.removal_is_advisory,
     })
 }
--- a/crates/simulator-codec/tests/codec.rs
+++ b/crates/simulator-codec/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Records of the simulator's wire, byte by byte.
+//! Tests of the exact bytes of each record in the simulator's protocol.
 
 use rstest::rstest;
 use shalereel::interface::{
@@ -8,17 +8,18 @@
     decode_batch, encode_action, encode_failure, encode_reply, DecodeError, Record, Reply,
 };
 
-const CLOCK: &str = "40c06e2000000000";
+/// The header of a batch: its time in milliseconds, as hex.
+const BATCH_TIME: &str = "40c06e2000000000";
 
 fn bytes(hex: &str) -> Vec<u8> {
     hex::decode(hex.replace(' ', "")).expect("test data is hex")
 }
 
 fn decode(records: &str) -> Result<Vec<Record>, DecodeError> {
-    decode_batch(&bytes(&format!("{CLOCK} {records}"))).map(|batch| batch.records)
+    decode_batch(&bytes(&format!("{BATCH_TIME} {records}"))).map(|batch| batch.records)
 }
 
-fn row(server: u32, locality: u16, weight: f64, started_at: u64) -> Endpoint {
+fn endpoint(server: u32, locality: u16, weight: f64, started_at: u64) -> Endpoint {
     Endpoint { server, locality, kind: 0, cell: 0, readiness: Readiness::Ready, weight, started_at }
 }
 
@@ -27,8 +28,8 @@
 }
 
 #[rstest]
-fn empty_batch_has_only_its_clock() {
-    let batch = decode_batch(&bytes(CLOCK)).expect("well formed");
+fn empty_batch_has_only_its_time() {
+    let batch = decode_batch(&bytes(BATCH_TIME)).expect("well formed");
     assert_eq!((batch.now, batch.records), (8_412_250_000, vec![]));
 }
 
@@ -51,7 +52,7 @@
 #[case::endpoints("0c 00000003 02 0000000000000029 00000002 \
     03124a07 0000 0000 0000 01 3f800000 0000000000000000 \
     2c9011f2 0001 0000 0000 01 3fc00000 40b7d40000000000",
-    Event::Endpoints(WatchEvent::Cached(vec![row(0x0312_4a07, 0, 1.0, 0), row(0x2c90_11f2, 1, 1.5, 6_100_000_000)])))]
+    Event::Endpoints(WatchEvent::Cached(vec![endpoint(0x0312_4a07, 0, 1.0, 0), endpoint(0x2c90_11f2, 1, 1.5, 6_100_000_000)])))]
 #[case::failed_endpoints("0c 00000003 01 0000000000000029 00000000", Event::Endpoints(WatchEvent::Failed))]
 #[case::table_demand("0d 00000003 408f400000000000 0075 0000 00000002 00000017",
     Event::TableDemand { table: 117, operation: 0, total: 23, failures: 2, window: 1_000_000_000 })]
@@ -73,22 +74,22 @@
 #[case::infinite("0e 00000003 0029 000000000000000c 7ff0000000000000")]
 #[case::negative("02 00000003 00000009 0000 0029 00000000 c09f400000000000")]
 #[case::unknown_watch_event("0c 00000003 09 0000000000000029 00000000")]
-fn record_with_an_unusable_value_is_reported_as_such(#[case] record: &str) {
+fn record_with_an_invalid_value_is_decoded_as_such(#[case] record: &str) {
     assert_eq!(decode(record), Ok(vec![Record::InvalidValue { instance: 3 }]));
 }
 
 #[rstest]
-#[case::code("08 00000003 0029 63", DecodeError::UnknownCode { record: 1, offset: 15, code: 0x63 })]
+#[case::unknown_code("08 00000003 0029 63", DecodeError::UnknownCode { record: 1, offset: 15, code: 0x63 })]
 #[case::truncated("08 00000003 0029 08 0000", DecodeError::TruncatedRecord { record: 1, offset: 15 })]
-#[case::counted("03 00000003 0002 ffff 68", DecodeError::TruncatedRecord { record: 0, offset: 8 })]
-#[case::endpoints("0c 00000003 00 0000000000000029 ffffffff", DecodeError::TruncatedRecord { record: 0, offset: 8 })]
+#[case::truncated_content("03 00000003 0002 ffff 68", DecodeError::TruncatedRecord { record: 0, offset: 8 })]
+#[case::truncated_endpoints("0c 00000003 00 0000000000000029 ffffffff", DecodeError::TruncatedRecord { record: 0, offset: 8 })]
 fn malformed_record_is_rejected_with_its_offset(#[case] records: &str, #[case] error: DecodeError) {
     assert_eq!(decode(records), Err(error));
 }
 
 #[rstest]
 #[case::truncated("40c06e")]
-#[case::no_time("7ff8000000000000")]
+#[case::invalid_time("7ff8000000000000")]
 fn malformed_header_is_rejected(#[case] frame: &str) {
     assert!(decode_batch(&bytes(frame)).is_err());
 }
@@ -119,7 +120,7 @@
 }
 
 #[rstest]
-fn failure_is_encoded_with_its_text_and_a_long_one_is_cut() {
+fn failure_is_encoded_with_its_text_and_a_long_text_is_truncated() {
     let mut reply = Reply::default();
     encode_failure(&mut reply, 3, "index out of range");
     assert_eq!(encode_reply(reply)[8..], bytes("45 00000003 0012 696e646578206f7574206f662072616e6765"));
--- a/crates/simulator-codec/tests/settings.rs
+++ b/crates/simulator-codec/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The instance's settings as the simulator writes them.
+//! Tests of the decoding of an instance's settings, as the simulator writes them.
 
 use rstest::rstest;
 use shalereel::interface::{
@@ -99,9 +99,9 @@
     }
 }
 
-/// Guards against a renamed field that is no longer read from its key.
+/// Guards against a renamed field that is no longer decoded from the simulator's key.
 #[rstest]
-fn each_setting_is_read_from_its_key() {
+fn each_setting_is_decoded_from_its_key() {
     let settings = decode_settings(41, SETTINGS.as_bytes()).unwrap();
     assert_eq!(format!("{settings:#?}"), format!("{:#?}", expected()));
 }
@@ -115,32 +115,36 @@
 #[case::weights_off(r#""live""#, r#""off""#, "listed_capacity: Unknown")]
 #[case::weights_nominal(r#""live""#, r#""nominal""#, "listed_capacity: Nominal")]
 #[case::weights_rough(r#""live""#, r#""rough""#, "listed_capacity: Approximate")]
-fn each_choice_is_read_from_its_word(#[case] word: &str, #[case] other: &str, #[case] read: &str) {
-    let text = SETTINGS.replacen(word, other, 1);
+fn each_choice_is_decoded_from_its_value(#[case] value: &str, #[case] other: &str, #[case] decoded: &str) {
+    let text = SETTINGS.replacen(value, other, 1);
     let settings = format!("{:?}", decode_settings(41, text.as_bytes()).unwrap());
-    assert!(settings.contains(read), "{settings}");
+    assert!(settings.contains(decoded), "{settings}");
 }
 
-/// Guards against messages on standard error that name other keys than the simulator's.
+/// Guards against error messages with names other than the simulator's keys.
 #[rstest]
-#[case::missing("cold_from", "warm_from", "settings of the instance: missing field `cold_from` at line")]
-#[case::duplicate(
+#[case::missing_key("cold_from", "warm_from", "settings of the instance: missing field `cold_from` at line")]
+#[case::duplicate_key(
     r#""cold_ms""#,
     r#""cold_from""#,
     "settings of the instance: duplicate field `cold_from` at line"
 )]
-#[case::no_time("33.0", "-1.0", "settings of the instance: no span of time: -1 at line")]
-#[case::choice(
+#[case::invalid_duration(
+    "33.0",
+    "-1.0",
+    "settings of the instance: invalid duration in milliseconds: -1 at line"
+)]
+#[case::unknown_choice(
     "pushed",
     "pulled",
     "settings of the instance: unknown variant `pulled`, expected `pushed` or `on_request` at line"
 )]
-#[case::section(
+#[case::invalid_section(
     r#"{"probes": true}"#,
     "7",
     "settings of the instance: invalid type: integer `7`, expected struct Permissions at line"
 )]
-#[case::no_sections(
+#[case::not_an_object(
     "{",
     "7{",
     "settings of the instance: invalid type: integer `7`, expected struct Profile at line"
