--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
-//! `shalereel-wirehost`, run by the operators' simulator: hosts isolated instances of the controller. Batches of events come
-//! on standard input, and each is answered by one flushed reply on standard output. Malformed input ends the process with an
-//! error on standard error.
+//! `shalereel-wirehost` hosts isolated instances of the controller for the operators' simulator. It reads batches of events
+//! from standard input, and writes and flushes one reply per batch to standard output. If the input is malformed, it reports
+//! an error on standard error and exits.
 
 #![deny(missing_docs)]
 
@@ -19,7 +19,7 @@
     let mut output = io::stdout().lock();
     let mut host = Host::default();
     while let Some(frame) = read_frame(&mut input)? {
-        output.write_all(&host.answer(&frame)?)?;
+        output.write_all(&host.process_batch(&frame)?)?;
         output.flush()?;
     }
     Ok(())
--- a/crates/simulator-adapter/tests/pipe.rs
+++ b/crates/simulator-adapter/tests/pipe.rs
@@ -1,4 +1,4 @@
-//! The host as the simulator meets it: bytes in, bytes out, and an exit.
+//! Tests of the `shalereel-wirehost` process: its replies on standard output, its errors, and its exit status.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -6,11 +6,12 @@
 use rstest::rstest;
 
 const SETTINGS: &str = include_str!("profile.json");
-const CLOCK: [u8; 8] = 1_000.0_f64.to_be_bytes();
+/// The header of a batch: its time in milliseconds.
+const BATCH_TIME: [u8; 8] = 1_000.0_f64.to_be_bytes();
 
 fn frame(records: &[u8]) -> Vec<u8> {
-    let length = (CLOCK.len() + records.len()) as u32;
-    [&length.to_be_bytes(), &CLOCK[..], records].concat()
+    let length = (BATCH_TIME.len() + records.len()) as u32;
+    [&length.to_be_bytes(), &BATCH_TIME[..], records].concat()
 }
 
 fn start(settings: &str) -> Vec<u8> {
@@ -25,40 +26,40 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the host starts");
-    host.stdin.take().expect("piped").write_all(input).expect("the host reads");
+    host.stdin.take().expect("standard input is piped").write_all(input).expect("the host reads");
     host.wait_with_output().expect("the host ends")
 }
 
 #[rstest]
 #[case::nothing(&[], &[])]
 #[case::empty_batches(&[frame(&[]), frame(&[])].concat(), &[0; 16])]
-fn input_that_ends_between_frames_ends_the_host_without_error(#[case] input: &[u8], #[case] reply: &[u8]) {
+fn host_exits_without_error_when_input_ends_between_frames(#[case] input: &[u8], #[case] reply: &[u8]) {
     let output = run(input);
     assert!(output.status.success());
     assert_eq!(output.stdout, reply);
 }
 
 #[rstest]
-#[case::length(vec![0, 0], "length")]
-#[case::frame(frame(&[])[..9].to_vec(), "8 bytes")]
-#[case::record(frame(&[8, 0, 0, 0, 1]), "record 0 at byte 8")]
-#[case::code(frame(&[200]), "unknown code 200")]
-#[case::not_json(frame(&start("ready")), "settings")]
-#[case::missing_key(frame(&start(&SETTINGS.replace("cold_from", "warm_from"))), "cold_from")]
+#[case::truncated_length(vec![0, 0], "length")]
+#[case::truncated_frame(frame(&[])[..9].to_vec(), "of the 8 bytes of a frame's content")]
+#[case::truncated_record(frame(&[8, 0, 0, 0, 1]), "record 0 at byte 8")]
+#[case::unknown_code(frame(&[200]), "unknown code 200")]
+#[case::settings_not_json(frame(&start("ready")), "settings")]
+#[case::setting_missing(frame(&start(&SETTINGS.replace("cold_from", "warm_from"))), "cold_from")]
 #[case::invalid_duration(frame(&start(&SETTINGS.replace("9000.0", "-1.0"))), "invalid duration in milliseconds")]
 fn malformed_input_is_reported_on_standard_error_without_a_reply(
     #[case] input: Vec<u8>,
-    #[case] named: &str,
+    #[case] error_part: &str,
 ) {
     let output = run(&input);
     let errors = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success());
     assert_eq!(output.stdout, []);
-    assert!(errors.contains(named), "{errors}");
+    assert!(errors.contains(error_part), "{errors}");
 }
 
 #[rstest]
-fn instance_watches_endpoints_at_its_start_and_may_restart_within_a_batch() {
+fn instance_that_restarts_within_a_batch_watches_endpoints_once() {
     let record = start(SETTINGS);
     let output = run(&frame(&[&record[..], &[11, 0, 0, 0, 1], &record].concat()));
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
