--- a/crates/platform-supervisor/src/protocol.rs
+++ b/crates/platform-supervisor/src/protocol.rs
@@ -258,7 +258,7 @@
     /// Whether the list is complete; otherwise it contains only the servers that changed.
     #[serde(rename = "full")]
     pub is_full: bool,
-    /// One [`ListEntry`] per server. They are decoded one by one, so that an invalid entry does not invalidate the
+    /// One `ListEntry` per server. They are decoded one by one, so that an invalid entry does not invalidate the
     /// others.
     #[serde(rename = "servers")]
     pub entries: Vec<serde_json::Value>,
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,8 +1,8 @@
-//! Readiness, timers and sockets on `epoll`, without a runtime; called by `crates/rpc` and by the tools of `crates/cli`. Addresses outside loopback are rejected,
-//! except by the functions whose name says `any_address`.
+//! Readiness on `epoll`, timers and non-blocking sockets, without an async runtime. `crates/rpc` and the tools of
+//! `crates/cli` use it. Addresses outside loopback are rejected, except by the functions with `any_address` in their name.
 //!
-//! A [`Reactor`] says which tokens are ready. The owner of a token is polled as a whole when its socket is
-//! ready or its waker was called, so a socket keeps no waker of its own.
+//! A [`Reactor`] reports which tokens are ready. The owner of a token is polled when its socket is ready or its waker was
+//! called, so a socket stores no waker of its own.
 
 #![deny(missing_docs)]
 
--- a/crates/reactor/src/listener.rs
+++ b/crates/reactor/src/listener.rs
@@ -1,4 +1,4 @@
-//! A TCP listener that never blocks.
+//! A non-blocking TCP listener.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -7,31 +7,31 @@
 use crate::loopback::require_loopback;
 use crate::socket::Socket;
 
-/// Accepts connections.
+/// A non-blocking TCP listener.
 #[derive(Debug)]
 pub struct Listener(TcpListener);
 
 impl Listener {
-    /// Listens on a loopback address; port 0 lets the kernel choose one.
+    /// Listens on a loopback address. For port 0 the kernel chooses the port.
     ///
     /// # Errors
-    /// The address is not loopback (`PermissionDenied`) or in use.
+    /// The address is not loopback (`PermissionDenied`), or it is in use.
     pub fn bind(address: SocketAddr) -> io::Result<Self> {
         require_loopback(address)?;
         Self::bind_any_address(address)
     }
 
-    /// Listens on an address that the platform has assigned, loopback or not.
+    /// Listens on any address, such as one that the platform has assigned. For port 0 the kernel chooses the port.
     ///
     /// # Errors
-    /// The address is in use or not one of this machine.
+    /// The address is in use, or it is not an address of this machine.
     pub fn bind_any_address(address: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
         Ok(Listener(listener))
     }
 
-    /// The address that it listens on, with the port that was chosen.
+    /// Returns the address that it listens on, with the actual port.
     ///
     /// # Errors
     /// Those of `getsockname`.
@@ -39,10 +39,10 @@
         self.0.local_addr()
     }
 
-    /// The next connection that waits, if any.
+    /// Accepts the next pending connection. Returns `None` if there is none.
     ///
     /// # Errors
-    /// Those of `accept`: the connection was aborted, or there are no resources for it.
+    /// Those of `accept`: the connection was aborted, or the system lacks resources for it.
     pub fn accept(&self) -> io::Result<Option<Socket>> {
         match self.0.accept() {
             Ok((stream, _)) => Socket::accepted(stream).map(Some),
--- a/crates/reactor/src/loopback.rs
+++ b/crates/reactor/src/loopback.rs
@@ -1,8 +1,10 @@
-//! The rule that only loopback addresses are listened on and dialled, unless a caller asks for any address.
+//! The restriction of listening and dialling to loopback addresses, which applies unless a caller allows any address.
 
 use std::io;
 use std::net::SocketAddr;
 
+/// Checks that an address is loopback.
+///
 /// # Errors
 /// The address is not loopback: `PermissionDenied`.
 pub fn require_loopback(address: SocketAddr) -> io::Result<()> {
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -1,4 +1,4 @@
-//! Waits on `epoll` for readiness, wakers and a time.
+//! Waits on `epoll` until a source is ready, a waker was called, or a time has come.
 
 use std::io;
 use std::os::fd::{AsFd, OwnedFd};
@@ -10,14 +10,14 @@
 
 use crate::clock::{now, Nanos, SECOND};
 
-/// Most events that one wait takes from the kernel; the rest follow with the next one.
+/// Maximum number of events that one wait takes from the kernel. The next wait returns the remaining ones.
 const MAX_EVENTS_PER_WAIT: usize = 256;
 
-/// Identifies a source of readiness; never assigned twice.
+/// Identifies a source of readiness. No token is assigned twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token(u64);
 
-/// Tokens whose wakers were called since the last wait.
+/// The tokens whose wakers were called since the last wait.
 #[derive(Debug, Default)]
 struct WokenTokens(Mutex<Vec<Token>>);
 
@@ -45,8 +45,8 @@
     }
 }
 
-/// Edge-triggered `epoll`, and the tokens whose wakers were called. Wakers must be called on the thread that
-/// waits.
+/// Edge-triggered `epoll`, combined with wakers. Wakers must be called on the thread that waits, since they do not
+/// interrupt a wait.
 #[derive(Debug)]
 pub struct Reactor {
     epoll: OwnedFd,
@@ -55,7 +55,7 @@
 }
 
 impl Reactor {
-    /// A reactor without sources.
+    /// Creates a reactor without sources.
     ///
     /// # Errors
     /// Those of `epoll_create1`.
@@ -63,8 +63,8 @@
         Ok(Reactor { epoll: epoll::create(CreateFlags::CLOEXEC)?, woken: Arc::default(), last_token: 0 })
     }
 
-    /// Watches a descriptor for input, output and hang-up until it is closed. Only edges are reported: read
-    /// and write until it would block.
+    /// Watches a descriptor for input, output and hang-up until it is closed. Only changes of readiness are reported, so
+    /// the caller must read and write until a call would block.
     ///
     /// # Errors
     /// Those of `epoll_ctl`.
@@ -75,16 +75,16 @@
         Ok(Token(self.last_token))
     }
 
-    /// A waker that makes the next wait report a token.
+    /// Returns a waker that makes the next wait report this token.
     pub fn waker(&self, token: Token) -> Waker {
         Waker::from(Arc::new(TokenWaker { token, woken: self.woken.clone() }))
     }
 
-    /// Waits until a source is ready, a waker was called, or the time has come, whichever is first. Returns
-    /// each token once, in ascending order.
+    /// Waits until a source is ready or the time `until` has come. Returns at once if a waker was called since the last
+    /// wait. The returned tokens are in ascending order without duplicates.
     ///
     /// # Errors
-    /// Those of `epoll_wait`, except an interruption.
+    /// Those of `epoll_wait`, except an interruption by a signal, which ends the wait.
     pub fn wait(&mut self, until: Option<Nanos>) -> io::Result<Vec<Token>> {
         let mut ready = self.woken.take();
         let timeout = if ready.is_empty() { until.map(|at| at.saturating_sub(now())) } else { Some(0) };
--- a/crates/reactor/src/signals.rs
+++ b/crates/reactor/src/signals.rs
@@ -1,11 +1,11 @@
-//! Signals as streams that a reactor can watch.
+//! Signals as streams that a [`Reactor`](crate::Reactor) can watch.
 
 use std::io;
 use std::os::unix::net::UnixStream;
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-/// Becomes readable at SIGTERM or SIGINT.
+/// Returns a stream that becomes readable on SIGTERM or SIGINT.
 ///
 /// # Errors
 /// The stream or the handlers cannot be created.
@@ -13,7 +13,7 @@
     signal_stream(&[SIGTERM, SIGINT])
 }
 
-/// Becomes readable at SIGHUP.
+/// Returns a stream that becomes readable on SIGHUP.
 ///
 /// # Errors
 /// The stream or the handler cannot be created.
@@ -22,10 +22,10 @@
 }
 
 fn signal_stream(signals: &[i32]) -> io::Result<UnixStream> {
-    let (read, write) = UnixStream::pair()?;
-    read.set_nonblocking(true)?;
+    let (reader, writer) = UnixStream::pair()?;
+    reader.set_nonblocking(true)?;
     for &signal in signals {
-        signal_hook::low_level::pipe::register(signal, write.try_clone()?)?;
+        signal_hook::low_level::pipe::register(signal, writer.try_clone()?)?;
     }
-    Ok(read)
+    Ok(reader)
 }
--- a/crates/reactor/src/socket.rs
+++ b/crates/reactor/src/socket.rs
@@ -1,4 +1,4 @@
-//! TCP streams that never block, accepted or dialled.
+//! Non-blocking TCP streams, accepted or dialled.
 
 use std::io::{self, IoSlice, Read, Write};
 use std::net::{IpAddr, Shutdown, SocketAddr, TcpStream};
@@ -13,10 +13,10 @@
 
 use crate::loopback::require_loopback;
 
-/// Bytes that are read from one socket before others have their turn.
-const MAX_READ_BYTES_PER_TURN: usize = 256 * 1024;
+/// Maximum bytes that are read from one socket before other sockets are polled.
+const MAX_READ_BYTES_PER_POLL: usize = 256 * 1024;
 
-/// Repeats a call that a signal has interrupted, as the standard library does at `accept`.
+/// Repeats a call while it is interrupted by a signal, as the standard library does for `accept`.
 fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -26,26 +26,26 @@
     }
 }
 
-/// Whether the error is ENOBUFS or ENOMEM: the kernel lacks memory or buffers. The call must be repeated after a delay: no readiness
-/// follows.
+/// Whether the error is ENOBUFS or ENOMEM, which means that the kernel lacks buffers or memory. The call must be retried
+/// after a delay, since no readiness event follows.
 pub fn is_out_of_kernel_memory(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
     matches!(errno, Some(Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// Starts a connection to a loopback address; a connection that is refused shows at the first read or write.
+/// Starts to connect to a loopback address. If the connection is refused, the first read or write fails.
 ///
 /// # Errors
-/// The address is not loopback (`PermissionDenied`), or there is no descriptor.
+/// The address is not loopback (`PermissionDenied`), or the process has no free descriptor.
 pub fn dial(address: SocketAddr) -> io::Result<Socket> {
     require_loopback(address)?;
     dial_any_address(address)
 }
 
-/// Starts a connection to an address that the platform has assigned, loopback or not; see [`dial`].
+/// Starts to connect to any address, such as one that the platform has assigned. It is otherwise like [`dial`].
 ///
 /// # Errors
-/// There is no descriptor, or no route.
+/// The process has no free descriptor, or there is no route to the address.
 pub fn dial_any_address(address: SocketAddr) -> io::Result<Socket> {
     let family = match address.ip() {
         IpAddr::V4(_) => AddressFamily::INET,
@@ -54,19 +54,20 @@
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let fd = net::socket_with(family, SocketType::STREAM, flags, None)?;
     match net::connect(&fd, &address) {
-        // A call that a signal interrupts goes on by itself.
+        // A call that is interrupted by a signal continues in the kernel.
         Ok(()) | Err(Errno::INPROGRESS | Errno::INTR) => Socket::connecting(TcpStream::from(fd)),
         Err(error) => Err(error.into()),
     }
 }
 
-/// A stream that never blocks, as `h2` expects it. It keeps no waker: its owner is polled when it is ready.
+/// A non-blocking TCP stream with the asynchronous traits that `h2` requires. It stores no waker: its owner is polled when
+/// the [`Reactor`](crate::Reactor) reports it as ready.
 #[derive(Debug)]
 pub struct Socket {
     stream: TcpStream,
-    /// Bytes that may still be read in this turn.
+    /// Bytes that may still be read before other sockets are polled.
     read_budget: usize,
-    /// It was dialled, and nothing has been read or written yet.
+    /// Whether it was dialled and no read or write has succeeded or failed yet.
     is_connecting: bool,
 }
 
@@ -74,11 +75,11 @@
     pub(crate) fn accepted(stream: TcpStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
-        Ok(Socket { stream, read_budget: MAX_READ_BYTES_PER_TURN, is_connecting: false })
+        Ok(Socket { stream, read_budget: MAX_READ_BYTES_PER_POLL, is_connecting: false })
     }
 
-    /// A stream whose connection is being made. Until it is, Linux answers reads and writes with EAGAIN;
-    /// POSIX also allows ENOTCONN, which is no end: readiness follows.
+    /// Creates a socket from a stream that is being connected. Until it is connected, reads and writes fail with EAGAIN on
+    /// Linux. POSIX also allows ENOTCONN, which is treated in the same way, since a readiness event follows.
     ///
     /// # Errors
     /// The options of the stream cannot be set.
@@ -86,7 +87,7 @@
         Ok(Socket { is_connecting: true, ..Socket::accepted(stream)? })
     }
 
-    /// Closes with a reset instead of an orderly end, once dropped.
+    /// Makes the socket close with a TCP reset instead of an orderly shutdown when it is dropped.
     ///
     /// # Errors
     /// Those of `setsockopt`.
@@ -94,7 +95,7 @@
         Ok(sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO))?)
     }
 
-    /// The kernel ends the connection when the peer acknowledges nothing for so long.
+    /// Sets the time after which the kernel closes the connection if sent data stays unacknowledged.
     ///
     /// # Errors
     /// Those of `setsockopt`.
@@ -102,19 +103,19 @@
         Ok(sockopt::set_tcp_user_timeout(&self.stream, timeout.as_millis() as u32)?)
     }
 
-    /// Another handle on the same socket, for options and for [`Socket::shutdown`].
+    /// Returns another handle to the same socket, for its options and for [`Socket::shutdown`].
     ///
     /// # Errors
-    /// There is no descriptor.
+    /// The process has no free descriptor.
     pub fn try_clone(&self) -> io::Result<Socket> {
         Ok(Socket {
             stream: self.stream.try_clone()?,
-            read_budget: MAX_READ_BYTES_PER_TURN,
+            read_budget: MAX_READ_BYTES_PER_POLL,
             is_connecting: self.is_connecting,
         })
     }
 
-    /// Ends both directions at once, whoever else has a handle.
+    /// Shuts down both directions of the connection, for all handles.
     ///
     /// # Errors
     /// Those of `shutdown`.
@@ -122,7 +123,7 @@
         self.stream.shutdown(Shutdown::Both)
     }
 
-    /// Maps the result of a call that would block, or whose connection is not made yet, to pending.
+    /// Converts the result of a call to a poll. It is pending if the call would block or the socket is not connected yet.
     fn poll_result<T>(&mut self, result: io::Result<T>) -> Poll<io::Result<T>> {
         match result {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => Poll::Pending,
@@ -148,7 +149,7 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.read_budget == 0 {
-            self.read_budget = MAX_READ_BYTES_PER_TURN;
+            self.read_budget = MAX_READ_BYTES_PER_POLL;
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
@@ -161,7 +162,7 @@
             }
             Poll::Ready(Err(error)) => Poll::Ready(Err(error)),
             Poll::Pending => {
-                self.read_budget = MAX_READ_BYTES_PER_TURN;
+                self.read_budget = MAX_READ_BYTES_PER_POLL;
                 Poll::Pending
             }
         }
--- a/crates/reactor/tests/reactor.rs
+++ b/crates/reactor/tests/reactor.rs
@@ -1,4 +1,4 @@
-//! Readiness, timers and sockets, on real descriptors.
+//! Tests of readiness, timers and sockets with real descriptors.
 
 use std::io::{self, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -11,11 +11,11 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 #[test]
-fn waker_time_and_hang_up_end_the_wait() {
+fn wait_ends_at_its_time_and_on_a_waker_or_hang_up() {
     let mut reactor = Reactor::new().unwrap();
     let (ours, theirs) = UnixStream::pair().unwrap();
     let token = reactor.add(&ours).unwrap();
-    assert_eq!(reactor.wait(None).unwrap(), [token], "writable from the start");
+    assert_eq!(reactor.wait(None).unwrap(), [token], "a new stream is writable");
     let before = now();
     assert!(reactor.wait(Some(before + MILLI)).unwrap().is_empty());
     assert!(now() >= before + MILLI);
@@ -26,12 +26,12 @@
 }
 
 #[test]
-fn timers_come_in_order_and_can_be_cancelled() {
+fn timers_fire_in_order_and_can_be_cancelled() {
     let mut timers = Timers::default();
     timers.set(30, "late");
-    let middle = timers.set(20, "never");
+    let cancelled = timers.set(20, "cancelled");
     timers.set(10, "early");
-    assert!(timers.cancel(middle) && !timers.cancel(middle));
+    assert!(timers.cancel(cancelled) && !timers.cancel(cancelled));
     assert_eq!((timers.next_at(), timers.pop_due(9)), (Some(10), None));
     assert_eq!(
         (timers.pop_due(30), timers.pop_due(30), timers.pop_due(30)),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn only_loopback_is_listened_on_and_dialled() {
+fn addresses_outside_loopback_are_rejected() {
     for address in ["0.0.0.0:0", "192.0.2.1:80"] {
         let address = address.parse().unwrap();
         assert_eq!(Listener::bind(address).unwrap_err().kind(), io::ErrorKind::PermissionDenied);
@@ -48,37 +48,41 @@
     }
 }
 
-/// Guards against taking ENOTCONN of a connection that is being made for its end. Which error a socket gives
-/// before that is the system's choice; one that was never connected gives ENOTCONN on Linux too, so the order
-/// is forced here.
+/// Guards against treating ENOTCONN from a socket that is still being connected as the end of its connection. The
+/// system chooses the error until the socket is connected. To get ENOTCONN on Linux too, the test reads from the socket
+/// before it starts to connect.
 #[test]
-fn socket_that_is_being_connected_has_not_ended() {
+fn read_from_a_socket_that_is_being_connected_is_pending() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let fd = net::socket_with(AddressFamily::INET, SocketType::STREAM, flags, None).unwrap();
     let stream = TcpStream::from(fd);
     let mut socket = Socket::connecting(stream.try_clone().unwrap()).unwrap();
     let mut cx = Context::from_waker(Waker::noop());
-    let mut piece = [0; 8];
-    let read = |socket: &mut Socket, cx: &mut Context<'_>, piece: &mut [u8; 8]| {
-        Pin::new(socket).poll_read(cx, &mut ReadBuf::new(piece)).map_err(|error| error.kind())
+    let mut buffer = [0; 8];
+    let read = |socket: &mut Socket, cx: &mut Context<'_>, buffer: &mut [u8; 8]| {
+        Pin::new(socket).poll_read(cx, &mut ReadBuf::new(buffer)).map_err(|error| error.kind())
     };
-    assert_eq!(read(&mut socket, &mut cx, &mut piece), Poll::Pending);
+    assert_eq!(read(&mut socket, &mut cx, &mut buffer), Poll::Pending);
 
     let mut reactor = Reactor::new().unwrap();
     let token = reactor.add(&socket).unwrap();
     let _ = net::connect(&stream, &listener.local_addr().unwrap());
     let mut peer = listener.accept().unwrap().0;
     while !matches!(Pin::new(&mut socket).poll_write(&mut cx, b"x"), Poll::Ready(Ok(1))) {
-        assert_eq!(reactor.wait(Some(now() + 10_000 * MILLI)).unwrap(), [token], "readiness follows");
+        assert_eq!(
+            reactor.wait(Some(now() + 10_000 * MILLI)).unwrap(),
+            [token],
+            "the socket becomes ready once it is connected"
+        );
     }
-    peer.read_exact(&mut piece[..1]).unwrap();
+    peer.read_exact(&mut buffer[..1]).unwrap();
     peer.write_all(b"y").unwrap();
     peer.shutdown(std::net::Shutdown::Both).unwrap();
     let deadline = now() + 10_000 * MILLI;
-    while read(&mut socket, &mut cx, &mut piece) != Poll::Ready(Ok(())) {
+    while read(&mut socket, &mut cx, &mut buffer) != Poll::Ready(Ok(())) {
         reactor.wait(Some(deadline)).unwrap();
-        assert!(now() < deadline, "what the peer wrote");
+        assert!(now() < deadline, "the byte from the peer is not received in time");
     }
-    assert_eq!(piece[0], b'y');
+    assert_eq!(buffer[0], b'y');
 }
