--- a/crates/cli/src/group_command.rs
+++ b/crates/cli/src/group_command.rs
@@ -193,7 +193,7 @@
         sum.steps,
         sum.elections,
         sum.crashes,
-        sum.moves,
+        sum.range_assignments,
         sum.writes,
         sum.orders
     );
--- a/crates/cli/src/group_measure.rs
+++ b/crates/cli/src/group_measure.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 use shalereel_fault_scenarios::{standing, Day, Stage};
 use shalereel_group::wire::{Command, CommandPayload, Entry, RecordKind, ReleaseOrder, StoredRecord};
-use shalereel_group::{encode, LOG_FILE_HEAD};
+use shalereel_group::{encode_records, LOG_FILE_MAGIC};
 use shalereel_journal::frame;
 use shalereel_xds_supervisor::{FileWriter, WriteRequest, GROUP_LOG_FILE};
 
@@ -139,11 +139,11 @@
     fs::create_dir_all(&folder)?;
     let (ours, theirs) = UnixStream::pair()?;
     theirs.set_nonblocking(true)?;
-    let writer = FileWriter::open(&folder, GROUP_LOG_FILE, LOG_FILE_HEAD, None, theirs)?;
+    let writer = FileWriter::open(&folder, GROUP_LOG_FILE, LOG_FILE_MAGIC, None, theirs)?;
     let request = |number| WriteRequest {
         sequence: number,
         replaces_file: false,
-        records: vec![encode(&records(number)).into()],
+        records: vec![encode_records(&records(number)).into()],
     };
     let wait = |number: u64| -> Result<()> {
         let begun = Instant::now();
@@ -171,7 +171,7 @@
     let mut bare = File::create(folder.join("bare"))?;
     let begun = Instant::now();
     for number in 1..=single {
-        bare.write_all(&frame(&encode(&records(number))))?;
+        bare.write_all(&frame(&encode_records(&records(number))))?;
         bare.sync_data()?;
     }
     let bare = begun.elapsed().as_secs_f64();
--- a/crates/group/src/fault.rs
+++ b/crates/group/src/fault.rs
@@ -4,9 +4,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
     /// A leader commits an entry of an earlier term by counting replicas.
-    CommitOldTerm,
+    CommitEarlierTerm,
     /// What is not synced counts as stored.
     NoSync,
     /// Neither epochs nor leases are enforced.
-    NoFence,
+    NoFencing,
 }
--- a/crates/group/src/group.rs
+++ b/crates/group/src/group.rs
@@ -17,7 +17,7 @@
 use shalereel::interface::Nanos;
 
 use crate::fault::InjectedFault;
-use crate::leases::{Lease, LeaseTable, RangeGrantor};
+use crate::leases::{LeaseTable, MemberLease, RangeGrantor};
 use crate::membership::Membership;
 use crate::placement::ServerAvailability;
 use crate::raft::Raft;
@@ -52,7 +52,7 @@
     membership: Membership,
     state_machine: StateMachine,
     last_applied: LogIndex,
-    lease: Lease,
+    lease: MemberLease,
     renew_lease_at: Nanos,
     /// While this member leads.
     lease_table: Option<LeaseTable>,
@@ -90,7 +90,7 @@
             membership: Membership::new(id, &config.address, start_count, &config.seeds(), timing, seed),
             state_machine: state_machine.unwrap_or_default(),
             last_applied,
-            lease: Lease::default(),
+            lease: MemberLease::default(),
             renew_lease_at: now,
             lease_table: None,
             range_grantor: RangeGrantor::new(&timing, now),
@@ -163,7 +163,7 @@
     }
 
     fn enforces_fences(&self) -> bool {
-        self.config.injected_fault != Some(InjectedFault::NoFence)
+        self.config.injected_fault != Some(InjectedFault::NoFencing)
     }
 
     /// The highest epoch of any operation's table: every published table carries at least this one.
--- a/crates/group/src/group/action.rs
+++ b/crates/group/src/group/action.rs
@@ -23,9 +23,9 @@
     /// Write and sync records, and then call [`Group::handle_write_done`](super::Group::handle_write_done).
     Store(LogWrite),
     /// Answer an operator's request.
-    Answer {
+    AnswerOrder {
         /// As given to [`Group::submit_order`](super::Group::submit_order).
-        ticket: u64,
+        correlation_id: u64,
         /// Index of the entry by which the order is in force.
         result: Result<LogIndex, OrderError>,
     },
--- a/crates/group/src/group/apply.rs
+++ b/crates/group/src/group/apply.rs
@@ -14,12 +14,12 @@
         let fault = self.config.injected_fault;
         let change = self.state_machine.apply(entry.index, entry.term, command, fault);
         let pending = self.pending.remove(&command.request_id);
-        if let Some(ticket) = pending.and_then(|pending| pending.ticket) {
+        if let Some(correlation_id) = pending.and_then(|pending| pending.correlation_id) {
             let result = match change {
                 AppliedChange::Rejected(rejection) => Err(OrderError::Rejected(rejection)),
                 _ => Ok(entry.index),
             };
-            self.actions.push(Action::Answer { ticket, result });
+            self.actions.push(Action::AnswerOrder { correlation_id, result });
         }
         self.actions.push(Action::Applied(change));
     }
--- a/crates/group/src/group/commands.rs
+++ b/crates/group/src/group/commands.rs
@@ -9,16 +9,16 @@
 use crate::wire::{Body, Command, CommandPayload, MemberId, Proposal};
 
 impl Group {
-    /// Submits an operator's order; it is answered by an [`Action::Answer`] with this ticket.
-    pub fn submit_order(&mut self, now: Nanos, ticket: u64, payload: CommandPayload) {
+    /// Submits an operator's order; it is answered by an [`Action::AnswerOrder`] with this correlation_id.
+    pub fn submit_order(&mut self, now: Nanos, correlation_id: u64, payload: CommandPayload) {
         let error = match self.role {
             MemberRole::Stopped => OrderError::StorageFailed,
             MemberRole::NoLeader => self.no_leader_error(),
             MemberRole::Leader | MemberRole::Follower(_) => {
-                return self.add_command(now, payload, Some(ticket));
+                return self.add_command(now, payload, Some(correlation_id));
             }
         };
-        self.actions.push(Action::Answer { ticket, result: Err(error) });
+        self.actions.push(Action::AnswerOrder { correlation_id, result: Err(error) });
     }
 
     fn no_leader_error(&self) -> OrderError {
@@ -39,12 +39,12 @@
         }
     }
 
-    fn add_command(&mut self, now: Nanos, payload: CommandPayload, ticket: Option<u64>) {
+    fn add_command(&mut self, now: Nanos, payload: CommandPayload, correlation_id: Option<u64>) {
         self.last_request_id += 1;
         let pending = PendingCommand {
             command: Command { request_id: self.last_request_id, payload: Some(payload) },
             expires_at: now + self.timing.command_timeout(),
-            ticket,
+            correlation_id,
             sent_at: None,
             sent_in_term: 0,
         };
@@ -69,9 +69,10 @@
         let expired = self.pending.iter().filter(|(_, pending)| now >= pending.expires_at);
         let expired: Vec<u64> = expired.map(|(&request_id, _)| request_id).collect();
         for request_id in expired {
-            let ticket = self.pending.remove(&request_id).and_then(|pending| pending.ticket);
-            let answer = |ticket| Action::Answer { ticket, result: Err(OrderError::TimedOut) };
-            self.actions.extend(ticket.map(answer));
+            let correlation_id = self.pending.remove(&request_id).and_then(|pending| pending.correlation_id);
+            let answer =
+                |correlation_id| Action::AnswerOrder { correlation_id, result: Err(OrderError::TimedOut) };
+            self.actions.extend(correlation_id.map(answer));
         }
     }
 
--- a/crates/group/src/leases/grantor.rs
+++ b/crates/group/src/leases/grantor.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub struct RangeGrantor {
     /// When the last route that an earlier start of this member may have granted lapses.
-    earlier_grants_lapse_at: Nanos,
+    earlier_grants_expire_at: Nanos,
     /// By range and epoch, and then by stream.
     granted: BTreeMap<(u32, Epoch), BTreeMap<u64, Grant>>,
     responses: u64,
@@ -41,7 +41,7 @@
     /// A grantor of a member that starts at `started_at`.
     pub fn new(timing: &Timing, started_at: Nanos) -> Self {
         RangeGrantor {
-            earlier_grants_lapse_at: started_at + timing.route_lapse(),
+            earlier_grants_expire_at: started_at + timing.route_expiry_span(),
             granted: BTreeMap::new(),
             responses: 0,
             left_at: BTreeMap::new(),
@@ -108,9 +108,9 @@
         own_id: MemberId,
         state_machine: &StateMachine,
     ) -> Vec<(u32, LogIndex)> {
-        let route_lapse = timing.route_lapse();
+        let route_expiry_span = timing.route_expiry_span();
         self.granted.retain(|_, grants| {
-            grants.retain(|_, grant| grant.at + route_lapse > now);
+            grants.retain(|_, grant| grant.at + route_expiry_span > now);
             !grants.is_empty()
         });
         let mut cleared = Vec::new();
@@ -126,7 +126,7 @@
     fn is_clear(&self, now: Nanos, timing: &Timing, range: u32) -> bool {
         let granted = self.granted.keys().any(|(granted, _)| *granted == range);
         let in_flight = self.left_at.get(&range).is_some_and(|left| now < left + timing.in_flight_span());
-        now >= self.earlier_grants_lapse_at && !granted && !in_flight
+        now >= self.earlier_grants_expire_at && !granted && !in_flight
     }
 
     /// When a move may next become clear; nothing where no range is moving.
@@ -134,9 +134,9 @@
         let moving = state_machine.ranges().values().any(|ownership| ownership.pending_move.is_some());
         moving.then(|| {
             let grants = self.granted.values().flat_map(BTreeMap::values);
-            let lapses = grants.map(|grant| grant.at + timing.route_lapse());
+            let lapses = grants.map(|grant| grant.at + timing.route_expiry_span());
             let left = self.left_at.values().map(|left| left + timing.in_flight_span());
-            lapses.chain(left).fold(self.earlier_grants_lapse_at, Nanos::min)
+            lapses.chain(left).fold(self.earlier_grants_expire_at, Nanos::min)
         })
     }
 }
--- a/crates/group/src/leases/member_lease.rs
+++ b/crates/group/src/leases/member_lease.rs
@@ -7,18 +7,18 @@
 
 /// A member's lease: while it is valid the member may grant routes to forwarders.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Lease {
+pub struct MemberLease {
     expires_at: Nanos,
     /// It is valid only once the log is applied up to here.
     commit_index: LogIndex,
 }
 
-impl Lease {
+impl MemberLease {
     /// The leader has granted the lease that was requested at `requested_at`, up to its commit index.
     pub fn renew(&mut self, timing: &Timing, requested_at: Nanos, commit_index: LogIndex) {
         let expires_at = requested_at + timing.member_lease_duration();
         if expires_at > self.expires_at {
-            *self = Lease { expires_at, commit_index: self.commit_index.max(commit_index) };
+            *self = MemberLease { expires_at, commit_index: self.commit_index.max(commit_index) };
         }
     }
 
--- a/crates/group/src/leases/table.rs
+++ b/crates/group/src/leases/table.rs
@@ -74,14 +74,15 @@
 
     /// Fixed when the move is first seen: leases granted later require the move to be applied.
     fn wait(&mut self, key: (u32, LogIndex), timing: &Timing, members: &[MemberId]) -> &MoveWait {
-        let route_lapse = timing.route_lapse();
+        let route_expiry_span = timing.route_expiry_span();
         let (earlier, expires_at) = (self.earlier_leases_expire_at, &self.expires_at);
         self.move_waits.entry(key).or_insert_with(|| {
             let known: BTreeSet<MemberId> = members.iter().chain(expires_at.keys()).copied().collect();
-            let until =
-                |member: MemberId| expires_at.get(&member).copied().unwrap_or(0).max(earlier) + route_lapse;
+            let until = |member: MemberId| {
+                expires_at.get(&member).copied().unwrap_or(0).max(earlier) + route_expiry_span
+            };
             MoveWait {
-                unknown_members: earlier + route_lapse,
+                unknown_members: earlier + route_expiry_span,
                 members: known.into_iter().map(|member| (member, until(member))).collect(),
             }
         })
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -25,7 +25,7 @@
 pub use fault::InjectedFault;
 pub use group::{Action, Group, GroupConfig, LogEvent, LogStatus, MemberRole, OrderError};
 pub use leases::{
-    Lease, LeaseClient, LeaseTable, RangeGrantor, RangeRoute, RouteRequest, RouteResponse, RouteTenure,
+    LeaseClient, LeaseTable, MemberLease, RangeGrantor, RangeRoute, RouteRequest, RouteResponse, RouteTenure,
 };
 pub use membership::{Member, Membership, StatusChange};
 pub use placement::ServerAvailability;
@@ -33,5 +33,5 @@
 pub use state_machine::{
     AppliedChange, DutyAssignment, PendingMove, RangeOwnership, Rejection, StandingOrder, StateMachine,
 };
-pub use storage::{encode, StoredLog, StoredLogError, LOG_FILE_HEAD};
+pub use storage::{encode_records, StoredLog, StoredLogError, LOG_FILE_MAGIC};
 pub use timing::{Timing, TimingSettings};
--- a/crates/group/src/raft/replication.rs
+++ b/crates/group/src/raft/replication.rs
@@ -126,7 +126,7 @@
         leader.acknowledge_round(quorum_value(rounds));
         let index = quorum_value(match_indexes);
         // Entries of earlier terms are committed only by one of this term after them (the paper's figure 8).
-        let any_term = self.injected_fault == Some(InjectedFault::CommitOldTerm);
+        let any_term = self.injected_fault == Some(InjectedFault::CommitEarlierTerm);
         if index > self.commit_index && (any_term || self.log.term_at(index) == Some(self.term)) {
             self.commit_up_to(now, index);
         }
--- a/crates/group/src/raft/tests.rs
+++ b/crates/group/src/raft/tests.rs
@@ -294,6 +294,6 @@
 #[test]
 fn entry_of_an_earlier_term_is_not_committed_by_counting_replicas() {
     assert_eq!(figure_8(None), Ok((2, 0)));
-    let found = figure_8(Some(InjectedFault::CommitOldTerm));
+    let found = figure_8(Some(InjectedFault::CommitEarlierTerm));
     assert_eq!(found, Err(WalkError::CommittedTwice { index: 2, first: (1, 1), second: (2, 0) }));
 }
--- a/crates/group/src/sim.rs
+++ b/crates/group/src/sim.rs
@@ -16,7 +16,7 @@
 mod violation;
 
 pub use schedule::{ScheduleSettings, ScheduleStats};
-pub use violation::{Unsettled, Violation, ViolationKind};
+pub use violation::{ConvergenceFailure, Violation, ViolationKind};
 
 /// Runs one schedule and returns what it held.
 ///
--- a/crates/group/src/sim/disk.rs
+++ b/crates/group/src/sim/disk.rs
@@ -7,7 +7,7 @@
 use super::simulation::Simulation;
 use super::violation::Violation;
 use crate::group::MemberRole;
-use crate::storage::LOG_FILE_HEAD;
+use crate::storage::LOG_FILE_MAGIC;
 use crate::wire::MemberId;
 
 const SYNC_MIN: Nanos = MILLISECOND / 5;
@@ -39,9 +39,9 @@
             return self.poll(id);
         }
         if let Some(write) = member.disk.queue.pop_front() {
-            let file = member.disk.file.get_or_insert_with(|| LOG_FILE_HEAD.to_vec());
+            let file = member.disk.file.get_or_insert_with(|| LOG_FILE_MAGIC.to_vec());
             if write.replaces_file {
-                *file = LOG_FILE_HEAD.to_vec();
+                *file = LOG_FILE_MAGIC.to_vec();
             }
             file.extend_from_slice(&write.bytes);
             group.handle_write_done(clock, write.sequence);
@@ -77,7 +77,7 @@
         // A replacement of the file is written beside it, so that only an appended write can be torn.
         if let Some(write) = member.disk.queue.pop_front().filter(|write| !write.replaces_file) {
             let torn_at = (write.bytes.len() as f64 * part_written) as usize;
-            let file = member.disk.file.get_or_insert_with(|| LOG_FILE_HEAD.to_vec());
+            let file = member.disk.file.get_or_insert_with(|| LOG_FILE_MAGIC.to_vec());
             file.extend_from_slice(&write.bytes[..torn_at]);
         }
         member.disk.queue.clear();
--- a/crates/group/src/sim/forwarders.rs
+++ b/crates/group/src/sim/forwarders.rs
@@ -131,7 +131,7 @@
             let (old, new) = (before.route(0, range), forwarder.client.route(clock, range));
             let (Some(old), Some(new)) = (old, new) else { continue };
             if new.epoch < old.epoch {
-                let kind = ViolationKind::EpochWentBack { forwarder: id, from: old.epoch, to: new.epoch };
+                let kind = ViolationKind::EpochDecreased { forwarder: id, from: old.epoch, to: new.epoch };
                 return Err(self.violation(kind));
             }
         }
@@ -159,7 +159,7 @@
         let (range, epoch, server) = (route.range, route.epoch, route.owner);
         if let Some(last) = self.last_writes.get(&range) {
             if epoch < last.epoch || (epoch == last.epoch && server != last.server) {
-                return Err(self.violation(ViolationKind::WriteAtFormerOwner {
+                return Err(self.violation(ViolationKind::StaleWrite {
                     range,
                     server,
                     epoch,
--- a/crates/group/src/sim/invariants.rs
+++ b/crates/group/src/sim/invariants.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::simulation::Simulation;
-use super::violation::{Unsettled, Violation, ViolationKind};
+use super::violation::{ConvergenceFailure, Violation, ViolationKind};
 use crate::group::{Group, LogStatus, MemberRole};
 use crate::state_machine::StateMachine;
 use crate::wire::{LogIndex, MemberId};
@@ -20,13 +20,13 @@
         let log = group.log_status();
         let (role, is_leader) = (group.role(), group.is_leader());
         let history = group.state_machine().history_checksum();
-        let ordered_twice = order_that_stands_twice(group.state_machine());
+        let ordered_twice = server_of_duplicate_order(group.state_machine());
         self.check_leader(id, role, log.term)?;
         self.note_leader(is_leader);
         self.check_log(id, &log)?;
         self.check_history(id, log.last_applied, history)?;
         match ordered_twice {
-            Some(server) => Err(ViolationKind::OrderStandsTwice { server }),
+            Some(server) => Err(ViolationKind::DuplicateOrder { server }),
             None => Ok(()),
         }
     }
@@ -63,7 +63,7 @@
         let Some(member) = self.members.get_mut(&id) else { return Ok(()) };
         if applied < member.applied {
             let from = member.applied;
-            return Err(ViolationKind::AppliedWentBack { member: id, from, to: applied });
+            return Err(ViolationKind::AppliedIndexDecreased { member: id, from, to: applied });
         }
         member.applied = applied;
         Ok(())
@@ -85,25 +85,25 @@
     }
 
     /// One leader, everybody behind it with the whole log, every range owned.
-    pub fn check_settled(&self) -> Result<(), Unsettled> {
+    pub fn check_converged(&self) -> Result<(), ConvergenceFailure> {
         let groups = || self.members.values().filter_map(|member| member.group.as_ref());
         let leaders: Vec<MemberId> = groups().filter(|group| group.is_leader()).map(Group::id).collect();
-        let [leader] = leaders[..] else { return Err(Unsettled::Leaders(leaders)) };
+        let [leader] = leaders[..] else { return Err(ConvergenceFailure::Leaders(leaders)) };
         let most = groups().map(|group| group.log_status().last_applied).max().unwrap_or(0);
         for group in groups().filter(|group| group.configuration().is_voter(group.id())) {
             let (member, role) = (group.id(), group.role());
             if role != MemberRole::Follower(leader) && member != leader {
-                return Err(Unsettled::NotFollowing { member, role, leader });
+                return Err(ConvergenceFailure::NotFollowing { member, role, leader });
             }
             let applied = group.log_status().last_applied;
             if applied < most {
-                return Err(Unsettled::Behind { member, applied, most });
+                return Err(ConvergenceFailure::Behind { member, applied, most });
             }
             for range in 0..self.settings.ranges {
                 let ownership = group.state_machine().ranges().get(&range);
                 if ownership.is_none_or(|ownership| ownership.owner.is_none()) {
                     let ownership = ownership.cloned();
-                    return Err(Unsettled::RangeNotOwned { range, member, ownership });
+                    return Err(ConvergenceFailure::RangeNotOwned { range, member, ownership });
                 }
             }
         }
@@ -112,7 +112,7 @@
 }
 
 /// The server of an order that stands twice.
-fn order_that_stands_twice(state_machine: &StateMachine) -> Option<u32> {
+fn server_of_duplicate_order(state_machine: &StateMachine) -> Option<u32> {
     let mut seen = BTreeSet::new();
     let orders = state_machine.orders().values().map(|standing| &standing.order);
     let mut repeated = orders.filter(|order| !seen.insert((order.server, order.weight_cap_millionths)));
--- a/crates/group/src/sim/network.rs
+++ b/crates/group/src/sim/network.rs
@@ -10,7 +10,7 @@
 use crate::group::Action;
 use crate::raft::LogWrite;
 use crate::state_machine::AppliedChange;
-use crate::storage::encode;
+use crate::storage::encode_records;
 use crate::wire::{Envelope, MemberId};
 
 /// One message in this many travels long, so that later ones overtake it.
@@ -53,8 +53,8 @@
                 Action::Send { to, envelope, .. } => self.send(id, to, envelope),
                 Action::Store(write) => self.queue_write(id, write),
                 Action::Applied(AppliedChange::RangeWithdrawn { .. }) => self.push_routes(id),
-                Action::Applied(AppliedChange::RangeAssigned { .. }) => self.stats.moves += 1,
-                Action::Answer { .. }
+                Action::Applied(AppliedChange::RangeAssigned { .. }) => self.stats.range_assignments += 1,
+                Action::AnswerOrder { .. }
                 | Action::Applied(_)
                 | Action::SnapshotRestored
                 | Action::PeerReports(_)
@@ -79,7 +79,7 @@
     }
 
     fn queue_write(&mut self, id: MemberId, write: LogWrite) {
-        let bytes = shalereel_journal::frame(&encode(&write.records));
+        let bytes = shalereel_journal::frame(&encode_records(&write.records));
         let Some(member) = self.members.get_mut(&id) else { return };
         let queued = QueuedWrite { sequence: write.sequence, replaces_file: write.replaces_file, bytes };
         member.disk.queue.push_back(queued);
--- a/crates/group/src/sim/schedule.rs
+++ b/crates/group/src/sim/schedule.rs
@@ -53,7 +53,7 @@
     /// Crashes of members.
     pub crashes: u64,
     /// Assignments of ranges, as applied by each member.
-    pub moves: u64,
+    pub range_assignments: u64,
     /// Writes that took effect at a server.
     pub writes: u64,
     /// Orders submitted by operators.
@@ -69,7 +69,7 @@
         self.elections += other.elections;
         self.committed += other.committed;
         self.crashes += other.crashes;
-        self.moves += other.moves;
+        self.range_assignments += other.range_assignments;
         self.writes += other.writes;
         self.orders += other.orders;
         self.longest_leaderless = self.longest_leaderless.max(other.longest_leaderless);
--- a/crates/group/src/sim/simulation.rs
+++ b/crates/group/src/sim/simulation.rs
@@ -22,8 +22,8 @@
 /// Members above this number join later.
 const MAX_INITIAL_VOTERS: MemberId = 5;
 /// The least and the longest that a group is given to settle.
-const SETTLE_MIN: Nanos = 10 * SECOND;
-const SETTLE_MAX: Nanos = 60 * SECOND;
+const CONVERGENCE_SPAN_MIN: Nanos = 10 * SECOND;
+const CONVERGENCE_SPAN_MAX: Nanos = 60 * SECOND;
 
 /// The last write of a range that took effect.
 #[derive(Clone, Copy)]
@@ -69,7 +69,7 @@
             let clock_ahead = SECOND + rng.rand_range(0..1000 * SECOND);
             members.insert(member, SimulatedMember::new(clock_ahead, rate(&mut rng)));
         }
-        let unfenced = settings.injected_fault == Some(InjectedFault::NoFence);
+        let unfenced = settings.injected_fault == Some(InjectedFault::NoFencing);
         let mut forwarders = BTreeMap::new();
         for forwarder in 0..settings.forwarders {
             forwarders.insert(forwarder, Forwarder::new(unfenced, rate(&mut rng)));
@@ -121,16 +121,16 @@
             if at >= fault_span && !self.faults_over {
                 self.end_faults()?;
             }
-            let may_end = self.faults_over && at >= fault_span + SETTLE_MIN;
-            if at >= fault_span + SETTLE_MAX || (may_end && self.check_settled().is_ok()) {
+            let may_end = self.faults_over && at >= fault_span + CONVERGENCE_SPAN_MIN;
+            if at >= fault_span + CONVERGENCE_SPAN_MAX || (may_end && self.check_converged().is_ok()) {
                 break;
             }
             self.stats.steps += 1;
             self.handle(event)?;
         }
-        match self.check_settled() {
+        match self.check_converged() {
             Ok(()) => Ok(self.stats),
-            Err(unsettled) => Err(self.violation(ViolationKind::NotSettled(unsettled))),
+            Err(failure) => Err(self.violation(ViolationKind::NotConverged(failure))),
         }
     }
 
--- a/crates/group/src/sim/violation.rs
+++ b/crates/group/src/sim/violation.rs
@@ -39,34 +39,34 @@
     AppliedUncommitted { member: MemberId, applied: LogIndex, committed: LogIndex, last: LogIndex },
     /// What is applied stays applied.
     #[error("{member} went back from entry {from} to {to}")]
-    AppliedWentBack { member: MemberId, from: LogIndex, to: LogIndex },
+    AppliedIndexDecreased { member: MemberId, from: LogIndex, to: LogIndex },
     /// All members apply the same entries.
     #[error("{member} has another log than others up to entry {index}")]
     HistoriesDiffer { member: MemberId, index: LogIndex },
     /// An order stands once.
     #[error("an order about server {server} stands twice")]
-    OrderStandsTwice { server: u32 },
+    DuplicateOrder { server: u32 },
     /// A forwarder's epochs of a range only rise.
     #[error("forwarder {forwarder} went back from epoch {from} to {to}")]
-    EpochWentBack { forwarder: u64, from: Epoch, to: Epoch },
+    EpochDecreased { forwarder: u64, from: Epoch, to: Epoch },
     /// Writes of a range never go back to a former owner.
     #[error(
         "range {range}: a write took effect at server {server} (epoch {epoch}) after one at {last_server} (epoch \
          {last_epoch})"
     )]
-    WriteAtFormerOwner { range: u32, server: u32, epoch: Epoch, last_server: u32, last_epoch: Epoch },
+    StaleWrite { range: u32, server: u32, epoch: Epoch, last_server: u32, last_epoch: Epoch },
     /// A crash leaves a file that can be read.
     #[error("file of {member}: {error}")]
     FileUnreadable { member: MemberId, error: String },
     /// Once all faults have ended, the group settles.
     #[error("not settled a minute after all troubles: {0}")]
-    NotSettled(Unsettled),
+    NotConverged(ConvergenceFailure),
 }
 
 /// Why a group has not settled.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[allow(missing_docs)]
-pub enum Unsettled {
+pub enum ConvergenceFailure {
     /// There should be one leader.
     #[error("leaders: {0:?}")]
     Leaders(Vec<MemberId>),
--- a/crates/group/src/state_machine/apply.rs
+++ b/crates/group/src/state_machine/apply.rs
@@ -26,7 +26,7 @@
         if command.request_id != 0 && !self.remember_request(index, command.request_id) {
             return AppliedChange::Duplicate;
         }
-        let fenced = injected_fault != Some(InjectedFault::NoFence);
+        let fenced = injected_fault != Some(InjectedFault::NoFencing);
         let applied = match &command.payload {
             Some(CommandPayload::AssignDuty(assign)) => self.assign_duty(index, assign),
             Some(CommandPayload::OperatorOrder(order)) => self.add_order(index, order),
@@ -88,7 +88,7 @@
         let locality = self.orders.get(&order_index).map(|standing| standing.order.locality);
         let held = locality.and_then(|locality| self.assignment(Duty::RunDrains(locality)));
         if fenced && held.is_none_or(|held| held.epoch != begin.epoch) {
-            return Err(Rejection::DrainByFormerHolder);
+            return Err(Rejection::StaleDrainEpoch);
         }
         let queued = self.orders.get_mut(&order_index).filter(|standing| !standing.active);
         let standing = queued.ok_or(Rejection::DrainNotQueued)?;
@@ -101,7 +101,7 @@
         let held = self.assignment(Duty::PlaceRange(range));
         let by_operator = move_range.epoch == 0;
         if fenced && !by_operator && held.is_none_or(|held| held.epoch != move_range.epoch) {
-            return Err(Rejection::MoveByFormerHolder);
+            return Err(Rejection::StaleMoveEpoch);
         }
         let ownership: &mut RangeOwnership = self.ranges.entry(range).or_default();
         if ownership.pending_move.is_none() && ownership.owner == Some(to_server) {
@@ -126,25 +126,25 @@
         let uncleared = pending_move.filter(|pending_move| {
             pending_move.move_index == cleared.move_index && !pending_move.cleared_by.contains(&by_member)
         });
-        uncleared.ok_or(Rejection::ClearedMoveOver)?.cleared_by.push(by_member);
+        uncleared.ok_or(Rejection::StaleClearance)?.cleared_by.push(by_member);
         Ok(AppliedChange::RangeCleared { range, by_member })
     }
 
     fn assign_range(&mut self, index: LogIndex, term: u64, assign: &AssignRange, fenced: bool) -> Applied {
         // A deposed leader decided by a lease table that its successors do not have.
         if fenced && assign.term != term {
-            return Err(Rejection::AssignedInEarlierTerm);
+            return Err(Rejection::StaleTerm);
         }
         let ownership = self.ranges.get_mut(&assign.range).ok_or(Rejection::NoSuchRange)?;
         let completed = ownership.pending_move.take_if(|pending| pending.move_index == assign.move_index);
-        let completed = completed.ok_or(Rejection::AssignedMoveOver)?;
+        let completed = completed.ok_or(Rejection::StaleAssignment)?;
         ownership.owner = Some(completed.to_server);
         ownership.epoch = index;
         Ok(AppliedChange::RangeAssigned { range: assign.range, owner: completed.to_server, epoch: index })
     }
 
     fn change_membership(&mut self, change: &MembershipChange) -> Applied {
-        let member = change.member.clone().ok_or(Rejection::NoMember)?;
+        let member = change.member.clone().ok_or(Rejection::MissingMember)?;
         self.membership_changes.insert(member.id, change.clone());
         Ok(AppliedChange::MembershipChanged { member, removed: change.removed })
     }
--- a/crates/group/src/state_machine/change.rs
+++ b/crates/group/src/state_machine/change.rs
@@ -89,29 +89,29 @@
     NoSuchOrder,
     /// The sender does not hold the duty to run drains by that epoch.
     #[error("a drain begun by one who no longer holds that duty")]
-    DrainByFormerHolder,
+    StaleDrainEpoch,
     /// The drain is not queued.
     #[error("the drain has begun, or was released")]
     DrainNotQueued,
     /// The sender does not hold the duty to place the range by that epoch.
     #[error("a move by one who no longer holds that duty")]
-    MoveByFormerHolder,
+    StaleMoveEpoch,
     /// The range's owner is the server that it would move to.
     #[error("that server owns the range already")]
     AlreadyOwner,
     /// The move is over, or the member has cleared it before.
     #[error("cleared for a move that is over")]
-    ClearedMoveOver,
+    StaleClearance,
     /// The assignment was decided in another term.
     #[error("given by a leader of an earlier term")]
-    AssignedInEarlierTerm,
+    StaleTerm,
     /// The range is unknown.
     #[error("no such range")]
     NoSuchRange,
     /// The move to be completed is over.
     #[error("given for a move that is over")]
-    AssignedMoveOver,
+    StaleAssignment,
     /// A membership change without a member.
     #[error("no seat named")]
-    NoMember,
+    MissingMember,
 }
--- a/crates/group/src/storage.rs
+++ b/crates/group/src/storage.rs
@@ -7,7 +7,7 @@
 use crate::wire::{Entry, RecordBatch, RecordKind, Snapshot, StoredRecord, Vote};
 
 /// The first bytes of the file: kind and version.
-pub const LOG_FILE_HEAD: &shalereel_journal::Magic = b"shlrgrp1";
+pub const LOG_FILE_MAGIC: &shalereel_journal::Magic = b"shlrgrp1";
 
 /// Why a log file is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
@@ -16,10 +16,12 @@
     #[error(transparent)]
     Journal(#[from] JournalError),
     /// A frame whose checksum is right cannot be decoded.
-    #[error("the frame at byte {at} is intact but cannot be decoded; a later version may have written it")]
+    #[error(
+        "the frame at byte {offset} is intact but cannot be decoded; a later version may have written it"
+    )]
     Undecodable {
         /// Offset at which the frame begins, in bytes.
-        at: usize,
+        offset: usize,
     },
 }
 
@@ -39,7 +41,7 @@
 }
 
 /// One batch as the body of a frame. Concatenated bodies are one batch.
-pub fn encode(records: &[StoredRecord]) -> Vec<u8> {
+pub fn encode_records(records: &[StoredRecord]) -> Vec<u8> {
     RecordBatch { records: records.to_vec() }.encode_to_vec()
 }
 
@@ -51,10 +53,10 @@
     /// The bytes are of another kind of file, damaged in a way that no crash during a write explains, or of a later
     /// version.
     pub fn read(bytes: &[u8]) -> Result<Self, StoredLogError> {
-        let mut found = StoredLog { complete_bytes: LOG_FILE_HEAD.len(), ..StoredLog::default() };
-        for shalereel_journal::Record { payload, end } in shalereel_journal::records(bytes, LOG_FILE_HEAD)? {
+        let mut found = StoredLog { complete_bytes: LOG_FILE_MAGIC.len(), ..StoredLog::default() };
+        for shalereel_journal::Record { payload, end } in shalereel_journal::records(bytes, LOG_FILE_MAGIC)? {
             let batch = RecordBatch::decode(payload)
-                .map_err(|_| StoredLogError::Undecodable { at: found.complete_bytes })?;
+                .map_err(|_| StoredLogError::Undecodable { offset: found.complete_bytes })?;
             batch.records.into_iter().for_each(|record| found.apply(record));
             found.complete_bytes = end;
         }
--- a/crates/group/src/timing.rs
+++ b/crates/group/src/timing.rs
@@ -106,7 +106,7 @@
     }
 
     /// From a grant to a forwarder until all that it sent by it has taken effect.
-    pub fn route_lapse(&self) -> Nanos {
+    pub fn route_expiry_span(&self) -> Nanos {
         self.upper_bound(self.settings.tenure + self.settings.max_in_flight)
     }
 
--- a/crates/group/tests/handover.rs
+++ b/crates/group/tests/handover.rs
@@ -7,8 +7,8 @@
 use rstest::rstest;
 use shalereel_group::wire::{AssignRange, Command, CommandPayload, MoveRange, RangeCleared};
 use shalereel_group::{
-    Lease, LeaseClient, LeaseTable, RangeGrantor, RouteRequest, RouteResponse, RouteTenure, StateMachine,
-    Timing, TimingSettings,
+    LeaseClient, LeaseTable, MemberLease, RangeGrantor, RouteRequest, RouteResponse, RouteTenure,
+    StateMachine, Timing, TimingSettings,
 };
 
 const MEMBER: u32 = 7;
@@ -86,7 +86,7 @@
     leader: Replica,
     member: Replica,
     lease_table: LeaseTable,
-    lease: Lease,
+    lease: MemberLease,
     grantor: RangeGrantor,
     client: LeaseClient,
     /// When the member's request for a lease was sent.
@@ -125,7 +125,7 @@
         leader: replica.clone(),
         member: replica,
         lease_table: LeaseTable::new(&timing, 0),
-        lease: Lease::default(),
+        lease: MemberLease::default(),
         grantor: RangeGrantor::new(&timing, 0),
         client: LeaseClient::new(false),
         lease_requested_at: None,
--- a/crates/group/tests/schedules.rs
+++ b/crates/group/tests/schedules.rs
@@ -24,12 +24,12 @@
     let all = run_all(seeds, ScheduleSettings { members, ..ScheduleSettings::default() });
     eprintln!("{all:?}");
     // The checks had something to check.
-    assert!(all.writes > 50 * schedules && all.moves > schedules && all.crashes > schedules);
+    assert!(all.writes > 50 * schedules && all.range_assignments > schedules && all.crashes > schedules);
 }
 
 #[rstest]
 #[case::acknowledges_before_it_is_synced(InjectedFault::NoSync, 3, 400)]
-#[case::enforces_neither_epochs_nor_leases(InjectedFault::NoFence, 3, 400)]
+#[case::enforces_neither_epochs_nor_leases(InjectedFault::NoFencing, 3, 400)]
 fn injected_fault_is_found(#[case] fault: InjectedFault, #[case] members: u32, #[case] most: u64) {
     let settings = ScheduleSettings {
         members,
--- a/crates/group/tests/stored.rs
+++ b/crates/group/tests/stored.rs
@@ -1,7 +1,7 @@
 //! A file written by an earlier version is read with the same content.
 
 use shalereel_group::wire::{CommandPayload, DutyKey, Entry};
-use shalereel_group::{StateMachine, StoredLog, StoredLogError, LOG_FILE_HEAD};
+use shalereel_group::{StateMachine, StoredLog, StoredLogError, LOG_FILE_MAGIC};
 
 /// The literals of a value in the order of its fields, without the names of types and fields, which may change.
 fn literals(value: &impl std::fmt::Debug) -> String {
@@ -48,8 +48,8 @@
 /// Guards against a report of damage where a later version has written the file.
 #[test]
 fn intact_frame_that_cannot_be_decoded_is_not_reported_as_damage() {
-    let file = [&LOG_FILE_HEAD[..], &shalereel_journal::frame(&[0xff])].concat();
-    assert_eq!(StoredLog::read(&file), Err(StoredLogError::Undecodable { at: LOG_FILE_HEAD.len() }));
+    let file = [&LOG_FILE_MAGIC[..], &shalereel_journal::frame(&[0xff])].concat();
+    assert_eq!(StoredLog::read(&file), Err(StoredLogError::Undecodable { offset: LOG_FILE_MAGIC.len() }));
 }
 
 /// Guards against a changed form of the stored state, which would take all that was agreed from a member at its start.
--- a/crates/xds-supervisor/src/daemon/group.rs
+++ b/crates/xds-supervisor/src/daemon/group.rs
@@ -4,7 +4,7 @@
 use std::os::unix::net::UnixStream;
 
 use shalereel_group::wire::{CONTROL_PATH, MEMBER_STREAM_PATH, RANGES_STREAM_PATH};
-use shalereel_group::{encode, StoredLog, LOG_FILE_HEAD};
+use shalereel_group::{encode_records, StoredLog, LOG_FILE_MAGIC};
 use shalereel_reactor::{now, Nanos};
 use shalereel_rpc::Status;
 
@@ -39,7 +39,7 @@
             tracing::warn!(file = %path.display(), torn_bytes, "torn write truncated");
         }
         self.persistence.group_log =
-            Some(FileWriter::open(folder, GROUP_LOG_FILE, LOG_FILE_HEAD, complete_bytes, wake)?);
+            Some(FileWriter::open(folder, GROUP_LOG_FILE, LOG_FILE_MAGIC, complete_bytes, wake)?);
         let settings = GroupSettings {
             operations: self.deployment.operations.clone(),
             localities: self.deployment.localities.clone(),
@@ -89,7 +89,7 @@
                     writer.write(WriteRequest {
                         sequence: write.sequence,
                         replaces_file: write.replaces_file,
-                        records: vec![encode(&write.records).into()],
+                        records: vec![encode_records(&write.records).into()],
                     });
                 }
             }
--- a/crates/xds-supervisor/src/deployment/group.rs
+++ b/crates/xds-supervisor/src/deployment/group.rs
@@ -53,7 +53,7 @@
             timing,
             seed: settings.seed,
             duties: duties(settings, group.ranges),
-            injected_fault: no_fencing.then_some(shalereel_group::InjectedFault::NoFence),
+            injected_fault: no_fencing.then_some(shalereel_group::InjectedFault::NoFencing),
         };
         Ok(GroupDeployment { config, range_count: group.ranges })
     }
--- a/crates/xds-supervisor/src/group_member.rs
+++ b/crates/xds-supervisor/src/group_member.rs
@@ -177,7 +177,7 @@
             match action {
                 Action::Send { to, address, envelope } => self.send(to, address, envelope.encode_to_vec()),
                 Action::Store(write) => self.commands.push(GroupCommand::StoreLog(write)),
-                Action::Answer { ticket, result } => self.answer_order(ticket, result),
+                Action::AnswerOrder { correlation_id, result } => self.answer_order(correlation_id, result),
                 Action::Applied(change) => {
                     routes_changed |= matches!(change, AppliedChange::RangeWithdrawn { .. });
                     self.applied(&change, &mut changes);
