--- a/crates/group/tests/schedules.rs
+++ b/crates/group/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Groups on a simulated network, some hundred schedules of each kind.
+//! Groups on a simulated network: the invariants hold on many schedules, and injected faults violate them.
 
 use rstest::rstest;
 use shalereel_group::sim::{run_schedule, ScheduleSettings, ScheduleStats};
@@ -23,14 +23,14 @@
     let schedules = seeds.end - seeds.start;
     let all = run_all(seeds, ScheduleSettings { members, ..ScheduleSettings::default() });
     eprintln!("{all:?}");
-    // The checks had something to check.
+    // Shows that the schedules contained enough events to check.
     assert!(all.writes > 50 * schedules && all.range_assignments > schedules && all.crashes > schedules);
 }
 
 #[rstest]
-#[case::acknowledges_before_it_is_synced(InjectedFault::NoSync, 3, 400)]
+#[case::acknowledges_before_sync(InjectedFault::NoSync, 3, 400)]
 #[case::enforces_neither_epochs_nor_leases(InjectedFault::NoFencing, 3, 400)]
-fn injected_fault_is_found(#[case] fault: InjectedFault, #[case] members: u32, #[case] most: u64) {
+fn injected_fault_is_found(#[case] fault: InjectedFault, #[case] members: u32, #[case] max_schedules: u64) {
     let settings = ScheduleSettings {
         members,
         max_batch_entries: 1,
@@ -38,9 +38,9 @@
         injected_fault: Some(fault),
         ..ScheduleSettings::default()
     };
-    let found = (0..most).find_map(|seed| run_schedule(seed, settings).err());
+    let found = (0..max_schedules).find_map(|seed| run_schedule(seed, settings).err());
     eprintln!("{found:?}");
-    let found = found.unwrap_or_else(|| panic!("{fault:?} was not found in {most} schedules"));
-    // A seed is all that it takes to see it again.
+    let found = found.unwrap_or_else(|| panic!("{fault:?} was not found in {max_schedules} schedules"));
+    // The seed alone reproduces the violation.
     assert_eq!(run_schedule(found.seed, settings), Err(found));
 }
--- a/crates/group/tests/stored.rs
+++ b/crates/group/tests/stored.rs
@@ -1,9 +1,10 @@
-//! A file written by an earlier version is read with the same content.
+//! Compatibility of stored files: log files of an earlier version are read with the same content.
 
 use shalereel_group::wire::{CommandPayload, DutyKey, Entry};
 use shalereel_group::{StateMachine, StoredLog, StoredLogError, LOG_FILE_MAGIC};
 
-/// The literals of a value in the order of its fields, without the names of types and fields, which may change.
+/// The literals in a value's debug output in the order of its fields. Names of types and fields are left out, since
+/// they may change.
 fn literals(value: &impl std::fmt::Debug) -> String {
     let text = format!("{value:?}");
     let mut words = text.split(|c: char| !(c.is_alphanumeric() || "\"._-:".contains(c)));
@@ -17,8 +18,8 @@
     line
 }
 
-/// The number of the command's field on the wire; 0 for the first entry of a term.
-fn command(entry: &Entry) -> u32 {
+/// The wire tag of the entry's command; 0 for an entry without a command.
+fn command_tag(entry: &Entry) -> u32 {
     match entry.command.as_ref().and_then(|command| command.payload.as_ref()) {
         None => 0,
         Some(CommandPayload::AssignDuty(_)) => 2,
@@ -32,7 +33,7 @@
     }
 }
 
-/// Guards against a renamed or moved field that changes the stored form without a word from the compiler.
+/// Guards against a renamed or reordered field that changes the stored format, which the compiler does not detect.
 #[test]
 fn log_and_votes_of_an_earlier_version_are_read() {
     let file = include_bytes!("stored/group.log");
@@ -40,19 +41,19 @@
     assert_eq!(found.complete_bytes, file.len());
     let mut read = literals(&(found.start_count, &found.vote, &found.snapshot));
     for entry in &found.entries {
-        read += &format!("{} {}", command(entry), literals(entry));
+        read += &format!("{} {}", command_tag(entry), literals(entry));
     }
     assert_eq!(read, include_str!("stored/group.txt"));
 }
 
-/// Guards against a report of damage where a later version has written the file.
+/// Guards against an error that reports damage although a later version wrote the file.
 #[test]
 fn intact_frame_that_cannot_be_decoded_is_not_reported_as_damage() {
     let file = [&LOG_FILE_MAGIC[..], &shalereel_journal::frame(&[0xff])].concat();
     assert_eq!(StoredLog::read(&file), Err(StoredLogError::Undecodable { offset: LOG_FILE_MAGIC.len() }));
 }
 
-/// Guards against a changed form of the stored state, which would take all that was agreed from a member at its start.
+/// Guards against a change of the stored state's format, by which a restarted member would lose all applied commands.
 #[test]
 fn snapshot_of_an_earlier_version_is_read() {
     let file = include_bytes!("stored/snapshot.log");
@@ -62,7 +63,7 @@
     assert_eq!(state.encode(), found.snapshot.state);
     let mut read = literals(&(found.start_count, &found.vote, &found.snapshot));
     for entry in &found.entries {
-        read += &format!("{} {}", command(entry), literals(entry));
+        read += &format!("{} {}", command_tag(entry), literals(entry));
     }
     for (&duty, assignment) in state.duties() {
         let key = DutyKey::from(duty);
--- a/crates/group/tests/wire_compatibility.rs
+++ b/crates/group/tests/wire_compatibility.rs
@@ -1,5 +1,5 @@
-//! Messages as an earlier version encoded them: members, forwarders and operators of both versions understand each
-//! other.
+//! Compatibility of messages: they are encoded in the same way as by an earlier version, so that members, forwarders
+//! and operators of both versions can communicate.
 
 use prost::Message;
 use shalereel_group::wire::{
@@ -10,19 +10,19 @@
     ReleaseOrder, ReportTotals, RequestVote, Snapshot, VoteResponse,
 };
 
-/// One encoded message and its name in the file of expected bytes.
+/// An encoded message and its name in the file of expected bytes.
 struct Encoded {
     name: String,
     bytes: Vec<u8>,
-    /// Decoded and encoded again.
-    again: Vec<u8>,
+    /// The bytes after decoding and encoding again.
+    reencoded: Vec<u8>,
 }
 
 fn encoded<M: Message + Default + PartialEq>(name: &str, message: &M) -> Encoded {
     let bytes = message.encode_to_vec();
     let decoded = M::decode(bytes.as_slice()).unwrap();
     assert!(decoded == *message, "{name}: {decoded:?}");
-    Encoded { name: name.to_owned(), again: decoded.encode_to_vec(), bytes }
+    Encoded { name: name.to_owned(), reencoded: decoded.encode_to_vec(), bytes }
 }
 
 fn member(number: u32) -> MemberAddress {
@@ -37,12 +37,12 @@
     let assign =
         |duty: Duty, holder| CommandPayload::AssignDuty(AssignDuty { duty: Some(duty.into()), holder });
     vec![
-        ("assign reports", assign(Duty::MergeReports, 1)),
-        ("assign table", assign(Duty::FenceTable(2), 3)),
-        ("assign drains", assign(Duty::RunDrains(4), 5)),
-        ("assign range", assign(Duty::PlaceRange(6), 7)),
+        ("assign duty to merge reports", assign(Duty::MergeReports, 1)),
+        ("assign duty to fence a table", assign(Duty::FenceTable(2), 3)),
+        ("assign duty to run drains", assign(Duty::RunDrains(4), 5)),
+        ("assign duty to place a range", assign(Duty::PlaceRange(6), 7)),
         (
-            "drain",
+            "operator order, drain",
             CommandPayload::OperatorOrder(OperatorOrder {
                 server: 11,
                 locality: 12,
@@ -50,7 +50,7 @@
             }),
         ),
         (
-            "hold",
+            "operator order, weight cap",
             CommandPayload::OperatorOrder(OperatorOrder {
                 server: 13,
                 locality: 14,
@@ -58,24 +58,27 @@
             }),
         ),
         (
-            "hold at zero",
+            "operator order, weight cap of zero",
             CommandPayload::OperatorOrder(OperatorOrder {
                 server: 13,
                 locality: 14,
                 weight_cap_millionths: Some(0),
             }),
         ),
-        ("release", CommandPayload::ReleaseOrder(ReleaseOrder { order_index: 15 })),
-        ("begin", CommandPayload::BeginDrain(BeginDrain { order_index: 16, epoch: 17 })),
-        ("move", CommandPayload::MoveRange(MoveRange { range: 18, to_server: 19, epoch: 20 })),
-        ("cleared", CommandPayload::RangeCleared(RangeCleared { range: 21, move_index: 22, by_member: 23 })),
-        ("give", CommandPayload::AssignRange(AssignRange { range: 24, move_index: 25, term: 26 })),
+        ("release order", CommandPayload::ReleaseOrder(ReleaseOrder { order_index: 15 })),
+        ("begin drain", CommandPayload::BeginDrain(BeginDrain { order_index: 16, epoch: 17 })),
+        ("move range", CommandPayload::MoveRange(MoveRange { range: 18, to_server: 19, epoch: 20 })),
         (
-            "member in",
+            "range cleared",
+            CommandPayload::RangeCleared(RangeCleared { range: 21, move_index: 22, by_member: 23 }),
+        ),
+        ("assign range", CommandPayload::AssignRange(AssignRange { range: 24, move_index: 25, term: 26 })),
+        (
+            "add member",
             CommandPayload::ChangeMembership(MembershipChange { member: Some(member(27)), removed: false }),
         ),
         (
-            "member out",
+            "remove member",
             CommandPayload::ChangeMembership(MembershipChange { member: Some(member(28)), removed: true }),
         ),
     ]
@@ -154,19 +157,19 @@
     let mut bodies = vec![
         ("ping", gossip(ProbeKind::Ping)),
         ("ack", gossip(ProbeKind::Ack)),
-        ("indirect ping", gossip(ProbeKind::PingRequest)),
-        ("ask", request_vote(false)),
-        ("ask before", request_vote(true)),
-        ("voted", Body::VoteResponse(VoteResponse { term: 73, pre_vote: false, granted: true })),
-        ("voted before", Body::VoteResponse(VoteResponse { term: 73, pre_vote: true, granted: false })),
-        ("append", append_entries()),
-        ("appended", append_response(true)),
-        ("not appended", append_response(false)),
+        ("ping request", gossip(ProbeKind::PingRequest)),
+        ("vote request", request_vote(false)),
+        ("pre-vote request", request_vote(true)),
+        ("vote response", Body::VoteResponse(VoteResponse { term: 73, pre_vote: false, granted: true })),
+        ("pre-vote response", Body::VoteResponse(VoteResponse { term: 73, pre_vote: true, granted: false })),
+        ("append entries", append_entries()),
+        ("append response", append_response(true)),
+        ("rejecting append response", append_response(false)),
         ("snapshot", install_snapshot()),
-        ("renew", Body::LeaseRequest(LeaseRequest { sent_at: 81 })),
-        ("renewed", Body::LeaseGrant(LeaseGrant { request_sent_at: 81, commit_index: 82 })),
-        ("sums", Body::ReportTotals(totals())),
-        ("others", Body::PeerReports(reports)),
+        ("lease request", Body::LeaseRequest(LeaseRequest { sent_at: 81 })),
+        ("lease grant", Body::LeaseGrant(LeaseGrant { request_sent_at: 81, commit_index: 82 })),
+        ("report totals", Body::ReportTotals(totals())),
+        ("peer reports", Body::PeerReports(reports)),
     ];
     let propose = |(name, payload)| (name, Body::Proposal(Proposal { command: Some(command(payload)) }));
     bodies.extend(commands().into_iter().map(propose));
@@ -193,31 +196,31 @@
         routes,
         range_count: 105,
     };
-    found.push(encoded("ranges: question", &RangesRequest { sent_at: 101, last_response_read: 102, held }));
-    found.push(encoded("ranges: answer", &answer(101, false, routes.clone())));
-    found.push(encoded("ranges: what stands", &answer(0, false, routes)));
-    found.push(encoded("ranges: without a lease", &answer(101, true, Vec::new())));
-    found.push(encoded("control: state", &ControlRequest { command: None }));
+    found.push(encoded("ranges: request", &RangesRequest { sent_at: 101, last_response_read: 102, held }));
+    found.push(encoded("ranges: response", &answer(101, false, routes.clone())));
+    found.push(encoded("ranges: unsolicited response", &answer(0, false, routes)));
+    found.push(encoded("ranges: response without a lease", &answer(101, true, Vec::new())));
+    found.push(encoded("control: status request", &ControlRequest { command: None }));
     for (name, payload) in commands() {
         let command = Some(Command { request_id: 0, payload: Some(payload) });
         found.push(encoded(&format!("control: {name}"), &ControlRequest { command }));
     }
     let json = "{\"order\":7}".to_owned();
-    found.push(encoded("control: answer", &ControlResponse { json }));
+    found.push(encoded("control: response", &ControlResponse { json }));
     found
 }
 
-/// One line a message: its name, a colon, its bytes in hexadecimal digits.
+/// Renders one line per message: its name, a colon, and its bytes in hexadecimal digits.
 fn render(messages: &[Encoded]) -> String {
     let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
     messages.iter().map(|message| format!("{}: {}\n", message.name, hex(&message.bytes))).collect()
 }
 
-/// Guards against a renamed or moved field that changes what goes over the wire without a word from the compiler.
+/// Guards against a renamed or reordered field that changes the wire format, which the compiler does not detect.
 #[test]
 fn messages_are_encoded_as_by_the_earlier_version() {
     let messages = messages();
     let expected = include_str!("stored/messages.txt");
     assert_eq!(render(&messages), expected);
-    assert!(messages.iter().all(|message| message.again == message.bytes));
+    assert!(messages.iter().all(|message| message.reencoded == message.bytes));
 }
