--- a/crates/group/src/group/apply.rs
+++ b/crates/group/src/group/apply.rs
@@ -1,4 +1,4 @@
-//! Committed entries and snapshots go to the state machine.
+//! Application of committed entries and installed snapshots to the state machine.
 
 use super::action::{Action, OrderError};
 use super::log_event::LogEvent;
@@ -14,12 +14,12 @@
         let fault = self.config.injected_fault;
         let change = self.state_machine.apply(entry.index, entry.term, command, fault);
         let pending = self.pending.remove(&command.request_id);
-        if let Some(ticket) = pending.and_then(|pending| pending.ticket) {
+        if let Some(correlation_id) = pending.and_then(|pending| pending.correlation_id) {
             let result = match change {
                 AppliedChange::Rejected(rejection) => Err(OrderError::Rejected(rejection)),
                 _ => Ok(entry.index),
             };
-            self.actions.push(Action::Answer { ticket, result });
+            self.actions.push(Action::AnswerOrder { correlation_id, result });
         }
         self.actions.push(Action::Applied(change));
     }
--- a/crates/group/src/group/commands.rs
+++ b/crates/group/src/group/commands.rs
@@ -1,4 +1,4 @@
-//! Commands on their way into the log: each is sent to the leader until it is applied or given up.
+//! Pending commands: each is sent to the leader until it is applied or expires.
 
 use shalereel::interface::Nanos;
 
@@ -9,16 +9,16 @@
 use crate::wire::{Body, Command, CommandPayload, MemberId, Proposal};
 
 impl Group {
-    /// Submits an operator's order; it is answered by an [`Action::Answer`] with this ticket.
-    pub fn submit_order(&mut self, now: Nanos, ticket: u64, payload: CommandPayload) {
+    /// Submits an operator's order. An [`Action::AnswerOrder`] with this `correlation_id` answers it.
+    pub fn submit_order(&mut self, now: Nanos, correlation_id: u64, payload: CommandPayload) {
         let error = match self.role {
             MemberRole::Stopped => OrderError::StorageFailed,
             MemberRole::NoLeader => self.no_leader_error(),
             MemberRole::Leader | MemberRole::Follower(_) => {
-                return self.add_command(now, payload, Some(ticket));
+                return self.add_command(now, payload, Some(correlation_id));
             }
         };
-        self.actions.push(Action::Answer { ticket, result: Err(error) });
+        self.actions.push(Action::AnswerOrder { correlation_id, result: Err(error) });
     }
 
     fn no_leader_error(&self) -> OrderError {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Requests a command unless the same one is pending.
+    /// Submits a command of this member, unless an equal one is pending.
     pub(super) fn request_command(&mut self, now: Nanos, payload: CommandPayload) {
         let is_pending =
             self.pending.values().any(|pending| pending.command.payload.as_ref() == Some(&payload));
@@ -39,12 +39,12 @@
         }
     }
 
-    fn add_command(&mut self, now: Nanos, payload: CommandPayload, ticket: Option<u64>) {
+    fn add_command(&mut self, now: Nanos, payload: CommandPayload, correlation_id: Option<u64>) {
         self.last_request_id += 1;
         let pending = PendingCommand {
             command: Command { request_id: self.last_request_id, payload: Some(payload) },
             expires_at: now + self.timing.command_timeout(),
-            ticket,
+            correlation_id,
             sent_at: None,
             sent_in_term: 0,
         };
@@ -52,7 +52,7 @@
         self.send_commands(now);
     }
 
-    /// Gives up commands that have expired, and sends those that are due.
+    /// Removes expired commands, and sends those that are due.
     pub(super) fn send_commands(&mut self, now: Nanos) {
         self.expire_commands(now);
         let leader = self.raft.leader();
@@ -69,22 +69,24 @@
         let expired = self.pending.iter().filter(|(_, pending)| now >= pending.expires_at);
         let expired: Vec<u64> = expired.map(|(&request_id, _)| request_id).collect();
         for request_id in expired {
-            let ticket = self.pending.remove(&request_id).and_then(|pending| pending.ticket);
-            let answer = |ticket| Action::Answer { ticket, result: Err(OrderError::TimedOut) };
-            self.actions.extend(ticket.map(answer));
+            let correlation_id = self.pending.remove(&request_id).and_then(|pending| pending.correlation_id);
+            let answer =
+                |correlation_id| Action::AnswerOrder { correlation_id, result: Err(OrderError::TimedOut) };
+            self.actions.extend(correlation_id.map(answer));
         }
     }
 
-    /// A command is appended to the own log once a term, and sent to another leader again and again, since messages
-    /// may be lost.
+    /// Commands that are due to be sent. A leader appends a command to its own log once per term. To another leader a
+    /// command is sent repeatedly until it is applied, since messages may be lost.
     fn take_due_commands(&mut self, now: Nanos, leader: Option<MemberId>) -> Vec<Command> {
         let term = self.raft.term();
         let retransmit_interval = self.timing.retransmit_interval();
         let by_message = leader != Some(self.config.id);
         let mut due = Vec::new();
         for pending in self.pending.values_mut() {
-            let late = pending.sent_at.is_none_or(|sent_at| now >= sent_at + retransmit_interval);
-            if pending.sent_in_term != term || (by_message && late) {
+            let retransmission_due =
+                pending.sent_at.is_none_or(|sent_at| now >= sent_at + retransmit_interval);
+            if pending.sent_in_term != term || (by_message && retransmission_due) {
                 pending.sent_at = Some(now);
                 pending.sent_in_term = if leader.is_some() { term } else { 0 };
                 due.push(pending.command.clone());
@@ -93,7 +95,7 @@
         due
     }
 
-    /// Appends a command to the log if this member leads, unless it is there already.
+    /// Appends a command to the log if this member leads, unless it is already applied or in the log.
     pub(super) fn append_command(&mut self, now: Nanos, command: Command) {
         let request_id = command.request_id;
         if !self.state_machine.has_applied(request_id) && !self.raft.has_uncommitted(request_id) {
