--- a/crates/guard/src/guard.rs
+++ b/crates/guard/src/guard.rs
@@ -204,9 +204,9 @@
     before.keys().copied().filter(taken_out).collect()
 }
 
-fn differing_servers(one: &Lines, other: &Lines) -> BTreeSet<ServerId> {
-    let servers = one.keys().chain(other.keys()).copied();
-    servers.filter(|server| one.get(server) != other.get(server)).collect()
+fn differing_servers(first: &Lines, second: &Lines) -> BTreeSet<ServerId> {
+    let servers = first.keys().chain(second.keys()).copied();
+    servers.filter(|server| first.get(server) != second.get(server)).collect()
 }
 
 /// Findings of a table that another table (`before`) does not have, or has to a lesser degree.
@@ -223,10 +223,10 @@
 }
 
 /// Whether the first table is worse than the second. The worst rule that one table breaks more often than the other decides.
-fn is_worse(one: &[Finding], other: &[Finding]) -> bool {
+fn is_worse(first: &[Finding], second: &[Finding]) -> bool {
     let count =
         |findings: &[Finding], rule: Rule| findings.iter().filter(|finding| finding.rule == rule).count();
-    let counts = Rule::ALL.map(|rule| (count(one, rule), count(other, rule)));
-    let first_difference = counts.into_iter().find(|(one, other)| one != other);
-    first_difference.is_some_and(|(one, other)| one > other)
+    let counts = Rule::ALL.map(|rule| (count(first, rule), count(second, rule)));
+    let first_difference = counts.into_iter().find(|(first, second)| first != second);
+    first_difference.is_some_and(|(first, second)| first > second)
 }
--- a/crates/guard/src/tests.rs
+++ b/crates/guard/src/tests.rs
@@ -120,7 +120,7 @@
         found.map(|finding| (finding.rule, finding.server)).collect()
     };
     let findings_before = mandatory_findings(&before);
-    assert!(mandatory_findings(&out).iter().all(|one| findings_before.contains(one)), "{out:?}");
+    assert!(mandatory_findings(&out).iter().all(|finding| findings_before.contains(finding)), "{out:?}");
 }
 
 /// Guards against refusals of tables that a working controller makes.
@@ -165,10 +165,10 @@
     assert_eq!((waiving.reverted.len(), waiving.waived[0].rule), (0, Rule::TooFewServers));
     // The violation of a mandatory rule is never waived; it is reported every `max_refusal_time`.
     let mut guard = Guard::new(limits());
-    for at in 0..10 {
-        let decision = guard.judge(SECOND + at * SECOND, &pool, &all_servers(), &table(&[]));
+    for second in 0..10 {
+        let decision = guard.judge(SECOND + second * SECOND, &pool, &all_servers(), &table(&[]));
         assert_eq!((decision.reverted.len(), decision.waived.len()), (12, 0));
-        assert_eq!(decision.refusals.is_empty(), at % 4 != 0, "{at}");
+        assert_eq!(decision.refusals.is_empty(), second % 4 != 0, "{second}");
     }
     // A sound table ends the refusal.
     assert_eq!(guard.judge(20 * SECOND, &pool, &all_servers(), &all_servers()), Decision::default());
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -24,10 +24,10 @@
     #[error("the first bytes of the file do not match this kind and version of file")]
     UnknownFormat,
     /// An intact frame follows a damaged one. A crash during a write cannot cause this.
-    #[error("the frame at byte {at} is damaged, but intact frames follow it")]
+    #[error("the frame at byte {offset} is damaged, but intact frames follow it")]
     Damaged {
         /// Offset of the first frame that cannot be read, in bytes.
-        at: usize,
+        offset: usize,
     },
 }
 
@@ -83,7 +83,7 @@
     let intact_after_damage = (next + 1..file.len().saturating_sub(FRAME_HEADER_BYTES))
         .any(|start| record_at(file, start).is_some());
     if intact_after_damage {
-        return Err(JournalError::Damaged { at: next });
+        return Err(JournalError::Damaged { offset: next });
     }
     Ok(found)
 }
--- a/crates/journal/tests/frames.rs
+++ b/crates/journal/tests/frames.rs
@@ -32,6 +32,6 @@
     }
     let mut damaged = file.clone();
     damaged[MAGIC.len() + 9] ^= 1;
-    assert_eq!(records(&damaged, MAGIC), Err(JournalError::Damaged { at: MAGIC.len() }));
+    assert_eq!(records(&damaged, MAGIC), Err(JournalError::Damaged { offset: MAGIC.len() }));
     assert_eq!(records(b"another file", MAGIC), Err(JournalError::UnknownFormat));
 }
--- a/crates/rpc/src/connection/call.rs
+++ b/crates/rpc/src/connection/call.rs
@@ -48,7 +48,7 @@
     /// Set once the sending side is to end after the unsent bytes. A server then sends this status; a client only closes its
     /// side.
     finish: Option<Status>,
-    /// Server side: the handle by which the response headers were sent; `None` on the client side.
+    /// Server side: the handle that accepted the call; `None` on the client side.
     respond: Option<SendResponse<Bytes>>,
 }
 
--- a/crates/rpc/src/connection/mod.rs
+++ b/crates/rpc/src/connection/mod.rs
@@ -51,7 +51,7 @@
 pub enum ConnectionEvent {
     /// The peer makes a call.
     Call {
-        /// The call.
+        /// Id of the call.
         stream: StreamId,
         /// Path of the method; empty if the request is not gRPC.
         path: String,
@@ -60,19 +60,19 @@
     },
     /// A message of a call was received.
     Message {
-        /// The call.
+        /// Id of the call.
         stream: StreamId,
         /// The message, without its length prefix.
         message: Bytes,
     },
     /// The peer that made the call sends no more messages.
     HalfClosed {
-        /// The call.
+        /// Id of the call.
         stream: StreamId,
     },
     /// The call has ended.
     Ended {
-        /// The call.
+        /// Id of the call.
         stream: StreamId,
         /// Status with which the call has ended.
         status: Status,
--- a/crates/rpc/src/hub/listeners.rs
+++ b/crates/rpc/src/hub/listeners.rs
@@ -114,7 +114,7 @@
                 Ok(Some(socket)) => {
                     state.is_failing = false;
                     if let Ok(conn) = self.add_accepted(socket, protocol) {
-                        self.ready.push_back(Input::Opened { conn, at: name });
+                        self.ready.push_back(Input::Opened { conn, listener: name });
                     }
                 }
                 Ok(None) => return,
--- a/crates/rpc/src/hub/mod.rs
+++ b/crates/rpc/src/hub/mod.rs
@@ -26,16 +26,16 @@
 pub enum Input<L, K> {
     /// A peer has connected.
     Opened {
-        /// The peer's connection.
+        /// Id of the peer's connection.
         conn: ConnId,
-        /// The listener that the peer has connected to.
-        at: L,
+        /// Name of the listener that the peer has connected to.
+        listener: L,
     },
     /// The peer makes a call.
     Call {
-        /// The connection.
+        /// Id of the connection.
         conn: ConnId,
-        /// The call.
+        /// Id of the call on its connection.
         stream: StreamId,
         /// Path of the method; empty if the request is not gRPC.
         path: String,
@@ -44,41 +44,41 @@
     },
     /// A message of a call.
     Message {
-        /// The connection.
+        /// Id of the connection.
         conn: ConnId,
-        /// The call.
+        /// Id of the call on its connection.
         stream: StreamId,
         /// The message, without its prefix.
         message: Bytes,
     },
     /// The peer that made the call sends no more messages.
     HalfClosed {
-        /// The connection.
+        /// Id of the connection.
         conn: ConnId,
-        /// The call.
+        /// Id of the call on its connection.
         stream: StreamId,
     },
     /// A call has ended.
     Ended {
-        /// The connection.
+        /// Id of the connection.
         conn: ConnId,
-        /// The call.
+        /// Id of the call on its connection.
         stream: StreamId,
         /// Status with which the call has ended.
         status: Status,
     },
     /// A connection has ended other than by [`Hub::close`] or [`Hub::reset`].
     Closed {
-        /// The connection.
+        /// Id of the connection.
         conn: ConnId,
         /// Why it has ended.
         reason: CloseReason,
     },
     /// Bytes were received on a plain connection, in chunks of any size.
     Bytes {
-        /// The connection.
+        /// Id of the connection.
         conn: ConnId,
-        /// The bytes.
+        /// The received bytes.
         bytes: Bytes,
     },
     /// A timer is due.
--- a/crates/rpc/tests/wire.rs
+++ b/crates/rpc/tests/wire.rs
@@ -160,13 +160,13 @@
     let mut results = (None, false);
     wait_until(&mut hub, |hub, input| {
         match input {
-            Input::Ended { conn: at, stream, status } if *at == conn && *stream == large => {
+            Input::Ended { conn: ended_conn, stream, status } if *ended_conn == conn && *stream == large => {
                 results.0 = Some(status.code);
             }
             Input::Call { conn, stream, path, .. } if path == "/a/small" => {
                 hub.finish(*conn, *stream, Status::new(Code::NotFound, "not found"));
             }
-            Input::Ended { conn: at, stream, status } if *at == conn && *stream == small => {
+            Input::Ended { conn: ended_conn, stream, status } if *ended_conn == conn && *stream == small => {
                 results.1 = status.code == Code::NotFound;
             }
             _ => {}
@@ -194,7 +194,9 @@
     assert_eq!(status.code, Code::ResourceExhausted);
     hub.set_paused(conn, false);
     let status = wait_until(&mut hub, |_, input| match input {
-        Input::Ended { conn: at, stream, status } if *at == conn && *stream == call => Some(status.clone()),
+        Input::Ended { conn: ended_conn, stream, status } if *ended_conn == conn && *stream == call => {
+            Some(status.clone())
+        }
         _ => None,
     });
     assert_ne!(status, Status::OK);
--- a/crates/sasp/src/numbers.rs
+++ b/crates/sasp/src/numbers.rs
@@ -6,43 +6,43 @@
 pub const VERSION: u8 = 1;
 
 // Types of components. A component begins with its type (16 bits) and its length (16 bits, these four bytes included).
-/// SASP Header.
+/// Component type of SASP Header.
 pub const HEADER: u16 = 0x2010;
-/// Registration Request.
+/// Component type of Registration Request.
 pub const REGISTRATION_REQUEST: u16 = 0x1010;
-/// Registration Reply.
+/// Component type of Registration Reply.
 pub const REGISTRATION_REPLY: u16 = 0x1015;
-/// Deregistration Request.
+/// Component type of Deregistration Request.
 pub const DEREGISTRATION_REQUEST: u16 = 0x1020;
-/// Deregistration Reply.
+/// Component type of Deregistration Reply.
 pub const DEREGISTRATION_REPLY: u16 = 0x1025;
-/// Get Weights Request.
+/// Component type of Get Weights Request.
 pub const GET_WEIGHTS_REQUEST: u16 = 0x1030;
-/// Get Weights Reply.
+/// Component type of Get Weights Reply.
 pub const GET_WEIGHTS_REPLY: u16 = 0x1035;
-/// Send Weights.
+/// Component type of Send Weights.
 pub const SEND_WEIGHTS: u16 = 0x1040;
-/// Set Load Balancer State Request.
+/// Component type of Set Load Balancer State Request.
 pub const SET_LB_STATE_REQUEST: u16 = 0x1050;
-/// Set Load Balancer State Reply.
+/// Component type of Set Load Balancer State Reply.
 pub const SET_LB_STATE_REPLY: u16 = 0x1055;
-/// Set Member State Request.
+/// Component type of Set Member State Request.
 pub const SET_MEMBER_STATE_REQUEST: u16 = 0x1060;
-/// Set Member State Reply.
+/// Component type of Set Member State Reply.
 pub const SET_MEMBER_STATE_REPLY: u16 = 0x1065;
-/// Member Data.
+/// Component type of Member Data.
 pub const MEMBER_DATA: u16 = 0x3010;
-/// Group Data.
+/// Component type of Group Data.
 pub const GROUP_DATA: u16 = 0x3011;
-/// Weight Entry Data.
+/// Component type of Weight Entry Data.
 pub const WEIGHT_ENTRY_DATA: u16 = 0x3012;
-/// Member State Instance.
+/// Component type of Member State Instance.
 pub const MEMBER_STATE_INSTANCE: u16 = 0x3013;
-/// Group of Member Data.
+/// Component type of Group of Member Data.
 pub const GROUP_OF_MEMBER_DATA: u16 = 0x4010;
-/// Group of Weight Entry Data.
+/// Component type of Group of Weight Entry Data.
 pub const GROUP_OF_WEIGHT_ENTRY_DATA: u16 = 0x4011;
-/// Group of Member State Data.
+/// Component type of Group of Member State Data.
 pub const GROUP_OF_MEMBER_STATE_DATA: u16 = 0x4012;
 
 /// Bytes of the header: type, length, version, message length (32 bits), message id (32 bits).
@@ -72,27 +72,27 @@
 pub const CONFIDENT: u8 = 0x08;
 
 // Return codes.
-/// [`ReturnCode::Successful`](crate::ReturnCode::Successful).
+/// Number of [`ReturnCode::Successful`](crate::ReturnCode::Successful).
 pub const SUCCESSFUL: u8 = 0x00;
-/// [`ReturnCode::NotUnderstood`](crate::ReturnCode::NotUnderstood).
+/// Number of [`ReturnCode::NotUnderstood`](crate::ReturnCode::NotUnderstood).
 pub const NOT_UNDERSTOOD: u8 = 0x10;
-/// [`ReturnCode::WillNotAccept`](crate::ReturnCode::WillNotAccept).
+/// Number of [`ReturnCode::WillNotAccept`](crate::ReturnCode::WillNotAccept).
 pub const WILL_NOT_ACCEPT: u8 = 0x11;
-/// [`ReturnCode::AlreadyRegistered`](crate::ReturnCode::AlreadyRegistered).
+/// Number of [`ReturnCode::AlreadyRegistered`](crate::ReturnCode::AlreadyRegistered).
 pub const ALREADY_REGISTERED: u8 = 0x40;
-/// [`ReturnCode::NotRegistered`](crate::ReturnCode::NotRegistered).
+/// Number of [`ReturnCode::NotRegistered`](crate::ReturnCode::NotRegistered).
 pub const NOT_REGISTERED: u8 = 0x41;
-/// [`ReturnCode::DuplicateMember`](crate::ReturnCode::DuplicateMember).
+/// Number of [`ReturnCode::DuplicateMember`](crate::ReturnCode::DuplicateMember).
 pub const DUPLICATE_MEMBER: u8 = 0x42;
-/// [`ReturnCode::InvalidGroup`](crate::ReturnCode::InvalidGroup).
+/// Number of [`ReturnCode::InvalidGroup`](crate::ReturnCode::InvalidGroup).
 pub const INVALID_GROUP: u8 = 0x43;
-/// [`ReturnCode::InvalidGroupNameSize`](crate::ReturnCode::InvalidGroupNameSize).
+/// Number of [`ReturnCode::InvalidGroupNameSize`](crate::ReturnCode::InvalidGroupNameSize).
 pub const INVALID_GROUP_NAME_SIZE: u8 = 0x44;
-/// [`ReturnCode::InvalidUidSize`](crate::ReturnCode::InvalidUidSize).
+/// Number of [`ReturnCode::InvalidUidSize`](crate::ReturnCode::InvalidUidSize).
 pub const INVALID_UID_SIZE: u8 = 0x45;
-/// [`ReturnCode::MemberRegistersItself`](crate::ReturnCode::MemberRegistersItself).
+/// Number of [`ReturnCode::MemberRegistersItself`](crate::ReturnCode::MemberRegistersItself).
 pub const MEMBER_REGISTERS_ITSELF: u8 = 0x50;
-/// [`ReturnCode::NoGroupYet`](crate::ReturnCode::NoGroupYet).
+/// Number of [`ReturnCode::NoGroupYet`](crate::ReturnCode::NoGroupYet).
 pub const NO_GROUP_YET: u8 = 0x51;
-/// [`ReturnCode::TryLater`](crate::ReturnCode::TryLater).
+/// Number of [`ReturnCode::TryLater`](crate::ReturnCode::TryLater).
 pub const TRY_LATER: u8 = 0x61;
--- a/crates/sasp/src/session/mod.rs
+++ b/crates/sasp/src/session/mod.rs
@@ -72,7 +72,7 @@
     Close(Peer, &'static str),
 }
 
-/// Looks up the weight of a member of a group; `None` where no table has the member.
+/// Function that looks up the weight of a member of a group; it returns `None` if no table has the member.
 pub type WeightLookup<'a> = &'a dyn Fn(&Group, &Member) -> Option<TableWeight>;
 
 /// State of one registered member.
--- a/crates/standins/src/forwarders.rs
+++ b/crates/standins/src/forwarders.rs
@@ -284,7 +284,7 @@
 
     fn take(&mut self, input: Input<u32, Key>) -> Result<bool> {
         match input {
-            Input::Opened { conn, at } => {
+            Input::Opened { conn, listener: at } => {
                 if let Some(forwarder) = self.forwarders.get_mut(&at) {
                     forwarder.callers.insert(conn);
                     self.hub.set_paused(conn, forwarder.stalled);
--- a/crates/standins/src/links.rs
+++ b/crates/standins/src/links.rs
@@ -37,7 +37,7 @@
     loop {
         for input in inputs {
             match input {
-                Input::Opened { conn, at } => links.opened(conn, at),
+                Input::Opened { conn, listener: at } => links.opened(conn, at),
                 Input::Bytes { conn, bytes } => {
                     if let Some(&(other, _)) = links.ends.get(&conn) {
                         links.hub.write(other, &bytes);
--- a/crates/standins/src/servers.rs
+++ b/crates/standins/src/servers.rs
@@ -112,7 +112,7 @@
 impl Servers {
     fn take(&mut self, input: Input<u32, Key>) -> Result<bool> {
         match input {
-            Input::Opened { conn, at } => self.opened(conn, at),
+            Input::Opened { conn, listener: at } => self.opened(conn, at),
             Input::Call { conn, stream, path, .. } if path.ends_with("/Check") => {
                 // `grpc.health.v1`: serving.
                 self.hub.send(conn, stream, &[8, 1]);
--- a/crates/store/src/codec.rs
+++ b/crates/store/src/codec.rs
@@ -24,10 +24,10 @@
     #[error(transparent)]
     Journal(#[from] JournalError),
     /// The checksum of a frame is right, but its content cannot be decoded.
-    #[error("the frame that ends at byte {at} is intact but cannot be decoded")]
+    #[error("the frame that ends at byte {offset} is intact but cannot be decoded")]
     Malformed {
         /// Offset of the frame's end, in bytes.
-        at: usize,
+        offset: usize,
     },
     /// The parent, number or digest of a version does not match the versions before it.
     #[error("the parent, number or digest of version {number} does not match the versions before it")]
--- a/crates/store/src/history.rs
+++ b/crates/store/src/history.rs
@@ -33,7 +33,7 @@
     pub(crate) base_published_at: Nanos,
     pub(crate) versions: VecDeque<Version>,
     /// Number of versions published since the start of the program.
-    published: u64,
+    published_count: u64,
 }
 
 impl TableHistory {
@@ -51,12 +51,12 @@
     }
 
     pub(crate) fn version(&self, number: VersionNumber) -> Option<&Version> {
-        let at = self.versions.binary_search_by_key(&number, |version| version.number).ok()?;
-        self.versions.get(at)
+        let index = self.versions.binary_search_by_key(&number, |version| version.number).ok()?;
+        self.versions.get(index)
     }
 
     /// Whether the lines of a version can be reconstructed.
-    pub(crate) fn knows(&self, number: VersionNumber) -> bool {
+    pub(crate) fn can_reconstruct(&self, number: VersionNumber) -> bool {
         self.base == number && number > 0 || self.version(number).is_some()
     }
 
@@ -95,12 +95,12 @@
     /// Updates the digest by the changes of a new version. The salt changes at the first version since the start of the
     /// program, and every `VERSIONS_PER_SALT` versions after it.
     pub(crate) fn update_digest_for_published(&mut self, changes: &[LineChange], new_salt: Salt) {
-        if self.published.is_multiple_of(VERSIONS_PER_SALT) {
+        if self.published_count.is_multiple_of(VERSIONS_PER_SALT) {
             self.digest_all_lines(new_salt);
         } else {
             self.digest_changes(changes);
         }
-        self.published += 1;
+        self.published_count += 1;
     }
 
     /// Updates the digest by the changes of a version that was read from a file.
--- a/crates/store/src/load.rs
+++ b/crates/store/src/load.rs
@@ -12,14 +12,14 @@
     ///
     /// # Errors
     ///
-    /// The file is damaged or of another format, or a version does not match the versions before it. The store is unchanged
-    /// then.
+    /// The file is damaged or of another format, or a version does not match the versions before it. In these cases
+    /// the store is unchanged.
     pub fn load(&mut self, file: &[u8]) -> Result<usize, StoreError> {
         let mut loaded = Store::new(self.limits, self.seed);
         let mut intact_bytes = MAGIC.len().min(file.len());
         let mut last_loaded = 0;
         for frame in shalereel_journal::records(file, MAGIC)? {
-            let malformed = || StoreError::Malformed { at: frame.end };
+            let malformed = || StoreError::Malformed { offset: frame.end };
             for record in decode_frame(frame.payload).ok_or_else(malformed)? {
                 match record.ok_or_else(malformed)? {
                     StoredRecord::Base(base) => loaded.load_base(base),
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -221,7 +221,7 @@
 
     /// The table that a version belongs to, and its lines as of that version; `None` if the version is not known any more.
     pub fn lines_at(&self, number: VersionNumber) -> Option<(TableId, Lines)> {
-        let (&table, history) = self.tables.iter().find(|(_, history)| history.knows(number))?;
+        let (&table, history) = self.tables.iter().find(|(_, history)| history.can_reconstruct(number))?;
         Some((table, history.lines_at(number)))
     }
 
--- a/crates/store/tests/history.rs
+++ b/crates/store/tests/history.rs
@@ -15,17 +15,17 @@
     let mut store = Store::new(limits(), 9);
     let mut file = MAGIC.to_vec();
     let mut rng = Rand64::new(4);
-    for at in 0..60_u64 {
+    for step in 0..60_u64 {
         let server = rng.rand_range(0..6) as u32;
         let line = Line {
             address: ([127, 1, 0, server as u8], 80).into(),
             weight: 1 + rng.rand_range(0..50) as u32,
             draining: rng.rand_range(0..5) == 0,
-            incarnation: at / 20,
+            incarnation: step / 20,
         };
         let after = (rng.rand_range(0..4) > 0).then_some(line);
         let table = rng.rand_range(0..2) as u16;
-        store.publish(table, [(server, after)], 1000 + at, &Provenance::new("module", "change"));
+        store.publish(table, [(server, after)], 1000 + step, &Provenance::new("module", "change"));
         for write in store.take_writes() {
             if write.replaces_file {
                 file.truncate(MAGIC.len());
@@ -55,9 +55,9 @@
         }
         for table in loaded.tables() {
             let lines: Lines = loaded.lines(table).map(|(id, line)| (id, *line)).collect();
-            let at = loaded.newest_version(table);
-            if all.iter().any(|version| version.number == at) {
-                assert_eq!(store.lines_at(at), Some((table, lines)), "cut at {cut}");
+            let newest = loaded.newest_version(table);
+            if all.iter().any(|version| version.number == newest) {
+                assert_eq!(store.lines_at(newest), Some((table, lines)), "cut at {cut}");
             }
         }
     }
@@ -106,8 +106,8 @@
         |weight| Line { address: ([127, 1, 0, 1], 80).into(), weight, draining: false, incarnation: 1 };
     let provenance = Provenance::default();
     let mut store = Store::new(RetentionLimits { versions: 10, bytes: 1 << 20, age: 100 }, 1);
-    for at in 1..=30 {
-        store.publish(TABLE, [(1, Some(line(at)))], at.into(), &provenance);
+    for time in 1..=30 {
+        store.publish(TABLE, [(1, Some(line(time)))], time.into(), &provenance);
     }
     assert_eq!(
         (store.size().versions, store.versions()[0].number, store.lines_at(20).is_some()),
--- a/crates/store/tests/replica.rs
+++ b/crates/store/tests/replica.rs
@@ -57,11 +57,11 @@
     let mut replicas: Vec<Replica> =
         (0..200).map(|seed| Replica::new(ResyncBackoff::new(100 * MILLI, seed))).collect();
     let (mut resyncs, mut max_in_one_step) = (0, 0);
-    for at in 0..1000 {
-        let now = at * 10 * MILLI;
+    for step in 0..1000 {
+        let now = step * 10 * MILLI;
         let mut in_this_step = 0;
         for replica in &mut replicas {
-            if at == 0 {
+            if step == 0 {
                 replica.receive(now, &broken);
             } else if replica.resync_due().is_some_and(|due| due <= now) {
                 replica.resync(now);
--- a/crates/xds-supervisor/src/daemon/calls.rs
+++ b/crates/xds-supervisor/src/daemon/calls.rs
@@ -14,8 +14,8 @@
 impl Daemon {
     pub(super) fn on_input(&mut self, input: Input<ListenerKind, TimerKind>) {
         match input {
-            Input::Opened { conn, at: ListenerKind::Sasp } => self.on_balancer_connected(conn),
-            Input::Opened { conn, at: ListenerKind::Admin } => drop(self.admin_conns.insert(conn)),
+            Input::Opened { conn, listener: ListenerKind::Sasp } => self.on_balancer_connected(conn),
+            Input::Opened { conn, listener: ListenerKind::Admin } => drop(self.admin_conns.insert(conn)),
             Input::Call { conn, stream, path, .. } => self.on_call(CallId { conn, stream }, &path),
             Input::Message { conn, stream, message } => self.on_message(CallId { conn, stream }, &message),
             Input::Bytes { conn, bytes } => {
--- a/crates/xds/src/node_info.rs
+++ b/crates/xds/src/node_info.rs
@@ -17,7 +17,7 @@
     /// Whether the node is new: no supervisor has sent it anything yet (metadata `standing_only`, an older name that other
     /// versions read).
     pub is_new: bool,
-    /// Whether the node takes tables line by line ([`crate::leds`]); encoded as the client feature [`LINES`].
+    /// Whether the node takes tables line by line ([`crate::leds`]); encoded as the client feature `LINES`.
     pub supports_lines: bool,
 }
 
--- a/crates/xds/src/server_stream.rs
+++ b/crates/xds/src/server_stream.rs
@@ -23,21 +23,21 @@
     Node(NodeInfo),
     /// The client subscribes to resources of a type that must be sent to it now.
     Subscribe {
-        /// Type URL.
+        /// Type URL of the resources.
         type_url: String,
         /// Names within the type; `None` stands for all resources.
         names: Option<Vec<String>>,
     },
     /// The client has accepted the response with this nonce.
     Ack {
-        /// Type URL.
+        /// Type URL of the resources.
         type_url: String,
         /// Number of the response.
         nonce: u64,
     },
     /// The client has rejected the response and keeps its state from before.
     Nack {
-        /// Type URL.
+        /// Type URL of the resources.
         type_url: String,
         /// Number of the response.
         nonce: u64,
@@ -78,7 +78,7 @@
     nonce: String,
     error: Option<rpc::Status>,
     subscribe: Vec<String>,
-    /// Incremental only.
+    /// Incremental only: names to unsubscribe from.
     unsubscribe: Vec<String>,
     initial_version: String,
     resource_versions: BTreeMap<String, String>,
