--- a/crates/platform-supervisor/src/discovery_watch.rs
+++ b/crates/platform-supervisor/src/discovery_watch.rs
@@ -1,5 +1,5 @@
-//! The watch on discovery's endpoint list: an HTTP/1.1 request with a chunked response that carries one JSON object
-//! per line.
+//! The watch on discovery's endpoint list: an HTTP/1.1 request with a chunked response that carries one JSON
+//! object per line.
 
 use std::net::SocketAddr;
 
@@ -54,8 +54,8 @@
 }
 
 impl DiscoveryWatch {
-    /// Reads received bytes. Lists after a malformed one are discarded: the next watch requests only the changes
-    /// after the last returned list, so the changes of the malformed one would be lost for good.
+    /// Reads received bytes. Lists after a malformed one are discarded: the next watch requests only the
+    /// changes after the last returned list, so the changes of the malformed one would be lost for good.
     pub fn push(&mut self, bytes: &[u8], max_line_bytes: usize) -> WatchProgress {
         let http_error = self.response.push(bytes, &mut self.body).err();
         if let Some(status) = self.response.status().filter(|&status| status != 200) {
--- a/crates/platform-supervisor/src/http_response.rs
+++ b/crates/platform-supervisor/src/http_response.rs
@@ -127,8 +127,8 @@
         rest
     }
 
-    /// Reads one byte of a chunk-size line, of the line end after a chunk, or of a trailer line. Returns the bytes
-    /// after it.
+    /// Reads one byte of a chunk-size line, of the line end after a chunk, or of a trailer line. Returns the
+    /// bytes after it.
     fn push_chunk_line<'a>(&mut self, bytes: &'a [u8]) -> Result<&'a [u8], HttpError> {
         let byte = bytes[0];
         self.buffered.push(byte);
--- a/crates/platform-supervisor/src/lib.rs
+++ b/crates/platform-supervisor/src/lib.rs
@@ -1,8 +1,8 @@
-//! The supervisor that `shalereel node` runs on the operators' platform. It speaks JSON lines over TCP with proxies
-//! and collectors, and follows discovery's endpoint list over HTTP/1.1.
+//! The supervisor that `shalereel node` runs on the operators' platform. It speaks JSON lines over TCP with
+//! proxies and collectors, and follows discovery's endpoint list over HTTP/1.1.
 //!
-//! Data flows one way: received bytes are decoded into events, the controller answers events with actions, and
-//! actions are encoded into bytes to send. Only [`run`] and [`Config::read`] do I/O or read clocks.
+//! Data flows one way: received bytes are decoded into events, the controller answers events with actions,
+//! and actions are encoded into bytes to send. Only [`run`] and [`Config::read`] do I/O or read clocks.
 
 #![deny(missing_docs)]
 
--- a/crates/platform-supervisor/src/limits.rs
+++ b/crates/platform-supervisor/src/limits.rs
@@ -1,5 +1,5 @@
-//! Limits and timeouts of connections, buffers, the log and restarts. They are derived from the platform's resource
-//! limits and the controller's configuration, and used by every part of the supervisor.
+//! Limits and timeouts of connections, buffers, the log and restarts. They are derived from the platform's
+//! resource limits and the controller's configuration, and used by every part of the supervisor.
 
 use shalereel::interface::{ControllerConfig, Nanos};
 
@@ -15,16 +15,17 @@
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 /// Maximum bytes that are queued for a peer that does not read them.
 const MAX_UNREAD_BYTES: usize = 128 << 10;
-/// Maximum length of a message from a client that has not joined; no message that such a client may send is longer.
+/// Maximum length of a message from a client that has not joined; no message that such a client may send is
+/// longer.
 const MAX_UNIDENTIFIED_MESSAGE_BYTES: usize = 4 << 10;
 /// Incomplete messages of all connections together may take the memory limit divided by this.
 const BUFFERED_MEMORY_DIVISOR: usize = 8;
-/// Sockets reserved for discovery, health checks and the process: the socket limit divided by this, but no fewer
-/// than the minimum.
+/// Sockets reserved for discovery, health checks and the process: the socket limit divided by this, but no
+/// fewer than the minimum.
 const RESERVED_SOCKETS_DIVISOR: u64 = 16;
 const MIN_RESERVED_SOCKETS: u64 = 48;
-/// Time without data after which the watch is closed. Discovery sends an empty line every 2 s, and may notify of a
-/// change up to 6 s late: after two missed lines there is still time to open another watch.
+/// Time without data after which the watch is closed. Discovery sends an empty line every 2 s, and may notify
+/// of a change up to 6 s late: after two missed lines there is still time to open another watch.
 const WATCH_SILENCE_TIMEOUT: Nanos = 4 * SECOND + SECOND / 4;
 /// Exponential backoff between attempts to dial discovery.
 const DIAL_BACKOFF_MIN: Nanos = SECOND / 20;
@@ -37,18 +38,20 @@
 /// replaced, so reading is retried for 4 s.
 const CONFIG_RETRY_DELAY: Nanos = SECOND / 10;
 const MAX_CONFIG_RETRIES: u32 = 40;
-/// A proxy with unacknowledged updates counts as unresponsive after this multiple of the sum of `max_ack_delay` and
-/// `channel_drain_time`.
+/// A proxy with unacknowledged updates counts as unresponsive after this multiple of the sum of
+/// `max_ack_delay` and `channel_drain_time`.
 const PROXY_SILENCE_FACTOR: Nanos = 4;
 /// Number of consecutive malformed lines at which a joined connection is closed.
 const MAX_MALFORMED_LINES: u32 = 2;
-/// A reported time is invalid if it is longer than this multiple of the configured time for it.
+/// A reported time is invalid if it exceeds this multiple of the report interval or, for response times, of
+/// the longest timeout of an operation.
 const MAX_REPORTED_TIME_FACTOR: f64 = 64.0;
-/// A removed server is forgotten after this multiple of the time in which operations may still use it: the longest
-/// timeout of an operation plus the drain grace.
+/// A removed server is forgotten after this multiple of the time in which operations may still use it: the
+/// longest timeout of an operation plus the drain grace.
 const FORGET_REMOVED_FACTOR: Nanos = 4;
 /// A failed controller is restarted after this part of the time in which a full channel drains, since the new
-/// controller does not know which messages are still queued there. The delay doubles with each consecutive failure.
+/// controller does not know which messages are still queued there. The delay doubles with each consecutive
+/// failure.
 const RESTART_DELAY_CHANNEL_PART: f64 = 0.4;
 const RESTART_DELAY_MAX_DOUBLINGS: u32 = 3;
 /// Maximum number of log lines in a window of [`LOG_WINDOW`].
@@ -73,8 +76,8 @@
 pub struct Limits {
     resources: ResourceLimits,
     report_interval: Nanos,
-    /// Maximum time from sending an ack request to receiving its acknowledgement, without the time spent in the
-    /// channel's queue: twice the worst transit time plus a report interval.
+    /// Maximum time from sending an ack request to receiving its acknowledgement, without the time spent in
+    /// the channel's queue: twice the worst transit time plus a report interval.
     max_ack_delay: Nanos,
     /// Time in which a full channel drains.
     channel_drain_time: Nanos,
@@ -114,14 +117,14 @@
         MAX_MESSAGE_BYTES.min(self.max_buffered_bytes() / 2)
     }
 
-    /// Maximum length of a message from a client that has not joined, in bytes; also of the body of a response to a
-    /// health check.
+    /// Maximum length of a message from a client that has not joined, in bytes; also of the body of a
+    /// response to a health check.
     pub fn max_unidentified_message_bytes(&self) -> usize {
         MAX_UNIDENTIFIED_MESSAGE_BYTES
     }
 
-    /// Maximum bytes of incomplete messages that are buffered for all connections together; also the maximum length
-    /// of a line from discovery.
+    /// Maximum bytes of incomplete messages that are buffered for all connections together; also the maximum
+    /// length of a line from discovery.
     pub fn max_buffered_bytes(&self) -> usize {
         (self.resources.memory_mb as usize).max(1) * (1 << 20) / BUFFERED_MEMORY_DIVISOR
     }
@@ -136,8 +139,8 @@
         MAX_UNREAD_BYTES
     }
 
-    /// Time after which a silent proxy with unacknowledged updates is disconnected; also the user timeout of TCP
-    /// connections.
+    /// Time after which a silent proxy with unacknowledged updates is disconnected; also the user timeout of
+    /// TCP connections.
     pub fn proxy_silence_timeout(&self) -> Nanos {
         PROXY_SILENCE_FACTOR * (self.max_ack_delay + self.channel_drain_time)
     }
@@ -147,7 +150,8 @@
         WATCH_SILENCE_TIMEOUT
     }
 
-    /// When discovery is dialled again after `failures` consecutive failures, with jitter. `random` is in 0..1.
+    /// When discovery is dialled again after `failures` consecutive failures, with jitter. `random` is in
+    /// 0..1.
     pub fn discovery_dial_at(&self, now: Nanos, failures: u32, random: f64) -> Nanos {
         let backoff = (DIAL_BACKOFF_MIN << failures.min(DIAL_BACKOFF_MAX_DOUBLINGS)).min(DIAL_BACKOFF_MAX);
         now + (backoff as f64 * (0.5 + 0.5 * random)) as Nanos
--- a/crates/platform-supervisor/src/line_framer.rs
+++ b/crates/platform-supervisor/src/line_framer.rs
@@ -1,4 +1,5 @@
-//! Splits a byte stream into lines, for the connections of proxies and collectors and for the discovery watch.
+//! Splits a byte stream into lines, for the connections of proxies and collectors and for the discovery
+//! watch.
 
 use thiserror::Error;
 
--- a/crates/platform-supervisor/src/protocol.rs
+++ b/crates/platform-supervisor/src/protocol.rs
@@ -1,5 +1,6 @@
-//! The platform's protocol with proxies and collectors, and the format of discovery's endpoint list. Each message is
-//! one JSON object on one line. The names on the wire are mapped to this crate's terms here and nowhere else.
+//! The platform's protocol with proxies and collectors, and the format of discovery's endpoint list. Each
+//! message is one JSON object on one line. The names on the wire are mapped to this crate's terms here and
+//! nowhere else.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -150,13 +151,15 @@
     InvalidMessage,
     /// A collector names a locality that is not configured.
     UnknownLocality,
-    /// The identifier of a proxy is beyond the configured number of proxies, or its locality or rate is invalid.
+    /// The identifier of a proxy is beyond the configured number of proxies, or its locality or rate is
+    /// invalid.
     UnknownProxy,
     /// It sent a report before it joined.
     ReportBeforeJoin,
     /// It did not join before the deadline.
     JoinTimeout,
-    /// Its message exceeds the length limit, or the incomplete messages of all connections together exceed theirs.
+    /// Its message exceeds the length limit, or the incomplete messages of all connections together exceed
+    /// theirs.
     MessageTooLong,
 }
 
@@ -258,8 +261,8 @@
     /// Whether the list is complete; otherwise it contains only the servers that changed.
     #[serde(rename = "full")]
     pub is_full: bool,
-    /// One `ListEntry` per server. They are decoded one by one, so that an invalid entry does not invalidate the
-    /// others.
+    /// One `ListEntry` per server. They are decoded one by one, so that an invalid entry does not invalidate
+    /// the others.
     #[serde(rename = "servers")]
     pub entries: Vec<serde_json::Value>,
 }
--- a/crates/platform-supervisor/src/proxy_tables/encoding.rs
+++ b/crates/platform-supervisor/src/proxy_tables/encoding.rs
@@ -11,7 +11,8 @@
 use crate::protocol::TableUpdate;
 use crate::server_registry::ServerRegistry;
 
-/// Maximum number of weights in one part of an update, which keeps it far below the length limit of the protocol.
+/// Maximum number of weights in one part of an update, which keeps it far below the length limit of the
+/// protocol.
 const MAX_WEIGHTS_PER_PART: usize = 4096;
 
 /// An update in its encoded form.
@@ -93,8 +94,8 @@
             .collect()
     }
 
-    /// Adds the weights of the table of some operations, split into parts. A table that is replaced by an empty one
-    /// results in one part without weights.
+    /// Adds the weights of the table of some operations, split into parts. A table that is replaced by an
+    /// empty one results in one part without weights.
     fn push_weights(
         &self,
         parts: &mut Vec<TableUpdate<'a>>,
@@ -117,8 +118,8 @@
         }
     }
 
-    /// Adds the admission limits of some operations of a table. A limit that is the same for all of them is added to the
-    /// last part; otherwise each distinct limit gets a part of its own.
+    /// Adds the admission limits of some operations of a table. A limit that is the same for all of them is
+    /// added to the last part; otherwise each distinct limit gets a part of its own.
     fn push_admissions(
         &self,
         parts: &mut Vec<TableUpdate<'a>>,
@@ -164,8 +165,8 @@
         groups
     }
 
-    /// The effective admission of an operation: the lower of the table's own limit and the limit for all tables, with
-    /// the table's own retry policy if it has one.
+    /// The effective admission of an operation: the lower of the table's own limit and the limit for all
+    /// tables, with the table's own retry policy if it has one.
     fn admission(&self, table: TableId, operation: OperationIndex) -> Option<Admission> {
         let own = self.tables.get(&table).and_then(|table| table.admissions.get(&operation)).copied();
         let global = self.global_admissions.get(&operation).copied();
--- a/crates/platform-supervisor/src/proxy_tables/mod.rs
+++ b/crates/platform-supervisor/src/proxy_tables/mod.rs
@@ -1,5 +1,6 @@
-//! The tables that the controller has set and the part of them that each proxy was sent. A batch of the controller's
-//! actions results in at most one update per proxy, which contains only changes. All decisions are the controller's.
+//! The tables that the controller has set and the part of them that each proxy was sent. A batch of the
+//! controller's actions results in at most one update per proxy, which contains only changes. All decisions
+//! are the controller's.
 
 mod encoding;
 mod pending_changes;
@@ -178,9 +179,9 @@
         self.sent
     }
 
-    /// Removes a pending ack request and all earlier ones, since an acknowledgement covers everything that was sent
-    /// before it and the acknowledgements of earlier requests may have been lost. Returns whether the request was
-    /// pending.
+    /// Removes a pending ack request and all earlier ones, since an acknowledgement covers everything that
+    /// was sent before it and the acknowledgements of earlier requests may have been lost. Returns whether
+    /// the request was pending.
     pub fn acknowledge(&mut self, proxy: ProxyId, serial: u64) -> bool {
         let Some(state) = self.proxies.get_mut(&proxy) else { return false };
         let Some(position) = state.pending_acks.iter().position(|pending| pending.serial == serial) else {
@@ -195,7 +196,8 @@
         self.proxies.get(&proxy).is_some_and(|state| !state.pending_acks.is_empty())
     }
 
-    /// Number of channel lines of all unacknowledged messages, with `message_overhead` lines for each message.
+    /// Number of channel lines of all unacknowledged messages, with `message_overhead` lines for each
+    /// message.
     pub fn unacknowledged_lines(&self, message_overhead: f64) -> f64 {
         let pending = self.proxies.values().flat_map(|state| &state.pending_acks);
         pending.map(|ack| ack.lines as f64 + message_overhead).sum()
@@ -206,8 +208,8 @@
         self.tables.values().any(|table| table.weights.contains_key(&server))
     }
 
-    /// Discards the state of a server. If it is listed again it gets another identifier, so a proxy that still excludes
-    /// it by name is treated as one with exclusions from an earlier connection.
+    /// Discards the state of a server. If it is listed again it gets another identifier, so a proxy that
+    /// still excludes it by name is treated as one with exclusions from an earlier connection.
     pub fn forget(&mut self, server: ServerId) {
         self.excluded.remove(&server);
         for state in self.proxies.values_mut() {
@@ -216,8 +218,8 @@
         }
     }
 
-    /// Discards the state that the previous controller has set. Joined proxies are then treated as if other supervisors
-    /// had sent them what they have.
+    /// Discards the state that the previous controller has set. Joined proxies are then treated as if other
+    /// supervisors had sent them what they have.
     pub fn reset_for_new_controller(&mut self) {
         self.tables.clear();
         self.global_admissions.clear();
@@ -229,8 +231,8 @@
         }
     }
 
-    /// Applies a batch of actions and returns the resulting updates for proxies. Actions that do not concern proxies are
-    /// ignored. `operation_names` are in the order of the configuration.
+    /// Applies a batch of actions and returns the resulting updates for proxies. Actions that do not concern
+    /// proxies are ignored. `operation_names` are in the order of the configuration.
     ///
     /// # Errors
     /// An action cannot be carried out. The actions before it were applied.
--- a/crates/platform-supervisor/src/proxy_tables/pending_changes.rs
+++ b/crates/platform-supervisor/src/proxy_tables/pending_changes.rs
@@ -1,5 +1,5 @@
-//! Applies the controller's actions of one batch to the tables, and records the differences from the state before the
-//! batch.
+//! Applies the controller's actions of one batch to the tables, and records the differences from the state
+//! before the batch.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -38,7 +38,7 @@
     pub excluded: Vec<ServerId>,
     /// Servers whose exclusion ends.
     pub included: Vec<ServerId>,
-    /// The new table of each operation of a proxy; `None` if it is not assigned anew.
+    /// The new table of each operation of a proxy; `None` if the batch does not assign one.
     pub assignments: BTreeMap<ProxyId, Vec<Option<TableId>>>,
     pub ack: Option<AckRequest>,
 }
--- a/crates/platform-supervisor/src/proxy_tables/updates.rs
+++ b/crates/platform-supervisor/src/proxy_tables/updates.rs
@@ -136,8 +136,8 @@
         state.assigned.iter_mut().enumerate().map(change).collect()
     }
 
-    /// Whether a proxy may have a server in one of its tables: either an assigned table contains it, or the proxy may
-    /// have a table that was not sent on this connection.
+    /// Whether a proxy may have a server in one of its tables: either an assigned table contains it, or the
+    /// proxy may have a table that was not sent on this connection.
     fn may_hold(&self, state: &ProxyState, server: ServerId) -> bool {
         has_unassigned(state)
             || state
@@ -148,8 +148,9 @@
                 .any(|table| table.weights.contains_key(&server))
     }
 
-    /// Returns the servers that a proxy is told to exclude, and records them in its state. If a table is sent, these are
-    /// all excluded servers that the proxy may have and was not told to exclude, otherwise only the new exclusions.
+    /// Returns the servers that a proxy is told to exclude, and records them in its state. If a table is
+    /// sent, these are all excluded servers that the proxy may have in its tables; otherwise only the newly
+    /// excluded ones. Servers that it already excludes are omitted.
     fn exclusions(&self, state: &mut ProxyState, tables_change: bool) -> Vec<ServerId> {
         let candidates: Vec<ServerId> = if tables_change {
             self.excluded.iter().copied().collect()
@@ -186,8 +187,8 @@
         include
     }
 
-    /// Adds the returned servers that the proxy may still exclude because of an earlier connection, if a table that it
-    /// was sent contains them.
+    /// Adds the returned servers that the proxy may still exclude because of an earlier connection, if a
+    /// table that it was sent contains them.
     fn include_returned(&self, state: &ProxyState, include: &mut Vec<ServerId>) {
         for &server in &self.returned {
             let is_up_to_date = self.excluded.contains(&server) || state.exclusion_sent.contains(&server);
--- a/crates/platform-supervisor/src/runtime.rs
+++ b/crates/platform-supervisor/src/runtime.rs
@@ -1,5 +1,5 @@
-//! Runs a [`Supervisor`] with real sockets, signals and clocks. Apart from reading the configuration file, this is the
-//! only part of the crate that does I/O.
+//! Runs a [`Supervisor`] with real sockets, signals and clocks. Apart from reading the configuration file,
+//! this is the only part of the crate that does I/O.
 
 use std::io;
 use std::net::SocketAddr;
@@ -38,8 +38,8 @@
     Io(#[from] io::Error),
 }
 
-/// The connections of `shalereel node`. The only listener needs no key; the key of a timer is the number of failed
-/// attempts to read the configuration file.
+/// The connections of `shalereel node`. The only listener needs no key; the key of a timer is the number of
+/// failed attempts to read the configuration file.
 type PlatformHub = Hub<(), u32>;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,8 +56,8 @@
 /// Runs a supervisor with this configuration file until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// The configuration file cannot be read or is invalid, the supervisor cannot listen on its address, or waiting for
-/// sockets failed.
+/// The configuration file cannot be read or is invalid, the supervisor cannot listen on its address, or
+/// waiting for sockets failed.
 pub fn run(config_path: &Path) -> Result<(), RunError> {
     // The handlers are installed first, so that a signal that arrives while the file is read is not lost.
     let stop = stop_signals()?;
@@ -160,8 +160,8 @@
     );
 }
 
-/// Reads the configuration file again. The file may be incomplete, empty or missing while it is replaced, so a failed
-/// read is retried for a while.
+/// Reads the configuration file again. The file may be incomplete, empty or missing while it is replaced, so
+/// a failed read is retried for a while.
 fn reload_config(
     config_path: &Path,
     attempts: u32,
--- a/crates/platform-supervisor/src/server_age.rs
+++ b/crates/platform-supervisor/src/server_age.rs
@@ -1,5 +1,5 @@
-//! Estimates a server's age from its listed start time, also after the wall clock was stepped. The server registry
-//! uses it.
+//! Estimates a server's age from its listed start time, also after the wall clock was stepped. The server
+//! registry uses it.
 
 use shalereel::interface::Nanos;
 
@@ -19,10 +19,10 @@
 
 /// Returns the age of a server that started at `started_ms` (Unix time), or `None` if it started long ago.
 ///
-/// After a step of the wall clock, either Unix time in `listed_at` may be the right one, so the smaller age is
-/// used. A server whose age is underestimated gets less load for a while; one whose age is overestimated would be
-/// overloaded. No server is older than the time since discovery last sent anything plus the notification delay,
-/// since it would have been listed then.
+/// After a step of the wall clock, either Unix time in `listed_at` may be the right one, so the smaller age
+/// is used. A server whose age is underestimated gets less load for a while; one whose age is overestimated
+/// would be overloaded. No server is older than the time since discovery last sent anything plus the
+/// notification delay, since it would have been listed then.
 pub fn server_age(started_ms: f64, listed_at: &ListingTime) -> Option<Nanos> {
     if started_ms <= 0.0 {
         return None;
--- a/crates/platform-supervisor/src/server_registry.rs
+++ b/crates/platform-supervisor/src/server_registry.rs
@@ -1,5 +1,5 @@
-//! The servers that discovery has listed, by the identifiers that the controller uses. A server gets an identifier when
-//! it is first listed and loses it when it is forgotten. No identifier is assigned twice.
+//! The servers that discovery has listed, by the identifiers that the controller uses. A server gets an
+//! identifier when it is first listed and loses it when it is forgotten. No identifier is assigned twice.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -55,8 +55,8 @@
     pub address: Option<SocketAddr>,
     /// The server as the controller knows it.
     pub endpoint: Endpoint,
-    /// Whether a start of it was listed, or it became ready again. Proxies that were connected earlier may still
-    /// exclude such a server. The flag is never reset.
+    /// Whether a start of it was listed, or it became ready again. Proxies that were connected earlier may
+    /// still exclude such a server. The flag is never reset.
     pub was_started_or_returned: bool,
     /// Since when it has not been ready; `None` if it is ready.
     pub unready_since: Option<Nanos>,
@@ -82,8 +82,8 @@
     servers: BTreeMap<ServerId, RegisteredServer>,
     last_id: ServerId,
     version: u64,
-    /// Unix time at which the monotonic clock was 0, as computed at the first list, ms. A later step of the wall clock
-    /// is detected by comparison with it.
+    /// Unix time at which the monotonic clock was 0, as computed at the first list, ms. A later step of the
+    /// wall clock is detected by comparison with it.
     first_epoch_ms: Option<f64>,
 }
 
@@ -92,8 +92,8 @@
 }
 
 impl ServerRegistry {
-    /// Creates an empty registry. `localities` and `kinds` are the configured names, in the order of the controller's
-    /// identifiers for them.
+    /// Creates an empty registry. `localities` and `kinds` are the configured names, in the order of the
+    /// controller's identifiers for them.
     pub fn new(localities: Vec<String>, kinds: Vec<String>) -> Self {
         ServerRegistry {
             localities,
@@ -136,14 +136,14 @@
         position(&self.localities, name)
     }
 
-    /// All servers, for a restarted controller. Removed servers are included, since proxies may still have them in
-    /// their tables.
+    /// All servers, for a restarted controller. Removed servers are included, since proxies may still have
+    /// them in their tables.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         self.servers.values().map(|server| server.endpoint).collect()
     }
 
-    /// Applies an endpoint list. The server of an invalid entry stays unchanged. `last_heard_at` is the time at which
-    /// discovery last sent anything before this list.
+    /// Applies an endpoint list. The server of an invalid entry stays unchanged. `last_heard_at` is the time
+    /// at which discovery last sent anything before this list.
     pub fn apply(
         &mut self,
         list: EndpointList,
@@ -154,8 +154,8 @@
         let mut errors = Vec::new();
         let mut endpoints: BTreeMap<ServerId, Endpoint> = BTreeMap::new();
         for entry in list.entries {
-            // The server is looked up before the entry is decoded, since a full list must not remove a server whose
-            // entry is invalid.
+            // The server is looked up before the entry is decoded, since a full list must not remove a server
+            // whose entry is invalid.
             let listed_id = entry.get("id").and_then(|name| name.as_str()).and_then(|name| self.id(name));
             match self.apply_entry(entry, clocks, &listed_at) {
                 Ok(changed) => endpoints.extend(changed.map(|endpoint| (endpoint.server, endpoint))),
@@ -193,8 +193,8 @@
         }
     }
 
-    /// Applies one entry and returns the changed server. Returns `None` if the entry removes a server that is not
-    /// known.
+    /// Applies one entry and returns the changed server. Returns `None` if the entry removes a server that is
+    /// not known.
     fn apply_entry(
         &mut self,
         entry: serde_json::Value,
@@ -277,8 +277,8 @@
 }
 
 impl RegisteredServer {
-    /// Updates the start time. The age is computed only once per start, so that a later step of the wall clock does not
-    /// appear as another start.
+    /// Updates the start time. The age is computed only once per start, so that a later step of the wall
+    /// clock does not appear as another start.
     fn apply_start(&mut self, started_ms: f64, clocks: Clocks, listed_at: &ListingTime) {
         if self.started_ms == started_ms {
             return;
--- a/crates/platform-supervisor/src/supervisor/connections.rs
+++ b/crates/platform-supervisor/src/supervisor/connections.rs
@@ -52,8 +52,8 @@
         matches!(self.role, Role::Collector | Role::Proxy(_))
     }
 
-    /// For how long a proxy has sent nothing while ack requests were pending. `None` if none are pending: a proxy that
-    /// was sent nothing may be silent.
+    /// For how long a proxy has sent nothing while ack requests were pending. `None` if none are pending: a
+    /// proxy that was sent nothing may be silent.
     fn unresponsive_for(&self, now: Nanos) -> Option<Nanos> {
         let since = self.acks_pending_since?.max(self.last_received_at);
         matches!(self.role, Role::Proxy(_)).then(|| now.saturating_sub(since))
@@ -111,7 +111,8 @@
         self.connections.insert(connection, Connection::new(role, now));
     }
 
-    /// Handles the end of a connection that the supervisor did not close itself. `reason` is written to the log.
+    /// Handles the end of a connection that the supervisor did not close itself. `reason` is written to the
+    /// log.
     pub fn closed(&mut self, connection: C, reason: &str, now: Nanos) {
         self.remove_connection(connection, &CloseReason::Transport(reason), now);
     }
--- a/crates/platform-supervisor/src/supervisor/controller_runs.rs
+++ b/crates/platform-supervisor/src/supervisor/controller_runs.rs
@@ -74,7 +74,8 @@
 }
 
 impl<C: Copy + Ord + Debug> Supervisor<C> {
-    /// Runs the controller on the pending events and carries out its actions. A failed controller is restarted first.
+    /// Runs the controller on the pending events and carries out its actions. A failed controller is
+    /// restarted first.
     pub(super) fn run_controller(&mut self, clocks: Clocks) {
         self.controller.last_run_at = clocks.now;
         if self.controller.restart_at.take().is_some() {
@@ -122,8 +123,8 @@
             }
             Action::CheckHealth { server } => self.start_health_check(server),
             Action::FetchEndpoints => self.request_full_list(now),
-            // `ProxyTables::apply` has handled the actions on tables. The watch is always open, and the platform has no
-            // messages between supervisors.
+            // `ProxyTables::apply` has handled the actions on tables. The watch is always open, and the
+            // platform has no messages between supervisors.
             _ => {}
         }
     }
@@ -139,8 +140,8 @@
         self.controller.push(Event::Endpoints(WatchEvent::Delta(Vec::new())));
     }
 
-    /// Replaces the controller. The new one first gets the endpoint list and the joined proxies, then the events that
-    /// arrived since the failure.
+    /// Replaces the controller. The new one first gets the endpoint list and the joined proxies, then the
+    /// events that arrived since the failure.
     fn restart_controller(&mut self, now: Nanos) {
         self.controller.controller = Controller::new(&self.config.controller);
         self.tables.reset_for_new_controller();
@@ -191,8 +192,8 @@
     }
 }
 
-/// Whether a pending event is passed to a restarted controller. The endpoint list and the joined proxies are passed
-/// separately, and the timers of the old controller have no meaning for the new one.
+/// Whether a pending event is passed to a restarted controller. The endpoint list and the joined proxies are
+/// passed separately, and the timers of the old controller have no meaning for the new one.
 fn is_valid_after_restart(event: &Event) -> bool {
     !matches!(
         event,
--- a/crates/platform-supervisor/src/supervisor/discovery.rs
+++ b/crates/platform-supervisor/src/supervisor/discovery.rs
@@ -1,5 +1,5 @@
-//! The watch on discovery's endpoint list: dialling with backoff, applying received lists, the silence timeout, and
-//! changes of discovery's address.
+//! The watch on discovery's endpoint list: dialling with backoff, applying received lists, the silence
+//! timeout, and changes of discovery's address.
 
 use std::fmt::Debug;
 use std::io;
@@ -30,7 +30,7 @@
     /// When discovery last sent a list, or an empty line that says that nothing has changed.
     last_heard_at: Option<Nanos>,
     /// Whether a list was received on the open watch.
-    watch_has_listed: bool,
+    watch_has_sent_list: bool,
     random: oorandom::Rand64,
 }
 
@@ -42,7 +42,7 @@
             watches_lost: 0,
             requests_full_list,
             last_heard_at: None,
-            watch_has_listed: false,
+            watch_has_sent_list: false,
             random: oorandom::Rand64::new(seed.into()),
         }
     }
@@ -92,7 +92,7 @@
         self.add_connection(connection, Role::Discovery(Box::default()), now);
         self.discovery.is_dialling = false;
         self.discovery.watch = Some(connection);
-        self.discovery.watch_has_listed = false;
+        self.discovery.watch_has_sent_list = false;
         let after_version = (!self.discovery.requests_full_list).then_some(self.registry.version());
         let request = watch_request(address, after_version);
         self.commands.push(Command::Write(connection, request.into()));
@@ -112,7 +112,7 @@
             self.close(connection, CloseMode::Reset, &reason, clocks.now);
         }
         // Once a list was received on this watch, an empty line means that nothing has changed.
-        if self.discovery.watch == Some(connection) && self.discovery.watch_has_listed {
+        if self.discovery.watch == Some(connection) && self.discovery.watch_has_sent_list {
             self.discovery.last_heard_at = Some(clocks.now);
         }
     }
@@ -121,8 +121,8 @@
         for list in lists {
             let known_version = self.registry.version();
             if !list.is_full && list.version < known_version {
-                // A replaced or restarted discovery service numbers its versions anew, so changes may have been
-                // missed for good. The full list contains them.
+                // A replaced or restarted discovery service restarts its version numbers, so changes may have
+                // been missed for good. The full list contains them.
                 self.count_fault(Fault::OutdatedList);
                 self.discovery.requests_full_list = true;
                 let reason = DiscoveryCloseReason::VersionWentBack { version: list.version, known_version };
@@ -138,7 +138,7 @@
         self.discovery.requests_full_list = false;
         let (version, is_full, entries) = (list.version, list.is_full, list.entries.len());
         let update = self.registry.apply(list, clocks, self.discovery.last_heard_at);
-        self.discovery.watch_has_listed = true;
+        self.discovery.watch_has_sent_list = true;
         self.report_entry_errors(update.errors, clocks.now);
         if is_full || entries > 0 {
             let kind = if is_full { "full" } else { "delta" };
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Applies the address of discovery from a reloaded configuration. If it has changed, the watch is opened again
-    /// there. The endpoint list, tables and other connections are kept.
+    /// Applies the address of discovery from a reloaded configuration. If it has changed, the watch is opened
+    /// again there. The endpoint list, tables and other connections are kept.
     pub fn move_discovery(&mut self, discovery: SocketAddr, now: Nanos) {
         if self.config.discovery == discovery {
             return self.log(now, "config reloaded: no change".into());
--- a/crates/platform-supervisor/src/supervisor/health_checks.rs
+++ b/crates/platform-supervisor/src/supervisor/health_checks.rs
@@ -1,5 +1,5 @@
-//! Health checks that the controller requests. Each is one HTTP request on a connection of its own, whose outcome is
-//! reported to the controller as an event.
+//! Health checks that the controller requests. Each is one HTTP request on a connection of its own, whose
+//! outcome is reported to the controller as an event.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
--- a/crates/platform-supervisor/src/supervisor/messages.rs
+++ b/crates/platform-supervisor/src/supervisor/messages.rs
@@ -38,9 +38,9 @@
         }
     }
 
-    /// Handles a line from a joined client that is not a message. Only the message itself is dropped if it is JSON.
-    /// Malformed JSON may mean that line ends were lost, so the connection is closed if it recurs or if the line does
-    /// not start with an opening brace.
+    /// Handles a line from a joined client that is not a message. Only the message itself is dropped if it is
+    /// JSON. Malformed JSON may mean that line ends were lost, so the connection is closed if it recurs or if
+    /// the line does not start with an opening brace.
     fn invalid_line_received(&mut self, connection: C, line: &[u8], error: &DecodeError, now: Nanos) {
         if matches!(error, DecodeError::InvalidMessage(_)) {
             return self.count_fault(Fault::InvalidMessage);
@@ -156,7 +156,8 @@
         }
     }
 
-    /// Returns the values of a load report in the order of the configured columns. A missing column counts as 0.
+    /// Returns the values of a load report in the order of the configured columns. A missing column counts as
+    /// 0.
     pub(super) fn load_values(&self, load: Option<BTreeMap<String, f64>>) -> Vec<f64> {
         let Some(load) = load else { return Vec::new() };
         let columns = self.config.load_columns.iter();
--- a/crates/platform-supervisor/src/supervisor/mod.rs
+++ b/crates/platform-supervisor/src/supervisor/mod.rs
@@ -1,5 +1,5 @@
-//! The state machine of one supervisor. It does no I/O and reads no clock: the runtime passes it connections, received
-//! bytes and the time, and carries out the commands that it returns.
+//! The state machine of one supervisor. It does no I/O and reads no clock: the runtime passes it connections,
+//! received bytes and the time, and carries out the commands that it returns.
 
 mod connections;
 mod controller_runs;
@@ -85,15 +85,18 @@
     tables: ProxyTables,
     controller: ControllerRuns,
     connections: BTreeMap<C, Connection>,
+    /// The connection of each joined proxy.
     proxy_connections: BTreeMap<ProxyId, C>,
     /// Bytes of incomplete messages that are buffered for all client connections together.
     buffered_bytes: usize,
     discovery: DiscoveryState<C>,
     timers: Timers<Timer<C>>,
     commands: Vec<Command<C>>,
+    /// Number of faults of each kind since the start.
     faults: BTreeMap<Fault, u64>,
     log_limiter: LogLimiter,
     last_status_report_at: Nanos,
+    /// Bytes of all updates that were sent since the start.
     sent_bytes: u64,
 }
 
@@ -126,7 +129,8 @@
         supervisor
     }
 
-    /// Applies the endpoint list of the configuration, if there is one, and passes its servers to the controller.
+    /// Applies the endpoint list of the configuration, if there is one, and passes its servers to the
+    /// controller.
     fn load_known_list(&mut self, known_list: Option<EndpointList>, clocks: Clocks) {
         let mut endpoints = Vec::new();
         if let Some(list) = known_list {
--- a/crates/platform-supervisor/src/supervisor/status.rs
+++ b/crates/platform-supervisor/src/supervisor/status.rs
@@ -19,8 +19,8 @@
     InvalidMessage,
     /// A client that has joined sent another join message.
     AlreadyJoined,
-    /// An acknowledgement was dropped because it matches no pending ack request, names another proxy, or has an
-    /// implausible time.
+    /// An acknowledgement was dropped because it matches no pending ack request, names another proxy, or has
+    /// an implausible time.
     UnexpectedAcknowledgement,
     /// A report was dropped because it contains an unknown name or a figure out of range.
     InvalidReport,
@@ -108,8 +108,8 @@
         *self.faults.entry(fault).or_default() += 1;
     }
 
-    /// Logs a line with the state of proxies, servers and connections, and with counts of what was sent and of faults
-    /// since the start.
+    /// Logs a line with the state of proxies, servers and connections, and with counts of what was sent and
+    /// of faults since the start.
     pub(super) fn report_status(&mut self, now: Nanos) {
         self.last_status_report_at = now;
         let line = [
--- a/crates/platform-supervisor/tests/deadlines/main.rs
+++ b/crates/platform-supervisor/tests/deadlines/main.rs
@@ -1,9 +1,9 @@
-//! Tests of deadlines on a simulated platform: each drain reaches every proxy within the drain grace, and no proxy is
-//! without a usable server for too long. This holds when all proxies reconnect at once, when proxies vanish, when
-//! acknowledgements are lost, and when the channel is slow.
+//! Tests of deadlines on a simulated platform: each drain reaches every proxy within the drain grace, and no
+//! proxy is without a usable server for too long. This holds when all proxies reconnect at once, when proxies
+//! vanish, when acknowledgements are lost, and when the channel is slow.
 //!
-//! Guards against two failures: full tables that are queued before drains and delay them, and unacknowledged lines of
-//! vanished proxies that block the channel (`docs/incidents/drains-behind-whole-tables.md`).
+//! Guards against two failures: full tables that are queued before drains and delay them, and unacknowledged
+//! lines of vanished proxies that block the channel (`docs/incidents/drains-behind-whole-tables.md`).
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -165,8 +165,8 @@
     assert_eq!(fewest_usable, Some(scenario.servers as usize - 30));
 }
 
-/// The new controller gets the endpoint list and the joined proxies again. Servers are removed between the failure and
-/// the restart.
+/// The new controller gets the endpoint list and the joined proxies again. Servers are removed between the
+/// failure and the restart.
 #[rstest]
 fn restarted_controller_still_meets_deadlines() {
     let scenario = Scenario { drain_grace: 5 * SECOND, ..Scenario::default() };
@@ -179,8 +179,8 @@
     assert_deadlines_met(&platform.measurements, &scenario);
 }
 
-/// A supervisor starts with an outdated endpoint list, and all proxies join before discovery sends the changes since
-/// then.
+/// A supervisor starts with an outdated endpoint list, and all proxies join before discovery sends the
+/// changes since then.
 #[rstest]
 fn restarted_supervisor_meets_deadlines_when_list_changes_arrive_late() {
     let scenario = Scenario { drain_grace: 3 * SECOND, ..Scenario::default() };
--- a/crates/platform-supervisor/tests/deadlines/platform.rs
+++ b/crates/platform-supervisor/tests/deadlines/platform.rs
@@ -1,6 +1,6 @@
-//! A simulation of the platform around one supervisor, without sockets: the proxies with their tables, discovery, and the
-//! channel that carries all updates. The channel is a queue of limited rate, first in, first out. The state of each proxy
-//! is checked at every step.
+//! A simulation of the platform around one supervisor, without sockets: the proxies with their tables,
+//! discovery, and the channel that carries all updates. The channel is a queue of limited rate, first in,
+//! first out. The state of each proxy is checked at every step.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::path::Path;
@@ -156,7 +156,8 @@
     pub first_violation: Option<String>,
     /// Maximum time for which a proxy used a server after the drain grace, ns.
     pub max_lateness: u64,
-    /// Number of steps, summed over proxies, in which a proxy was without a usable server for longer than configured.
+    /// Number of steps, summed over proxies, in which a proxy was without a usable server for longer than
+    /// configured.
     pub unserved: usize,
     /// Maximum number of lines that were queued in the channel.
     pub max_queued_lines: f64,
@@ -326,8 +327,8 @@
         self.advance();
     }
 
-    /// Advances the time in steps. Each step delivers and acknowledges the messages that arrive, runs the supervisor, and
-    /// checks the rules.
+    /// Advances the time in steps. Each step delivers and acknowledges the messages that arrive, runs the
+    /// supervisor, and checks the rules.
     pub fn run_for(&mut self, span: u64) {
         let until = self.now + span;
         while self.now < until {
@@ -367,8 +368,9 @@
         }
     }
 
-    /// Checks that no joined proxy uses a server for longer than the drain grace after it was listed as not ready or
-    /// after the proxy joined, whichever is later, and that none is without a usable server for longer than configured.
+    /// Checks that no joined proxy uses a server for longer than the drain grace after it was listed as not
+    /// ready or after the proxy joined, whichever is later, and that none is without a usable server for
+    /// longer than configured.
     fn check_rules(&mut self) {
         let mut proxies = std::mem::take(&mut self.proxies);
         for (&id, proxy) in &mut proxies {
--- a/crates/platform-supervisor/tests/deadlines/schedules.rs
+++ b/crates/platform-supervisor/tests/deadlines/schedules.rs
@@ -1,10 +1,10 @@
-//! Tests random schedules on the simulated platform: joins in waves, drains, returns, removals, silent proxies, lost
-//! acknowledgements, a slow channel and controller failures. All deadlines must be met if the schedule is feasible for a
-//! simple plan: a small table for every joining proxy and every drain for every proxy, sent by earliest deadline first
-//! over half of the channel's rate.
+//! Tests random schedules on the simulated platform: joins in waves, drains, returns, removals, silent
+//! proxies, lost acknowledgements, a slow channel and controller failures. All deadlines must be met if the
+//! schedule is feasible for a simple plan: a small table for every joining proxy and every drain for every
+//! proxy, sent by earliest deadline first over half of the channel's rate.
 //!
-//! Runs four seeds by default; more with `SHALEREEL_SEEDS=50 cargo test --release -p shalereel-platform-supervisor
-//! --test deadlines schedules`.
+//! Runs four seeds by default; more with `SHALEREEL_SEEDS=50 cargo test --release -p
+//! shalereel-platform-supervisor --test deadlines schedules`.
 
 use std::collections::BTreeSet;
 
@@ -29,7 +29,8 @@
     lines: f64,
 }
 
-/// Whether a channel of this rate can send all lines in time if it sends those with the earliest deadline first.
+/// Whether a channel of this rate can send all lines in time if it sends those with the earliest deadline
+/// first.
 fn is_feasible(mut due: Vec<DueLines>, lines_per_s: f64) -> bool {
     let mut now = due.iter().map(|item| item.from).min().unwrap_or_default();
     due.sort_by_key(|item| item.deadline);
@@ -179,7 +180,8 @@
             }
             _ if self.between(0, 3) == 0 => {
                 self.record_event("controller fails".into());
-                // Nothing is sent until the restart, and the new controller sends all joined proxies tables again.
+                // Nothing is sent until the restart, and the new controller sends all joined proxies tables
+                // again.
                 self.platform.fail_controller();
                 (0..self.joined.len()).for_each(|_| self.add_due(SMALL_TABLE_LINES));
                 let drain_time =
@@ -193,8 +195,8 @@
     /// Runs the schedule. Returns whether it is feasible.
     ///
     /// # Errors
-    /// A deadline of a feasible schedule was missed or another rule was violated. The text contains the measurements and
-    /// the events.
+    /// A deadline of a feasible schedule was missed or another rule was violated. The text contains the
+    /// measurements and the events.
     fn run(mut self, seed: u64) -> Result<bool, String> {
         for id in 0..self.scenario.proxies / 5 {
             self.platform.join(id, [server_name(id % 10)], true);
--- a/crates/platform-supervisor/tests/decoding.rs
+++ b/crates/platform-supervisor/tests/decoding.rs
@@ -1,5 +1,5 @@
-//! Tests of the decoding of lines, messages and HTTP responses: the result does not depend on how received bytes are
-//! split, and invalid bytes only cause errors.
+//! Tests of the decoding of lines, messages and HTTP responses: the result does not depend on how received
+//! bytes are split, and invalid bytes only cause errors.
 
 use proptest::prelude::*;
 use rstest::rstest;
--- a/crates/platform-supervisor/tests/proxy_tables.rs
+++ b/crates/platform-supervisor/tests/proxy_tables.rs
@@ -1,4 +1,5 @@
-//! Compares the updates that result from actions with a reference model of the state that each proxy should have.
+//! Compares the updates that result from actions with a reference model of the state that each proxy should
+//! have.
 
 mod common;
 
--- a/crates/platform-supervisor/tests/server_registry.rs
+++ b/crates/platform-supervisor/tests/server_registry.rs
@@ -1,4 +1,5 @@
-//! Tests of the registry of listed servers: their age when they are listed, and the identifiers of forgotten servers.
+//! Tests of the registry of listed servers: their age when they are listed, and the identifiers of forgotten
+//! servers.
 
 mod common;
 
@@ -23,8 +24,8 @@
     updates.into_iter().map(|update| String::from_utf8(update.bytes.to_vec()).unwrap()).collect()
 }
 
-/// Guards against a permanent exclusion: a forgotten server that is listed again gets another identifier, while a proxy
-/// still excludes it by name.
+/// Guards against a permanent exclusion: a forgotten server that is listed again gets another identifier,
+/// while a proxy still excludes it by name.
 #[test]
 fn forgotten_server_that_is_listed_again_is_included_again() {
     let mut registry = empty_registry();
@@ -55,7 +56,8 @@
     Clocks { now: second * SECOND, unix_ms: 1e12 + second as f64 * 1e3 + step_s * 1e3 }
 }
 
-/// Age that the registry computes for a server that started `started_s` seconds before it is listed, in seconds.
+/// Age that the registry computes for a server that started `started_s` seconds before it is listed, in
+/// seconds.
 fn age_at_listing(steps_s: [f64; 2], started_s: f64, last_heard_second: Option<u64>) -> f64 {
     let mut registry = empty_registry();
     registry.apply(list(1, vec![]), stepped(100, steps_s[0]), None);
--- a/crates/platform-supervisor/tests/supervisor.rs
+++ b/crates/platform-supervisor/tests/supervisor.rs
@@ -1,4 +1,5 @@
-//! Tests of the supervisor's state machine without sockets: each test builds a state and checks the resulting commands.
+//! Tests of the supervisor's state machine without sockets: each test builds a state and checks the resulting
+//! commands.
 
 mod common;
 
@@ -307,7 +308,8 @@
     assert!(harness.has_logged("controller failed, restarting: panic: planted"), "{:?}", harness.log);
 }
 
-/// Guards against the disconnection of a proxy whose acknowledgement was lost although a later one was received.
+/// Guards against the disconnection of a proxy whose acknowledgement was lost although a later one was
+/// received.
 #[test]
 fn acknowledgement_covers_earlier_ack_requests() {
     let mut harness = Harness::new(3);
@@ -318,7 +320,8 @@
     assert_ne!(serial(&first), serial(&second));
     let ack = |serial| ack_line(1, serial, 3.0);
     harness.send(1, &ack(serial(&second)));
-    // From here on the proxy acknowledges each update and sends nothing else, so no ack request stays pending.
+    // From here on the proxy acknowledges each update and sends nothing else, so no ack request stays
+    // pending.
     for _ in 0..60 {
         let commands = harness.run_for(1_000);
         assert!(!closes(&commands, 1), "{:?}", harness.log);
--- a/crates/platform-supervisor/tests/wire_bytes.rs
+++ b/crates/platform-supervisor/tests/wire_bytes.rs
@@ -1,5 +1,5 @@
-//! Tests of the exact bytes of each kind of update that a supervisor sends, and of each field of the messages that it
-//! decodes.
+//! Tests of the exact bytes of each kind of update that a supervisor sends, and of each field of the messages
+//! that it decodes.
 
 mod common;
 
--- a/crates/reactor/src/listener.rs
+++ b/crates/reactor/src/listener.rs
@@ -21,7 +21,8 @@
         Self::bind_any_address(address)
     }
 
-    /// Listens on any address, such as one that the platform has assigned. For port 0 the kernel chooses the port.
+    /// Listens on any address, such as one that the platform has assigned. For port 0 the kernel chooses the
+    /// port.
     ///
     /// # Errors
     /// The address is in use, or it is not an address of this machine.
--- a/crates/reactor/src/loopback.rs
+++ b/crates/reactor/src/loopback.rs
@@ -1,4 +1,5 @@
-//! The restriction of listening and dialling to loopback addresses, which applies unless a caller allows any address.
+//! The restriction of listening and dialling to loopback addresses, which applies unless a caller allows any
+//! address.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Edge-triggered `epoll`, combined with wakers. Wakers must be called on the thread that waits, since they do not
-/// interrupt a wait.
+/// Edge-triggered `epoll`, combined with wakers. Wakers must be called on the thread that waits, since they
+/// do not interrupt a wait.
 #[derive(Debug)]
 pub struct Reactor {
     epoll: OwnedFd,
@@ -63,8 +63,8 @@
         Ok(Reactor { epoll: epoll::create(CreateFlags::CLOEXEC)?, woken: Arc::default(), last_token: 0 })
     }
 
-    /// Watches a descriptor for input, output and hang-up until it is closed. Only changes of readiness are reported, so
-    /// the caller must read and write until a call would block.
+    /// Watches a descriptor for input, output and hang-up until it is closed. Only changes of readiness are
+    /// reported, so the caller must read and write until a call would block.
     ///
     /// # Errors
     /// Those of `epoll_ctl`.
@@ -80,8 +80,8 @@
         Waker::from(Arc::new(TokenWaker { token, woken: self.woken.clone() }))
     }
 
-    /// Waits until a source is ready or the time `until` has come. Returns at once if a waker was called since the last
-    /// wait. The returned tokens are in ascending order without duplicates.
+    /// Waits until a source is ready or the time `until` has come. Returns at once if a waker was called
+    /// since the last wait. The returned tokens are in ascending order without duplicates.
     ///
     /// # Errors
     /// Those of `epoll_wait`, except an interruption by a signal, which ends the wait.
--- a/crates/reactor/src/socket.rs
+++ b/crates/reactor/src/socket.rs
@@ -26,8 +26,8 @@
     }
 }
 
-/// Whether the error is ENOBUFS or ENOMEM, which means that the kernel lacks buffers or memory. The call must be retried
-/// after a delay, since no readiness event follows.
+/// Whether the error is ENOBUFS or ENOMEM, which means that the kernel lacks buffers or memory. The call must
+/// be retried after a delay, since no readiness event follows.
 pub fn is_out_of_kernel_memory(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
     matches!(errno, Some(Errno::NOBUFS | Errno::NOMEM))
@@ -42,7 +42,8 @@
     dial_any_address(address)
 }
 
-/// Starts to connect to any address, such as one that the platform has assigned. It is otherwise like [`dial`].
+/// Starts to connect to any address, such as one that the platform has assigned. It is otherwise like
+/// [`dial`].
 ///
 /// # Errors
 /// The process has no free descriptor, or there is no route to the address.
@@ -60,8 +61,8 @@
     }
 }
 
-/// A non-blocking TCP stream with the asynchronous traits that `h2` requires. It stores no waker: its owner is polled when
-/// the [`Reactor`](crate::Reactor) reports it as ready.
+/// A non-blocking TCP stream with the asynchronous traits that `h2` requires. It stores no waker: its owner
+/// is polled when the [`Reactor`](crate::Reactor) reports it as ready.
 #[derive(Debug)]
 pub struct Socket {
     stream: TcpStream,
@@ -78,8 +79,9 @@
         Ok(Socket { stream, read_budget: MAX_READ_BYTES_PER_POLL, is_connecting: false })
     }
 
-    /// Creates a socket from a stream that is being connected. Until it is connected, reads and writes fail with EAGAIN on
-    /// Linux. POSIX also allows ENOTCONN, which is treated in the same way, since a readiness event follows.
+    /// Creates a socket from a stream that is being connected. Until it is connected, reads and writes fail
+    /// with EAGAIN on Linux. POSIX also allows ENOTCONN, which is treated in the same way, since a readiness
+    /// event follows.
     ///
     /// # Errors
     /// The options of the stream cannot be set.
@@ -123,7 +125,8 @@
         self.stream.shutdown(Shutdown::Both)
     }
 
-    /// Converts the result of a call to a poll. It is pending if the call would block or the socket is not connected yet.
+    /// Converts the result of a call to a poll. It is pending if the call would block or the socket is not
+    /// connected yet.
     fn poll_result<T>(&mut self, result: io::Result<T>) -> Poll<io::Result<T>> {
         match result {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => Poll::Pending,
--- a/crates/reactor/tests/reactor.rs
+++ b/crates/reactor/tests/reactor.rs
@@ -48,9 +48,9 @@
     }
 }
 
-/// Guards against treating ENOTCONN from a socket that is still being connected as the end of its connection. The
-/// system chooses the error until the socket is connected. To get ENOTCONN on Linux too, the test reads from the socket
-/// before it starts to connect.
+/// Guards against treating ENOTCONN from a socket that is still being connected as the end of its connection.
+/// The system chooses the error until the socket is connected. To get ENOTCONN on Linux too, the test reads
+/// from the socket before it starts to connect.
 #[test]
 fn read_from_a_socket_that_is_being_connected_is_pending() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -1,5 +1,5 @@
-//! Reads the frames of the simulator's protocol. A frame is a length in four bytes, big endian, followed by content of that
-//! length.
+//! Reads the frames of the simulator's protocol. A frame is a length in four bytes, big endian, followed by
+//! content of that length.
 
 use std::io::Read;
 
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -18,8 +18,9 @@
 }
 
 impl Host {
-    /// Decodes a batch, runs each instance on its events, and returns the encoded reply with their actions. Instances run in
-    /// the order of their numbers. An instance that the batch starts runs even without events.
+    /// Decodes a batch, runs each instance on its events, and returns the encoded reply with their actions.
+    /// Instances run in the order of their numbers. An instance that the batch starts runs even without
+    /// events.
     ///
     /// # Errors
     ///
@@ -50,8 +51,8 @@
         Ok(encode_reply(reply))
     }
 
-    /// Runs one instance and adds its actions to the reply. An instance that panics is removed, and its failure is added to
-    /// the reply.
+    /// Runs one instance and adds its actions to the reply. An instance that panics is removed, and its
+    /// failure is added to the reply.
     fn run_instance(&mut self, instance: InstanceId, now: Nanos, events: Vec<Event>, reply: &mut Reply) {
         let Some(controller) = self.controllers.get_mut(&instance) else { return };
         match catch_unwind(AssertUnwindSafe(|| controller.decide(now, events))) {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
-//! `shalereel-wirehost` hosts isolated instances of the controller for the operators' simulator. It reads batches of events
-//! from standard input, and writes and flushes one reply per batch to standard output. If the input is malformed, it reports
-//! an error on standard error and exits.
+//! `shalereel-wirehost` hosts isolated instances of the controller for the operators' simulator. It reads
+//! batches of events from standard input, and writes and flushes one reply per batch to standard output. If
+//! the input is malformed, it reports an error on standard error and exits.
 
 #![deny(missing_docs)]
 
--- a/crates/simulator-adapter/tests/hostile.rs
+++ b/crates/simulator-adapter/tests/hostile.rs
@@ -1,5 +1,5 @@
-//! Tests with random bytes, and with random events that have extreme values: the decoder and the controller do not panic,
-//! and the controller returns only actions that the protocol allows.
+//! Tests with random bytes, and with random events that have extreme values: the decoder and the controller
+//! do not panic, and the controller returns only actions that the protocol allows.
 
 use std::collections::BTreeSet;
 
@@ -74,8 +74,8 @@
     }
 }
 
-/// Runs a controller on random events, checks that each action is valid for the listed servers and joined proxies, and
-/// returns all actions.
+/// Runs a controller on random events, checks that each action is valid for the listed servers and joined
+/// proxies, and returns all actions.
 fn run_random_events(seed: u64) -> Vec<Vec<Action>> {
     let mut random = Rand32::new(seed);
     let config = decode_settings(seed, SETTINGS.as_bytes()).expect("the settings are complete");
--- a/crates/simulator-adapter/tests/pipe.rs
+++ b/crates/simulator-adapter/tests/pipe.rs
@@ -1,4 +1,5 @@
-//! Tests of the `shalereel-wirehost` process: its replies on standard output, its errors, and its exit status.
+//! Tests of the `shalereel-wirehost` process: its replies on standard output, its errors, and its exit
+//! status.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
--- a/crates/simulator-codec/src/codes.rs
+++ b/crates/simulator-codec/src/codes.rs
@@ -1,5 +1,5 @@
-//! Codes of the records in the simulator's protocol. A record consists of its code, the number of the instance, and its
-//! fields.
+//! Codes of the records in the simulator's protocol. A record consists of its code, the number of the
+//! instance, and its fields.
 
 /// Codes of the records in a batch, which the simulator sends.
 pub(crate) mod incoming {
--- a/crates/simulator-codec/src/decode.rs
+++ b/crates/simulator-codec/src/decode.rs
@@ -42,8 +42,8 @@
         /// The event.
         event: Event,
     },
-    /// A record of valid length with an invalid value: a time that is negative, not finite or out of range, or an
-    /// unknown code of a field. It is to be ignored.
+    /// A record of valid length with an invalid value: a time that is negative, not finite or out of range,
+    /// or an unknown code of a field. It is to be ignored.
     InvalidValue {
         /// Number of the instance.
         instance: InstanceId,
@@ -116,7 +116,8 @@
 /// The result of decoding a field or a sequence of fields.
 type Read<T> = Result<T, TryGetError>;
 
-/// Decodes the next record. All its fields are read even if a value is invalid, so that the next record can be decoded.
+/// Decodes the next record. All its fields are read even if a value is invalid, so that the next record can
+/// be decoded.
 fn read_record(rest: &mut &[u8]) -> Result<Record, RecordError> {
     let code = rest.try_get_u8()?;
     if !incoming::is_known(code) {
--- a/crates/simulator-codec/src/encode.rs
+++ b/crates/simulator-codec/src/encode.rs
@@ -1,5 +1,5 @@
-//! Encodes replies. A reply consists of a header with the number of records and their total length, and one record for each
-//! action.
+//! Encodes replies. A reply consists of a header with the number of records and their total length, and one
+//! record for each action.
 
 use bytes::BufMut;
 use shalereel::interface::{Action, RetryPolicy};
@@ -107,7 +107,8 @@
     }
 }
 
-/// Appends a text and its length. A text that is too long for the 16-bit length is truncated at a character boundary.
+/// Appends a text and its length. A text that is too long for the 16-bit length is truncated at a character
+/// boundary.
 fn put_text(fields: &mut Vec<u8>, text: &str) {
     let mut end = text.len().min(u16::MAX.into());
     while !text.is_char_boundary(end) {
--- a/crates/simulator-codec/src/lib.rs
+++ b/crates/simulator-codec/src/lib.rs
@@ -1,14 +1,15 @@
-//! The codec of the operators' simulator. It decodes batches of events and encodes replies of actions. It also decodes the
-//! controller's settings, which the platform writes in the same form as the simulator. It makes no decisions and does no
-//! I/O.
+//! The codec of the operators' simulator. It decodes batches of events and encodes replies of actions. It
+//! also decodes the controller's settings, which the platform writes in the same form as the simulator. It
+//! makes no decisions and does no I/O.
 //!
-//! `shalereel-wirehost` uses the whole codec; `shalereel node` decodes the `settings` of its configuration with
-//! [`decode_settings`].
+//! `shalereel-wirehost` uses the whole codec; `shalereel node` decodes the `settings` of its configuration
+//! with [`decode_settings`].
 //!
-//! The simulator has its own names for the records of its protocol (`enlist`, `roster`, `digest` and so on) and for the keys
-//! of its settings (`worth`, `cycle_ms`, `tip_multiple` and so on). Only this crate maps them to the terms of
-//! `shalereel::interface`: records by their codes (`codes`), settings by `serde` attributes. The names of operations, kinds
-//! and zones, which the controller does not need, are decoded in `crates/platform-supervisor/src/config.rs`.
+//! The simulator has its own names for the records of its protocol (`enlist`, `roster`, `digest` and so on)
+//! and for the keys of its settings (`worth`, `cycle_ms`, `tip_multiple` and so on). Only this crate maps
+//! them to the terms of `shalereel::interface`: records by their codes (`codes`), settings by `serde`
+//! attributes. The names of operations, kinds and zones, which the controller does not need, are decoded in
+//! `crates/platform-supervisor/src/config.rs`.
 
 #![deny(missing_docs)]
 
--- a/crates/simulator-codec/src/settings.rs
+++ b/crates/simulator-codec/src/settings.rs
@@ -1,8 +1,8 @@
 //! Decodes the settings of an instance from the simulator's JSON into the controller's configuration.
 //!
-//! Each struct mirrors a section of the JSON and has its name, since serde's error messages contain the names of structs.
-//! Fields have the names of `shalereel::interface`, and attributes map them to the simulator's keys. If several fields of a
-//! struct are missing, serde reports the first in the order of declaration.
+//! Each struct mirrors a section of the JSON and has its name, since serde's error messages contain the names
+//! of structs. Fields have the names of `shalereel::interface`, and attributes map them to the simulator's
+//! keys. If several fields of a struct are missing, serde reports the first in the order of declaration.
 
 use serde::{Deserialize, Deserializer};
 use shalereel::interface::{
