--- a/crates/platform-supervisor/tests/supervisor.rs
+++ b/crates/platform-supervisor/tests/supervisor.rs
@@ -159,7 +159,7 @@
 
 #[rstest]
 #[case::silent("", 1_100)]
-#[case::half_a_message("{\"t\":\"hel", 1_100)]
+#[case::incomplete_message("{\"t\":\"hel", 1_100)]
 #[case::liveness_probe("{\"t\":\"probe\"}\n", 1_100)]
 fn client_that_has_not_joined_is_closed_after_the_join_timeout(#[case] text: &str, #[case] within_ms: u64) {
     let mut harness = Harness::new(3);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn repeated_malformed_lines_close_the_connection() {
+fn malformed_line_that_does_not_start_with_a_brace_closes_the_connection() {
     let mut harness = Harness::new(3);
     harness.join(1, 1);
     assert!(closes(&harness.send(1, "\u{fd}\u{d9}\r\n"), 1));
