--- a/crates/group/src/placement.rs
+++ b/crates/group/src/placement.rs
@@ -54,10 +54,10 @@
 /// Order indexes of the locality's queued drains that may start now, the oldest first. `listed` is the number of the
 /// locality's listed servers.
 pub fn drains_to_begin(state_machine: &StateMachine, locality: u32, listed: usize) -> Vec<LogIndex> {
-    let drains = state_machine.orders().iter().filter(|(_, standing)| {
-        standing.order.weight_cap_millionths.is_none() && standing.order.locality == locality
+    let drains = state_machine.orders().iter().filter(|(_, standing_order)| {
+        standing_order.order.weight_cap_millionths.is_none() && standing_order.order.locality == locality
     });
-    let (active, queued): (Vec<_>, Vec<_>) = drains.partition(|(_, standing)| standing.active);
+    let (active, queued): (Vec<_>, Vec<_>) = drains.partition(|(_, standing_order)| standing_order.active);
     let limit = (listed / DRAINED_AT_ONCE_DIVISOR).max(1);
     let capacity = limit.saturating_sub(active.len());
     queued.into_iter().take(capacity).map(|(&order_index, _)| order_index).collect()
--- a/crates/group/src/sim/invariants.rs
+++ b/crates/group/src/sim/invariants.rs
@@ -115,7 +115,7 @@
 /// The server of an order that exists twice, if there is one.
 fn server_of_duplicate_order(state_machine: &StateMachine) -> Option<u32> {
     let mut seen = BTreeSet::new();
-    let orders = state_machine.orders().values().map(|standing| &standing.order);
+    let orders = state_machine.orders().values().map(|standing_order| &standing_order.order);
     let mut repeated = orders.filter(|order| !seen.insert((order.server, order.weight_cap_millionths)));
     repeated.next().map(|order| order.server)
 }
--- a/crates/group/src/state_machine.rs
+++ b/crates/group/src/state_machine.rs
@@ -74,18 +74,18 @@
 
     /// Servers that an operator drains, without those whose drain is still queued.
     pub fn drained_servers(&self) -> BTreeSet<u32> {
-        let is_drain = |standing: &&StandingOrder| standing.order.weight_cap_millionths.is_none();
-        let drains = self.orders.values().filter(is_drain).filter(|standing| standing.active);
-        drains.map(|standing| standing.order.server).collect()
+        let is_drain = |standing_order: &&StandingOrder| standing_order.order.weight_cap_millionths.is_none();
+        let drains = self.orders.values().filter(is_drain).filter(|standing_order| standing_order.active);
+        drains.map(|standing_order| standing_order.order.server).collect()
     }
 
     /// Servers whose weight an operator caps, each with its lowest cap as a fraction of the decided weight, 0 to 1.
     pub fn weight_caps(&self) -> BTreeMap<u32, f64> {
         let mut caps: BTreeMap<u32, f64> = BTreeMap::new();
-        for standing in self.orders.values() {
-            let Some(millionths) = standing.order.weight_cap_millionths else { continue };
+        for standing_order in self.orders.values() {
+            let Some(millionths) = standing_order.order.weight_cap_millionths else { continue };
             let part = f64::from(millionths.min(MILLIONTHS)) / f64::from(MILLIONTHS);
-            let cap = caps.entry(standing.order.server).or_insert(part);
+            let cap = caps.entry(standing_order.order.server).or_insert(part);
             *cap = cap.min(part);
         }
         caps
--- a/crates/group/src/state_machine/apply.rs
+++ b/crates/group/src/state_machine/apply.rs
@@ -64,7 +64,7 @@
     }
 
     fn add_order(&mut self, index: LogIndex, order: &OperatorOrder) -> Applied {
-        if self.orders.values().any(|standing| standing.order == *order) {
+        if self.orders.values().any(|standing_order| standing_order.order == *order) {
             return Err(Rejection::OrderExists);
         }
         let active = order.weight_cap_millionths.is_some();
@@ -79,21 +79,21 @@
 
     fn release_order(&mut self, release: &ReleaseOrder) -> Applied {
         let order_index = release.order_index;
-        let standing = self.orders.remove(&order_index).ok_or(Rejection::NoSuchOrder)?;
-        Ok(AppliedChange::OrderReleased { order_index, order: standing.order })
+        let standing_order = self.orders.remove(&order_index).ok_or(Rejection::NoSuchOrder)?;
+        Ok(AppliedChange::OrderReleased { order_index, order: standing_order.order })
     }
 
     fn begin_drain(&mut self, begin: &BeginDrain, fenced: bool) -> Applied {
         let order_index = begin.order_index;
-        let locality = self.orders.get(&order_index).map(|standing| standing.order.locality);
+        let locality = self.orders.get(&order_index).map(|standing_order| standing_order.order.locality);
         let held = locality.and_then(|locality| self.assignment(Duty::RunDrains(locality)));
         if fenced && held.is_none_or(|held| held.epoch != begin.epoch) {
             return Err(Rejection::StaleDrainEpoch);
         }
-        let queued = self.orders.get_mut(&order_index).filter(|standing| !standing.active);
-        let standing = queued.ok_or(Rejection::DrainNotQueued)?;
-        standing.active = true;
-        Ok(AppliedChange::OrderActivated { order_index, order: standing.order.clone() })
+        let queued = self.orders.get_mut(&order_index).filter(|standing_order| !standing_order.active);
+        let standing_order = queued.ok_or(Rejection::DrainNotQueued)?;
+        standing_order.active = true;
+        Ok(AppliedChange::OrderActivated { order_index, order: standing_order.order.clone() })
     }
 
     fn begin_move(&mut self, index: LogIndex, move_range: &MoveRange, fenced: bool) -> Applied {
--- a/crates/group/src/state_machine/change.rs
+++ b/crates/group/src/state_machine/change.rs
@@ -17,21 +17,21 @@
     },
     /// An operator ordered a drain; it is queued until the holder of the duty starts it.
     OrderQueued {
-        /// Index of the entry that gave the order.
+        /// Index of the entry that added the order.
         order_index: LogIndex,
         /// The order.
         order: OperatorOrder,
     },
     /// An operator's order took effect: a weight cap was added or a queued drain was started.
     OrderActivated {
-        /// Index of the entry that gave the order.
+        /// Index of the entry that added the order.
         order_index: LogIndex,
         /// The order.
         order: OperatorOrder,
     },
     /// An operator released an order, and the order no longer has effect.
     OrderReleased {
-        /// Index of the entry that gave the order.
+        /// Index of the entry that added the order.
         order_index: LogIndex,
         /// The order.
         order: OperatorOrder,
@@ -40,7 +40,7 @@
     RangeWithdrawn {
         /// The key range.
         range: u32,
-        /// Index of the entry that began the move.
+        /// Index of the entry that started the move.
         move_index: LogIndex,
     },
     /// A member confirmed that none of its forwarders still sends to the range's former owner.
--- a/crates/group/src/wire/commands.rs
+++ b/crates/group/src/wire/commands.rs
@@ -159,7 +159,7 @@
     /// The key range.
     #[prost(uint32, tag = "1")]
     pub range: u32,
-    /// Index of the entry that began the move.
+    /// Index of the entry that started the move.
     #[prost(uint64, tag = "2")]
     pub move_index: LogIndex,
     /// The member that confirms it.
@@ -173,7 +173,7 @@
     /// The key range.
     #[prost(uint32, tag = "1")]
     pub range: u32,
-    /// Index of the entry that began the move.
+    /// Index of the entry that started the move.
     #[prost(uint64, tag = "2")]
     pub move_index: LogIndex,
     /// Term of the leader that decided the assignment. The command is rejected if its entry is of another term.
