--- a/crates/simulator-codec/src/settings.rs
+++ b/crates/simulator-codec/src/settings.rs
@@ -291,7 +291,7 @@
         max_unserved_time: family.max_unserved_time,
         first_wait: family.first_wait,
         failures_to_avoid: family.failures_to_avoid,
-        slices: family.slices,
+        key_range_count: family.slices,
         sole_owner: family.sole_owner,
         lease_duration: family.lease_duration,
         in_flight_max: family.in_flight_max,
--- a/crates/simulator-codec/tests/settings.rs
+++ b/crates/simulator-codec/tests/settings.rs
@@ -80,7 +80,7 @@
         max_unserved_time: 18 * MS,
         first_wait: 20.0,
         failures_to_avoid: 19,
-        slices: 22,
+        key_range_count: 22,
         sole_owner: true,
         lease_duration: 30 * MS,
         in_flight_max: 21 * MS,
--- a/crates/xds-supervisor/src/deployment/controller.rs
+++ b/crates/xds-supervisor/src/deployment/controller.rs
@@ -116,7 +116,7 @@
             max_unserved_time: in_rules.duration("empty_for_ms", rules.max_unserved_time_ms, 0.0)?,
             first_wait: in_forwarders.number("first_wait", forwarders.first_wait, 0.0..=100.0)?,
             failures_to_avoid: forwarders.failures_to_avoid,
-            slices: 0,
+            key_range_count: 0,
             sole_owner: false,
             lease_duration: 0,
             in_flight_max: 0,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -151,7 +151,7 @@
     /// does.
     pub failures_to_avoid: u32,
     /// Number of key ranges that operations are partitioned into; 0: none. Not used by the controller.
-    pub slices: u16,
+    pub key_range_count: u16,
     /// Each key range has a single owner at a time. Not used by the controller.
     pub sole_owner: bool,
     /// How long a lease of a key range is valid. Not used by the controller.
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -56,7 +56,7 @@
         max_unserved_time: 2 * SECOND,
         first_wait: 1.0,
         failures_to_avoid: 5,
-        slices: 0,
+        key_range_count: 0,
         sole_owner: false,
         lease_duration: 0,
         in_flight_max: 4 * SECOND,
