--- a/src/interface.rs
+++ b/src/interface.rs
@@ -32,7 +32,7 @@
     Everywhere,
     /// Servers of the locality in which the request was first executed.
     Locality,
-    /// Servers of the cell in which the request was first executed.
+    /// Servers of the cell (see [`Endpoint::cell`]) in which the request was first executed.
     Cell,
 }
 
@@ -60,11 +60,11 @@
 /// How proxies apply admission limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionMode {
-    /// Proxies ignore them.
+    /// Proxies ignore admission limits.
     Ignored,
-    /// As the share of requests to admit, 0 to 1.
+    /// A limit is the share of requests that a proxy admits, 0 to 1.
     Ratio,
-    /// As requests per second.
+    /// A limit is the number of requests per second that a proxy admits.
     Rate,
 }
 
@@ -168,7 +168,7 @@
     pub message_limit_window: Nanos,
     /// Number of retries of a proxy that was sent no retry policy. Not used by the controller.
     pub retry_default: u8,
-    /// Minimum time between two polls of the endpoint list.
+    /// Minimum time between two polls of the endpoint list; also the maximum backoff after failed polls.
     pub poll_interval: Nanos,
     /// Share of its full capacity that a server has when it starts, 0 to 1.
     pub slow_start_capacity: f64,
@@ -269,7 +269,8 @@
     pub failures: f64,
     /// Total weight of the servers that are usually ready.
     pub usual_weight: f64,
-    /// Highest recent load that was served: work per unit of ready weight per report interval.
+    /// Highest recent load that was served per report interval and unit of weight. The load of a request is the
+    /// latency objective of its operation, ns.
     pub peak_load: f64,
     /// Limit on the admitted load, in the unit of `peak_load`; `None` if no load is shed.
     pub load_limit: Option<f64>,
@@ -391,11 +392,11 @@
         /// The server's load values; see [`LoadColumn`].
         load: Vec<f64>,
     },
-    /// A proxy has applied everything that was sent before a mark.
+    /// A proxy has applied everything that was sent to it before a mark; see [`Action::RequestAck`].
     Acknowledged {
         /// Id of the proxy.
         proxy: ProxyId,
-        /// Serial number of the mark; see [`Action::RequestAck`].
+        /// Serial number of the mark.
         serial: u64,
         /// Time from sending the mark to its application.
         elapsed: Nanos,
@@ -435,11 +436,11 @@
 pub enum RetryPolicy {
     /// Requests are never retried.
     Never,
-    /// Once, if the first attempt was provably not executed.
+    /// A request is retried once, if the first attempt was provably not executed.
     IfNotExecuted,
-    /// Once, after any failure.
+    /// A request is retried once, after any failure.
     Once,
-    /// Twice, after any failure.
+    /// A request is retried up to twice, after any failure.
     Twice,
 }
 
@@ -515,11 +516,12 @@
         /// When requests of these operations are retried.
         retry_policy: RetryPolicy,
     },
-    /// Request [`Event::Acknowledged`] from the proxies that receive the actions before this one.
+    /// Send a mark to the proxies that receive the actions before this one. A proxy acknowledges the mark with
+    /// [`Event::Acknowledged`] when it has applied these actions.
     RequestAck {
         /// Serial number of the mark.
         serial: u16,
-        /// Request it from all connected proxies, including those that receive none of the actions.
+        /// Send the mark to all connected proxies, including those that receive none of the actions.
         everyone: bool,
     },
 }
