--- a/src/channel.rs
+++ b/src/channel.rs
@@ -4,7 +4,9 @@
 //! messages and flushes it once per batch.
 //!
 //! Each rule has a module of its own. Since the queue is first-in-first-out, whatever a flush adds is
-//! delivered before anything added later.
+//! delivered before anything added later. Urgent changes (see `changes::Priority`) are therefore sent as soon
+//! as possible; deferrable changes, which are all others and the admission limits, are sent in batches at
+//! intervals.
 
 use std::collections::BTreeMap;
 
--- a/src/channel/assignment.rs
+++ b/src/channel/assignment.rs
@@ -17,9 +17,9 @@
 /// Which assignments are sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AssignmentScope {
-    /// Only urgent ones, which have a deadline.
+    /// Only urgent assignments, which have a deadline.
     Urgent,
-    /// All, within a share of the channel's capacity.
+    /// All assignments, within a share of the channel's capacity.
     All { capacity_share: f64 },
 }
 
@@ -97,9 +97,9 @@
         waiting.into_iter().map(|(assignment, _)| assignment).collect()
     }
 
-    /// Whether the assignment of a fallback subset is urgent: the proxy has no table from this supervisor and
-    /// may hold any servers, or it uses the full table and receives the table's urgent changes by this
-    /// assignment.
+    /// Whether a proxy waits for an urgent assignment of a fallback subset. The assignment is urgent if the
+    /// proxy has no table from this supervisor and may still use servers that are not ready, or if the proxy
+    /// leaves the full table and receives the assignment in place of that table's urgent changes.
     fn is_urgent_assignment(&self, proxy: &Proxy) -> bool {
         let may_hold_unready = proxy.assigned_table.is_none() && !self.unready_since.is_empty();
         let leaves_full_table = proxy.assigned_table == Some(FULL_TABLE) && !self.isolated;
--- a/src/channel/batch.rs
+++ b/src/channel/batch.rs
@@ -1,4 +1,4 @@
-//! A batch: the changes and limits that one flush sends together, and their cost to the channel.
+//! A batch of the channel: the changes and admission limits that are sent together, and their cost in lines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/channel/capacity_shares.rs
+++ b/src/channel/capacity_shares.rs
@@ -3,8 +3,8 @@
 
 use crate::pacing::Pacing;
 
-/// Share of the channel's capacity, 0 to 1, that deferrable changes may fill where overhead is large. The
-/// limit until the next batch may allow less.
+/// Share of the channel's capacity, 0 to 1, that deferrable changes may fill where overhead is large. Updates
+/// further limit them to what the channel sends until the next batch.
 pub(super) const DEFERRABLE_CAPACITY_SHARE: f64 = 0.3;
 /// Share of the capacity for table assignments and admission limits.
 pub(super) const ASSIGNMENT_CAPACITY_SHARE: f64 = 0.5;
@@ -18,7 +18,8 @@
 }
 
 /// Share of the capacity that deferrable changes may fill, where the overhead of one message to each proxy is
-/// `overhead_lines`. Urgent changes may need as many lines as their overhead.
+/// `overhead_lines`. It leaves room for urgent changes in a message to each proxy, with as many lines of
+/// changes as of overhead.
 pub(super) fn deferrable_share(pacing: &Pacing, overhead_lines: f64) -> f64 {
     let share = URGENT_CAPACITY_SHARE - 2.0 * overhead_lines / pacing.capacity_lines;
     share.clamp(DEFERRABLE_CAPACITY_SHARE, ASSIGNMENT_CAPACITY_SHARE)
--- a/src/channel/changes.rs
+++ b/src/channel/changes.rs
@@ -14,7 +14,7 @@
 /// Number of usable servers below which a table is given more servers at once.
 const MIN_USABLE_SERVERS: usize = 2;
 
-/// How soon a change is sent, most urgent first.
+/// How soon a change is sent, most urgent first. Changes of the last two priorities are deferrable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Priority {
     /// The change has a deadline or protects a server: a server drains, was removed or is warming up, or a
@@ -87,7 +87,7 @@
     }
 
     /// The weight that a server should have in a table; in [`EXCLUSIONS`], 1 excludes the server.
-    fn desired_line(&self, line: TableLine) -> f64 {
+    fn desired_table_weight(&self, line: TableLine) -> f64 {
         let desired = self.desired_weights.get(&line.server).copied().unwrap_or_default();
         match line.table {
             FULL_TABLE => desired.weight,
@@ -100,7 +100,7 @@
     fn usable_servers(&self) -> BTreeMap<TableId, UsableServers> {
         let mut usable: BTreeMap<TableId, UsableServers> = BTreeMap::new();
         for (&line, &sent) in self.sent.weights.iter().filter(|(_, sent)| **sent > 0.0) {
-            let desired = self.desired_line(line);
+            let desired = self.desired_table_weight(line);
             let table = usable.entry(line.table).or_default();
             table.count += usize::from(desired > 0.0);
             table.weight += sent.min(desired);
@@ -128,7 +128,7 @@
     fn change(&self, line: TableLine) -> Option<Change> {
         let channel = self.channel;
         let sent = channel.sent.weights.get(&line).copied().unwrap_or_default();
-        let weight = channel.desired_line(line);
+        let weight = channel.desired_table_weight(line);
         let repeats = line.table == EXCLUSIONS && sent > 0.0 && weight > 0.0;
         let weight_change = (weight - sent).abs();
         let differs = weight_change > MIN_WEIGHT_CHANGE * sent;
--- a/src/channel/obligations.rs
+++ b/src/channel/obligations.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use super::sent::{TableSize, FIXED_TABLE_LINES};
+use super::sent::{TableSize, FIXED_ASSIGNMENT_LINES};
 use super::Channel;
 use crate::deadlines::Obligation;
 use crate::interface::{Nanos, ServerId, TableId};
@@ -11,7 +11,8 @@
 use crate::subsets::fallback_subset_size;
 use crate::tables::{EXCLUSIONS, FULL_TABLE};
 
-/// As many more proxies are expected to join as have joined within this share of the drain grace period.
+/// Length of the recent past, as a share of the drain grace period: as many proxies are expected to join next
+/// as have joined within it.
 const RECENT_JOINS_GRACE_SHARE: f64 = 0.25;
 
 /// Number of urgent changes of a table, and when they are due.
@@ -98,7 +99,7 @@
     /// Number of lines of a message that assigns a fallback subset.
     pub(super) fn fallback_message_lines(&self) -> f64 {
         self.pacing.message_overhead
-            + FIXED_TABLE_LINES
+            + FIXED_ASSIGNMENT_LINES
             + self.admission_limits.len() as f64
             + fallback_subset_size(&self.desired_weights) as f64
     }
--- a/src/channel/sent.rs
+++ b/src/channel/sent.rs
@@ -9,7 +9,7 @@
 
 /// Number of lines of an assignment in addition to the table's servers and admission limits: the assignment
 /// itself and the mark that requests acknowledgement.
-pub(super) const FIXED_TABLE_LINES: f64 = 2.0;
+pub(super) const FIXED_ASSIGNMENT_LINES: f64 = 2.0;
 
 /// An admission limit for the users of a table.
 #[derive(Clone, Copy, Debug)]
@@ -31,9 +31,11 @@
 /// State that was sent to proxies.
 #[derive(Debug, Default)]
 pub(crate) struct SentState {
-    /// Weights by line. In [`EXCLUSIONS`], 1 means that all unassigned proxies were sent the exclusion; a
-    /// value between 0 and 1 that some have joined since (it is halved at each join so that it differs from
-    /// 1); 0 that the server was readmitted.
+    /// Weights by line. In [`EXCLUSIONS`] the values mean:
+    /// - 1: all unassigned proxies were sent the exclusion;
+    /// - between 0 and 1: proxies have joined since; the value is halved at each join so that it differs from
+    ///   1, the desired value;
+    /// - 0: the server was readmitted.
     pub(crate) weights: BTreeMap<TableLine, f64>,
     /// Admission limits by table and operation.
     admission_limits: BTreeMap<(TableId, usize), AdmissionLimit>,
@@ -83,7 +85,7 @@
         admission_limits: usize,
         desired: &DesiredWeights,
     ) -> BTreeMap<TableId, TableSize> {
-        let empty = TableSize { lines: FIXED_TABLE_LINES + admission_limits as f64, readmissions: 0.0 };
+        let empty = TableSize { lines: FIXED_ASSIGNMENT_LINES + admission_limits as f64, readmissions: 0.0 };
         let has_known_start =
             |server| desired.get(server).is_some_and(|desired: &DesiredWeight| desired.has_known_start);
         let mut sizes: BTreeMap<TableId, TableSize> = BTreeMap::new();
--- a/src/channel/table_choice.rs
+++ b/src/channel/table_choice.rs
@@ -76,8 +76,8 @@
     /// drain grace period.
     fn max_full_table_users(&self) -> usize {
         let deliverable = self.pacing.deliverable_lines(self.drain_grace);
-        let sending = deliverable - self.pacing.configured_queue_target;
-        (MOVE_CAPACITY_SHARE * sending.max(0.0) / self.fallback_message_lines()) as usize
+        let available = deliverable - self.pacing.configured_queue_target;
+        (MOVE_CAPACITY_SHARE * available.max(0.0) / self.fallback_message_lines()) as usize
     }
 
     /// Moves waiting proxies beyond the maximum number on the full table to fallback subsets, those with the
--- a/src/channel/updates.rs
+++ b/src/channel/updates.rs
@@ -2,7 +2,7 @@
 //! channel. The remaining changes are sent later.
 //!
 //! Guards the channel against anything that changes many lines at once: a mass restart, a wrong endpoint
-//! list, or noise. Whatever else is waiting, draining and removed servers must leave the tables, and warming
+//! list, or noise in the weights. Whatever else is waiting, draining and removed servers must leave the tables, and warming
 //! servers must not receive a full share. During legitimate mass changes, tables lag behind by seconds.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,7 +28,7 @@
 /// ones.
 const DEFERRABLE_MESSAGE_SHARE: f64 = 0.3;
 /// Lines of table assignments that may be sent before the next deferrable changes, per line of changes sent.
-const ASSIGNMENT_LINES_PER_LINE: f64 = 3.0;
+const ASSIGNMENT_LINES_PER_CHANGE_LINE: f64 = 3.0;
 /// Maximum number of lines of assignments before the next deferrable changes, as a share of what the channel
 /// sends within a drain grace period. Assignments come first since having no table is worse than having an
 /// outdated one.
@@ -146,7 +146,8 @@
         let mut tables: BTreeSet<TableId> = worth_updating.map(|(&table, _)| table).collect();
         let full_table_waits = urgent_lines.contains_key(&FULL_TABLE) && !tables.contains(&FULL_TABLE);
         if self.is_leaving_full_table() || full_table_waits {
-            // Otherwise users of a table that still contains the server would have to exclude it too.
+            // An exclusion also reaches users of a table that still contains the server. Exclusions therefore
+            // wait until these users have received the full table's urgent changes or another table.
             tables.remove(&EXCLUSIONS);
         }
         tables
@@ -201,7 +202,7 @@
         }
         let max_quota =
             MAX_ASSIGNMENT_GRACE_SHARE * self.drain_grace as f64 * self.pacing.configured_lines_per_ns;
-        self.assignment_quota = (ASSIGNMENT_LINES_PER_LINE * batch.cost()).min(max_quota);
+        self.assignment_quota = (ASSIGNMENT_LINES_PER_CHANGE_LINE * batch.cost()).min(max_quota);
         self.pacing.record_sent(batch.cost(), recipients, mailboxes);
     }
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -68,7 +68,7 @@
         if !self.started {
             self.started = true;
             self.set_tick_timer();
-            self.mailboxes.send(Component::Endpoints, Message::RetryWatch);
+            self.mailboxes.send(Component::Endpoints, Message::StartWatch);
         }
         // Servers are compared with the statuses of the previous evaluation. After a restore there are none
         // yet, so a second evaluation follows.
@@ -77,15 +77,15 @@
         for event in events {
             self.dispatch(event);
         }
-        self.empty_mailboxes();
+        self.deliver_messages();
         self.forget_removed_servers();
         for _ in 0..evaluations {
             let servers = self.servers.keys().copied().collect();
             self.mailboxes.send(Component::Fleet, Message::EvaluateAll(servers));
-            self.empty_mailboxes();
+            self.deliver_messages();
         }
         self.mailboxes.send(Component::Channel, Message::Flush);
-        self.empty_mailboxes();
+        self.deliver_messages();
         std::mem::take(&mut self.mailboxes.actions)
     }
 
@@ -116,14 +116,14 @@
                 (Component::Channel, Message::Acknowledged { proxy, serial })
             }
             Event::TimerFired { token: TICK_TIMER } => return self.set_tick_timer(),
-            Event::TimerFired { token: WATCH_RETRY_TIMER } => (Component::Endpoints, Message::RetryWatch),
+            Event::TimerFired { token: WATCH_RETRY_TIMER } => (Component::Endpoints, Message::StartWatch),
             _ => return,
         };
         self.mailboxes.send(component, message);
     }
 
     /// Delivers messages to their components until none is left.
-    fn empty_mailboxes(&mut self) {
+    fn deliver_messages(&mut self) {
         while let Some((component, message)) = self.mailboxes.next() {
             match component {
                 Component::Endpoints => self.endpoints.handle(message, &mut self.mailboxes),
--- a/src/deadlines.rs
+++ b/src/deadlines.rs
@@ -30,8 +30,8 @@
 impl DeliveryForecast {
     /// Returns when the last of `lines` additional lines arrives.
     pub(crate) fn arrival(&self, lines: f64) -> Nanos {
-        let sending = (self.queued_lines + lines) / self.lines_per_ns;
-        self.now + sending as Nanos + self.transit
+        let sending_time = (self.queued_lines + lines) / self.lines_per_ns;
+        self.now + sending_time as Nanos + self.transit
     }
 
     /// Maximum lateness of the obligations if the earliest deadlines are served first; 0 if all are met. No
--- a/src/ejection.rs
+++ b/src/ejection.rs
@@ -181,8 +181,8 @@
     }
 }
 
-/// Returns the servers to eject: the outliers, worst first, up to [`MAX_EJECTED_SHARE`] of the ready servers,
-/// and never the last warm one. Guards against empty tables when all servers fail for a common cause.
+/// Returns the servers to eject, up to [`MAX_EJECTED_SHARE`] of the ready servers and never the last warm one:
+/// first the servers that are ejected already, then other outliers, the most severe first. Guards against empty tables when all servers fail for a common cause.
 pub(crate) fn servers_to_eject(statuses: &BTreeMap<ServerId, ServerStatus>) -> BTreeSet<ServerId> {
     let ready = || statuses.values().filter(|status| status.is_ready());
     let mut outliers: Vec<&ServerStatus> =
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -15,7 +15,7 @@
 pub(crate) const WATCH_RETRY_TIMER: u64 = 2;
 /// The first backoff is the poll interval shifted right by this many bits: a sixteenth of it.
 const FIRST_BACKOFF_SHIFT: u32 = 4;
-/// Number of times that the backoff doubles at most, up to the full poll interval.
+/// Maximum number of times that the backoff doubles, until it is the full poll interval.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 /// A listed weight beyond this or below its inverse is not a plausible capacity and is replaced by 1.
 const MAX_LISTED_WEIGHT: f64 = 1e6;
@@ -61,7 +61,7 @@
                 self.replace(endpoints, mailboxes)
             }
             Message::Restored { snapshot, age } => forward_snapshot(snapshot, age, mailboxes),
-            Message::RetryWatch if self.polls => {
+            Message::StartWatch if self.polls => {
                 mailboxes.actions.push(Action::WatchEndpoints { on: true });
             }
             _ => {}
--- a/src/isolation.rs
+++ b/src/isolation.rs
@@ -19,8 +19,8 @@
 /// Minimum share of the ready servers that must be failing, 0 to 1.
 const MIN_FAILING_SHARE: f64 = 0.4;
 /// Lateness (mean response time divided by `overload_response_time`) at which proxies are not isolated
-/// however many servers fail; at half of it, more than half of the servers must be failing. An overload makes
-/// as many servers fail, but with late responses.
+/// however many servers fail; at half of it, more than half of the servers must be failing. An overload also
+/// makes many servers fail, but its responses are late.
 const MAX_LATENESS_RATIO: f64 = 1.5;
 
 /// Decides when proxies are isolated because connections are hard to establish.
--- a/src/message.rs
+++ b/src/message.rs
@@ -10,7 +10,8 @@
 /// One second, in [`Nanos`].
 pub(crate) const SECOND: Nanos = 1_000_000_000;
 
-/// Maximum time between two evaluations.
+/// Maximum time between two evaluations: a quarter of the report interval, but at least 25 ms and at most
+/// 250 ms.
 pub(crate) fn tick_interval(config: &ControllerConfig) -> Nanos {
     config.report_interval.clamp(SECOND / 10, SECOND) / 4
 }
@@ -37,8 +38,8 @@
     Endpoints(WatchEvent),
     /// State learned by an earlier process; the endpoint list forwards it to the fleet.
     Restored { snapshot: Snapshot, age: Nanos },
-    /// A failed watch must be retried.
-    RetryWatch,
+    /// The watch must be started: this process has just started, or the backoff after a failed watch is over.
+    StartWatch,
 
     // Messages to a server.
     /// The server's part of the restored state.
@@ -47,7 +48,7 @@
     Listed(Endpoint),
     /// The server is absent from a full list.
     Removed,
-    /// What proxies observed at the server.
+    /// Outcomes of attempts at the server.
     Report(EndpointReport),
     /// The server must respond with its [`ServerStatus`].
     Evaluate(EvaluationInputs),
@@ -184,8 +185,8 @@
 pub(crate) struct DesiredWeight {
     /// Weight of the server; 0: not in the table.
     pub(crate) weight: f64,
-    /// The server is warming up or is not ready: a reduction of its weight does not wait for the next batch,
-    /// and subsets do not rely on it.
+    /// The server is warming up or is not ready: a reduction of its weight is an urgent change, and subsets
+    /// do not rely on it.
     pub(crate) unstable: bool,
     /// Proxies must exclude the server: it is draining, or it was removed while it still received requests
     /// and removal is not advisory.
--- a/src/pacing.rs
+++ b/src/pacing.rs
@@ -69,8 +69,8 @@
         pacing
     }
 
-    /// Expected time between leaving the channel and arriving at the proxy, chosen halfway between mean and
-    /// worst transit.
+    /// Expected time between leaving the channel and arriving at the proxy: halfway between mean and worst
+    /// transit.
     fn likely_transit(&self) -> Nanos {
         self.mean_transit + self.worst_transit.saturating_sub(self.mean_transit) / 2
     }
@@ -111,8 +111,8 @@
     ) {
         self.queued_lines += lines;
         self.last_sent_at = mailboxes.now;
-        let sending = (self.queued_lines / self.learned_lines_per_ns()) as Nanos;
-        let due = mailboxes.now + sending + self.mean_transit;
+        let sending_time = (self.queued_lines / self.learned_lines_per_ns()) as Nanos;
+        let due = mailboxes.now + sending_time + self.mean_transit;
         let last_mark = self.pending_marks.get_mut(&self.last_serial.into());
         if let Some(mark) = last_mark.filter(|mark| mark.sent_at == mailboxes.now) {
             mark.awaiting.extend(recipients);
--- a/src/pacing/learned_rate.rs
+++ b/src/pacing/learned_rate.rs
@@ -13,7 +13,7 @@
     pub(super) configured_time: f64,
     /// Time shown by acknowledgements, less the mean transit time.
     pub(super) time: f64,
-    /// Variation of the transit time.
+    /// Longest transit time less the mean transit time.
     pub(super) jitter: f64,
 }
 
--- a/src/pacing/message_limit.rs
+++ b/src/pacing/message_limit.rs
@@ -10,6 +10,7 @@
     /// Half of the limit; infinite without a limit.
     half_limit: f64,
     window: Nanos,
+    /// Messages written recently; falls by `half_limit` per window.
     recent: f64,
 }
 
--- a/src/server.rs
+++ b/src/server.rs
@@ -229,7 +229,8 @@
     }
 }
 
-/// Results of an evaluation, computed before a finished ejection is ended.
+/// Values that an evaluation computes before it ends an ejection whose time is over, since the end of the
+/// ejection discards the learned state.
 struct Evaluation {
     /// Share of recent attempts that failed, 0 to 1.
     error_rate: f64,
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -20,8 +20,8 @@
 /// This share of `overload_ratio`, but at least 1, multiplies the failure rate at which warming servers are
 /// held back.
 const HOLD_BACK_OVERLOAD_SHARE: f64 = 0.4;
-/// Avoidance counts as common when a proxy sees `failures_to_avoid` consecutive failures with this
-/// probability, 0 to 1.
+/// Probability, 0 to 1, that a proxy sees `failures_to_avoid` consecutive failures and avoids the server. From
+/// this probability on, avoidance counts as common.
 const AVOIDANCE_PROBABILITY: f64 = 0.01;
 /// Upper bound of the failure rate, as a multiple of the warm servers' median error rate, so that failures of
 /// a few servers do not count.
@@ -66,6 +66,7 @@
             return 1.0;
         }
         let capacity = self.capacity + (1.0 - self.capacity) * age as f64 / self.duration as f64;
+        // Below 1, since a share of 1 means that the server is warm.
         (capacity * self.overload_factor).min(1.0 - f64::EPSILON)
     }
 }
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -20,8 +20,8 @@
 const RESTORED_SHARE: f64 = 0.8;
 /// Maximum age up to which states, such as health or a limit, are restored; sums are restored at any age.
 const MAX_STATE_AGE: Nanos = 60 * SECOND;
-/// Number of missing responses of a restored ejected server. With any positive number, its first response
-/// ends an ejection for being unresponsive.
+/// Number of missing responses of a restored ejected server. It must be positive: the ejection of an
+/// unresponsive server ends when a response resets the number to 0.
 const RESTORED_MISSING_RESPONSES: f64 = 1.0 / EXPECTED_FALSE_POSITIVES;
 
 /// Weight of a restored sum of this age.
--- a/src/subsets/isolation_groups.rs
+++ b/src/subsets/isolation_groups.rs
@@ -1,5 +1,5 @@
-//! Groups of isolated proxies and their servers. [`crate::isolation`] decides when proxies are isolated.
-//! Called by the channel.
+//! Groups of isolated proxies and their servers. [`crate::isolation`] decides when proxies are isolated; the
+//! channel then forms the groups.
 
 use std::collections::BTreeMap;
 
