--- a/crates/snapshot/src/stored.rs
+++ b/crates/snapshot/src/stored.rs
@@ -39,8 +39,8 @@
     pub taken_at: Nanos,
     /// State that the controller had learned.
     pub learned: Snapshot,
-    /// Incarnation of each server about which state was learned; the state does not apply to a later
-    /// incarnation.
+    /// Incarnation (number of the last start) of each server about which state was learned; the state does not
+    /// apply to a later incarnation.
     pub incarnations: BTreeMap<ServerId, u64>,
     /// Requests per second that each proxy received, by node id.
     pub proxy_rates: BTreeMap<String, f64>,
@@ -53,7 +53,7 @@
         postcard::to_extend(&(CURRENT_SCHEMA, SchemaV2::from(self)), Vec::new()).unwrap_or_default()
     }
 
-    /// Decodes the newest snapshot of a file.
+    /// Decodes the snapshot in a file; if the file has several records, the last one.
     ///
     /// # Errors
     ///
--- a/crates/snapshot/src/tests.rs
+++ b/crates/snapshot/src/tests.rs
@@ -65,7 +65,7 @@
 
 #[rstest]
 #[case::newer(postcard::to_extend(&(9_u16, 1_u8), Vec::new()).unwrap(), SnapshotError::UnsupportedSchema(9))]
-#[case::nonsense(b"\x02nonsense".to_vec(), SnapshotError::Malformed)]
+#[case::undecodable(b"\x02nonsense".to_vec(), SnapshotError::Malformed)]
 #[case::trailing_byte([snapshot(1).encode_record(), vec![0]].concat(), SnapshotError::Malformed)]
 #[case::rate_is_not_a_number(
     StoredSnapshot { proxy_rates: [("f".to_owned(), f64::NAN)].into(), ..snapshot(1) }.encode_record(),
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn stored_proxy_rate_decays_to_the_reported_one() {
+fn stored_proxy_rate_decays_to_the_reported_rate_and_snapshots_are_two_intervals_apart() {
     let policy = FreshnessPolicy { report_interval: SECOND };
     assert_eq!(policy.expected_rate(10.0, None, 0), 10.0);
     assert_eq!(policy.expected_rate(10.0, Some(30.0), 0), 20.0);
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -26,15 +26,18 @@
 }
 
 #[rstest]
-fn late_responses_shed_the_operation_of_least_value_for_its_cost(config: ControllerConfig) {
+fn late_responses_limit_the_operation_with_the_least_value_per_cost(config: ControllerConfig) {
     let limits = limits_after(&config, [SECOND / 5, 3 * SECOND]);
     assert!(limits[0] < 0.8 && limits[1] == 1.0, "{limits:?}");
 }
 
 #[rstest]
 #[case::quick([SECOND / 5, SECOND / 5])]
-#[case::first_measure_is_not_extrapolated([0, SECOND / 2])]
-fn quick_responses_admit_everything(config: ControllerConfig, #[case] response_times: [Nanos; 2]) {
+#[case::first_measurement_is_not_extrapolated([0, SECOND / 2])]
+fn all_requests_are_admitted_while_responses_are_quick(
+    config: ControllerConfig,
+    #[case] response_times: [Nanos; 2],
+) {
     assert_eq!(limits_after(&config, response_times), [1.0, 1.0]);
 }
 
--- a/src/channel/assignment/tests.rs
+++ b/src/channel/assignment/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[rstest]
-fn assignments_are_spread_when_the_channel_is_full(mut config: ControllerConfig) {
+fn assignments_beyond_the_capacity_of_the_channel_wait(mut config: ControllerConfig) {
     config.channel_capacity = 40.0;
     let actions = running_controller(&config).decide(START + 1, (2..30).map(joined).collect());
     let assigned = assignments(&actions);
@@ -59,8 +59,8 @@
     }
     let proxies = controller.channel.proxies.by_id.values();
     let assigned = proxies.filter(|proxy| proxy.assigned_table.is_some()).count();
-    // The channel sends 1,000 lines per second for 30 s; a full table takes 109. At least half of that goes
-    // to newly joined proxies.
+    // The channel sends 1,000 lines per second for 30 s; a full table takes 109. At least 47 % of
+    // that goes to newly joined proxies.
     assert!(assigned >= 130, "{assigned} have a table");
     assert!(removals >= 20, "{removals} removals sent");
     assert!(most_assigned_lines <= queue_target, "{most_assigned_lines} at once");
--- a/src/channel/exclusions/tests.rs
+++ b/src/channel/exclusions/tests.rs
@@ -13,7 +13,7 @@
 
 #[rstest]
 #[case::draining_server_is_excluded(Readiness::Draining, true)]
-#[case::removed_server_is_not(Readiness::Removed, false)]
+#[case::removed_server_is_not_excluded(Readiness::Removed, false)]
 fn proxy_without_a_table_is_sent_exclusions_when_a_table_would_be_late(
     mut config: ControllerConfig,
     #[case] readiness: Readiness,
@@ -53,6 +53,7 @@
     };
     fill(&mut controller, 1);
     controller.decide(START + 1, (0..20).map(joined).collect());
+    // A message takes 5 lines of overhead, the mark and 50 exclusions.
     assert_eq!(controller.channel.pacing.queued_lines, 2_000.0 + 20.0 * (5.0 + 1.0 + 50.0));
     for at in 2..20 {
         fill(&mut controller, at);
--- a/src/channel/updates/tests.rs
+++ b/src/channel/updates/tests.rs
@@ -40,7 +40,8 @@
 #[rstest]
 fn changes_are_coalesced_longer_where_overhead_would_fill_the_channel(config: ControllerConfig) {
     // With 300 proxies, 6 lines of overhead each and 1,000 lines per second, overhead alone takes the channel
-    // 1.8 s. The grace period is long enough for all proxies to use the full table.
+    // 1.8 s. It may take a share of 0.4 of the rate, so there are 4.5 s between two batches. The grace period is
+    // long enough for all proxies to use the full table.
     let config =
         ControllerConfig { channel_capacity: 9_000.0, proxy_count: 300, drain_grace: 10 * SECOND, ..config };
     let mut controller = Controller::new(&config);
@@ -79,9 +80,10 @@
     servers
 }
 
-/// Number of lines that actions add to the channel, counted as on the wire: a table takes 9 in addition to
-/// its servers, an update 6 in addition to its changes. `users` are those before the actions, `servers` those
-/// after them.
+/// Number of lines that actions add to the channel, counted as on the wire. An assignment takes 9 lines in
+/// addition to the table's servers: 5 of message overhead, the assignment, the mark and two admission limits. An
+/// update takes 6 in addition to its changes: 5 of overhead and the mark. `users` are the numbers of users before
+/// the actions, `servers` the numbers of servers after them.
 fn wire_lines(
     actions: &[Action],
     users: &BTreeMap<TableId, usize>,
@@ -118,6 +120,7 @@
     proxies.for_each(|proxy| proxy.assigned_table = Some(FULL_TABLE));
     let mut events = list_changes((1..=200).map(|id| Endpoint { readiness, started_at, ..endpoint(id) }));
     let (mut queued, mut sent) = (400.0 * 12.0 * ASSIGNMENT_CAPACITY_SHARE, 0);
+    // The channel sends 320 lines in a tenth of a second and can queue 4,800 lines.
     for tenth in 1..200 {
         queued = f64::max(queued - 320.0, 0.0);
         let users_before = users(&controller);
--- a/src/ejection/tests.rs
+++ b/src/ejection/tests.rs
@@ -60,7 +60,7 @@
 #[case::unresponsive_responds(Fault::Unresponsive, SECOND, false)]
 #[case::failing_responds(Fault::Errors, SECOND, true)]
 #[case::ejection_time_over(Fault::Errors, BASE_EJECTION_TIME, false)]
-fn ejected_server_returns_after_the_ejection_time_or_if_unresponsive_when_it_responds(
+fn ejected_server_returns_after_the_ejection_time_and_an_unresponsive_one_when_it_responds(
     #[case] fault: Fault,
     #[case] after: Nanos,
     #[case] still_ejected: bool,
@@ -111,7 +111,10 @@
 #[rstest]
 #[case::small(30, 5.0)]
 #[case::large(600, 8.0)]
-fn larger_fleet_needs_more_missing_responses(#[case] servers: u32, #[case] missing_responses: f64) {
+fn larger_fleet_needs_more_missing_responses_before_a_server_is_unresponsive(
+    #[case] servers: u32,
+    #[case] missing_responses: f64,
+) {
     let mut mailboxes = Mailboxes::at(START);
     fleet((1..=servers).map(status)).request_statuses(vec![1], &mut mailboxes);
     let Some((_, Message::Evaluate(inputs))) = mailboxes.next() else {
--- a/src/health/tests.rs
+++ b/src/health/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[rstest]
-fn capacity_factor_of_a_slow_server_among_its_kind_is_low_within_the_bound() {
+fn capacity_factor_of_a_server_slower_than_its_kind_is_below_one_and_bounded() {
     let fleet = EvaluationInputs {
         median_response_time: 100.0,
         kind_response_time: 100.0,
--- a/src/pacing/tests.rs
+++ b/src/pacing/tests.rs
@@ -3,6 +3,8 @@
 use super::*;
 use crate::testing::{config, START};
 
+/// Of 1,200 lines, 900 are unacknowledged after one of four acknowledgements; 200 of these are in transit. A mark
+/// counts as lost after 12 times the second in which the full channel empties.
 #[rstest]
 #[case::acknowledged(4, 1, 0.0)]
 #[case::three_of_four_unacknowledged(1, 1, 700.0)]
@@ -55,7 +57,8 @@
 }
 
 /// Guards against mistaking a channel at a tenth of its rate for an idle one: lines that would be in transit
-/// at the configured rate are still queued, which shows once most acknowledgements are late.
+/// at the configured rate are still queued, which shows once most acknowledgements are late. In time, 2,000 of
+/// the 6,000 lines are acknowledged and 200 are taken to be in transit.
 #[rstest]
 #[case::in_time(0, 6_000.0 - 2_000.0 - 200.0)]
 #[case::late(2, 6_000.0)]
--- a/src/slow_start/tests.rs
+++ b/src/slow_start/tests.rs
@@ -89,7 +89,7 @@
 }
 
 #[rstest]
-fn warming_servers_serve_where_no_warm_one_is_left() {
+fn warming_servers_keep_a_weight_when_no_warm_server_is_left() {
     let mut fleet = fleet((1..5).map(|id| warming(id, 0.2)));
     fleet.update_weights(&BTreeSet::new(), 0.3, START);
     assert!(fleet.weights.values().all(|&weight| weight > 0.0));
