--- a/src/admission.rs
+++ b/src/admission.rs
@@ -14,7 +14,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Mean response time above which the fleet counts as overloaded, as a share of the mean latency objective.
+/// Mean response time above which the fleet counts as overloaded, as a share of the operations' mean latency
+/// objective (weighted by their value).
 const OVERLOAD_LATENCY_SHARE: f64 = 0.65;
 /// Overload below which the load limit is raised. Between this value and 1 the limit never falls and rises
 /// only to the load that is served.
--- a/src/channel.rs
+++ b/src/channel.rs
@@ -12,11 +12,11 @@
 
 use crate::deadlines::DeadlineStatistics;
 use crate::interface::{ControllerConfig, Nanos, ProxyId, ServerId};
-use crate::message::{AdmissionLimit, Component, DesiredWeight, Mailboxes, Message, SECOND};
+use crate::message::{AdmissionLimit, Component, DesiredState, Mailboxes, Message, SECOND};
 use crate::pacing::Pacing;
 use crate::proxies::Proxies;
 use crate::subsets::Subsets;
-use crate::tables::{DesiredWeights, FULL_TABLE};
+use crate::tables::{DesiredStates, FULL_TABLE};
 
 use assignment::AssignmentScope;
 use capacity_shares::{ASSIGNMENT_CAPACITY_SHARE, DEFERRABLE_CAPACITY_SHARE};
@@ -48,7 +48,7 @@
     pub(crate) proxies: Proxies,
     /// Number of proxies of all supervisors together.
     proxy_count: usize,
-    pub(crate) desired_weights: DesiredWeights,
+    pub(crate) desired_states: DesiredStates,
     admission_limits: Vec<AdmissionLimit>,
     /// Servers that are not ready, and when this became known.
     unready_since: BTreeMap<ServerId, Nanos>,
@@ -84,7 +84,7 @@
     pub(crate) fn handle(&mut self, message: Message, mailboxes: &mut Mailboxes) {
         let now = mailboxes.now;
         match message {
-            Message::DesiredWeight(server, desired) => self.set_desired_weight(server, desired, now),
+            Message::DesiredState(server, desired) => self.set_desired_state(server, desired, now),
             Message::AdmissionLimits(limits) => self.admission_limits = limits,
             Message::Isolate(isolated) => self.set_isolated(isolated, mailboxes),
             Message::Joined { proxy, rate, is_new } => self.join(proxy, rate, is_new, now),
@@ -100,8 +100,8 @@
         }
     }
 
-    fn set_desired_weight(&mut self, server: ServerId, desired: DesiredWeight, now: Nanos) {
-        self.desired_weights.insert(server, desired);
+    fn set_desired_state(&mut self, server: ServerId, desired: DesiredState, now: Nanos) {
+        self.desired_states.insert(server, desired);
         if desired.unready {
             self.unready_since.entry(server).or_insert(now);
         } else {
@@ -116,10 +116,10 @@
             self.isolated = isolated;
             self.proxies.by_id.values_mut().for_each(|proxy| proxy.intended_table = FULL_TABLE);
             if isolated {
-                self.subsets.isolate(&mut self.proxies, &self.desired_weights);
+                self.subsets.isolate(&mut self.proxies, &self.desired_states);
             }
         }
-        self.subsets.replenish(&self.desired_weights);
+        self.subsets.replenish(&self.desired_states);
         let servers = if self.isolated { self.subsets.servers() } else { Default::default() };
         mailboxes.send(Component::Fleet, Message::SubsetServers(servers));
     }
@@ -136,7 +136,7 @@
         if self.sent.is_in_a_table(server) {
             return false;
         }
-        self.desired_weights.remove(&server);
+        self.desired_states.remove(&server);
         self.unready_since.remove(&server);
         self.subsets.forget_server(server);
         self.sent.forget_server(server);
--- a/src/channel/changes.rs
+++ b/src/channel/changes.rs
@@ -88,7 +88,7 @@
 
     /// The weight that a server should have in a table; in [`EXCLUSIONS`], 1 excludes the server.
     fn desired_table_weight(&self, line: TableLine) -> f64 {
-        let desired = self.desired_weights.get(&line.server).copied().unwrap_or_default();
+        let desired = self.desired_states.get(&line.server).copied().unwrap_or_default();
         match line.table {
             FULL_TABLE => desired.weight,
             EXCLUSIONS if desired.unstable && desired.weight == 0.0 => 1.0,
@@ -116,9 +116,9 @@
         let mut lines: BTreeSet<TableLine> =
             channel.sent.weights.keys().chain(&channel.subsets.lines).copied().collect();
         let in_table = |table| move |server: &ServerId| TableLine { table, server: *server };
-        lines.extend(channel.desired_weights.keys().map(in_table(FULL_TABLE)));
+        lines.extend(channel.desired_states.keys().map(in_table(FULL_TABLE)));
         if self.exclusions_are_due {
-            let excluded = channel.desired_weights.iter().filter(|(_, desired)| desired.must_exclude);
+            let excluded = channel.desired_states.iter().filter(|(_, desired)| desired.must_exclude);
             lines.extend(excluded.map(|(server, _)| server).map(in_table(EXCLUSIONS)));
         }
         lines
@@ -135,7 +135,7 @@
         if !differs || (repeats && !self.exclusions_are_due) {
             return None;
         }
-        let desired = channel.desired_weights.get(&line.server).copied().unwrap_or_default();
+        let desired = channel.desired_states.get(&line.server).copied().unwrap_or_default();
         // Changes for servers that must be excluded are sent first, in the order full table, subsets,
         // exclusions: an exclusion also reaches users of a table that still contains the server.
         let sort_key =
--- a/src/channel/changes/tests.rs
+++ b/src/channel/changes/tests.rs
@@ -1,7 +1,7 @@
 use rstest::rstest;
 
 use crate::interface::ControllerConfig;
-use crate::message::DesiredWeight;
+use crate::message::DesiredState;
 use crate::testing::{config, running_controller, START};
 
 #[rstest]
@@ -13,7 +13,7 @@
     #[case] differs: bool,
 ) {
     let mut channel = running_controller(&config).channel;
-    let desired = DesiredWeight { weight, ..channel.desired_weights[&1] };
-    channel.desired_weights.insert(1, desired);
+    let desired = DesiredState { weight, ..channel.desired_states[&1] };
+    channel.desired_states.insert(1, desired);
     assert_eq!(!channel.differing_lines(START).is_empty(), differs);
 }
--- a/src/channel/exclusions.rs
+++ b/src/channel/exclusions.rs
@@ -17,8 +17,8 @@
     /// exclusions are sent only when a table can no longer arrive in time, and only if a fallback subset
     /// takes at least as many lines or there is none.
     pub(super) fn exclusions_are_due(&self, now: Nanos) -> bool {
-        let excluded = self.desired_weights.values().filter(|desired| desired.must_exclude).count();
-        let fallback_servers = fallback_subset_size(&self.desired_weights);
+        let excluded = self.desired_states.values().filter(|desired| desired.must_exclude).count();
+        let fallback_servers = fallback_subset_size(&self.desired_states);
         if fallback_servers > 0 && excluded > fallback_servers {
             return false;
         }
--- a/src/channel/obligations.rs
+++ b/src/channel/obligations.rs
@@ -53,7 +53,10 @@
     }
 
     /// Returns the obligations to send urgent changes to the users of each table.
-    pub(super) fn update_obligations(&self, urgent: &BTreeMap<TableId, UrgentLines>) -> Vec<Obligation> {
+    pub(super) fn urgent_change_obligations(
+        &self,
+        urgent: &BTreeMap<TableId, UrgentLines>,
+    ) -> Vec<Obligation> {
         let users_by_table = self.proxies.users_by_table();
         let obligation = |(table, urgent): (&TableId, &UrgentLines)| {
             let users = users_by_table.get(table).copied().unwrap_or_default();
@@ -101,7 +104,7 @@
         self.pacing.message_overhead
             + FIXED_ASSIGNMENT_LINES
             + self.admission_limits.len() as f64
-            + fallback_subset_size(&self.desired_weights) as f64
+            + fallback_subset_size(&self.desired_states) as f64
     }
 
     /// Cost of a message that updates a table, in addition to its changes, in lines: its overhead and the
@@ -112,6 +115,6 @@
 
     /// Number of lines that an assignment of each table takes.
     pub(super) fn table_sizes(&self) -> BTreeMap<TableId, TableSize> {
-        self.sent.table_sizes(self.admission_limits.len(), &self.desired_weights)
+        self.sent.table_sizes(self.admission_limits.len(), &self.desired_states)
     }
 }
--- a/src/channel/sent.rs
+++ b/src/channel/sent.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::{Action, ServerId, TableId};
-use crate::message::{AdmissionLimit, DesiredWeight, Mailboxes};
-use crate::tables::{DesiredWeights, TableLine, EXCLUSIONS, FULL_TABLE};
+use crate::message::{AdmissionLimit, DesiredState, Mailboxes};
+use crate::tables::{DesiredStates, TableLine, EXCLUSIONS, FULL_TABLE};
 
 /// Number of lines of an assignment in addition to the table's servers and admission limits: the assignment
 /// itself and the mark that requests acknowledgement.
@@ -83,11 +83,11 @@
     pub(super) fn table_sizes(
         &self,
         admission_limits: usize,
-        desired: &DesiredWeights,
+        desired: &DesiredStates,
     ) -> BTreeMap<TableId, TableSize> {
         let empty = TableSize { lines: FIXED_ASSIGNMENT_LINES + admission_limits as f64, readmissions: 0.0 };
         let has_known_start =
-            |server| desired.get(server).is_some_and(|desired: &DesiredWeight| desired.has_known_start);
+            |server| desired.get(server).is_some_and(|desired: &DesiredState| desired.has_known_start);
         let mut sizes: BTreeMap<TableId, TableSize> = BTreeMap::new();
         for TableLine { table, server } in self.lines_in_use() {
             let size = sizes.entry(*table).or_insert(empty);
--- a/src/channel/table_choice.rs
+++ b/src/channel/table_choice.rs
@@ -27,12 +27,12 @@
 impl Channel {
     /// Chooses the table that each proxy should use.
     pub(super) fn choose_tables(&mut self, now: Nanos) {
-        if self.isolated || fallback_subset_size(&self.desired_weights) == 0 {
+        if self.isolated || fallback_subset_size(&self.desired_states) == 0 {
             return;
         }
-        self.limit_full_table();
+        self.limit_full_table_users();
         let urgent = self.urgent_lines_by_table(now);
-        let updates = self.update_obligations(&urgent);
+        let updates = self.urgent_change_obligations(&urgent);
         let newly_joined = self.newly_joined_obligations(now);
         let mut obligations: Vec<Obligation> = updates.iter().chain(&newly_joined).copied().collect();
         if self.pacing.forecast(now).meets_all(&mut obligations) {
@@ -51,7 +51,7 @@
     }
 
     fn move_to_fallback_subsets(&mut self, proxies: &[ProxyId]) {
-        self.subsets.move_to_fallback_subsets(proxies, &mut self.proxies, &self.desired_weights);
+        self.subsets.move_to_fallback_subsets(proxies, &mut self.proxies, &self.desired_states);
     }
 
     /// Whether moving users of the full table to fallback subsets takes fewer lines than the table's changes,
@@ -82,7 +82,7 @@
 
     /// Moves waiting proxies beyond the maximum number on the full table to fallback subsets, those with the
     /// fewest requests first.
-    fn limit_full_table(&mut self) {
+    fn limit_full_table_users(&mut self) {
         let max = self.max_full_table_users();
         let count = self.proxies.count_intended_for_full_table();
         if count <= max {
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -53,7 +53,7 @@
     controller.decide(START + REMOVED_SERVER_RETENTION + 2, Vec::new());
     assert_eq!(controller.servers.keys().copied().collect::<Vec<_>>(), [1, 3]);
     assert!(
-        !controller.channel.desired_weights.contains_key(&2) && !controller.fleet.statuses.contains_key(&2)
+        !controller.channel.desired_states.contains_key(&2) && !controller.fleet.statuses.contains_key(&2)
     );
     let listed_again = Event::Endpoints(WatchEvent::Delta(vec![endpoint(2)]));
     controller.decide(START + REMOVED_SERVER_RETENTION + 3, vec![listed_again]);
--- a/src/deadlines/tests.rs
+++ b/src/deadlines/tests.rs
@@ -11,7 +11,7 @@
 #[rstest]
 #[case::both_in_time(4, 0)]
 #[case::the_later_one_is_late(3, SECOND / 2)]
-fn obligations_are_met_by_the_earliest_deadline_first(#[case] deadline_s: u64, #[case] lateness: Nanos) {
+fn obligations_with_the_earliest_deadline_are_served_first(#[case] deadline_s: u64, #[case] lateness: Nanos) {
     let first = Obligation { deadline: 5 * SECOND / 2, lines: 100.0 };
     let second = Obligation { deadline: deadline_s * SECOND, lines: 100.0 };
     assert_eq!(forecast().max_lateness(&mut [second, first]), lateness);
--- a/src/ejection.rs
+++ b/src/ejection.rs
@@ -66,12 +66,12 @@
     }
 
     /// Counts the responses that were expected of this server, given `fleet_responses` from all servers,
-    /// unless it has itself responded. `expected`: enough time has passed for reports to show its responses.
-    pub(crate) fn count_missing(&mut self, fleet_responses: f64, expected: bool) {
+    /// unless it has itself responded. `feedback_due`: enough time has passed for reports to show its responses.
+    pub(crate) fn count_missing(&mut self, fleet_responses: f64, feedback_due: bool) {
         if std::mem::take(&mut self.responded) {
             return;
         }
-        if expected {
+        if feedback_due {
             self.missing_responses += fleet_responses * self.applied_share;
         }
     }
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -25,7 +25,7 @@
 pub(crate) struct EndpointList {
     /// The list must be polled; otherwise it is pushed.
     polls: bool,
-    /// Time between polls, ns; also the maximum backoff.
+    /// Time between polls, ns, at least 1 s; also the maximum backoff.
     poll_interval: Nanos,
     listed: BTreeSet<ServerId>,
     /// Number of consecutive failed watches.
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -9,7 +9,7 @@
 use crate::interface::{ControllerConfig, Nanos, ServerId};
 use crate::isolation::Isolation;
 use crate::message::{
-    AdmissionLimit, Component, DesiredWeight, EvaluationInputs, Mailboxes, Message, ResponseTotals,
+    AdmissionLimit, Component, DesiredState, EvaluationInputs, Mailboxes, Message, ResponseTotals,
     ServerStatus,
 };
 use crate::retries::Retries;
@@ -254,14 +254,14 @@
         });
     }
 
-    /// Sends each server its ejection decision, and the channel its desired weight.
+    /// Sends each server its ejection decision, and the channel the desired state of each server.
     fn send_decisions(&self, ejected_servers: &BTreeSet<ServerId>, mailboxes: &mut Mailboxes) {
         for (&server, status) in &self.statuses {
             let is_ejected = ejected_servers.contains(&server);
             mailboxes.send(Component::Server(server), Message::Ejection(is_ejected));
             let included = status.is_ready() && !is_ejected;
             let weight = self.weights.get(&server).copied().unwrap_or(status.weight);
-            let desired = DesiredWeight {
+            let desired = DesiredState {
                 weight: if included { weight } else { 0.0 },
                 unstable: !status.is_ready() || !status.warm,
                 must_exclude: status.must_exclude,
@@ -269,7 +269,7 @@
                 locality: status.endpoint.locality,
                 has_known_start: status.endpoint.started_at > 0,
             };
-            mailboxes.send(Component::Channel, Message::DesiredWeight(server, desired));
+            mailboxes.send(Component::Channel, Message::DesiredState(server, desired));
         }
     }
 }
--- a/src/message.rs
+++ b/src/message.rs
@@ -71,7 +71,7 @@
 
     // Messages to the channel.
     /// The desired state of a server at the proxies.
-    DesiredWeight(ServerId, DesiredWeight),
+    DesiredState(ServerId, DesiredState),
     /// Admission limits of all operations.
     AdmissionLimits(Vec<AdmissionLimit>),
     /// Whether proxies should be isolated on subsets of the servers.
@@ -182,7 +182,7 @@
 
 /// The desired state of a server at the proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct DesiredWeight {
+pub(crate) struct DesiredState {
     /// Weight of the server; 0: not in the table.
     pub(crate) weight: f64,
     /// The server is warming up or is not ready: a reduction of its weight is an urgent change, and subsets
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::{ControllerConfig, ServerId, TableId};
-use crate::message::DesiredWeight;
+use crate::message::DesiredState;
 use crate::proxies::Proxies;
-use crate::tables::{DesiredWeights, TableLine, FULL_TABLE};
+use crate::tables::{DesiredStates, TableLine, FULL_TABLE};
 
 pub(crate) use fallback_subsets::fallback_subset_size;
 
@@ -63,12 +63,12 @@
 }
 
 /// Whether a server is warm and has a weight.
-fn is_stable(desired: &DesiredWeight) -> bool {
+fn is_stable(desired: &DesiredState) -> bool {
     desired.weight > 0.0 && !desired.unstable
 }
 
 /// Warm servers with a weight, ordered by id.
-fn stable_servers(desired: &DesiredWeights) -> Vec<WeightedServer> {
+fn stable_servers(desired: &DesiredStates) -> Vec<WeightedServer> {
     let stable = desired.iter().filter(|(_, desired)| is_stable(desired));
     stable.map(|(&server, desired)| WeightedServer { server, weight: desired.weight }).collect()
 }
@@ -102,7 +102,7 @@
 
     /// The weight that a server should have in a subset. Warming servers get a part of their weight, and none
     /// while the subset lacks warm weight, since their share of its load would be large.
-    pub(crate) fn desired_weight(&self, line: TableLine, desired: &DesiredWeight) -> f64 {
+    pub(crate) fn desired_weight(&self, line: TableLine, desired: &DesiredState) -> f64 {
         if !self.lines.contains(&line) {
             0.0
         } else if !desired.unstable {
@@ -116,7 +116,7 @@
 
     /// Begins a new generation. Subsets of the previous generation are kept while proxies use them; older
     /// ones are dropped.
-    fn begin_generation(&mut self, proxies: &Proxies, desired: &DesiredWeights) {
+    fn begin_generation(&mut self, proxies: &Proxies, desired: &DesiredStates) {
         let used = proxies.assigned_tables();
         self.lines.retain(|line| used.contains(&line.table));
         self.target_weights.clear();
--- a/src/subsets/fallback_subsets.rs
+++ b/src/subsets/fallback_subsets.rs
@@ -3,19 +3,19 @@
 use super::{is_stable, least_loaded, stable_servers, Purpose, Subsets, WeightedServer};
 use crate::interface::{ProxyId, TableId};
 use crate::proxies::{Proxies, Proxy};
-use crate::tables::{DesiredWeights, TableLine};
+use crate::tables::{DesiredStates, TableLine};
 
 /// Number of servers in a fallback subset: enough to spread the load, few enough that a message costs little
 /// more than its overhead.
 const FALLBACK_SUBSET_SERVERS: usize = 8;
 
 /// Number of servers that a fallback subset would have now; 0 if none can be formed.
-pub(crate) fn fallback_subset_size(desired: &DesiredWeights) -> usize {
+pub(crate) fn fallback_subset_size(desired: &DesiredStates) -> usize {
     desired.values().filter(|desired| is_stable(desired)).count().min(FALLBACK_SUBSET_SERVERS)
 }
 
 /// Warm servers with a weight, ordered by locality, then by id.
-fn stable_servers_by_locality(desired: &DesiredWeights) -> Vec<WeightedServer> {
+fn stable_servers_by_locality(desired: &DesiredStates) -> Vec<WeightedServer> {
     let mut servers = stable_servers(desired);
     servers.sort_by_key(|stable| (desired[&stable.server].locality, stable.server));
     servers
@@ -27,7 +27,7 @@
         &mut self,
         ids: &[ProxyId],
         proxies: &mut Proxies,
-        desired: &DesiredWeights,
+        desired: &DesiredStates,
     ) {
         self.ensure_fallback_subsets(proxies, desired);
         let mut loads = self.loads(proxies);
@@ -44,7 +44,7 @@
     }
 
     /// Distributes all stable servers over fallback subsets, unless some subsets are already in use.
-    fn ensure_fallback_subsets(&mut self, proxies: &Proxies, desired: &DesiredWeights) {
+    fn ensure_fallback_subsets(&mut self, proxies: &Proxies, desired: &DesiredStates) {
         let in_use = |proxy: &Proxy| self.target_weights.contains_key(&proxy.intended_table);
         let are_fallback_subsets = self.purpose == Purpose::Fallback && !self.target_weights.is_empty();
         if are_fallback_subsets && proxies.by_id.values().any(in_use) {
--- a/src/subsets/isolation_groups.rs
+++ b/src/subsets/isolation_groups.rs
@@ -6,7 +6,7 @@
 use super::{stable_servers, Purpose, Subsets, WeightedServer};
 use crate::interface::TableId;
 use crate::proxies::Proxies;
-use crate::tables::{DesiredWeights, TableLine};
+use crate::tables::{DesiredStates, TableLine};
 
 /// Minimum mean number of proxies per subset.
 const MIN_PROXIES_PER_SUBSET: usize = 2;
@@ -19,7 +19,7 @@
     /// Divides the proxies into groups by the requests that each receives, and assigns each group a subset of
     /// this supervisor's window of the stable servers. With too few proxies or servers no groups are formed,
     /// and all proxies keep the full table.
-    pub(crate) fn isolate(&mut self, proxies: &mut Proxies, desired: &DesiredWeights) {
+    pub(crate) fn isolate(&mut self, proxies: &mut Proxies, desired: &DesiredStates) {
         let window = self.own_window(proxies.by_id.len(), desired);
         let by_proxies = proxies.by_id.len() / MIN_PROXIES_PER_SUBSET;
         let groups = by_proxies.min(window.len() / MIN_SERVERS_PER_SUBSET);
@@ -48,7 +48,7 @@
 
     /// This supervisor's window of the stable servers, ordered by id. It depends only on the supervisor's
     /// index and its share of all proxies, so that supervisors need not coordinate.
-    fn own_window(&self, proxies: usize, desired: &DesiredWeights) -> Vec<WeightedServer> {
+    fn own_window(&self, proxies: usize, desired: &DesiredStates) -> Vec<WeightedServer> {
         let servers = stable_servers(desired);
         let count = servers.len() as f64;
         let length = (count * proxies as f64 / self.proxy_count.max(1.0)).ceil().min(count) as usize;
--- a/src/subsets/replenishment.rs
+++ b/src/subsets/replenishment.rs
@@ -2,7 +2,7 @@
 
 use super::{stable_servers, Purpose, Subsets, WeightedServer};
 use crate::interface::{ServerId, TableId};
-use crate::tables::{DesiredWeights, TableLine};
+use crate::tables::{DesiredStates, TableLine};
 
 /// Share of its target weight below which a subset is replenished.
 const MIN_TARGET_SHARE: f64 = 0.5;
@@ -20,7 +20,7 @@
 
     /// Adds newly listed servers, and adds stable servers to each subset that has lost half of its warm
     /// weight; other subsets keep their servers.
-    pub(crate) fn replenish(&mut self, desired: &DesiredWeights) {
+    pub(crate) fn replenish(&mut self, desired: &DesiredStates) {
         self.add_new_servers(desired);
         let stable = stable_servers(desired);
         self.has_enough_weight.clear();
@@ -44,7 +44,7 @@
 
     /// Adds each newly listed server, warm or not, to one subset. An isolating subset takes only servers that
     /// belong to its supervisor by the server's id modulo the number of supervisors.
-    fn add_new_servers(&mut self, desired: &DesiredWeights) {
+    fn add_new_servers(&mut self, desired: &DesiredStates) {
         let isolating = self.purpose == Purpose::Isolation;
         let is_ours = |server: ServerId| {
             !isolating || f64::from(server) % self.supervisor_count.max(1.0) == self.supervisor_index
--- a/src/subsets/tests.rs
+++ b/src/subsets/tests.rs
@@ -47,9 +47,9 @@
     let mut channel = isolated(config);
     let before = channel.subsets.lines.clone();
     let table = FULL_TABLE + 2;
-    let lost = DesiredWeight { unstable: true, ..DesiredWeight::default() };
+    let lost = DesiredState { unstable: true, ..DesiredState::default() };
     let of_table = before.iter().filter(|line| line.table == table);
-    let lose = of_table.map(|line| Message::DesiredWeight(line.server, lost));
+    let lose = of_table.map(|line| Message::DesiredState(line.server, lost));
     let messages = lose.chain([Message::Isolate(true), Message::Flush]);
     handle(&mut channel, START + 2 * SECOND, messages);
     let servers = sent_servers(&channel, table);
@@ -68,9 +68,9 @@
 ) {
     (config.supervisor_count, config.drain_grace) = (2, 10 * SECOND);
     let mut channel = isolated(config);
-    let warming_up = DesiredWeight { weight: 0.2, unstable: true, ..DesiredWeight::default() };
+    let warming_up = DesiredState { weight: 0.2, unstable: true, ..DesiredState::default() };
     channel.pacing.pending_marks.clear();
-    let messages = [Message::DesiredWeight(server, warming_up), Message::Isolate(true), Message::Flush];
+    let messages = [Message::DesiredState(server, warming_up), Message::Isolate(true), Message::Flush];
     handle(&mut channel, START + 2 * SECOND, messages);
     let max_weight = warming_up.weight * WARMING_UP_SHARE;
     let in_subset = |(line, weight): &(&TableLine, &f64)| {
--- a/src/tables.rs
+++ b/src/tables.rs
@@ -4,7 +4,7 @@
 use std::ops::Range;
 
 use crate::interface::{ServerId, TableId};
-use crate::message::DesiredWeight;
+use crate::message::DesiredState;
 
 /// Number of the table of all servers; subsets have higher numbers.
 pub(crate) const FULL_TABLE: TableId = 0;
@@ -32,4 +32,4 @@
 }
 
 /// The desired state of each server at the proxies.
-pub(crate) type DesiredWeights = BTreeMap<ServerId, DesiredWeight>;
+pub(crate) type DesiredStates = BTreeMap<ServerId, DesiredState>;
