--- a/src/channel.rs
+++ b/src/channel.rs
@@ -1,12 +1,12 @@
 //! The channel: a single first-in-first-out queue of limited rate and capacity from this supervisor to all
 //! its proxies. This component tracks the connected proxies, the desired state of each table, and what was
 //! sent and acknowledged; at each flush it decides what is sent to which proxies. The controller delivers its
-//! messages and flushes it once per batch.
+//! messages and flushes it once per batch of events.
 //!
 //! Each rule has a module of its own. Since the queue is first-in-first-out, whatever a flush adds is
-//! delivered before anything added later. Urgent changes (see `changes::Priority`) are therefore sent as soon
-//! as possible; deferrable changes, which are all others and the admission limits, are sent in batches at
-//! intervals.
+//! delivered before anything added later. Urgent changes (see `changes::Priority`) may be sent at every flush;
+//! deferrable ones, which are all others and the admission limits, only in batches at intervals, since urgent
+//! changes wait behind them in the queue.
 
 use std::collections::BTreeMap;
 
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -15,10 +15,10 @@
 #[cfg(test)]
 mod tests;
 
-/// A warming server may get this share of `overload_ratio` times its capacity, but at least its capacity.
+/// Load that a warming server may get, as a share of `overload_ratio` times its capacity; at least its capacity.
 const SLOW_START_OVERLOAD_SHARE: f64 = 0.6;
-/// This share of `overload_ratio`, but at least 1, multiplies the failure rate at which warming servers are
-/// held back.
+/// Factor on the failure rate at which warming servers are held back, as a share of `overload_ratio`; the
+/// factor is at least 1.
 const HOLD_BACK_OVERLOAD_SHARE: f64 = 0.4;
 /// Probability, 0 to 1, that a proxy sees `failures_to_avoid` consecutive failures and avoids the server. From
 /// this probability on, avoidance counts as common.
