--- a/crates/cli/tests/sasp.rs
+++ b/crates/cli/tests/sasp.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use shalereel_sasp::{Body, Frames, Group, LbFlags, Member, Message, ReturnCode};
-use shalereel_standins::{Listed, ListedAs, Ready, RegistryPlan};
+use shalereel_standins::{Ready, RegistryEntry, RegistryPlan, RegistryState};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_shalereel");
 
@@ -86,10 +86,20 @@
     Body::SetLbState { balancer: balancer.into(), health: 0, flags }
 }
 
-fn listed(server: u32, state: ListedAs) -> Listed {
+fn listed(server: u32, state: RegistryState) -> RegistryEntry {
     let address = SocketAddr::from((std::net::Ipv4Addr::from(0x7f01_0000 + server), 80));
     let (zone, incarnation, started) = ("a".to_owned(), 1, 0);
-    Listed { server, address, zone, kind: 0, cell: 0, weight: 1.0, state, incarnation, started }
+    RegistryEntry {
+        server,
+        address,
+        zone,
+        kind: 0,
+        cell: 0,
+        weight: 1.0,
+        state,
+        incarnation,
+        started_at: started,
+    }
 }
 
 #[test]
@@ -97,9 +107,9 @@
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("sasp-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let plan = RegistryPlan {
-        trace: folder.join("registry.trace"),
+        trace_path: folder.join("registry.trace"),
         address: "127.0.0.1:0".parse().unwrap(),
-        list: (1..9).map(|server| listed(server, ListedAs::Ready)).collect(),
+        entries: (1..9).map(|server| listed(server, RegistryState::Ready)).collect(),
     };
     let (_registry, at, mut list) =
         start(&["stand-in", "registry"], Some(&serde_json::to_string(&plan).unwrap()));
@@ -154,9 +164,13 @@
     liar.say(Body::SendWeights { groups: vec![] });
     assert_eq!(liar.until(|_| Some(())), None);
     // Never reads its pushes: `large` from here on. A drain still reaches the sound one.
-    let rows = vec![listed(3, ListedAs::Draining)];
-    writeln!(list, "{}", serde_json::to_string(&shalereel_standins::Command::List { rows }).unwrap())
-        .unwrap();
+    let rows = vec![listed(3, RegistryState::Draining)];
+    writeln!(
+        list,
+        "{}",
+        serde_json::to_string(&shalereel_standins::Command::UpdateEntries { entries: rows }).unwrap()
+    )
+    .unwrap();
     let drained = |body| match body {
         Body::SendWeights { groups } => {
             let entry = groups[0].1.iter().find(|entry| entry.member == member(3))?;
--- a/crates/fault-scenarios/src/day.rs
+++ b/crates/fault-scenarios/src/day.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use serde::Deserialize;
-use shalereel_standins::{KindPlan, OperationPlan, Pick, Repeats, WhichEffect};
+use shalereel_standins::{DeduplicationScope, EffectKind, LoadBalancing, OperationPlan, ServerKind};
 use shalereel_xds_supervisor::FileError;
 
 #[derive(Clone, Debug, Deserialize)]
@@ -66,9 +66,9 @@
 #[serde(deny_unknown_fields)]
 pub struct Operation {
     pub name: String,
-    pub effect: WhichEffect,
+    pub effect: EffectKind,
     #[serde(default)]
-    pub repeats: Repeats,
+    pub repeats: DeduplicationScope,
     #[serde(default)]
     pub repeat_window_ms: f64,
     pub latency_objective_ms: f64,
@@ -91,7 +91,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Forwarders {
     pub count: u32,
-    pub pick: Pick,
+    pub pick: LoadBalancing,
     pub standing: usize,
     pub fails_to_avoid: u32,
     pub avoid_s: f64,
@@ -354,14 +354,14 @@
         self.operations.iter().position(|operation| operation.name == shared.keyed)
     }
 
-    pub fn kind_plans(&self) -> Vec<KindPlan> {
-        let plan = |kind: &Kind| KindPlan {
+    pub fn kind_plans(&self) -> Vec<ServerKind> {
+        let plan = |kind: &Kind| ServerKind {
             cores: kind.cores,
             speed: kind.speed,
-            queue: kind.queue,
-            connections: kind.connections,
-            cold_from: kind.cold_from,
-            cold_for: nanos(kind.cold_for_s * 1e3),
+            queue_capacity: kind.queue,
+            max_connections: kind.connections,
+            cold_capacity_fraction: kind.cold_from,
+            warm_up_duration: nanos(kind.cold_for_s * 1e3),
         };
         self.kinds.iter().map(plan).collect()
     }
@@ -370,13 +370,13 @@
         let plan = |operation: &Operation| OperationPlan {
             name: operation.name.clone(),
             effect: operation.effect,
-            repeats: operation.repeats,
-            repeat_window: nanos(operation.repeat_window_ms),
+            deduplication_scope: operation.repeats,
+            deduplication_window: nanos(operation.repeat_window_ms),
             latency_objective: nanos(operation.latency_objective_ms),
             integration_timeout: nanos(operation.integration_timeout_ms),
             billed_value: operation.billed_value,
             share: operation.share,
-            work: nanos(operation.work_ms),
+            mean_work: nanos(operation.work_ms),
         };
         self.operations.iter().map(plan).collect()
     }
@@ -409,14 +409,14 @@
             tick = supervisors.tick_ms,
         );
         let name = |effect| match effect {
-            WhichEffect::Idempotent => "idempotent",
-            WhichEffect::Fingerprinted => "fingerprinted",
-            WhichEffect::SideEffecting => "side_effecting",
+            EffectKind::Idempotent => "idempotent",
+            EffectKind::Fingerprinted => "fingerprinted",
+            EffectKind::SideEffecting => "side_effecting",
         };
         let scope = |repeats| match repeats {
-            Repeats::Everywhere => "everywhere",
-            Repeats::Locality => "locality",
-            Repeats::Cell => "cell",
+            DeduplicationScope::Everywhere => "everywhere",
+            DeduplicationScope::Locality => "locality",
+            DeduplicationScope::Cell => "cell",
         };
         text += &format!(
             "\n[list]\nmembership = {:?}\nsizes = {:?}\nask_every_ms = 10000.0\n\n[forwarders]\ncount = {}\n\
--- a/crates/fault-scenarios/src/judge.rs
+++ b/crates/fault-scenarios/src/judge.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use shalereel::interface::Nanos;
 use shalereel_reactor::SECOND;
-use shalereel_standins::{Outcome, Seen, WhichEffect};
+use shalereel_standins::{EffectKind, Outcome, TraceEvent};
 
 use crate::day::{nanos, Day};
 
@@ -77,17 +77,17 @@
 }
 
 impl Traffic {
-    fn of(seen: &[Seen]) -> Self {
+    fn of(seen: &[TraceEvent]) -> Self {
         let mut sum = Traffic::default();
         for one in seen {
             match one {
-                Seen::Told { lines, bytes, .. } => {
+                TraceEvent::UpdateReceived { changed_lines: lines, bytes, .. } => {
                     sum.messages += 1;
                     sum.lines += u64::from(*lines);
                     sum.bytes += u64::from(*bytes);
                 }
-                Seen::Disturbed { .. } => sum.disturbed += 1,
-                Seen::AskedAnew { .. } => sum.asked_anew += 1,
+                TraceEvent::UpdateDisturbed { .. } => sum.disturbed += 1,
+                TraceEvent::ResyncRequested { .. } => sum.asked_anew += 1,
                 _ => {}
             }
         }
@@ -148,29 +148,34 @@
 }
 
 impl<'a> Scene<'a> {
-    fn new(day: &'a Day, (start, end): Span, seen: &'a [Seen]) -> Self {
+    fn new(day: &'a Day, (start, end): Span, seen: &'a [TraceEvent]) -> Self {
         let far = end + 3600 * SECOND;
         let mut joined: BTreeMap<u32, Vec<(u32, Span)>> = BTreeMap::new();
         let mut deaf: BTreeMap<u32, Vec<(Nanos, bool)>> = BTreeMap::new();
         let mut known: BTreeMap<u32, Vec<Known>> = BTreeMap::new();
-        let mut said: BTreeMap<(&str, u64), &Seen> = BTreeMap::new();
+        let mut said: BTreeMap<(&str, u64), &TraceEvent> = BTreeMap::new();
         for one in seen {
             match one {
-                Seen::Joined { at, forwarder, supervisor } => {
+                TraceEvent::SupervisorConnected { at, forwarder, supervisor } => {
                     joined.entry(*forwarder).or_default().push((*supervisor, (*at, far)));
                 }
-                Seen::Left { at, forwarder } | Seen::Died { at, forwarder } => {
+                TraceEvent::SupervisorDisconnected { at, forwarder }
+                | TraceEvent::ForwarderCrashed { at, forwarder } => {
                     let last = joined.get_mut(forwarder).and_then(|spans| spans.last_mut());
                     if let Some((_, span)) = last {
                         span.1 = span.1.min(*at);
                     }
                 }
-                Seen::Reachable { at, forwarder, on } => deaf.entry(*forwarder).or_default().push((*at, !on)),
-                Seen::Said { to, version, .. } => drop(said.insert((to, *version), one)),
-                Seen::Acknowledged { at, to, version } => {
+                TraceEvent::ReadsSupervisor { at, forwarder, on } => {
+                    deaf.entry(*forwarder).or_default().push((*at, !on))
+                }
+                TraceEvent::EntriesSent { to, version, .. } => drop(said.insert((to, *version), one)),
+                TraceEvent::EntriesAcknowledged { at, to, version } => {
                     let number = to.rsplit('-').next().and_then(|number| number.parse().ok());
-                    if let (Some(number), Some(Seen::Said { at: said, ready, draining, gone, .. })) =
-                        (number, said.get(&(to.as_str(), *version)))
+                    if let (
+                        Some(number),
+                        Some(TraceEvent::EntriesSent { at: said, ready, draining, gone, .. }),
+                    ) = (number, said.get(&(to.as_str(), *version)))
                     {
                         known.entry(number).or_default().push(Known {
                             said: *said,
@@ -214,16 +219,16 @@
     }
 
     /// A joined forwarder is never without a line for longer than the stated time, while a warm server is listed.
-    fn line_to_pick(&self, seen: &[Seen]) -> Measure {
+    fn line_to_pick(&self, seen: &[TraceEvent]) -> Measure {
         let limit = nanos(self.day.rules.empty_for_s * 1e3);
         let mut bare: BTreeMap<(u32, u16), Vec<(Nanos, bool)>> = BTreeMap::new();
         for one in seen {
             match one {
-                Seen::Bare { at, forwarder, operation, on } => {
+                TraceEvent::LacksLine { at, forwarder, operation, on } => {
                     bare.entry((*forwarder, *operation)).or_default().push((*at, *on));
                 }
                 // What comes back has a standing table.
-                Seen::Died { at, forwarder } => {
+                TraceEvent::ForwarderCrashed { at, forwarder } => {
                     for (_, events) in bare.range_mut((*forwarder, 0)..=(*forwarder, u16::MAX)) {
                         events.push((*at, false));
                     }
@@ -259,13 +264,22 @@
     }
 
     /// Repeats by forwarders, that is within one try of a caller, take effect once.
-    fn no_effect_twice(&self, seen: &[Seen]) -> Measure {
+    fn no_effect_twice(&self, seen: &[TraceEvent]) -> Measure {
         // When, where, and in which try of its forwarder.
         type EffectSeen = (Nanos, u32, u32);
         let mut effects: BTreeMap<(u64, u32), Vec<EffectSeen>> = BTreeMap::new();
         for one in seen {
-            if let Seen::Effect { at, server, operation, inv, attempt, further, .. } = one {
-                if self.day.operations[usize::from(*operation)].effect != WhichEffect::Idempotent {
+            if let TraceEvent::EffectApplied {
+                at,
+                server,
+                operation,
+                invocation: inv,
+                caller_attempt: attempt,
+                forwarder_attempt: further,
+                ..
+            } = one
+            {
+                if self.day.operations[usize::from(*operation)].effect != EffectKind::Idempotent {
                     effects.entry((*inv, *attempt)).or_default().push((*at, *server, *further));
                 }
             }
@@ -314,7 +328,7 @@
     }
 
     /// Within the grace nothing goes to a server known as draining or gone.
-    fn drains_kept(&self, seen: &[Seen]) -> Measure {
+    fn drains_kept(&self, seen: &[TraceEvent]) -> Measure {
         let grace = nanos(self.day.rules.drain_grace_s * 1e3);
         let bound: BTreeMap<u32, BTreeMap<u32, Vec<Span>>> =
             self.known.keys().map(|&supervisor| (supervisor, self.bound(supervisor))).collect();
@@ -322,7 +336,9 @@
         // By supervisor, forwarder and server: the first time, and the invocations.
         let mut late: BTreeMap<_, (Nanos, Vec<u64>)> = BTreeMap::new();
         for one in seen {
-            let Seen::Tried { at, forwarder, server, inv, .. } = one else { continue };
+            let TraceEvent::AttemptStarted { at, forwarder, server, invocation: inv, .. } = one else {
+                continue;
+            };
             let Some((supervisor, joined)) = self.joined_at(*forwarder, *at) else { continue };
             let spans = bound.get(&supervisor).and_then(|servers| servers.get(server));
             let Some(span) = spans.into_iter().flatten().find(|span| span.0 <= *at && *at < span.1) else {
@@ -367,7 +383,7 @@
     }
 
     /// A cold server gets less than the stated multiple of what it can do, over the stated time.
-    fn no_cold_server_pushed_over(&self, seen: &[Seen]) -> Measure {
+    fn no_cold_server_pushed_over(&self, seen: &[TraceEvent]) -> Measure {
         let (window, multiple) = (nanos(self.day.rules.tip_after_s * 1e3), self.day.rules.tip_multiple);
         let mut told: BTreeMap<u32, Vec<Nanos>> = BTreeMap::new();
         // When, how much work, from whom, which invocation, and the capacity at that moment.
@@ -375,9 +391,19 @@
         let mut sent: BTreeMap<(u32, u64), Vec<Arrival>> = BTreeMap::new();
         for one in seen {
             match one {
-                Seen::Told { forwarder, ordered, .. } => told.entry(*forwarder).or_default().push(*ordered),
-                Seen::Arrived {
-                    at, server, incarnation, inv, forwarder, work, capacity, cold: true, ..
+                TraceEvent::UpdateReceived { forwarder, ordered_at: ordered, .. } => {
+                    told.entry(*forwarder).or_default().push(*ordered)
+                }
+                TraceEvent::InvocationArrived {
+                    at,
+                    server,
+                    incarnation,
+                    invocation: inv,
+                    forwarder,
+                    work,
+                    capacity,
+                    cold: true,
+                    ..
                 } => {
                     let arrivals = sent.entry((*server, *incarnation)).or_default();
                     arrivals.push((*at, *work as f64, *forwarder, *inv, *capacity));
@@ -421,11 +447,18 @@
     }
 
     /// What was ordered and could not have left at the told pace waited; messages a forwarder where limited.
-    fn short_queue(&self, seen: &[Seen]) -> Measure {
+    fn short_queue(&self, seen: &[TraceEvent]) -> Measure {
         let told = &self.day.supervisors;
         let mut messages: BTreeMap<u32, Vec<(Nanos, u32, f64)>> = BTreeMap::new();
         for one in seen {
-            if let Seen::Told { supervisor, forwarder, lines, ordered, .. } = one {
+            if let TraceEvent::UpdateReceived {
+                supervisor,
+                forwarder,
+                changed_lines: lines,
+                ordered_at: ordered,
+                ..
+            } = one
+            {
                 // Its head, its mark, and the lines that changed.
                 let lines = told.message_overhead + 1.0 + f64::from(*lines);
                 messages.entry(*supervisor).or_default().push((*ordered, *forwarder, lines));
@@ -474,18 +507,20 @@
 
 impl Scene<'_> {
     /// Epochs only rise at each forwarder, and writes of a range never go back to a former owner.
-    fn fenced(&self, seen: &[Seen]) -> Measure {
+    fn fenced(&self, seen: &[TraceEvent]) -> Measure {
         let mut breaches = Vec::new();
         let mut told: BTreeMap<u32, Vec<(Nanos, u64)>> = BTreeMap::new();
         let mut writes: BTreeMap<u32, Vec<(Nanos, u64, u32, u64)>> = BTreeMap::new();
         for one in seen {
             match one {
-                Seen::Told { at, forwarder, epoch, .. } => {
+                TraceEvent::UpdateReceived { at, forwarder, epoch, .. } => {
                     told.entry(*forwarder).or_default().push((*at, *epoch))
                 }
                 // What comes back knows nothing any more.
-                Seen::Died { at, forwarder } => told.entry(*forwarder).or_default().push((*at, u64::MAX)),
-                Seen::Effect { at, server, inv, range, epoch, .. } if *epoch > 0 => {
+                TraceEvent::ForwarderCrashed { at, forwarder } => {
+                    told.entry(*forwarder).or_default().push((*at, u64::MAX))
+                }
+                TraceEvent::EffectApplied { at, server, invocation: inv, range, epoch, .. } if *epoch > 0 => {
                     writes.entry(*range).or_default().push((*at, *epoch, *server, *inv));
                 }
                 _ => {}
@@ -525,7 +560,7 @@
 }
 
 /// Judges a day that was played from `span.0` to `span.1` by what was seen of it.
-pub fn judge(day: &Day, span: (Nanos, Nanos), seen: &[Seen]) -> Verdict {
+pub fn judge(day: &Day, span: (Nanos, Nanos), seen: &[TraceEvent]) -> Verdict {
     let scene = Scene::new(day, span, seen);
     let rules = vec![
         scene.line_to_pick(seen),
@@ -540,7 +575,9 @@
     let mut by_window: BTreeMap<u64, Vec<(f64, f64)>> = BTreeMap::new();
     let mut asked_for = 0;
     for one in seen {
-        let Seen::Done { asked, at, operation, outcome, .. } = one else { continue };
+        let TraceEvent::InvocationFinished { started_at: asked, at, operation, outcome, .. } = one else {
+            continue;
+        };
         let told = &day.operations[usize::from(*operation)];
         asked_for += 1;
         let in_time = *outcome == Outcome::Succeeded && at - asked <= nanos(told.latency_objective_ms);
@@ -587,7 +624,7 @@
         rules,
         asked: asked_for,
         traffic: Traffic::of(seen),
-        tries: seen.iter().filter(|one| matches!(one, Seen::Tried { .. })).count(),
+        tries: seen.iter().filter(|one| matches!(one, TraceEvent::AttemptStarted { .. })).count(),
         remarks: Vec::new(),
     }
 }
--- a/crates/fault-scenarios/src/play.rs
+++ b/crates/fault-scenarios/src/play.rs
@@ -9,7 +9,7 @@
 use shalereel::interface::Nanos;
 use shalereel_group::wire::{CommandPayload, MoveRange, OperatorOrder};
 use shalereel_reactor::{now, SECOND};
-use shalereel_standins::{read_trace, Command, ListedAs, Seen};
+use shalereel_standins::{read_trace, Command, RegistryState, TraceEvent};
 
 use crate::control::{order_at, release, way_back};
 use crate::day::{nanos, Day, Trouble, TroubleKind};
@@ -20,7 +20,7 @@
     Say(String),
     Tell(Staged, Command),
     Start(Vec<u32>),
-    ListAs(Vec<u32>, ListedAs),
+    ListAs(Vec<u32>, RegistryState),
     /// As just started.
     ListFresh(Vec<u32>),
     KillSupervisor(usize),
@@ -99,10 +99,10 @@
     /// Down at `from`, cold again at `to`; the list tells each later.
     fn crash(&mut self, servers: Vec<u32>, from: f64, to: f64) {
         let (notice, add) = (self.day.fleet.notice_s, self.day.fleet.add_s);
-        self.tell(from, Staged::Servers, Command::Crash { servers: servers.clone() });
+        self.tell(from, Staged::Servers, Command::CrashServers { servers: servers.clone() });
         // A short death is told only as a fresh start.
         if notice < to - from {
-            self.put(from + notice, Action::ListAs(servers.clone(), ListedAs::Gone));
+            self.put(from + notice, Action::ListAs(servers.clone(), RegistryState::Gone));
         }
         self.put(to, Action::Start(servers.clone()));
         self.put(to + add, Action::ListFresh(servers));
@@ -110,12 +110,12 @@
 
     /// Told to the list first, then gone, then back cold.
     fn replace(&mut self, servers: Vec<u32>, from: f64, grace: f64) {
-        self.put(from, Action::ListAs(servers.clone(), ListedAs::Draining));
+        self.put(from, Action::ListAs(servers.clone(), RegistryState::Draining));
         let leave = nanos(grace * 1e3);
-        self.tell(from, Staged::Servers, Command::Drain { servers: servers.clone(), grace: leave });
+        self.tell(from, Staged::Servers, Command::DrainServers { servers: servers.clone(), grace: leave });
         let gone = from + 1.5 * grace;
-        self.tell(gone, Staged::Servers, Command::Crash { servers: servers.clone() });
-        self.put(gone, Action::ListAs(servers.clone(), ListedAs::Gone));
+        self.tell(gone, Staged::Servers, Command::CrashServers { servers: servers.clone() });
+        self.put(gone, Action::ListAs(servers.clone(), RegistryState::Gone));
         self.put(gone + 0.5, Action::Start(servers.clone()));
         self.put(gone + 0.5 + self.day.fleet.add_s, Action::ListFresh(servers));
     }
@@ -143,14 +143,14 @@
             Silence | Hang | FalseReports | Misreport => {
                 let servers = self.servers(trouble);
                 let command = |on| match trouble.kind {
-                    Silence => Command::Silence { servers: servers.clone(), on },
-                    Hang => Command::Hang { servers: servers.clone(), on },
-                    _ => Command::Misreport { servers: servers.clone(), on },
+                    Silence => Command::SilenceServers { servers: servers.clone(), on },
+                    Hang => Command::HangServers { servers: servers.clone(), on },
+                    _ => Command::MisreportLoad { servers: servers.clone(), on },
                 };
                 both(self, Staged::Servers, command(true), command(false));
                 // One that says it has no load while it stalls.
                 if trouble.kind == Misreport {
-                    let command = |on| Command::Hang { servers: servers.clone(), on };
+                    let command = |on| Command::HangServers { servers: servers.clone(), on };
                     both(self, Staged::Servers, command(true), command(false));
                 }
             }
@@ -160,7 +160,7 @@
                 } else {
                     (0..self.day.fleet.servers).map(|at| 1000 + at).collect()
                 };
-                let command = |factor| Command::Slow { servers: servers.clone(), factor };
+                let command = |factor| Command::SlowServers { servers: servers.clone(), factor };
                 both(self, Staged::Servers, command(trouble.factor.max(1.0)), command(1.0));
             }
             Neighbour => {
@@ -168,16 +168,24 @@
                 let mut time = from;
                 while time < to {
                     let (on, off) = (trouble.factor.max(1.0), 1.0);
-                    self.tell(time, Staged::Servers, Command::Slow { servers: servers.clone(), factor: on });
+                    self.tell(
+                        time,
+                        Staged::Servers,
+                        Command::SlowServers { servers: servers.clone(), factor: on },
+                    );
                     let end = (time + 2.0).min(to);
-                    self.tell(end, Staged::Servers, Command::Slow { servers: servers.clone(), factor: off });
+                    self.tell(
+                        end,
+                        Staged::Servers,
+                        Command::SlowServers { servers: servers.clone(), factor: off },
+                    );
                     time += 3.0;
                 }
             }
             FastErrors => {
                 let servers = self.servers(trouble);
                 let part = if trouble.factor > 0.0 { trouble.factor.min(1.0) } else { 0.6 };
-                let command = |part| Command::Fail { servers: servers.clone(), part };
+                let command = |part| Command::FailInvocations { servers: servers.clone(), fraction: part };
                 both(self, Staged::Servers, command(part), command(0.0));
             }
             Drain => {
@@ -195,20 +203,21 @@
             }
             Squeeze => {
                 let servers = self.servers(trouble);
-                let command = |part| Command::Squeeze { servers: servers.clone(), part };
+                let command = |part| Command::LimitConnections { servers: servers.clone(), fraction: part };
                 both(self, Staged::Servers, command(trouble.factor), command(1.0));
             }
             Handshake => {
                 let servers = self.servers(trouble);
-                let command = |delay| Command::Handshake { servers: servers.clone(), delay };
+                let command = |delay| Command::DelayConnections { servers: servers.clone(), delay };
                 both(self, Staged::Servers, command(nanos(trouble.delay_s * 1e3)), command(0));
             }
             LateReports => {
-                let command = |delay| Command::LateReports { delay };
+                let command = |delay| Command::DelayReports { delay };
                 both(self, Staged::Forwarders, command(nanos(trouble.delay_s * 1e3)), command(0));
             }
             LossyLinks => {
-                let command = |part| Command::Lossy { part, delay: nanos(trouble.delay_s * 1e3) };
+                let command =
+                    |part| Command::DisturbUpdates { fraction: part, delay: nanos(trouble.delay_s * 1e3) };
                 both(self, Staged::Forwarders, command(trouble.part.min(0.4)), command(0.0));
             }
             WayBack => {
@@ -220,29 +229,48 @@
                 if trouble.kind == EmptyList {
                     servers = (0..self.day.fleet.servers).map(|at| 1000 + at).collect();
                 }
-                let off = Command::LeaveOut { servers: Vec::new() };
-                both(self, Staged::Registry, Command::LeaveOut { servers }, off);
+                let off = Command::OmitServers { servers: Vec::new() };
+                both(self, Staged::Registry, Command::OmitServers { servers }, off);
             }
             RegistryAway => {
-                both(self, Staged::Registry, Command::Away { on: true }, Command::Away { on: false });
+                both(
+                    self,
+                    Staged::Registry,
+                    Command::StopRegistry { on: true },
+                    Command::StopRegistry { on: false },
+                );
             }
             RegistryMute => {
-                both(self, Staged::Registry, Command::Mute { on: true }, Command::Mute { on: false });
+                both(
+                    self,
+                    Staged::Registry,
+                    Command::SuppressUpdates { on: true },
+                    Command::SuppressUpdates { on: false },
+                );
             }
             LocalityCut => {
                 let zones = vec![trouble.locality.clone()];
-                both(self, Staged::Forwarders, Command::Cut { zones }, Command::Cut { zones: Vec::new() });
+                both(
+                    self,
+                    Staged::Forwarders,
+                    Command::IsolateZones { zones },
+                    Command::IsolateZones { zones: Vec::new() },
+                );
             }
             ForwarderCrash => {
                 let forwarders = self.forwarders(trouble);
-                self.tell(from, Staged::Forwarders, Command::Die { forwarders: forwarders.clone() });
+                self.tell(
+                    from,
+                    Staged::Forwarders,
+                    Command::CrashForwarders { forwarders: forwarders.clone() },
+                );
                 self.put(to, Action::Revive(forwarders));
             }
             ForwarderStall | ForwarderDeaf => {
                 let forwarders = self.forwarders(trouble);
                 let command = |on| match trouble.kind {
-                    ForwarderStall => Command::Stall { forwarders: forwarders.clone(), on },
-                    _ => Command::Deaf { forwarders: forwarders.clone(), on },
+                    ForwarderStall => Command::StallForwarders { forwarders: forwarders.clone(), on },
+                    _ => Command::PauseSupervisorConnection { forwarders: forwarders.clone(), on },
                 };
                 both(self, Staged::Forwarders, command(true), command(false));
             }
@@ -251,7 +279,8 @@
                 let forwarders: Vec<u32> = (0..self.day.forwarders.count).collect();
                 let mut time = from;
                 while time < to {
-                    let command = |on| Command::Deaf { forwarders: forwarders.clone(), on };
+                    let command =
+                        |on| Command::PauseSupervisorConnection { forwarders: forwarders.clone(), on };
                     self.tell(time, Staged::Forwarders, command(true));
                     self.tell((time + 0.8).min(to), Staged::Forwarders, command(false));
                     time += 1.0;
@@ -260,18 +289,18 @@
             TurnDown => {
                 let forwarders = self.forwarders(trouble);
                 let count = trouble.factor.max(1.0) as u32;
-                self.tell(from, Staged::Forwarders, Command::TurnDown { forwarders, count });
+                self.tell(from, Staged::Forwarders, Command::RejectUpdates { forwarders, count });
             }
             GhostReports => {
                 both(
                     self,
                     Staged::Forwarders,
-                    Command::ReportGhost { on: true },
-                    Command::ReportGhost { on: false },
+                    Command::ReportUnknownServer { on: true },
+                    Command::ReportUnknownServer { on: false },
                 );
             }
             OddBalancers => {
-                let command = |on| Command::OddBalancers { on };
+                let command = |on| Command::RunFaultyBalancers { on };
                 both(self, Staged::Forwarders, command(true), command(false));
             }
             LinksCut | LinksOneWay | LinksFlap => {
@@ -287,14 +316,14 @@
                         }
                     }
                 }
-                let off = Command::CutLinks { pairs: Vec::new() };
+                let off = Command::BlockLinks { pairs: Vec::new() };
                 let mut time = from;
                 while trouble.kind == LinksFlap && time + 2.0 < to {
-                    self.tell(time, Staged::Links, Command::CutLinks { pairs: pairs.clone() });
+                    self.tell(time, Staged::Links, Command::BlockLinks { pairs: pairs.clone() });
                     self.tell(time + 0.8, Staged::Links, off.clone());
                     time += 1.6;
                 }
-                self.tell(time, Staged::Links, Command::CutLinks { pairs });
+                self.tell(time, Staged::Links, Command::BlockLinks { pairs });
                 self.tell(to, Staged::Links, off);
             }
             SupervisorPause => {
@@ -342,7 +371,7 @@
                 }
             }
             Surge => {
-                let command = |factor| Command::Rate { factor };
+                let command = |factor| Command::ScaleRate { factor };
                 both(self, Staged::Callers, command(trouble.factor), command(1.0));
             }
         }
@@ -361,12 +390,12 @@
         Action::Start(servers) => {
             *incarnation += 1;
             started.extend(servers.iter().map(|&server| (server, (*incarnation, now()))));
-            stage.tell(Staged::Servers, &Command::Start { servers, incarnation: *incarnation })?;
+            stage.tell(Staged::Servers, &Command::StartServers { servers, incarnation: *incarnation })?;
         }
         Action::ListAs(servers, state) => stage.list_as(&servers, state, None)?,
         Action::ListFresh(servers) => {
             for server in servers {
-                stage.list_as(&[server], ListedAs::Ready, started.get(&server).copied())?;
+                stage.list_as(&[server], RegistryState::Ready, started.get(&server).copied())?;
             }
         }
         Action::KillSupervisor(number) => stage.kill_supervisor(number),
@@ -408,9 +437,12 @@
             });
         }
         Action::Revive(forwarders) => {
-            let listed = stage.list.values().filter(|row| row.state == ListedAs::Ready);
+            let listed = stage.list.values().filter(|row| row.state == RegistryState::Ready);
             let standing = listed.map(|row| row.server).collect();
-            stage.tell(Staged::Forwarders, &Command::Revive { forwarders, standing })?;
+            stage.tell(
+                Staged::Forwarders,
+                &Command::RestartForwarders { forwarders, bootstrap_servers: standing },
+            )?;
         }
     }
     Ok(())
@@ -446,7 +478,7 @@
         std::thread::sleep(Duration::from_nanos(next.saturating_sub(now() - start).min(SECOND)));
     }
     let end = now();
-    stage.tell(Staged::Callers, &Command::Quit)?;
+    stage.tell(Staged::Callers, &Command::StopCallers)?;
     // What was asked for last is still answered or timed out.
     let longest = day.operations.iter().map(|operation| operation.integration_timeout_ms).fold(0.0, f64::max);
     std::thread::sleep(Duration::from_nanos(nanos(longest) + SECOND / 5));
@@ -455,7 +487,7 @@
         [Staged::Servers, Staged::Forwarders, Staged::Callers, Staged::Registry].map(|who| stage.trace(who));
     let logs: Vec<_> = (0..stage.supervisors()).map(|number| stage.log(number)).collect();
     stage.close()?;
-    let mut seen: Vec<Seen> = Vec::new();
+    let mut seen: Vec<TraceEvent> = Vec::new();
     for trace in traces {
         seen.extend(read_trace(&trace)?);
     }
--- a/crates/fault-scenarios/src/stage.rs
+++ b/crates/fault-scenarios/src/stage.rs
@@ -11,8 +11,8 @@
 use oorandom::Rand64;
 use serde::Serialize;
 use shalereel_standins::{
-    CallersPlan, Command, ForwarderPlan, ForwardersPlan, LinksPlan, Listed, ListedAs, Ready, RegistryPlan,
-    ServerPlan, ServersPlan,
+    CallersPlan, Command, ForwarderPlan, ForwardersPlan, LinksPlan, Ready, RegistryEntry, RegistryPlan,
+    RegistryState, ServerPlan, ServersPlan,
 };
 
 use crate::day::{nanos, Day, Planted};
@@ -97,7 +97,7 @@
     down: Vec<u32>,
     registry: SocketAddr,
     /// The list as it truly is.
-    pub list: BTreeMap<u32, Listed>,
+    pub list: BTreeMap<u32, RegistryEntry>,
 }
 
 impl Stage {
@@ -120,14 +120,14 @@
         let told = stage.cast(
             Staged::Servers,
             &ServersPlan {
-                trace: stage.trace(Staged::Servers),
+                trace_path: stage.trace(Staged::Servers),
                 seed: day.seed,
                 servers: servers.clone(),
                 kinds: day.kind_plans(),
                 operations: day.operation_plans(),
-                tip_multiple: day.rules.tip_multiple,
-                tip_after: nanos(day.rules.tip_after_s * 1e3),
-                repeat_effects: day.planted == Some(Planted::ServerRepeatsEffects),
+                overload_multiple: day.rules.tip_multiple,
+                overload_window: nanos(day.rules.tip_after_s * 1e3),
+                duplicate_effects: day.planted == Some(Planted::ServerRepeatsEffects),
             },
         )?;
         for (server, address) in servers.iter_mut().zip(told.addresses) {
@@ -135,25 +135,25 @@
             let kind = &day.kinds[usize::from(server.kind)];
             stage.list.insert(
                 server.server,
-                Listed {
+                RegistryEntry {
                     server: server.server,
                     address,
                     zone: server.zone.clone(),
                     kind: server.kind,
                     cell: server.cell,
                     weight: f64::from(kind.cores) * kind.speed,
-                    state: ListedAs::Ready,
+                    state: RegistryState::Ready,
                     incarnation: 1,
-                    started: 0,
+                    started_at: 0,
                 },
             );
         }
         let told = stage.cast(
             Staged::Registry,
             &RegistryPlan {
-                trace: stage.trace(Staged::Registry),
+                trace_path: stage.trace(Staged::Registry),
                 address: stage.registry,
-                list: stage.list.values().cloned().collect(),
+                entries: stage.list.values().cloned().collect(),
             },
         )?;
         stage.registry = told.addresses[0];
@@ -170,37 +170,37 @@
         let told = stage.cast(
             Staged::Forwarders,
             &ForwardersPlan {
-                trace: stage.trace(Staged::Forwarders),
+                trace_path: stage.trace(Staged::Forwarders),
                 seed: day.seed,
                 operations: day.operation_plans(),
                 supervisors: stage.supervisors.iter().map(|supervisor| supervisor.1[0]).collect(),
-                sasp: stage.supervisors.iter().map(|supervisor| supervisor.1[1]).collect(),
+                sasp_supervisors: stage.supervisors.iter().map(|supervisor| supervisor.1[1]).collect(),
                 servers,
-                standing: day.forwarders.standing,
-                pick: day.forwarders.pick,
+                bootstrap_table_size: day.forwarders.standing,
+                load_balancing: day.forwarders.pick,
                 incremental: day.forwarders.incremental,
-                lines: day.forwarders.lines,
-                fails_to_avoid: day.forwarders.fails_to_avoid,
-                avoid_for: nanos(day.forwarders.avoid_s * 1e3),
-                first_wait: day.forwarders.first_wait,
-                redial: (nanos(day.forwarders.redial_ms.0), nanos(day.forwarders.redial_ms.1)),
-                keyed: day.keyed(),
+                supports_lines: day.forwarders.lines,
+                ejection_failure_threshold: day.forwarders.fails_to_avoid,
+                ejection_duration: nanos(day.forwarders.avoid_s * 1e3),
+                attempt_timeout_factor: day.forwarders.first_wait,
+                reconnect_delay: (nanos(day.forwarders.redial_ms.0), nanos(day.forwarders.redial_ms.1)),
+                keyed_operation: day.keyed(),
                 unfenced: day.planted == Some(Planted::NoFence),
                 ignore_drains: day.planted == Some(Planted::ForwarderIgnoresDrains),
                 forwarders: forwarders.clone(),
             },
         )?;
-        let rates = forwarders.iter().map(|forwarder| forwarder.rate);
+        let rates = forwarders.iter().map(|forwarder| forwarder.usual_rate);
         stage.cast(
             Staged::Callers,
             &CallersPlan {
-                trace: stage.trace(Staged::Callers),
+                trace_path: stage.trace(Staged::Callers),
                 seed: day.seed,
                 forwarders: told.addresses.into_iter().zip(rates).collect(),
                 operations: day.operation_plans(),
                 rate: day.demand.rate,
-                retries: day.demand.retries,
-                backoff: nanos(day.demand.backoff_ms),
+                max_retries: day.demand.retries,
+                retry_delay: nanos(day.demand.backoff_ms),
             },
         )?;
         Ok(stage)
@@ -243,8 +243,8 @@
             forwarder: at as u32,
             address: SocketAddr::from(([127, 2, (at / 250) as u8, (at % 250) as u8 + 1], 0)),
             zone: day.localities[at % day.localities.len()].clone(),
-            rate: day.demand.rate * part / total,
-            sasp: (at as u32) < day.forwarders.balancers,
+            usual_rate: day.demand.rate * part / total,
+            uses_sasp: (at as u32) < day.forwarders.balancers,
         };
         parts.into_iter().enumerate().map(plan).collect()
     }
@@ -273,18 +273,23 @@
     }
 
     /// Tells the registry how these servers stand by now.
-    pub fn list_as(&mut self, servers: &[u32], state: ListedAs, start: Option<(u64, u64)>) -> Result<()> {
+    pub fn list_as(
+        &mut self,
+        servers: &[u32],
+        state: RegistryState,
+        start: Option<(u64, u64)>,
+    ) -> Result<()> {
         let mut rows = Vec::new();
         for server in servers {
             if let Some(row) = self.list.get_mut(server) {
                 row.state = state;
                 if let Some((incarnation, started)) = start {
-                    (row.incarnation, row.started) = (incarnation, started);
+                    (row.incarnation, row.started_at) = (incarnation, started);
                 }
                 rows.push(row.clone());
             }
         }
-        self.tell(Staged::Registry, &Command::List { rows })
+        self.tell(Staged::Registry, &Command::UpdateEntries { entries: rows })
     }
 
     fn start_supervisor(&mut self, number: usize) -> Result<()> {
@@ -315,7 +320,7 @@
         fronts.zip(ready.addresses).for_each(|((old, _), address)| *old = address);
         let address = held.1[0];
         if self.day.shared.is_some() {
-            self.tell(Staged::Links, &Command::Member { member: number as u32, address })?;
+            self.tell(Staged::Links, &Command::SetMemberAddress { member: number as u32, address })?;
         }
         Ok(())
     }
--- a/crates/standins/src/callers.rs
+++ b/crates/standins/src/callers.rs
@@ -10,8 +10,8 @@
 use shalereel_reactor::{now, TimerId, SECOND};
 use shalereel_rpc::{Code, ConnId, Hub, Input, Status, StreamId};
 
-use crate::plan::{CallersPlan, Command, Ready, WhichEffect};
-use crate::trace::{Outcome, Seen, Trace};
+use crate::plan::{CallersPlan, Command, EffectKind, Ready};
+use crate::trace::{Outcome, TraceEvent, TraceWriter};
 use crate::work::{path, Invocation};
 use crate::{read_plan, say_ready, BOUNDS};
 
@@ -39,7 +39,7 @@
     next: Nanos,
     last: u64,
     chance: Rand64,
-    trace: Trace,
+    trace: TraceWriter,
     quits: bool,
 }
 
@@ -51,7 +51,7 @@
     let start = now();
     hub.set_timer(start, Key::Arrive);
     let mut callers = Callers {
-        trace: Trace::new(&plan.trace)?,
+        trace: TraceWriter::new(&plan.trace_path)?,
         chance: Rand64::new(plan.seed.into()),
         hub,
         plan,
@@ -116,8 +116,8 @@
 
     fn command(&mut self, line: &str) -> Result<()> {
         match serde_json::from_str(line)? {
-            Command::Rate { factor } => self.factor = factor,
-            Command::Quit => self.quits = true,
+            Command::ScaleRate { factor } => self.factor = factor,
+            Command::StopCallers => self.quits = true,
             other => eprintln!("callers cannot {other:?}"),
         }
         Ok(())
@@ -154,13 +154,13 @@
         let rates: Vec<f64> = self.plan.forwarders.iter().map(|forwarder| forwarder.1).collect();
         let (operation, forwarder) = (self.drawn(&shares), self.drawn(&rates));
         let told = &self.plan.operations[operation];
-        let (effect, mean, timeout) = (told.effect, told.work as f64, told.integration_timeout);
+        let (effect, mean, timeout) = (told.effect, told.mean_work as f64, told.integration_timeout);
         // Works spread from half the mean up, with a tail.
         let work = (mean * (0.5 + 0.5 * self.exponential())) as Nanos;
         self.last += 1;
         let inv = Invocation {
             inv: self.last,
-            fingerprint: if effect == WhichEffect::Fingerprinted { self.last } else { 0 },
+            fingerprint: if effect == EffectKind::Fingerprinted { self.last } else { 0 },
             work,
             operation: operation as u32,
             ..Invocation::default()
@@ -205,26 +205,26 @@
         };
         let operation = &self.plan.operations[asked.inv.operation as usize];
         let safe = match operation.effect {
-            WhichEffect::Idempotent => true,
-            WhichEffect::Fingerprinted => now() < asked.asked + operation.repeat_window,
-            WhichEffect::SideEffecting => matches!(outcome, Outcome::RateLimited | Outcome::NoLine),
+            EffectKind::Idempotent => true,
+            EffectKind::Fingerprinted => now() < asked.asked + operation.deduplication_window,
+            EffectKind::SideEffecting => matches!(outcome, Outcome::RateLimited | Outcome::NoLine),
         };
-        if !safe || asked.inv.attempt >= self.plan.retries {
+        if !safe || asked.inv.attempt >= self.plan.max_retries {
             return self.over(number, outcome);
         }
         asked.inv.attempt += 1;
-        self.hub.set_timer(now() + self.plan.backoff, Key::Again(number));
+        self.hub.set_timer(now() + self.plan.retry_delay, Key::Again(number));
     }
 
     fn over(&mut self, number: u64, outcome: Outcome) {
         let Some(asked) = self.asked.remove(&number) else { return };
         self.hub.cancel_timer(asked.timer);
-        self.trace.put(&Seen::Done {
-            asked: asked.asked,
+        self.trace.write(&TraceEvent::InvocationFinished {
+            started_at: asked.asked,
             at: now(),
             operation: asked.inv.operation as u16,
-            inv: asked.inv.inv,
-            tries: asked.inv.attempt + 1,
+            invocation: asked.inv.inv,
+            attempts: asked.inv.attempt + 1,
             outcome,
         });
     }
--- a/crates/standins/src/forwarders.rs
+++ b/crates/standins/src/forwarders.rs
@@ -19,8 +19,8 @@
     LoadReportConfig, NodeInfo, Update, Variant, ADS, DELTA_ADS, EXCLUDED, LRS,
 };
 
-use crate::plan::{Command, ForwarderPlan, ForwardersPlan, Pick, Ready};
-use crate::trace::{Seen, Trace};
+use crate::plan::{Command, ForwarderPlan, ForwardersPlan, LoadBalancing, Ready};
+use crate::trace::{TraceEvent, TraceWriter};
 use crate::work::{path, Answer, Invocation};
 use crate::{read_plan, say_ready, BOUNDS};
 
@@ -155,14 +155,14 @@
     oddity: u32,
     last: u64,
     chance: Rand64,
-    trace: Trace,
+    trace: TraceWriter,
 }
 
 pub(crate) fn run() -> Result<()> {
     let mut hub = Hub::new(BOUNDS)?;
     hub.stop_on_signals()?;
     let (plan, rest): (ForwardersPlan, _) = read_plan(&mut hub)?;
-    let trace = Trace::new(&plan.trace)?;
+    let trace = TraceWriter::new(&plan.trace_path)?;
     let mut addresses = Vec::new();
     let mut all = Forwarders {
         forwarders: BTreeMap::new(),
@@ -222,12 +222,12 @@
             let listed = self.plan.servers.iter().filter(|server| standing.contains(&server.server));
             drawn = listed.map(|server| server.address).collect();
         }
-        while drawn.len() > self.plan.standing {
+        while drawn.len() > self.plan.bootstrap_table_size {
             drawn.swap_remove(self.chance.rand_range(0..drawn.len() as u64) as usize);
         }
         let lines = || drawn.iter().map(|&address| Line { address, weight: 1.0, credit: 0.0 }).collect();
         let count = self.plan.operations.len();
-        let variant = if self.plan.incremental || self.plan.lines {
+        let variant = if self.plan.incremental || self.plan.supports_lines {
             Variant::Incremental
         } else {
             Variant::StateOfTheWorld
@@ -235,9 +235,9 @@
         let node = NodeInfo {
             id: format!("forwarder-{}", told.forwarder),
             zone: told.zone.clone(),
-            rate: told.rate,
+            rate: told.usual_rate,
             is_new: true,
-            supports_lines: self.plan.lines,
+            supports_lines: self.plan.supports_lines,
         };
         let mut list = ClientStream::new(variant, node);
         let names = self.plan.operations.iter().map(|operation| operation.name.clone());
@@ -368,7 +368,7 @@
         let Some(forwarder) = self.forwarders.get_mut(&id).filter(|f| f.alive && f.link.is_none()) else {
             return;
         };
-        let Some(&address) = self.plan.sasp.get(forwarder.supervisor) else { return };
+        let Some(&address) = self.plan.sasp_supervisors.get(forwarder.supervisor) else { return };
         let Ok(conn) = self.hub.dial_plain(address) else { return self.redial(id) };
         forwarder.link = Some((conn, 0, 0));
         forwarder.frames = Frames::new(4 << 20);
@@ -404,7 +404,11 @@
                 Ok(Some(Message { body: Body::Registered(ReturnCode::Successful), .. })) => {
                     if !std::mem::replace(&mut forwarder.up, true) {
                         let supervisor = forwarder.supervisor as u32;
-                        self.trace.put(&Seen::Joined { at: now(), forwarder: id, supervisor });
+                        self.trace.write(&TraceEvent::SupervisorConnected {
+                            at: now(),
+                            forwarder: id,
+                            supervisor,
+                        });
                     }
                 }
                 Ok(Some(Message { body: Body::SendWeights { groups }, .. })) => {
@@ -447,27 +451,36 @@
         // SASP has no room for the time of an order; what waited shows at the other front.
         let at = now();
         let (lines, bytes) = (changed as u32, bytes.len() as u32);
-        self.trace.put(&Seen::Told { at, forwarder: id, supervisor, lines, ordered: at, epoch: 0, bytes });
+        self.trace.write(&TraceEvent::UpdateReceived {
+            at,
+            forwarder: id,
+            supervisor,
+            changed_lines: lines,
+            ordered_at: at,
+            epoch: 0,
+            bytes,
+        });
         self.close_unused(id);
         self.look_for_lines(id);
     }
 
     fn dial(&mut self, id: u32) {
-        if self.forwarders.get(&id).is_some_and(|forwarder| forwarder.plan.sasp) {
+        if self.forwarders.get(&id).is_some_and(|forwarder| forwarder.plan.uses_sasp) {
             return self.dial_sasp(id);
         }
         let Some(forwarder) = self.forwarders.get_mut(&id).filter(|f| f.alive && f.link.is_none()) else {
             return;
         };
         let Some(&address) = self.plan.supervisors.get(forwarder.supervisor) else { return };
-        let ads = if self.plan.incremental || self.plan.lines { DELTA_ADS } else { ADS };
+        let ads = if self.plan.incremental || self.plan.supports_lines { DELTA_ADS } else { ADS };
         let Ok(conn) = self.hub.dial(address) else { return self.redial(id) };
         let (Some(stream), Some(load)) = (self.hub.call(conn, ads, None), self.hub.call(conn, LRS, None))
         else {
             return;
         };
         forwarder.link = Some((conn, stream, load));
-        forwarder.hold = self.plan.keyed.and_then(|_| self.hub.call(conn, RANGES_STREAM_PATH, None));
+        forwarder.hold =
+            self.plan.keyed_operation.and_then(|_| self.hub.call(conn, RANGES_STREAM_PATH, None));
         forwarder.tenant.stream_reopened();
         forwarder.up = false;
         self.links.insert(conn, id);
@@ -505,7 +518,7 @@
             .encode_to_vec(),
         );
         forwarder.held += 1;
-        let wait = if forwarder.tenure > 0 { forwarder.tenure / 4 } else { self.plan.redial.0 };
+        let wait = if forwarder.tenure > 0 { forwarder.tenure / 4 } else { self.plan.reconnect_delay.0 };
         self.hub.set_timer(time + wait, Key::Ranges(id, forwarder.held));
     }
 
@@ -530,7 +543,7 @@
 
     /// Another supervisor, a little later.
     fn redial(&mut self, id: u32) {
-        let (least, most) = self.plan.redial;
+        let (least, most) = self.plan.reconnect_delay;
         let wait = least + (self.chance.rand_float() * most.saturating_sub(least) as f64) as Nanos;
         if let Some(forwarder) = self.forwarders.get_mut(&id) {
             forwarder.supervisor = (forwarder.supervisor + 1) % self.plan.supervisors.len().max(1);
@@ -543,10 +556,10 @@
         let Some((conn, ..)) = forwarder.link.take() else { return };
         self.links.remove(&conn);
         if std::mem::replace(&mut forwarder.up, false) {
-            self.trace.put(&Seen::Left { at: now(), forwarder: id });
+            self.trace.write(&TraceEvent::SupervisorDisconnected { at: now(), forwarder: id });
         }
         forwarder.list.node.is_new = false;
-        if forwarder.plan.sasp {
+        if forwarder.plan.uses_sasp {
             // The next supervisor's first weights replace what is held.
             forwarder.tables.iter_mut().for_each(|table| table.told.clear());
         }
@@ -565,7 +578,11 @@
                 self.hub.set_timer(now() + forwarder.interval, Key::Report(id, forwarder.generation));
                 if !std::mem::replace(&mut forwarder.up, true) {
                     let supervisor = forwarder.supervisor as u32;
-                    self.trace.put(&Seen::Joined { at: now(), forwarder: id, supervisor });
+                    self.trace.write(&TraceEvent::SupervisorConnected {
+                        at: now(),
+                        forwarder: id,
+                        supervisor,
+                    });
                 }
             }
         } else if Some(stream) == forwarder.hold {
@@ -586,7 +603,7 @@
         let (part, delay) = self.lossy;
         let drawn = if part > 0.0 { self.chance.rand_float() / part } else { f64::INFINITY };
         if drawn < 2.5 {
-            self.trace.put(&Seen::Disturbed { at: now(), forwarder: id });
+            self.trace.write(&TraceEvent::UpdateDisturbed { at: now(), forwarder: id });
         }
         match drawn {
             drawn if drawn < 1.0 => {}
@@ -640,7 +657,15 @@
         let (_, ordered) = update.stamp().unwrap_or_default();
         let (supervisor, lines) = (forwarder.supervisor as u32, delta.line_count() as u32);
         let (epoch, bytes) = (forwarder.epoch, bytes as u32);
-        self.trace.put(&Seen::Told { at: now(), forwarder: id, supervisor, lines, ordered, epoch, bytes });
+        self.trace.write(&TraceEvent::UpdateReceived {
+            at: now(),
+            forwarder: id,
+            supervisor,
+            changed_lines: lines,
+            ordered_at: ordered,
+            epoch,
+            bytes,
+        });
         self.follow(id, table);
     }
 
@@ -667,7 +692,7 @@
         let due = forwarder.followers.values().filter_map(Replica::resync_due).min();
         let message = forwarder.list.resubscribe(types::LINE, asked);
         self.hub.send(conn, stream, &message);
-        self.trace.put(&Seen::AskedAnew { at: time, forwarder: id });
+        self.trace.write(&TraceEvent::ResyncRequested { at: time, forwarder: id });
         self.remind(id, due);
     }
 
@@ -725,7 +750,7 @@
         }
         if let Entry::Vacant(vacant) = forwarder.followers.entry(table) {
             let seed = self.plan.seed ^ u64::from(id) << 16 ^ u64::from(table);
-            vacant.insert(Replica::new(ResyncBackoff::new(self.plan.redial.0, seed)));
+            vacant.insert(Replica::new(ResyncBackoff::new(self.plan.reconnect_delay.0, seed)));
             let message =
                 forwarder.list.resubscribe(types::LINE, BTreeMap::from([(collection.to_owned(), None)]));
             self.hub.send(conn, stream, &message);
@@ -833,7 +858,15 @@
         let (_, ordered) = update.stamp().unwrap_or_default();
         let supervisor = forwarder.supervisor as u32;
         let (lines, epoch, bytes) = (changed as u32, forwarder.epoch, bytes as u32);
-        self.trace.put(&Seen::Told { at: now(), forwarder: id, supervisor, lines, ordered, epoch, bytes });
+        self.trace.write(&TraceEvent::UpdateReceived {
+            at: now(),
+            forwarder: id,
+            supervisor,
+            changed_lines: lines,
+            ordered_at: ordered,
+            epoch,
+            bytes,
+        });
         self.close_unused(id);
         Ok(())
     }
@@ -861,7 +894,12 @@
         for at in 0..forwarder.tables.len() {
             let bare = forwarder.lines(at).next().is_none();
             if bare != std::mem::replace(&mut forwarder.tables[at].bare, bare) {
-                self.trace.put(&Seen::Bare { at: now(), forwarder: id, operation: at as u16, on: bare });
+                self.trace.write(&TraceEvent::LacksLine {
+                    at: now(),
+                    forwarder: id,
+                    operation: at as u16,
+                    on: bare,
+                });
             }
         }
     }
@@ -940,7 +978,7 @@
             return self.hub.finish(caller.0, caller.1, status);
         }
         // By key: to the range's one owner, by a line that is still good, or nowhere.
-        let by_key = self.plan.keyed == Some(at);
+        let by_key = self.plan.keyed_operation == Some(at);
         let range = (inv.inv.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32) as u32 % forwarder.ranges.max(1);
         let line = forwarder.tenant.route(now(), range).filter(|_| by_key);
         let owner = line.and_then(|line| forwarder.owners.get(&line.owner).copied());
@@ -977,7 +1015,7 @@
 
     fn pick(&mut self, id: u32, at: usize, not: Option<SocketAddr>) -> Option<SocketAddr> {
         let time = now();
-        let pick = self.plan.pick;
+        let pick = self.plan.load_balancing;
         let forwarder = self.forwarders.get_mut(&id)?;
         forwarder.avoided.retain(|_, until| *until > time);
         let lines: Vec<Line> =
@@ -996,13 +1034,13 @@
             drawn.or(from.last()).map(|line| line.address)
         };
         match pick {
-            Pick::Lottery => draw(),
-            Pick::Pair => {
+            LoadBalancing::WeightedRandom => draw(),
+            LoadBalancing::TwoChoices => {
                 let (one, other) = (draw()?, draw()?);
                 let open = |address| forwarder.open.get(&address).copied().unwrap_or(0);
                 Some(if open(other) < open(one) { other } else { one })
             }
-            Pick::Wheel => {
+            LoadBalancing::WeightedRoundRobin => {
                 let chosen: BTreeSet<SocketAddr> = from.iter().map(|line| line.address).collect();
                 let mut best: Option<&mut Line> = None;
                 for line in forwarder.tables[at].lines.iter_mut().filter(|l| chosen.contains(&l.address)) {
@@ -1034,11 +1072,17 @@
             _ => false,
         };
         let objective = self.plan.operations[at].latency_objective as f64;
-        let wait = (objective * self.plan.first_wait) as Nanos;
+        let wait = (objective * self.plan.attempt_timeout_factor) as Nanos;
         let until = if followed { trial.until.min(now() + wait) } else { trial.until };
         let server = self.ids.get(&address).copied().unwrap_or(u32::MAX);
         let (inv, further) = (trial.inv.inv, trial.inv.further);
-        self.trace.put(&Seen::Tried { at: now(), forwarder: id, server, inv, further });
+        self.trace.write(&TraceEvent::AttemptStarted {
+            at: now(),
+            forwarder: id,
+            server,
+            invocation: inv,
+            forwarder_attempt: further,
+        });
         trial.timer = Some(self.hub.set_timer(until, Key::TryOver(number)));
         // Across a cut nothing passes: the try ends by its time alone.
         let far = self.zones.get(&address).is_some_and(|zone| {
@@ -1152,9 +1196,9 @@
             met.errored += 1;
             let fails = forwarder.fails.entry(trial.address).or_default();
             *fails += 1;
-            if self.plan.fails_to_avoid > 0 && *fails >= self.plan.fails_to_avoid {
+            if self.plan.ejection_failure_threshold > 0 && *fails >= self.plan.ejection_failure_threshold {
                 *fails = 0;
-                forwarder.avoided.insert(trial.address, now() + self.plan.avoid_for);
+                forwarder.avoided.insert(trial.address, now() + self.plan.ejection_duration);
             }
         }
     }
@@ -1218,8 +1262,9 @@
             if self.odd.values().any(|&known| known == kind) || !self.oddity.is_multiple_of(50) {
                 continue;
             }
-            let at = (self.oddity as usize / 50) % self.plan.sasp.len().max(1);
-            let Some(Ok(conn)) = self.plan.sasp.get(at).map(|&front| self.hub.dial_plain(front)) else {
+            let at = (self.oddity as usize / 50) % self.plan.sasp_supervisors.len().max(1);
+            let Some(Ok(conn)) = self.plan.sasp_supervisors.get(at).map(|&front| self.hub.dial_plain(front))
+            else {
                 return;
             };
             self.odd.insert(conn, kind);
@@ -1314,13 +1359,13 @@
                 self.settle(&trial);
             }
         }
-        self.trace.put(&Seen::Died { at: now(), forwarder: id });
+        self.trace.write(&TraceEvent::ForwarderCrashed { at: now(), forwarder: id });
     }
 
     fn stall(&mut self, id: u32, on: bool) {
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
         forwarder.stalled = on;
-        self.trace.put(&Seen::Reachable { at: now(), forwarder: id, on: !on });
+        self.trace.write(&TraceEvent::ReadsSupervisor { at: now(), forwarder: id, on: !on });
         let link = forwarder.link.map(|link| link.0);
         let conns = link
             .into_iter()
@@ -1332,8 +1377,8 @@
 
     fn command(&mut self, command: Command) {
         match command {
-            Command::Die { forwarders } => forwarders.into_iter().for_each(|id| self.die(id)),
-            Command::Revive { forwarders, standing } => {
+            Command::CrashForwarders { forwarders } => forwarders.into_iter().for_each(|id| self.die(id)),
+            Command::RestartForwarders { forwarders, bootstrap_servers: standing } => {
                 for id in forwarders {
                     self.die(id);
                     let Some(forwarder) = self.forwarders.get(&id) else { continue };
@@ -1344,27 +1389,29 @@
                     }
                 }
             }
-            Command::Stall { forwarders, on } => forwarders.into_iter().for_each(|id| self.stall(id, on)),
-            Command::Deaf { forwarders, on } => {
+            Command::StallForwarders { forwarders, on } => {
+                forwarders.into_iter().for_each(|id| self.stall(id, on))
+            }
+            Command::PauseSupervisorConnection { forwarders, on } => {
                 for id in forwarders {
-                    self.trace.put(&Seen::Reachable { at: now(), forwarder: id, on: !on });
+                    self.trace.write(&TraceEvent::ReadsSupervisor { at: now(), forwarder: id, on: !on });
                     let link = self.forwarders.get(&id).and_then(|forwarder| forwarder.link);
                     if let Some((conn, ..)) = link {
                         self.hub.set_paused(conn, on);
                     }
                 }
             }
-            Command::TurnDown { forwarders, count } => {
+            Command::RejectUpdates { forwarders, count } => {
                 for id in forwarders {
                     if let Some(forwarder) = self.forwarders.get_mut(&id) {
                         forwarder.turns_down = count;
                     }
                 }
             }
-            Command::LateReports { delay } => self.late = delay,
-            Command::Lossy { part, delay } => self.lossy = (part, delay),
-            Command::Cut { zones } => self.cut = zones,
-            Command::OddBalancers { on } => {
+            Command::DelayReports { delay } => self.late = delay,
+            Command::DisturbUpdates { fraction: part, delay } => self.lossy = (part, delay),
+            Command::IsolateZones { zones } => self.cut = zones,
+            Command::RunFaultyBalancers { on } => {
                 self.oddity = u32::from(on);
                 if on {
                     self.hub.set_timer(now(), Key::Odd);
@@ -1372,7 +1419,7 @@
                     std::mem::take(&mut self.odd).into_keys().for_each(|conn| self.hub.reset(conn));
                 }
             }
-            Command::ReportGhost { on } => self.ghost = on,
+            Command::ReportUnknownServer { on } => self.ghost = on,
             other => eprintln!("forwarders cannot {other:?}"),
         }
     }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -12,10 +12,11 @@
 mod work;
 
 pub use plan::{
-    CallersPlan, Command, ForwarderPlan, ForwardersPlan, KindPlan, LinksPlan, Listed, ListedAs,
-    OperationPlan, Pick, Ready, RegistryPlan, Repeats, ServerPlan, ServersPlan, WhichEffect,
+    CallersPlan, Command, DeduplicationScope, EffectKind, ForwarderPlan, ForwardersPlan, LinksPlan,
+    LoadBalancing, OperationPlan, Ready, RegistryEntry, RegistryPlan, RegistryState, ServerKind, ServerPlan,
+    ServersPlan,
 };
-pub use trace::{read_trace, Outcome, Seen};
+pub use trace::{read_trace, Outcome, TraceEvent};
 
 use std::io::Write;
 
--- a/crates/standins/src/links.rs
+++ b/crates/standins/src/links.rs
@@ -75,10 +75,10 @@
 
     fn command(&mut self, command: Command) {
         match command {
-            Command::Member { member, address } => {
+            Command::SetMemberAddress { member, address } => {
                 self.targets.insert(member, address);
             }
-            Command::CutLinks { pairs } => {
+            Command::BlockLinks { pairs } => {
                 self.cut = pairs.into_iter().collect();
                 for (conn, (_, pair)) in &self.ends {
                     self.hub.set_paused(*conn, self.cut.contains(pair));
--- a/crates/standins/src/registry.rs
+++ b/crates/standins/src/registry.rs
@@ -10,8 +10,8 @@
     Variant, DELTA_ADS,
 };
 
-use crate::plan::{Command, Listed, ListedAs, Ready, RegistryPlan};
-use crate::trace::{Seen, Trace};
+use crate::plan::{Command, Ready, RegistryEntry, RegistryPlan, RegistryState};
+use crate::trace::{TraceEvent, TraceWriter};
 use crate::{read_plan, say_ready, BOUNDS};
 
 const FLEET: &str = "fleet";
@@ -19,12 +19,12 @@
 struct Registry {
     hub: Hub<(), ()>,
     listener: Token,
-    list: BTreeMap<u32, Listed>,
+    list: BTreeMap<u32, RegistryEntry>,
     left_out: Vec<u32>,
     mute: bool,
     streams: BTreeMap<(ConnId, StreamId), (ServerStream, String)>,
     version: u64,
-    trace: Trace,
+    trace: TraceWriter,
 }
 
 pub(crate) fn run() -> Result<()> {
@@ -36,12 +36,12 @@
     let mut registry = Registry {
         hub,
         listener,
-        list: plan.list.into_iter().map(|row| (row.server, row)).collect(),
+        list: plan.entries.into_iter().map(|row| (row.server, row)).collect(),
         left_out: Vec::new(),
         mute: false,
         streams: BTreeMap::new(),
         version: 1,
-        trace: Trace::new(&plan.trace)?,
+        trace: TraceWriter::new(&plan.trace_path)?,
     };
     let mut inputs = rest;
     loop {
@@ -86,7 +86,7 @@
                         }
                         ClientRequest::Ack { nonce, .. } => {
                             let (at, to) = (now(), who.clone());
-                            self.trace.put(&Seen::Acknowledged { at, to, version: nonce });
+                            self.trace.write(&TraceEvent::EntriesAcknowledged { at, to, version: nonce });
                         }
                     }
                 }
@@ -101,24 +101,26 @@
     fn say(&mut self, to: (ConnId, StreamId)) {
         let time = now();
         let listed = || self.list.values().filter(|row| !self.left_out.contains(&row.server));
-        let rows = listed().filter(|row| row.state != ListedAs::Gone).map(|row| AssignedEndpoint {
+        let rows = listed().filter(|row| row.state != RegistryState::Gone).map(|row| AssignedEndpoint {
             address: row.address,
             zone: row.zone.clone(),
-            health: if row.state == ListedAs::Draining { Health::Draining } else { Health::Ready },
+            health: if row.state == RegistryState::Draining { Health::Draining } else { Health::Ready },
             weight: row.weight,
             info: Some(ServerInfo {
                 server: row.server,
                 kind: row.kind,
                 cell: row.cell,
                 incarnation: row.incarnation,
-                age: (row.started > 0).then(|| time.saturating_sub(row.started) / MILLI * MILLI),
+                age: (row.started_at > 0).then(|| time.saturating_sub(row.started_at) / MILLI * MILLI),
             }),
         });
         let any = Assignment { cluster: FLEET.into(), endpoints: rows.collect(), admitted: 1.0 }.encode();
-        let ready = listed().filter(|row| row.state == ListedAs::Ready);
-        let ready = ready.map(|row| (row.server, row.incarnation, row.started)).collect();
-        let draining = listed().filter(|row| row.state == ListedAs::Draining).map(|row| row.server).collect();
-        let out = |row: &&Listed| row.state == ListedAs::Gone || self.left_out.contains(&row.server);
+        let ready = listed().filter(|row| row.state == RegistryState::Ready);
+        let ready = ready.map(|row| (row.server, row.incarnation, row.started_at)).collect();
+        let draining =
+            listed().filter(|row| row.state == RegistryState::Draining).map(|row| row.server).collect();
+        let out =
+            |row: &&RegistryEntry| row.state == RegistryState::Gone || self.left_out.contains(&row.server);
         let gone = self.list.values().filter(out).map(|row| row.server).collect();
         let version = self.version.to_string();
         let Some((serving, who)) = self.streams.get_mut(&to) else { return };
@@ -134,7 +136,14 @@
             stamp: time,
         });
         let to_whom = who.clone();
-        self.trace.put(&Seen::Said { at: time, to: to_whom, version: self.version, ready, draining, gone });
+        self.trace.write(&TraceEvent::EntriesSent {
+            at: time,
+            to: to_whom,
+            version: self.version,
+            ready,
+            draining,
+            gone,
+        });
         self.hub.send(to.0, to.1, &message);
     }
 
@@ -148,19 +157,19 @@
 
     fn command(&mut self, command: Command) {
         match command {
-            Command::List { rows } => {
+            Command::UpdateEntries { entries: rows } => {
                 self.list.extend(rows.into_iter().map(|row| (row.server, row)));
                 self.say_all();
             }
-            Command::Mute { on } => {
+            Command::SuppressUpdates { on } => {
                 self.mute = on;
                 self.say_all();
             }
-            Command::LeaveOut { servers } => {
+            Command::OmitServers { servers } => {
                 self.left_out = servers;
                 self.say_all();
             }
-            Command::Away { on } => {
+            Command::StopRegistry { on } => {
                 self.hub.set_listener_paused(self.listener, on);
                 if on {
                     let conns: std::collections::BTreeSet<ConnId> =
--- a/crates/standins/src/servers.rs
+++ b/crates/standins/src/servers.rs
@@ -9,8 +9,8 @@
 use shalereel_reactor::{now, TimerId, Token};
 use shalereel_rpc::{Code, ConnId, Hub, Input, Status, StreamId};
 
-use crate::plan::{Command, Ready, Repeats, ServerPlan, ServersPlan, WhichEffect};
-use crate::trace::{Seen, Trace};
+use crate::plan::{Command, DeduplicationScope, EffectKind, Ready, ServerPlan, ServersPlan};
+use crate::trace::{TraceEvent, TraceWriter};
 use crate::work::{Answer, Invocation};
 use crate::{read_plan, say_ready, BOUNDS};
 
@@ -57,14 +57,14 @@
     calls: BTreeSet<(ConnId, StreamId)>,
     chance: Rand64,
     jobs: u64,
-    trace: Trace,
+    trace: TraceWriter,
 }
 
 pub(crate) fn run() -> Result<()> {
     let mut hub = Hub::new(BOUNDS)?;
     hub.stop_on_signals()?;
     let (mut plan, rest): (ServersPlan, _) = read_plan(&mut hub)?;
-    let trace = Trace::new(&plan.trace)?;
+    let trace = TraceWriter::new(&plan.trace_path)?;
     let mut servers = BTreeMap::new();
     for told in &mut plan.servers {
         let (token, address) = hub.listen(told.address, told.server)?;
@@ -151,7 +151,7 @@
     fn opened(&mut self, conn: ConnId, at: u32) {
         let Some(server) = self.servers.get_mut(&at) else { return };
         let kind = &self.plan.kinds[usize::from(server.plan.kind)];
-        if server.conns.len() as f64 >= f64::from(kind.connections) * server.squeeze {
+        if server.conns.len() as f64 >= f64::from(kind.max_connections) * server.squeeze {
             return self.hub.reset(conn);
         }
         server.conns.insert(conn);
@@ -200,10 +200,11 @@
     fn warm(&self, server: &Server, time: Nanos) -> f64 {
         let kind = &self.plan.kinds[usize::from(server.plan.kind)];
         let age = time.saturating_sub(server.started);
-        if server.started == 0 || age >= kind.cold_for {
+        if server.started == 0 || age >= kind.warm_up_duration {
             return 1.0;
         }
-        kind.cold_from + (1.0 - kind.cold_from) * age as f64 / kind.cold_for as f64
+        kind.cold_capacity_fraction
+            + (1.0 - kind.cold_capacity_fraction) * age as f64 / kind.warm_up_duration as f64
     }
 
     fn arrived(&mut self, conn: ConnId, stream: StreamId, inv: Invocation) {
@@ -212,26 +213,26 @@
         let kind = &self.plan.kinds[usize::from(server.plan.kind)];
         let warm = self.warm(server, time);
         let (cold, capacity) = (warm < 1.0, f64::from(kind.cores) * kind.speed * warm);
-        self.trace.put(&Seen::Arrived {
+        self.trace.write(&TraceEvent::InvocationArrived {
             at: time,
             server: id,
             incarnation: server.incarnation,
-            inv: inv.inv,
+            invocation: inv.inv,
             forwarder: inv.forwarder,
-            further: inv.further,
+            forwarder_attempt: inv.further,
             work: inv.work,
             capacity,
             cold,
         });
-        let queue_most = kind.queue as usize;
+        let queue_most = kind.queue_capacity as usize;
         let Some(server) = self.servers.get_mut(&id) else { return };
         server.sent.push_back((time, inv.work));
-        while server.sent.front().is_some_and(|sent| sent.0 + self.plan.tip_after < time) {
+        while server.sent.front().is_some_and(|sent| sent.0 + self.plan.overload_window < time) {
             server.sent.pop_front();
         }
         let sent: f64 = server.sent.iter().map(|sent| sent.1 as f64).sum();
-        if cold && sent > self.plan.tip_multiple * capacity * self.plan.tip_after as f64 {
-            self.trace.put(&Seen::Fell { at: time, server: id });
+        if cold && sent > self.plan.overload_multiple * capacity * self.plan.overload_window as f64 {
+            self.trace.write(&TraceEvent::ServerOverloaded { at: time, server: id });
             return self.down(id);
         }
         let refuse = |hub: &mut Hub<u32, Key>, code, text| hub.finish(conn, stream, Status::new(code, text));
@@ -292,13 +293,13 @@
         let Some(operation) = self.plan.operations.get(inv.operation as usize) else { return };
         let Some(server) = self.servers.get(&id) else { return };
         let time = now();
-        if operation.effect == WhichEffect::Fingerprinted && inv.fingerprint != 0 {
-            let group = match operation.repeats {
-                Repeats::Everywhere => String::new(),
-                Repeats::Locality => server.plan.zone.clone(),
-                Repeats::Cell => format!("{}/{}", server.plan.zone, server.plan.cell),
+        if operation.effect == EffectKind::Fingerprinted && inv.fingerprint != 0 {
+            let group = match operation.deduplication_scope {
+                DeduplicationScope::Everywhere => String::new(),
+                DeduplicationScope::Locality => server.plan.zone.clone(),
+                DeduplicationScope::Cell => format!("{}/{}", server.plan.zone, server.plan.cell),
             };
-            let until = self.marks.insert((group, inv.fingerprint), time + operation.repeat_window);
+            let until = self.marks.insert((group, inv.fingerprint), time + operation.deduplication_window);
             if until.is_some_and(|until| until > time) {
                 return;
             }
@@ -306,14 +307,14 @@
                 self.marks.retain(|_, until| *until > time);
             }
         }
-        for _ in 0..1 + u32::from(self.plan.repeat_effects) {
-            self.trace.put(&Seen::Effect {
+        for _ in 0..1 + u32::from(self.plan.duplicate_effects) {
+            self.trace.write(&TraceEvent::EffectApplied {
                 at: time,
                 server: id,
                 operation: inv.operation as u16,
-                inv: inv.inv,
-                attempt: inv.attempt,
-                further: inv.further,
+                invocation: inv.inv,
+                caller_attempt: inv.attempt,
+                forwarder_attempt: inv.further,
                 fingerprint: inv.fingerprint,
                 range: inv.range,
                 epoch: inv.epoch,
@@ -358,8 +359,8 @@
 
     fn command(&mut self, command: Command) -> Result<()> {
         match command {
-            Command::Crash { servers } => servers.iter().for_each(|&id| self.down(id)),
-            Command::Start { servers, incarnation } => {
+            Command::CrashServers { servers } => servers.iter().for_each(|&id| self.down(id)),
+            Command::StartServers { servers, incarnation } => {
                 for id in servers {
                     self.down(id);
                     let Some(plan) = self.servers.get(&id).map(|server| server.plan.clone()) else {
@@ -369,7 +370,7 @@
                     self.servers.insert(id, Server::new(plan, Some(token), now(), incarnation));
                 }
             }
-            Command::Silence { servers, on } => {
+            Command::SilenceServers { servers, on } => {
                 for id in &servers {
                     let Some(server) = self.servers.get_mut(id) else { continue };
                     server.silent = on;
@@ -377,20 +378,26 @@
                 }
                 self.come_to(&servers, on);
             }
-            Command::Hang { servers, on } => {
+            Command::HangServers { servers, on } => {
                 self.each(&servers, |server| server.hung = on);
                 self.come_to(&servers, on);
             }
-            Command::Slow { servers, factor } => self.each(&servers, |server| server.slow = factor),
-            Command::Fail { servers, part } => self.each(&servers, |server| server.fails = part),
-            Command::Misreport { servers, on } => self.each(&servers, |server| server.misreports = on),
-            Command::Drain { servers, grace } => {
+            Command::SlowServers { servers, factor } => self.each(&servers, |server| server.slow = factor),
+            Command::FailInvocations { servers, fraction: part } => {
+                self.each(&servers, |server| server.fails = part)
+            }
+            Command::MisreportLoad { servers, on } => self.each(&servers, |server| server.misreports = on),
+            Command::DrainServers { servers, grace } => {
                 for &id in &servers {
                     self.hub.set_timer(now() + grace, Key::Refuse(id));
                 }
             }
-            Command::Squeeze { servers, part } => self.each(&servers, |server| server.squeeze = part),
-            Command::Handshake { servers, delay } => self.each(&servers, |server| server.handshake = delay),
+            Command::LimitConnections { servers, fraction: part } => {
+                self.each(&servers, |server| server.squeeze = part)
+            }
+            Command::DelayConnections { servers, delay } => {
+                self.each(&servers, |server| server.handshake = delay)
+            }
             other => eprintln!("servers cannot {other:?}"),
         }
         Ok(())
--- a/crates/standins/src/trace.rs
+++ b/crates/standins/src/trace.rs
@@ -1,4 +1,5 @@
-//! What stand-ins saw: lines of JSON. Times are nanoseconds of the machine's monotonic clock.
+//! Trace of what stand-ins observe: one [`TraceEvent`] a line, as JSON. Times are nanoseconds of the machine's monotonic
+//! clock. The serialized names are read by other builds and must not change.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader, BufWriter, Write};
@@ -8,169 +9,189 @@
 use serde::{Deserialize, Serialize};
 use shalereel::interface::Nanos;
 
+/// Size of the buffer in front of a trace file.
+const BUFFER_BYTES: usize = 1 << 16;
+
+/// Result of an invocation, as its caller sees it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
+    /// A server answered it.
     Succeeded,
-    /// Turned away by a level, a full queue or a draining server: it never ran.
+    /// Rejected by an admission limit, a full queue or a draining server; it was not executed.
     RateLimited,
+    /// Failed for another reason; it may have been executed.
     Errored,
+    /// Not answered within the operation's timeout.
     TimedOut,
-    /// No line to pick.
+    /// The forwarder had no line to send it to.
     NoLine,
 }
 
+/// One event in a trace. `at` is the time of the event.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "saw", rename_all = "snake_case")]
-pub enum Seen {
-    /// At a server: an invocation arrived. `capacity`: work it can do in a nanosecond, as it is now.
-    Arrived {
+pub enum TraceEvent {
+    /// A server received an invocation. `capacity`: work per nanosecond that the server can do at this time.
+    #[serde(rename = "arrived")]
+    InvocationArrived {
         at: Nanos,
         server: u32,
         incarnation: u64,
-        inv: u64,
+        #[serde(rename = "inv")]
+        invocation: u64,
         forwarder: u32,
-        further: u32,
+        #[serde(rename = "further")]
+        forwarder_attempt: u32,
         work: Nanos,
         capacity: f64,
         cold: bool,
     },
-    /// At a server: it took effect.
-    Effect {
+    /// An invocation took effect at a server.
+    #[serde(rename = "effect")]
+    EffectApplied {
         at: Nanos,
         server: u32,
         operation: u16,
-        inv: u64,
-        attempt: u32,
-        further: u32,
+        #[serde(rename = "inv")]
+        invocation: u64,
+        #[serde(rename = "attempt")]
+        caller_attempt: u32,
+        #[serde(rename = "further")]
+        forwarder_attempt: u32,
         fingerprint: u64,
-        /// By key: the range and the epoch of the line that brought it; 0: by weight.
+        /// Key range of an invocation that was routed by key.
         #[serde(default)]
         range: u32,
+        /// Epoch of the route that an invocation was sent by; 0 if it was routed by weight.
         #[serde(default)]
         epoch: u64,
     },
-    /// At a server: it fell over.
-    Fell {
-        at: Nanos,
-        server: u32,
-    },
-    /// At a forwarder: its stream to a supervisor is up, or down.
-    Joined {
+    /// A cold server crashed under too much work.
+    #[serde(rename = "fell")]
+    ServerOverloaded { at: Nanos, server: u32 },
+    /// A forwarder's stream to a supervisor is established.
+    #[serde(rename = "joined")]
+    SupervisorConnected { at: Nanos, forwarder: u32, supervisor: u32 },
+    /// A forwarder lost its stream to a supervisor.
+    #[serde(rename = "left")]
+    SupervisorDisconnected { at: Nanos, forwarder: u32 },
+    /// A forwarder crashed and lost its state.
+    #[serde(rename = "died")]
+    ForwarderCrashed { at: Nanos, forwarder: u32 },
+    /// A forwarder starts (`on`) or stops reading from its supervisor.
+    #[serde(rename = "reachable")]
+    ReadsSupervisor { at: Nanos, forwarder: u32, on: bool },
+    /// A forwarder begins (`on`) or ceases to lack a line for an operation.
+    #[serde(rename = "bare")]
+    LacksLine { at: Nanos, forwarder: u32, operation: u16, on: bool },
+    /// A forwarder received an update of its tables.
+    #[serde(rename = "told")]
+    UpdateReceived {
         at: Nanos,
         forwarder: u32,
         supervisor: u32,
-    },
-    Left {
-        at: Nanos,
-        forwarder: u32,
-    },
-    /// At a forwarder: it died, and knows nothing any more.
-    Died {
-        at: Nanos,
-        forwarder: u32,
-    },
-    /// At a forwarder: from now on it reads its supervisor's stream, or does not.
-    Reachable {
-        at: Nanos,
-        forwarder: u32,
-        on: bool,
-    },
-    /// At a forwarder: it has begun to lack a line for an operation, or no longer does.
-    Bare {
-        at: Nanos,
-        forwarder: u32,
-        operation: u16,
-        on: bool,
-    },
-    /// At a forwarder: an update came. `lines` that changed, and the stamp of its order.
-    Told {
-        at: Nanos,
-        forwarder: u32,
-        supervisor: u32,
-        lines: u32,
-        ordered: Nanos,
-        /// That the tables carry; 0: none.
+        /// Number of lines that changed; the largest number of one table.
+        #[serde(rename = "lines")]
+        changed_lines: u32,
+        /// Time at which the supervisor ordered the update, from its stamp.
+        #[serde(rename = "ordered")]
+        ordered_at: Nanos,
+        /// Epoch that the tables carry; 0 if they carry none.
         #[serde(default)]
         epoch: u64,
+        /// Size of the message; 0 for the repeated or delayed delivery of an update.
         #[serde(default)]
         bytes: u32,
     },
-    /// At a forwarder: an update was lost on the way, or doubled, or came late.
-    Disturbed {
-        at: Nanos,
-        forwarder: u32,
-    },
-    /// At a forwarder: what it holds does not add up, or something is missing; it asks anew.
-    AskedAnew {
-        at: Nanos,
-        forwarder: u32,
-    },
-    /// At a forwarder: a try was sent to a server.
-    Tried {
+    /// An update to a forwarder was lost, delivered twice or delayed.
+    #[serde(rename = "disturbed")]
+    UpdateDisturbed { at: Nanos, forwarder: u32 },
+    /// A forwarder requested a table again, because a check did not match or a part was missing.
+    #[serde(rename = "asked_anew")]
+    ResyncRequested { at: Nanos, forwarder: u32 },
+    /// A forwarder started an attempt at a server.
+    #[serde(rename = "tried")]
+    AttemptStarted {
         at: Nanos,
         forwarder: u32,
         server: u32,
-        inv: u64,
-        further: u32,
+        #[serde(rename = "inv")]
+        invocation: u64,
+        #[serde(rename = "further")]
+        forwarder_attempt: u32,
     },
-    /// At a caller: all is over with one invocation.
-    Done {
-        asked: Nanos,
+    /// A caller finished an invocation.
+    #[serde(rename = "done")]
+    InvocationFinished {
+        #[serde(rename = "asked")]
+        started_at: Nanos,
         at: Nanos,
         operation: u16,
-        inv: u64,
-        tries: u32,
+        #[serde(rename = "inv")]
+        invocation: u64,
+        /// Number of the caller's attempts.
+        #[serde(rename = "tries")]
+        attempts: u32,
         outcome: Outcome,
     },
-    /// At the registry: this version was said to a supervisor: servers as ready (with incarnation and start), as
-    /// draining, and as neither.
-    Said {
+    /// The registry sent a version of its entries to a supervisor.
+    #[serde(rename = "said")]
+    EntriesSent {
         at: Nanos,
+        /// Node id of the supervisor.
         to: String,
         version: u64,
+        /// Ready servers: number, incarnation and start time.
         ready: Vec<(u32, u64, Nanos)>,
         draining: Vec<u32>,
+        /// Servers that are gone or wrongly omitted.
         gone: Vec<u32>,
     },
-    /// At the registry: a supervisor has acknowledged that version.
-    Acknowledged {
+    /// A supervisor acknowledged a version of the registry's entries.
+    #[serde(rename = "acknowledged")]
+    EntriesAcknowledged {
         at: Nanos,
+        /// Node id of the supervisor.
         to: String,
         version: u64,
     },
 }
 
-/// Writes a trace; what it cannot write is lost and said at the end.
-pub(crate) struct Trace {
-    out: BufWriter<File>,
+/// Writes a trace to a file. Events that cannot be written are lost, with a message on standard error.
+pub(crate) struct TraceWriter {
+    output: BufWriter<File>,
 }
 
-impl Trace {
+impl TraceWriter {
+    /// Creates the file, or truncates it.
     pub(crate) fn new(path: &Path) -> Result<Self> {
-        let file = File::create(path).with_context(|| format!("trace {}", path.display()))?;
-        Ok(Trace { out: BufWriter::with_capacity(1 << 16, file) })
+        let file = File::create(path).with_context(|| format!("creating trace {}", path.display()))?;
+        Ok(TraceWriter { output: BufWriter::with_capacity(BUFFER_BYTES, file) })
     }
 
-    pub(crate) fn put(&mut self, seen: &Seen) {
-        let written = serde_json::to_writer(&mut self.out, seen).is_ok() && self.out.write_all(b"\n").is_ok();
+    /// Appends one event.
+    pub(crate) fn write(&mut self, event: &TraceEvent) {
+        let written =
+            serde_json::to_writer(&mut self.output, event).is_ok() && self.output.write_all(b"\n").is_ok();
         if !written {
-            eprintln!("a trace line could not be written");
+            eprintln!("failed to write a trace event");
         }
     }
 
+    /// Writes out what is buffered and returns an error if that fails.
     pub(crate) fn finish(mut self) -> Result<()> {
-        Ok(self.out.flush()?)
+        Ok(self.output.flush()?)
     }
 }
 
-/// Reads a trace back. Errors name the line.
-pub fn read_trace(path: &Path) -> Result<Vec<Seen>> {
-    let file = File::open(path).with_context(|| format!("trace {}", path.display()))?;
-    let mut seen = Vec::new();
-    for (at, line) in BufReader::new(file).lines().enumerate() {
+/// Reads all events of a trace. An error names the file and the line.
+pub fn read_trace(path: &Path) -> Result<Vec<TraceEvent>> {
+    let file = File::open(path).with_context(|| format!("opening trace {}", path.display()))?;
+    let mut events = Vec::new();
+    for (index, line) in BufReader::new(file).lines().enumerate() {
         let parsed = serde_json::from_str(&line?);
-        seen.push(parsed.with_context(|| format!("{}:{}", path.display(), at + 1))?);
+        events.push(parsed.with_context(|| format!("{}:{}", path.display(), index + 1))?);
     }
-    Ok(seen)
+    Ok(events)
 }
