--- a/crates/standins/src/forwarders.rs
+++ b/crates/standins/src/forwarders.rs
@@ -1,4 +1,6 @@
-//! Forwarders: obey the published tables, avoid after failures, keep tables when the stream breaks, and report.
+//! Stand-ins for forwarders. A forwarder sends the invocations of callers to servers by the tables of a
+//! supervisor, keeps its tables when the supervisor is unreachable, ejects servers that fail and reports load.
+//! Balancers receive weights by SASP instead, and report nothing.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,291 +23,374 @@
 
 use crate::plan::{Command, ForwarderPlan, ForwardersPlan, LoadBalancing, Ready};
 use crate::trace::{TraceEvent, TraceWriter};
-use crate::work::{path, Answer, Invocation};
-use crate::{read_plan, say_ready, BOUNDS};
+use crate::work::{path, Invocation, ServerResponse};
+use crate::{read_plan, write_ready, CONNECTION_LIMITS};
 
-/// Name under which a supervisor serves routes.
-const ROUTES: &str = "shalereel";
+/// Name of the route configuration that a supervisor serves.
+const ROUTE_CONFIGURATION: &str = "shalereel";
+/// Maximum size of a SASP message.
+const MAX_SASP_MESSAGE_BYTES: usize = 4 << 20;
+/// A zone with fewer servers than this gets a bootstrap table of servers of all zones.
+const MIN_LOCAL_BOOTSTRAP_SERVERS: usize = 3;
+/// Reason in the rejection of an update that a command has told a forwarder to reject.
+const REJECTION_REASON: &str = "told to turn it down";
+/// Shortest interval between load reports, whatever a supervisor asks for.
+const MIN_REPORT_INTERVAL: Nanos = SECOND / 100;
+/// Interval between two ticks of the faulty balancers.
+const FAULT_TICK: Nanos = SECOND / 1000;
+/// Number of ticks between attempts to open missing connections of faulty balancers.
+const FAULT_CONNECT_TICKS: u32 = 50;
+/// Number of ticks between two actions of faulty balancers that do not act at every tick.
+const FAULT_ACTION_TICKS: u32 = 20;
+/// Number of members that the balancer which never reads registers.
+const LARGE_GROUP_MEMBERS: u16 = 10_000;
+/// Number of bytes of a message that are sent before the connection is reset.
+const PARTIAL_MESSAGE_BYTES: usize = 20;
+/// Failures that a load report claims for a server that never existed.
+const UNKNOWN_SERVER_FAILURES: u64 = 50;
+/// Multiplier that spreads invocation numbers over the key ranges (2^64 divided by the golden ratio).
+const KEY_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-enum Key {
-    Redial(u32),
+/// What a timer is for.
+enum Timer {
+    /// A forwarder connects to a supervisor again.
+    Reconnect(u32),
+    /// A forwarder sends its load report; ignored if the generation has changed.
     Report(u32, u64),
-    Send(u32, ConnId, Vec<u8>),
-    TryOver(u64),
-    Ranges(u32, u64),
-    /// A lost time is over: an update that came late, on that stream.
-    Late(u32, ConnId, Box<Update>),
-    /// A table that did not add up is asked for anew.
-    Again(u32),
-    Odd,
+    /// A load report that was delayed leaves on this connection.
+    DelayedReport(u32, ConnId, Vec<u8>),
+    /// The attempt of a pending invocation takes too long.
+    AttemptTimeout(u64),
+    /// A forwarder renews its key range leases; ignored if the generation has changed.
+    RequestRanges(u32, u64),
+    /// An update that was delayed arrives on this connection.
+    DelayedUpdate(u32, ConnId, Box<Update>),
+    /// A forwarder requests the tables whose resync is due.
+    Resync(u32),
+    /// Faulty balancers act.
+    FaultyBalancers,
 }
 
-/// What an odd balancer does.
+/// How a faulty balancer or member violates SASP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Odd {
-    Asks,
-    ReadsNothing,
-    Dies,
-    TakesAway,
-    Flaps,
+enum BalancerFault {
+    /// Requests weights at every tick.
+    PollsConstantly,
+    /// Registers many members and never reads what is pushed.
+    NeverReads,
+    /// Resets the connection after half a message.
+    ResetsWithinMessage,
+    /// Deregisters the group of another balancer.
+    DeregistersOthers,
+    /// A member that quiesces and resumes at every tick.
+    FlapsState,
 }
 
+/// A line of a table as a forwarder uses it.
 #[derive(Clone, Debug)]
 struct Line {
     address: SocketAddr,
     weight: f64,
-    /// Where the wheel stands.
+    /// Current weight in the smooth weighted round robin.
     credit: f64,
 }
 
+/// The table of one operation.
 #[derive(Debug, Default)]
 struct Table {
     lines: Vec<Line>,
-    told: BTreeMap<SocketAddr, (u64, Health)>,
+    /// Weight (as its bits) and health of each server in the last assignment, to count what changes.
+    received: BTreeMap<SocketAddr, (u64, Health)>,
+    /// Fraction of the invocations that is admitted.
     admitted: f64,
-    bare: bool,
+    /// Whether the trace says that there is no usable line.
+    lacks_line: bool,
 }
 
+/// Attempts at one server since the last load report.
 #[derive(Debug, Default)]
-struct Met {
+struct ServerStats {
     succeeded: u64,
-    errored: u64,
-    timed: u64,
-    time: Nanos,
+    failed: u64,
+    timed_responses: u64,
+    response_time_sum: Nanos,
+    /// CPU utilization in the server's latest response.
     cpu: Option<f64>,
 }
 
+/// Attempts for one operation since the last load report.
 #[derive(Debug, Default)]
-struct Sums {
+struct OperationStats {
+    /// Invocations that were rejected without an attempt.
     dropped: u64,
-    met: BTreeMap<SocketAddr, Met>,
+    servers: BTreeMap<SocketAddr, ServerStats>,
 }
 
-/// One invocation in hand.
-struct Trial {
+/// An invocation that its caller waits for, with its current attempt.
+struct PendingInvocation {
     forwarder: u32,
     caller: (ConnId, StreamId),
-    inv: Invocation,
-    until: Nanos,
-    address: SocketAddr,
-    begun: Nanos,
-    at: Option<(ConnId, StreamId)>,
+    invocation: Invocation,
+    deadline: Nanos,
+    /// Server of the current attempt.
+    server: SocketAddr,
+    attempt_started_at: Nanos,
+    /// The call to the server; none while the attempt cannot reach it.
+    call: Option<(ConnId, StreamId)>,
     timer: Option<TimerId>,
-    further: RetryPolicy,
-    answer: Option<Answer>,
+    retry_policy: RetryPolicy,
+    response: Option<ServerResponse>,
 }
 
+/// One forwarder.
 struct Forwarder {
     plan: ForwarderPlan,
     listener: Token,
-    callers: BTreeSet<ConnId>,
+    caller_connections: BTreeSet<ConnId>,
     alive: bool,
     stalled: bool,
-    supervisor: usize,
-    link: Option<(ConnId, StreamId, StreamId)>,
-    /// Where it takes weights by SASP: what is not whole yet of a message.
+    /// Index of the supervisor that it connects to.
+    supervisor_index: usize,
+    /// Connection to the supervisor, discovery stream and load report stream; a balancer has no streams.
+    supervisor_link: Option<(ConnId, StreamId, StreamId)>,
+    /// Decoder of SASP messages that arrive in parts.
     frames: Frames,
-    up: bool,
-    list: ClientStream,
-    generation: u64,
+    /// Whether the supervisor has answered on the current connection.
+    connected: bool,
+    discovery: ClientStream,
+    /// Number of the current report timer; reports of older timers are ignored.
+    report_generation: u64,
+    /// Tables by operation.
     tables: Vec<Table>,
-    shunned: BTreeSet<SocketAddr>,
-    further: Vec<RetryPolicy>,
-    fails: BTreeMap<SocketAddr, u32>,
-    avoided: BTreeMap<SocketAddr, Nanos>,
-    conns: BTreeMap<SocketAddr, ConnId>,
-    open: BTreeMap<SocketAddr, u32>,
-    sums: Vec<Sums>,
-    reported: Nanos,
-    interval: Nanos,
-    turns_down: u32,
-    /// By table, where lines come one by one; and which table an operation goes by.
-    followers: BTreeMap<u16, Replica>,
+    /// Servers that no operation uses, whatever its table says.
+    excluded: BTreeSet<SocketAddr>,
+    /// Retry policies by operation.
+    retry_policies: Vec<RetryPolicy>,
+    consecutive_failures: BTreeMap<SocketAddr, u32>,
+    /// Ejected servers and the time until which they are avoided.
+    ejected_until: BTreeMap<SocketAddr, Nanos>,
+    server_connections: BTreeMap<SocketAddr, ConnId>,
+    /// Number of open attempts by server.
+    open_attempts: BTreeMap<SocketAddr, u32>,
+    /// Statistics by operation since the last load report.
+    stats: Vec<OperationStats>,
+    reported_at: Nanos,
+    report_interval: Nanos,
+    /// Number of updates that a command has told it to reject.
+    updates_to_reject: u32,
+    /// Replicas of tables that arrive line by line, by table.
+    replicas: BTreeMap<u16, Replica>,
+    /// By operation, the table that its lines come from.
     collections: Vec<Option<u16>>,
-    /// The epoch of its tables: none lower is taken.
+    /// Epoch of its tables; updates of an older epoch are rejected.
     epoch: u64,
-    /// Key ranges: the stream, what is held, where the owners are, of how many, and the timer's generation.
-    hold: Option<StreamId>,
-    tenant: LeaseClient,
-    owners: BTreeMap<u32, SocketAddr>,
-    ranges: u32,
-    tenure: Nanos,
-    held: u64,
+    /// Stream of key range leases.
+    ranges_stream: Option<StreamId>,
+    lease_client: LeaseClient,
+    /// Addresses of servers that own key ranges, by server.
+    owner_addresses: BTreeMap<u32, SocketAddr>,
+    /// Total number of key ranges.
+    range_count: u32,
+    lease_duration: Nanos,
+    /// Number of the current renewal timer; older timers are ignored.
+    ranges_generation: u64,
 }
 
+/// All forwarders of the process.
 struct Forwarders {
-    hub: Hub<u32, Key>,
+    hub: Hub<u32, Timer>,
     plan: ForwardersPlan,
     forwarders: BTreeMap<u32, Forwarder>,
-    /// Whose connection it is, and to which server.
-    links: BTreeMap<ConnId, u32>,
-    servers: BTreeMap<ConnId, (u32, SocketAddr)>,
-    answered: BTreeSet<ConnId>,
-    calls: BTreeMap<(ConnId, StreamId), u32>,
-    trials: BTreeMap<u64, Trial>,
-    by_call: BTreeMap<(ConnId, StreamId), u64>,
-    by_caller: BTreeMap<(ConnId, StreamId), u64>,
-    ids: BTreeMap<SocketAddr, u32>,
-    zones: BTreeMap<SocketAddr, String>,
-    cut: Vec<String>,
-    late: Nanos,
-    lossy: (f64, Nanos),
-    ghost: bool,
-    odd: BTreeMap<ConnId, Odd>,
-    oddity: u32,
-    last: u64,
-    chance: Rand64,
+    /// The forwarder of each connection to a supervisor.
+    supervisor_connections: BTreeMap<ConnId, u32>,
+    /// The forwarder and the server of each connection to a server.
+    server_connections: BTreeMap<ConnId, (u32, SocketAddr)>,
+    /// Connections on which a call has ended.
+    responding_connections: BTreeSet<ConnId>,
+    /// The forwarder of each call from a caller.
+    caller_calls: BTreeMap<(ConnId, StreamId), u32>,
+    /// Pending invocations by an id of this process.
+    pending: BTreeMap<u64, PendingInvocation>,
+    pending_by_server_call: BTreeMap<(ConnId, StreamId), u64>,
+    pending_by_caller_call: BTreeMap<(ConnId, StreamId), u64>,
+    server_numbers: BTreeMap<SocketAddr, u32>,
+    server_zones: BTreeMap<SocketAddr, String>,
+    isolated_zones: Vec<String>,
+    report_delay: Nanos,
+    /// Fraction of the updates that is lost, and the longest delay of those that are delayed.
+    update_disturbance: (f64, Nanos),
+    reports_unknown_server: bool,
+    faulty_balancers: BTreeMap<ConnId, BalancerFault>,
+    /// Ticks of the faulty balancers, from 1; 0 while they are off.
+    fault_tick: u32,
+    /// Last id given to a pending invocation or a report timer.
+    last_id: u64,
+    random: Rand64,
     trace: TraceWriter,
 }
 
+/// Runs the role `forwarders`.
 pub(crate) fn run() -> Result<()> {
-    let mut hub = Hub::new(BOUNDS)?;
+    let mut hub = Hub::new(CONNECTION_LIMITS)?;
     hub.stop_on_signals()?;
     let (plan, rest): (ForwardersPlan, _) = read_plan(&mut hub)?;
     let trace = TraceWriter::new(&plan.trace_path)?;
     let mut addresses = Vec::new();
-    let mut all = Forwarders {
+    let mut forwarders = Forwarders {
         forwarders: BTreeMap::new(),
-        links: BTreeMap::new(),
-        servers: BTreeMap::new(),
-        answered: BTreeSet::new(),
-        calls: BTreeMap::new(),
-        trials: BTreeMap::new(),
-        by_call: BTreeMap::new(),
-        by_caller: BTreeMap::new(),
-        ids: plan.servers.iter().map(|server| (server.address, server.server)).collect(),
-        zones: plan.servers.iter().map(|server| (server.address, server.zone.clone())).collect(),
-        cut: Vec::new(),
-        late: 0,
-        lossy: (0.0, 0),
-        ghost: false,
-        odd: BTreeMap::new(),
-        oddity: 0,
-        last: 0,
-        chance: Rand64::new(plan.seed.into()),
+        supervisor_connections: BTreeMap::new(),
+        server_connections: BTreeMap::new(),
+        responding_connections: BTreeSet::new(),
+        caller_calls: BTreeMap::new(),
+        pending: BTreeMap::new(),
+        pending_by_server_call: BTreeMap::new(),
+        pending_by_caller_call: BTreeMap::new(),
+        server_numbers: plan.servers.iter().map(|server| (server.address, server.server)).collect(),
+        server_zones: plan.servers.iter().map(|server| (server.address, server.zone.clone())).collect(),
+        isolated_zones: Vec::new(),
+        report_delay: 0,
+        update_disturbance: (0.0, 0),
+        reports_unknown_server: false,
+        faulty_balancers: BTreeMap::new(),
+        fault_tick: 0,
+        last_id: 0,
+        random: Rand64::new(plan.seed.into()),
         trace,
         hub,
         plan,
     };
-    let standing: Vec<u32> = all.plan.servers.iter().map(|server| server.server).collect();
-    for (at, mut told) in all.plan.forwarders.clone().into_iter().enumerate() {
-        let (listener, address) = all.hub.listen(told.address, told.forwarder)?;
-        told.address = address;
+    let bootstrap_servers: Vec<u32> = forwarders.plan.servers.iter().map(|server| server.server).collect();
+    for (index, mut plan) in forwarders.plan.forwarders.clone().into_iter().enumerate() {
+        let (listener, address) = forwarders.hub.listen(plan.address, plan.forwarder)?;
+        plan.address = address;
         addresses.push(address);
-        all.start(told, listener, at, &standing);
+        forwarders.start_forwarder(plan, listener, index, &bootstrap_servers);
     }
-    say_ready(&Ready { addresses })?;
+    write_ready(&Ready { addresses })?;
     let mut inputs = rest;
     loop {
         for input in inputs {
-            if !all.take(input)? {
-                return all.trace.finish();
+            if !forwarders.handle_input(input)? {
+                return forwarders.trace.finish();
             }
         }
-        inputs = all.hub.wait(None)?;
+        inputs = forwarders.hub.wait(None)?;
     }
 }
 
 impl Forwarder {
-    fn lines(&self, operation: usize) -> impl Iterator<Item = &Line> {
-        self.tables[operation].lines.iter().filter(|line| !self.shunned.contains(&line.address))
+    /// Lines of an operation without excluded servers.
+    fn usable_lines(&self, operation: usize) -> impl Iterator<Item = &Line> {
+        self.tables[operation].lines.iter().filter(|line| !self.excluded.contains(&line.address))
     }
 }
 
 impl Forwarders {
-    /// A forwarder with nothing but a standing table drawn by chance in its zone.
-    fn start(&mut self, told: ForwarderPlan, listener: Token, supervisor: usize, standing: &[u32]) {
-        let near =
-            |server: &&crate::ServerPlan| standing.contains(&server.server) && server.zone == told.zone;
-        let mut drawn: Vec<SocketAddr> = self.plan.servers.iter().filter(near).map(|s| s.address).collect();
-        if drawn.len() < 3 {
-            let listed = self.plan.servers.iter().filter(|server| standing.contains(&server.server));
-            drawn = listed.map(|server| server.address).collect();
+    /// Starts a forwarder with a bootstrap table: random servers of its zone, equally weighted.
+    fn start_forwarder(
+        &mut self,
+        plan: ForwarderPlan,
+        listener: Token,
+        supervisor_index: usize,
+        bootstrap_servers: &[u32],
+    ) {
+        let local = |server: &&crate::ServerPlan| {
+            bootstrap_servers.contains(&server.server) && server.zone == plan.zone
+        };
+        let mut drawn: Vec<SocketAddr> =
+            self.plan.servers.iter().filter(local).map(|server| server.address).collect();
+        if drawn.len() < MIN_LOCAL_BOOTSTRAP_SERVERS {
+            let all = self.plan.servers.iter().filter(|server| bootstrap_servers.contains(&server.server));
+            drawn = all.map(|server| server.address).collect();
         }
         while drawn.len() > self.plan.bootstrap_table_size {
-            drawn.swap_remove(self.chance.rand_range(0..drawn.len() as u64) as usize);
+            drawn.swap_remove(self.random.rand_range(0..drawn.len() as u64) as usize);
         }
         let lines = || drawn.iter().map(|&address| Line { address, weight: 1.0, credit: 0.0 }).collect();
-        let count = self.plan.operations.len();
+        let operation_count = self.plan.operations.len();
         let variant = if self.plan.incremental || self.plan.supports_lines {
             Variant::Incremental
         } else {
             Variant::StateOfTheWorld
         };
         let node = NodeInfo {
-            id: format!("forwarder-{}", told.forwarder),
-            zone: told.zone.clone(),
-            rate: told.usual_rate,
+            id: format!("forwarder-{}", plan.forwarder),
+            zone: plan.zone.clone(),
+            rate: plan.usual_rate,
             is_new: true,
             supports_lines: self.plan.supports_lines,
         };
-        let mut list = ClientStream::new(variant, node);
+        let mut discovery = ClientStream::new(variant, node);
         let names = self.plan.operations.iter().map(|operation| operation.name.clone());
-        list.subscribe(types::ASSIGNMENT, names.chain([EXCLUDED.to_owned()]));
-        list.subscribe(types::ROUTES, [ROUTES.to_owned()]);
-        let id = told.forwarder;
-        self.last += 1;
+        discovery.subscribe(types::ASSIGNMENT, names.chain([EXCLUDED.to_owned()]));
+        discovery.subscribe(types::ROUTES, [ROUTE_CONFIGURATION.to_owned()]);
+        let id = plan.forwarder;
+        self.last_id += 1;
         let forwarder = Forwarder {
-            plan: told,
+            plan,
             listener,
-            callers: BTreeSet::new(),
+            caller_connections: BTreeSet::new(),
             alive: true,
             stalled: false,
-            supervisor: supervisor % self.plan.supervisors.len().max(1),
-            link: None,
-            frames: Frames::new(4 << 20),
-            up: false,
-            list,
-            generation: self.last,
-            tables: (0..count).map(|_| Table { lines: lines(), admitted: 1.0, ..Table::default() }).collect(),
-            shunned: BTreeSet::new(),
-            further: vec![RetryPolicy::Never; count],
-            fails: BTreeMap::new(),
-            avoided: BTreeMap::new(),
-            conns: BTreeMap::new(),
-            open: BTreeMap::new(),
-            sums: (0..count).map(|_| Sums::default()).collect(),
-            reported: now(),
-            interval: 0,
-            turns_down: 0,
-            followers: BTreeMap::new(),
-            collections: vec![None; count],
+            supervisor_index: supervisor_index % self.plan.supervisors.len().max(1),
+            supervisor_link: None,
+            frames: Frames::new(MAX_SASP_MESSAGE_BYTES),
+            connected: false,
+            discovery,
+            report_generation: self.last_id,
+            tables: (0..operation_count)
+                .map(|_| Table { lines: lines(), admitted: 1.0, ..Table::default() })
+                .collect(),
+            excluded: BTreeSet::new(),
+            retry_policies: vec![RetryPolicy::Never; operation_count],
+            consecutive_failures: BTreeMap::new(),
+            ejected_until: BTreeMap::new(),
+            server_connections: BTreeMap::new(),
+            open_attempts: BTreeMap::new(),
+            stats: (0..operation_count).map(|_| OperationStats::default()).collect(),
+            reported_at: now(),
+            report_interval: 0,
+            updates_to_reject: 0,
+            replicas: BTreeMap::new(),
+            collections: vec![None; operation_count],
             epoch: 0,
-            hold: None,
-            tenant: LeaseClient::new(self.plan.unfenced),
-            owners: BTreeMap::new(),
-            ranges: 0,
-            tenure: 0,
-            held: 0,
+            ranges_stream: None,
+            lease_client: LeaseClient::new(self.plan.unfenced),
+            owner_addresses: BTreeMap::new(),
+            range_count: 0,
+            lease_duration: 0,
+            ranges_generation: 0,
         };
         self.forwarders.insert(id, forwarder);
-        self.dial(id);
+        self.connect(id);
     }
 
-    fn take(&mut self, input: Input<u32, Key>) -> Result<bool> {
+    /// Handles one input; returns whether the process goes on.
+    fn handle_input(&mut self, input: Input<u32, Timer>) -> Result<bool> {
         match input {
             Input::Opened { conn, at } => {
                 if let Some(forwarder) = self.forwarders.get_mut(&at) {
-                    forwarder.callers.insert(conn);
+                    forwarder.caller_connections.insert(conn);
                     self.hub.set_paused(conn, forwarder.stalled);
                 }
             }
             Input::Call { conn, stream, .. } => {
-                let owner = self.forwarders.values().find(|forwarder| forwarder.callers.contains(&conn));
-                if let Some(owner) = owner {
-                    self.calls.insert((conn, stream), owner.plan.forwarder);
+                let forwarder =
+                    self.forwarders.values().find(|forwarder| forwarder.caller_connections.contains(&conn));
+                if let Some(forwarder) = forwarder {
+                    self.caller_calls.insert((conn, stream), forwarder.plan.forwarder);
                 }
             }
             Input::Message { conn, stream, message } => {
-                if let Some(&forwarder) = self.links.get(&conn) {
-                    self.heard(forwarder, conn, stream, &message);
-                } else if let Some(&trial) = self.by_call.get(&(conn, stream)) {
-                    if let Some(trial) = self.trials.get_mut(&trial) {
-                        trial.answer = Answer::decode(message).ok();
+                if let Some(&forwarder) = self.supervisor_connections.get(&conn) {
+                    self.handle_supervisor_message(forwarder, conn, stream, &message);
+                } else if let Some(&id) = self.pending_by_server_call.get(&(conn, stream)) {
+                    if let Some(pending) = self.pending.get_mut(&id) {
+                        pending.response = ServerResponse::decode(message).ok();
                     }
-                } else if let Some(&forwarder) = self.calls.get(&(conn, stream)) {
+                } else if let Some(&forwarder) = self.caller_calls.get(&(conn, stream)) {
                     match Invocation::decode(message) {
-                        Ok(inv) => self.asked(forwarder, (conn, stream), inv),
+                        Ok(invocation) => self.handle_invocation(forwarder, (conn, stream), invocation),
                         Err(error) => {
                             self.hub.finish(
                                 conn,
@@ -317,62 +402,70 @@
                 }
             }
             Input::Bytes { conn, bytes } => {
-                if let Some(&id) = self.links.get(&conn) {
-                    self.weights(id, &bytes);
+                if let Some(&id) = self.supervisor_connections.get(&conn) {
+                    self.receive_sasp(id, &bytes);
                 }
             }
             Input::HalfClosed { .. } | Input::Woken | Input::Reload => {}
-            Input::Ended { conn, stream, status } => self.ended(conn, stream, &status),
-            Input::Closed { conn, reason } => self.closed(conn, &reason.to_string()),
-            Input::Timer(Key::Redial(forwarder)) => self.dial(forwarder),
-            Input::Timer(Key::Report(forwarder, generation)) => self.report(forwarder, generation),
-            Input::Timer(Key::Send(forwarder, conn, message)) => {
-                let link = self.forwarders.get(&forwarder).and_then(|forwarder| forwarder.link);
-                if let Some((_, _, load)) = link.filter(|link| link.0 == conn) {
-                    self.hub.send(conn, load, &message);
+            Input::Ended { conn, stream, status } => self.handle_call_end(conn, stream, &status),
+            Input::Closed { conn, reason } => self.handle_close(conn, &reason.to_string()),
+            Input::Timer(Timer::Reconnect(forwarder)) => self.connect(forwarder),
+            Input::Timer(Timer::Report(forwarder, generation)) => self.send_report(forwarder, generation),
+            Input::Timer(Timer::DelayedReport(forwarder, conn, message)) => {
+                let link = self.forwarders.get(&forwarder).and_then(|forwarder| forwarder.supervisor_link);
+                if let Some((_, _, load_reports)) = link.filter(|link| link.0 == conn) {
+                    self.hub.send(conn, load_reports, &message);
                 }
             }
-            Input::Timer(Key::TryOver(trial)) => {
-                if let Some(held) = self.trials.get(&trial) {
-                    if let Some((conn, stream)) = held.at {
+            Input::Timer(Timer::AttemptTimeout(id)) => {
+                if let Some(pending) = self.pending.get(&id) {
+                    if let Some((conn, stream)) = pending.call {
                         self.hub.cancel(conn, stream);
-                        self.by_call.remove(&(conn, stream));
+                        self.pending_by_server_call.remove(&(conn, stream));
                     }
-                    self.tried(trial, Err((Status::new(Code::DeadlineExceeded, "no answer in time"), false)));
+                    self.finish_attempt(
+                        id,
+                        Err((Status::new(Code::DeadlineExceeded, "no answer in time"), false)),
+                    );
                 }
             }
-            Input::Timer(Key::Ranges(forwarder, generation)) => {
-                let current = self.forwarders.get(&forwarder).is_some_and(|f| f.held == generation);
+            Input::Timer(Timer::RequestRanges(forwarder, generation)) => {
+                let current = self
+                    .forwarders
+                    .get(&forwarder)
+                    .is_some_and(|forwarder| forwarder.ranges_generation == generation);
                 if current {
-                    self.ask_ranges(forwarder);
+                    self.request_ranges(forwarder);
                 }
             }
-            Input::Timer(Key::Late(id, conn, update)) => {
-                let link = self.forwarders.get(&id).and_then(|forwarder| forwarder.link);
+            Input::Timer(Timer::DelayedUpdate(id, conn, update)) => {
+                let link = self.forwarders.get(&id).and_then(|forwarder| forwarder.supervisor_link);
                 if let Some((_, stream, _)) = link.filter(|link| link.0 == conn) {
-                    self.lines(id, conn, stream, &update, 0);
+                    self.apply_lines(id, conn, stream, &update, 0);
                 }
             }
-            Input::Timer(Key::Again(id)) => self.ask_again(id),
-            Input::Timer(Key::Odd) => self.be_odd(),
-            Input::Line(line) => self.command(serde_json::from_str(&line)?),
+            Input::Timer(Timer::Resync(id)) => self.resync(id),
+            Input::Timer(Timer::FaultyBalancers) => self.run_faulty_balancers(),
+            Input::Line(line) => self.handle_command(serde_json::from_str(&line)?),
             Input::EndOfLines | Input::Stop => return Ok(false),
         }
         Ok(true)
     }
 
-    // The supervisor's side.
-
-    /// A balancer says how it wants to be served and registers all servers, a group an operation.
-    fn dial_sasp(&mut self, id: u32) {
-        let Some(forwarder) = self.forwarders.get_mut(&id).filter(|f| f.alive && f.link.is_none()) else {
+    /// Connects a balancer to its supervisor, sets its flags and registers all servers, one group for each operation.
+    fn connect_sasp(&mut self, id: u32) {
+        let Some(forwarder) = self
+            .forwarders
+            .get_mut(&id)
+            .filter(|forwarder| forwarder.alive && forwarder.supervisor_link.is_none())
+        else {
             return;
         };
-        let Some(&address) = self.plan.sasp_supervisors.get(forwarder.supervisor) else { return };
-        let Ok(conn) = self.hub.dial_plain(address) else { return self.redial(id) };
-        forwarder.link = Some((conn, 0, 0));
-        forwarder.frames = Frames::new(4 << 20);
-        self.links.insert(conn, id);
+        let Some(&address) = self.plan.sasp_supervisors.get(forwarder.supervisor_index) else { return };
+        let Ok(conn) = self.hub.dial_plain(address) else { return self.schedule_reconnect(id) };
+        forwarder.supervisor_link = Some((conn, 0, 0));
+        forwarder.frames = Frames::new(MAX_SASP_MESSAGE_BYTES);
+        self.supervisor_connections.insert(conn, id);
         let balancer = format!("balancer-{id}").into_bytes();
         let flags = LbFlags { push: true, trust: false, no_change: true };
         let members: Vec<Member> =
@@ -390,7 +483,8 @@
         self.hub.set_paused(conn, forwarder.stalled);
     }
 
-    fn weights(&mut self, id: u32, bytes: &[u8]) {
+    /// Handles bytes that a balancer receives from its supervisor.
+    fn receive_sasp(&mut self, id: u32, bytes: &[u8]) {
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
         forwarder.frames.push(bytes);
         loop {
@@ -398,12 +492,12 @@
             match forwarder.frames.take() {
                 Ok(None) => return,
                 Err(error) => {
-                    eprintln!("balancer {id}: {error}");
-                    return self.lost(id);
+                    eprintln!("balancer {id} received an invalid message: {error}");
+                    return self.disconnect(id);
                 }
                 Ok(Some(Message { body: Body::Registered(ReturnCode::Successful), .. })) => {
-                    if !std::mem::replace(&mut forwarder.up, true) {
-                        let supervisor = forwarder.supervisor as u32;
+                    if !std::mem::replace(&mut forwarder.connected, true) {
+                        let supervisor = forwarder.supervisor_index as u32;
                         self.trace.write(&TraceEvent::SupervisorConnected {
                             at: now(),
                             forwarder: id,
@@ -412,30 +506,32 @@
                     }
                 }
                 Ok(Some(Message { body: Body::SendWeights { groups }, .. })) => {
-                    self.take_weights(id, &groups, bytes);
+                    self.apply_weights(id, &groups, bytes);
                 }
                 Ok(Some(Message { body: Body::LbStateSet(ReturnCode::Successful), .. })) => {}
-                Ok(Some(other)) => eprintln!("balancer {id}: {:?}", other.body),
+                Ok(Some(other)) => {
+                    eprintln!("balancer {id} received an unexpected message: {:?}", other.body)
+                }
             }
         }
     }
 
-    /// Weights of some members: what is not named stays as it was.
-    fn take_weights(&mut self, id: u32, groups: &[(Group, Vec<WeightEntry>)], bytes: &[u8]) {
+    /// Applies weights; a member that is not named keeps its weight.
+    fn apply_weights(&mut self, id: u32, groups: &[(Group, Vec<WeightEntry>)], bytes: &[u8]) {
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
-        let mut changed = 0;
+        let mut changed_lines = 0;
         for (group, entries) in groups {
-            let named = |operation: &crate::OperationPlan| operation.name.as_bytes() == group.name;
-            let Some(at) = self.plan.operations.iter().position(named) else { continue };
-            let table = &mut forwarder.tables[at];
-            // The first weights replace the standing table.
-            if table.told.is_empty() {
+            let has_group_name = |operation: &crate::OperationPlan| operation.name.as_bytes() == group.name;
+            let Some(index) = self.plan.operations.iter().position(has_group_name) else { continue };
+            let table = &mut forwarder.tables[index];
+            // The first weights replace the bootstrap table.
+            if table.received.is_empty() {
                 table.lines.clear();
             }
-            changed = changed.max(entries.len());
+            changed_lines = changed_lines.max(entries.len());
             for entry in entries {
                 let address = entry.member.socket();
-                table.told.insert(address, (entry.weight.into(), Health::Ready));
+                table.received.insert(address, (entry.weight.into(), Health::Ready));
                 let weight = if entry.quiesce { 0.0 } else { f64::from(entry.weight) };
                 let old = table.lines.iter_mut().find(|line| line.address == address);
                 match old {
@@ -447,66 +543,74 @@
                 table.lines.retain(|line| line.weight > 0.0);
             }
         }
-        let supervisor = forwarder.supervisor as u32;
-        // SASP has no room for the time of an order; what waited shows at the other front.
+        let supervisor = forwarder.supervisor_index as u32;
+        // SASP carries no time of the order, so the trace has the time of receipt. Delays show up in the traces of xDS.
         let at = now();
-        let (lines, bytes) = (changed as u32, bytes.len() as u32);
+        let (changed_lines, bytes) = (changed_lines as u32, bytes.len() as u32);
         self.trace.write(&TraceEvent::UpdateReceived {
             at,
             forwarder: id,
             supervisor,
-            changed_lines: lines,
+            changed_lines,
             ordered_at: at,
             epoch: 0,
             bytes,
         });
         self.close_unused(id);
-        self.look_for_lines(id);
+        self.trace_missing_lines(id);
     }
 
-    fn dial(&mut self, id: u32) {
+    /// Connects a forwarder to its supervisor and opens its streams.
+    fn connect(&mut self, id: u32) {
         if self.forwarders.get(&id).is_some_and(|forwarder| forwarder.plan.uses_sasp) {
-            return self.dial_sasp(id);
+            return self.connect_sasp(id);
         }
-        let Some(forwarder) = self.forwarders.get_mut(&id).filter(|f| f.alive && f.link.is_none()) else {
+        let Some(forwarder) = self
+            .forwarders
+            .get_mut(&id)
+            .filter(|forwarder| forwarder.alive && forwarder.supervisor_link.is_none())
+        else {
             return;
         };
-        let Some(&address) = self.plan.supervisors.get(forwarder.supervisor) else { return };
-        let ads = if self.plan.incremental || self.plan.supports_lines { DELTA_ADS } else { ADS };
-        let Ok(conn) = self.hub.dial(address) else { return self.redial(id) };
-        let (Some(stream), Some(load)) = (self.hub.call(conn, ads, None), self.hub.call(conn, LRS, None))
+        let Some(&address) = self.plan.supervisors.get(forwarder.supervisor_index) else { return };
+        let discovery_path = if self.plan.incremental || self.plan.supports_lines { DELTA_ADS } else { ADS };
+        let Ok(conn) = self.hub.dial(address) else { return self.schedule_reconnect(id) };
+        let (Some(discovery), Some(load_reports)) =
+            (self.hub.call(conn, discovery_path, None), self.hub.call(conn, LRS, None))
         else {
             return;
         };
-        forwarder.link = Some((conn, stream, load));
-        forwarder.hold =
+        forwarder.supervisor_link = Some((conn, discovery, load_reports));
+        forwarder.ranges_stream =
             self.plan.keyed_operation.and_then(|_| self.hub.call(conn, RANGES_STREAM_PATH, None));
-        forwarder.tenant.stream_reopened();
-        forwarder.up = false;
-        self.links.insert(conn, id);
-        let held = |(&table, follower): (&u16, &Replica)| {
-            Some((leds::collection(table), follower.verified()?.to_string()))
+        forwarder.lease_client.stream_reopened();
+        forwarder.connected = false;
+        self.supervisor_connections.insert(conn, id);
+        let version = |(&table, replica): (&u16, &Replica)| {
+            Some((leds::collection(table), replica.verified()?.to_string()))
         };
-        let held = forwarder.followers.iter().filter_map(held).collect();
-        forwarder.list.set_resource_versions(types::LINE, held);
-        forwarder.followers.values_mut().for_each(Replica::stream_reopened);
-        for message in forwarder.list.reopen() {
-            self.hub.send(conn, stream, &message);
+        let versions = forwarder.replicas.iter().filter_map(version).collect();
+        forwarder.discovery.set_resource_versions(types::LINE, versions);
+        forwarder.replicas.values_mut().for_each(Replica::stream_reopened);
+        for message in forwarder.discovery.reopen() {
+            self.hub.send(conn, discovery, &message);
         }
-        let report = LoadReport { node: Some(forwarder.list.node.clone()), clusters: Vec::new() };
-        self.hub.send(conn, load, &report.encode());
+        let report = LoadReport { node: Some(forwarder.discovery.node.clone()), clusters: Vec::new() };
+        self.hub.send(conn, load_reports, &report.encode());
         self.hub.set_paused(conn, forwarder.stalled);
-        self.ask_ranges(id);
+        self.request_ranges(id);
     }
 
-    /// Asks for its key ranges, and again before what it holds ends.
-    fn ask_ranges(&mut self, id: u32) {
+    /// Requests key range leases, and sets a timer to renew them before they end.
+    fn request_ranges(&mut self, id: u32) {
         let Some(forwarder) = self.forwarders.get_mut(&id).filter(|forwarder| forwarder.alive) else {
             return;
         };
-        let Some(((conn, ..), stream)) = forwarder.link.zip(forwarder.hold) else { return };
+        let Some(((conn, ..), stream)) = forwarder.supervisor_link.zip(forwarder.ranges_stream) else {
+            return;
+        };
         let time = now();
-        let request = forwarder.tenant.request(time);
+        let request = forwarder.lease_client.request(time);
         self.hub.send(
             conn,
             stream,
@@ -517,67 +621,81 @@
             }
             .encode_to_vec(),
         );
-        forwarder.held += 1;
-        let wait = if forwarder.tenure > 0 { forwarder.tenure / 4 } else { self.plan.reconnect_delay.0 };
-        self.hub.set_timer(time + wait, Key::Ranges(id, forwarder.held));
+        forwarder.ranges_generation += 1;
+        let delay = if forwarder.lease_duration > 0 {
+            forwarder.lease_duration / 4
+        } else {
+            self.plan.reconnect_delay.0
+        };
+        self.hub.set_timer(time + delay, Timer::RequestRanges(id, forwarder.ranges_generation));
     }
 
-    fn ranges(&mut self, id: u32, message: &[u8]) {
+    /// Applies a response with key range leases.
+    fn handle_ranges(&mut self, id: u32, message: &[u8]) {
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
-        let Ok(answer) = RangesResponse::decode(message) else { return };
-        (forwarder.ranges, forwarder.tenure) = (answer.range_count, answer.tenure);
-        let mut lines = Vec::new();
-        for line in &answer.routes {
-            if let Ok(address) = line.address.parse() {
-                forwarder.owners.insert(line.owner, address);
-                lines.push(RangeRoute { range: line.range, owner: line.owner, epoch: line.epoch });
+        let Ok(response) = RangesResponse::decode(message) else { return };
+        (forwarder.range_count, forwarder.lease_duration) = (response.range_count, response.tenure);
+        let mut routes = Vec::new();
+        for route in &response.routes {
+            if let Ok(address) = route.address.parse() {
+                forwarder.owner_addresses.insert(route.owner, address);
+                routes.push(RangeRoute { range: route.range, owner: route.owner, epoch: route.epoch });
             }
         }
-        let tenure = RouteTenure { requested_at: answer.request_sent_at, duration: answer.tenure };
-        let tenure = (answer.request_sent_at > 0).then_some(tenure);
-        let lines = (!answer.routes_omitted).then_some(&lines[..]);
-        if forwarder.tenant.handle_response(answer.sequence, tenure, lines) {
-            self.ask_ranges(id);
+        let lease = RouteTenure { requested_at: response.request_sent_at, duration: response.tenure };
+        let lease = (response.request_sent_at > 0).then_some(lease);
+        let routes = (!response.routes_omitted).then_some(&routes[..]);
+        if forwarder.lease_client.handle_response(response.sequence, lease, routes) {
+            self.request_ranges(id);
         }
     }
 
-    /// Another supervisor, a little later.
-    fn redial(&mut self, id: u32) {
-        let (least, most) = self.plan.reconnect_delay;
-        let wait = least + (self.chance.rand_float() * most.saturating_sub(least) as f64) as Nanos;
+    /// Chooses the next supervisor and sets a timer to connect to it after a random delay.
+    fn schedule_reconnect(&mut self, id: u32) {
+        let (shortest, longest) = self.plan.reconnect_delay;
+        let delay = shortest + (self.random.rand_float() * longest.saturating_sub(shortest) as f64) as Nanos;
         if let Some(forwarder) = self.forwarders.get_mut(&id) {
-            forwarder.supervisor = (forwarder.supervisor + 1) % self.plan.supervisors.len().max(1);
-            self.hub.set_timer(now() + wait, Key::Redial(id));
+            forwarder.supervisor_index =
+                (forwarder.supervisor_index + 1) % self.plan.supervisors.len().max(1);
+            self.hub.set_timer(now() + delay, Timer::Reconnect(id));
         }
     }
 
-    fn lost(&mut self, id: u32) {
+    /// Ends the connection to the supervisor and schedules a new one.
+    fn disconnect(&mut self, id: u32) {
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
-        let Some((conn, ..)) = forwarder.link.take() else { return };
-        self.links.remove(&conn);
-        if std::mem::replace(&mut forwarder.up, false) {
+        let Some((conn, ..)) = forwarder.supervisor_link.take() else { return };
+        self.supervisor_connections.remove(&conn);
+        if std::mem::replace(&mut forwarder.connected, false) {
             self.trace.write(&TraceEvent::SupervisorDisconnected { at: now(), forwarder: id });
         }
-        forwarder.list.node.is_new = false;
+        forwarder.discovery.node.is_new = false;
         if forwarder.plan.uses_sasp {
-            // The next supervisor's first weights replace what is held.
-            forwarder.tables.iter_mut().for_each(|table| table.told.clear());
+            // The first weights of the next supervisor replace the current lines.
+            forwarder.tables.iter_mut().for_each(|table| table.received.clear());
         }
         self.hub.close(conn);
-        self.redial(id);
+        self.schedule_reconnect(id);
     }
 
-    fn heard(&mut self, id: u32, conn: ConnId, stream: StreamId, message: &[u8]) {
+    /// Handles a message of a supervisor on any of the streams.
+    fn handle_supervisor_message(&mut self, id: u32, conn: ConnId, stream: StreamId, message: &[u8]) {
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
-        let Some((_, discovery, load)) = forwarder.link.filter(|link| link.0 == conn) else { return };
-        if stream == load {
-            if let Ok(answer) = LoadReportConfig::decode(message) {
-                forwarder.interval = answer.interval.max(SECOND / 100);
-                self.last += 1;
-                forwarder.generation = self.last;
-                self.hub.set_timer(now() + forwarder.interval, Key::Report(id, forwarder.generation));
-                if !std::mem::replace(&mut forwarder.up, true) {
-                    let supervisor = forwarder.supervisor as u32;
+        let Some((_, discovery, load_reports)) = forwarder.supervisor_link.filter(|link| link.0 == conn)
+        else {
+            return;
+        };
+        if stream == load_reports {
+            if let Ok(config) = LoadReportConfig::decode(message) {
+                forwarder.report_interval = config.interval.max(MIN_REPORT_INTERVAL);
+                self.last_id += 1;
+                forwarder.report_generation = self.last_id;
+                self.hub.set_timer(
+                    now() + forwarder.report_interval,
+                    Timer::Report(id, forwarder.report_generation),
+                );
+                if !std::mem::replace(&mut forwarder.connected, true) {
+                    let supervisor = forwarder.supervisor_index as u32;
                     self.trace.write(&TraceEvent::SupervisorConnected {
                         at: now(),
                         forwarder: id,
@@ -585,152 +703,161 @@
                     });
                 }
             }
-        } else if Some(stream) == forwarder.hold {
-            self.ranges(id, message);
+        } else if Some(stream) == forwarder.ranges_stream {
+            self.handle_ranges(id, message);
         } else if stream == discovery {
-            match forwarder.list.handle(message) {
+            match forwarder.discovery.handle(message) {
                 Ok(update) if update.type_url == types::LINE => {
-                    self.disturb(id, conn, stream, update, message.len());
+                    self.deliver_lines(id, conn, stream, update, message.len());
                 }
-                Ok(update) => self.update(id, conn, stream, &update, message.len()),
-                Err(status) => eprintln!("forwarder {id}: {status}"),
+                Ok(update) => self.handle_update(id, conn, stream, &update, message.len()),
+                Err(status) => eprintln!("forwarder {id} received an invalid update: {status}"),
             }
         }
     }
 
-    /// A link that loses, doubles and overtakes: what comes of it is as if nothing were known of that.
-    fn disturb(&mut self, id: u32, conn: ConnId, stream: StreamId, update: Update, bytes: usize) {
-        let (part, delay) = self.lossy;
-        let drawn = if part > 0.0 { self.chance.rand_float() / part } else { f64::INFINITY };
+    /// Applies an update with lines after the injected disturbance, which loses, delays, reorders or repeats updates.
+    /// The forwarder does not know of it and must recover by itself.
+    fn deliver_lines(&mut self, id: u32, conn: ConnId, stream: StreamId, update: Update, bytes: usize) {
+        let (fraction, delay) = self.update_disturbance;
+        let drawn = if fraction > 0.0 { self.random.rand_float() / fraction } else { f64::INFINITY };
         if drawn < 2.5 {
             self.trace.write(&TraceEvent::UpdateDisturbed { at: now(), forwarder: id });
         }
+        // Below 1 the update is lost, below 2 it is delayed, below 2.5 it is delivered twice.
         match drawn {
             drawn if drawn < 1.0 => {}
             drawn if drawn < 2.0 => {
-                let at = now() + (delay as f64 * self.chance.rand_float()) as Nanos;
-                self.hub.set_timer(at, Key::Late(id, conn, Box::new(update)));
+                let delivered_at = now() + (delay as f64 * self.random.rand_float()) as Nanos;
+                self.hub.set_timer(delivered_at, Timer::DelayedUpdate(id, conn, Box::new(update)));
             }
             drawn if drawn < 2.5 => {
-                self.lines(id, conn, stream, &update, bytes);
-                self.lines(id, conn, stream, &update, 0);
+                self.apply_lines(id, conn, stream, &update, bytes);
+                self.apply_lines(id, conn, stream, &update, 0);
             }
-            _ => self.lines(id, conn, stream, &update, bytes),
+            _ => self.apply_lines(id, conn, stream, &update, bytes),
         }
     }
 
-    /// Lines of one table, and what they add up to.
-    fn lines(&mut self, id: u32, conn: ConnId, stream: StreamId, update: &Update, bytes: usize) {
+    /// Applies changed lines of one table, and acknowledges them if they match their check.
+    fn apply_lines(&mut self, id: u32, conn: ConnId, stream: StreamId, update: &Update, bytes: usize) {
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
-        if forwarder.turns_down > 0 {
-            forwarder.turns_down -= 1;
-            let answer = forwarder.list.nack(update, "told to turn it down".into());
-            return self.hub.send(conn, stream, &answer);
+        if forwarder.updates_to_reject > 0 {
+            forwarder.updates_to_reject -= 1;
+            let response = forwarder.discovery.nack(update, REJECTION_REASON.into());
+            return self.hub.send(conn, stream, &response);
         }
         let (epoch, fenced) = (epoch_of_version(&update.version), update.version.contains('/'));
-        let known = forwarder.collections.iter().flatten().next().copied();
-        let read = read_lines(update, known);
-        let delta = match read {
+        let default_table = forwarder.collections.iter().flatten().next().copied();
+        let decoded = decode_lines(update, default_table);
+        let delta = match decoded {
             _ if fenced && epoch < forwarder.epoch && !self.plan.unfenced => Err(Status::new(
                 Code::InvalidArgument,
                 format!("epoch {epoch} is older than {}", forwarder.epoch),
             )),
-            read => read,
+            decoded => decoded,
         };
         let (table, delta) = match delta {
-            Ok(read) => read,
+            Ok(decoded) => decoded,
             Err(status) => {
-                let answer = forwarder.list.nack(update, status.message);
-                return self.hub.send(conn, stream, &answer);
+                let response = forwarder.discovery.nack(update, status.message);
+                return self.hub.send(conn, stream, &response);
             }
         };
         forwarder.epoch = if fenced { epoch } else { forwarder.epoch };
-        let Some(follower) = forwarder.followers.get_mut(&table) else { return };
-        let heard = follower.receive(now(), &delta);
-        let due = follower.resync_due();
-        if matches!(heard, DeltaOutcome::Applied | DeltaOutcome::Stale) {
-            let answer = forwarder.list.ack(update);
-            self.hub.send(conn, stream, &answer);
+        let Some(replica) = forwarder.replicas.get_mut(&table) else { return };
+        let outcome = replica.receive(now(), &delta);
+        let resync_at = replica.resync_due();
+        if matches!(outcome, DeltaOutcome::Applied | DeltaOutcome::Stale) {
+            let response = forwarder.discovery.ack(update);
+            self.hub.send(conn, stream, &response);
         }
-        self.remind(id, due);
+        self.schedule_resync(id, resync_at);
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
-        let (_, ordered) = update.stamp().unwrap_or_default();
-        let (supervisor, lines) = (forwarder.supervisor as u32, delta.line_count() as u32);
+        let (_, ordered_at) = update.stamp().unwrap_or_default();
+        let (supervisor, changed_lines) = (forwarder.supervisor_index as u32, delta.line_count() as u32);
         let (epoch, bytes) = (forwarder.epoch, bytes as u32);
         self.trace.write(&TraceEvent::UpdateReceived {
             at: now(),
             forwarder: id,
             supervisor,
-            changed_lines: lines,
-            ordered_at: ordered,
+            changed_lines,
+            ordered_at,
             epoch,
             bytes,
         });
-        self.follow(id, table);
+        self.use_replica(id, table);
     }
 
-    fn remind(&mut self, id: u32, due: Option<Nanos>) {
-        if let Some(due) = due {
-            self.hub.set_timer(due, Key::Again(id));
+    /// Sets a timer for a resync, if one is due.
+    fn schedule_resync(&mut self, id: u32, resync_at: Option<Nanos>) {
+        if let Some(resync_at) = resync_at {
+            self.hub.set_timer(resync_at, Timer::Resync(id));
         }
     }
 
-    fn ask_again(&mut self, id: u32) {
+    /// Requests all tables again whose resync is due.
+    fn resync(&mut self, id: u32) {
         let time = now();
-        let Some(forwarder) = self.forwarders.get_mut(&id).filter(|f| f.alive && !f.stalled) else { return };
-        let Some((conn, stream, _)) = forwarder.link else { return };
-        let mut asked = BTreeMap::new();
-        for (&table, follower) in &mut forwarder.followers {
-            if follower.resync_due().is_some_and(|due| due <= time) {
-                let brings = follower.resync(time).map(|check| check.to_string());
-                asked.insert(leds::collection(table), brings);
+        let Some(forwarder) =
+            self.forwarders.get_mut(&id).filter(|forwarder| forwarder.alive && !forwarder.stalled)
+        else {
+            return;
+        };
+        let Some((conn, stream, _)) = forwarder.supervisor_link else { return };
+        let mut requested = BTreeMap::new();
+        for (&table, replica) in &mut forwarder.replicas {
+            if replica.resync_due().is_some_and(|due| due <= time) {
+                let version = replica.resync(time).map(|check| check.to_string());
+                requested.insert(leds::collection(table), version);
             }
         }
-        if asked.is_empty() {
+        if requested.is_empty() {
             return;
         }
-        let due = forwarder.followers.values().filter_map(Replica::resync_due).min();
-        let message = forwarder.list.resubscribe(types::LINE, asked);
+        let next_resync_at = forwarder.replicas.values().filter_map(Replica::resync_due).min();
+        let message = forwarder.discovery.resubscribe(types::LINE, requested);
         self.hub.send(conn, stream, &message);
         self.trace.write(&TraceEvent::ResyncRequested { at: time, forwarder: id });
-        self.remind(id, due);
+        self.schedule_resync(id, next_resync_at);
     }
 
-    /// Puts the lines of a table into force for the operations that go by it.
-    fn follow(&mut self, id: u32, table: u16) {
+    /// Copies the lines of a replica into the tables of the operations that use it.
+    fn use_replica(&mut self, id: u32, table_id: u16) {
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
-        let Some(follower) = forwarder.followers.get(&table).filter(|follower| !follower.lines().is_empty())
+        let Some(replica) = forwarder.replicas.get(&table_id).filter(|replica| !replica.lines().is_empty())
         else {
             return;
         };
-        for (held, of) in forwarder.tables.iter_mut().zip(&forwarder.collections) {
-            if *of != Some(table) {
+        for (table, collection) in forwarder.tables.iter_mut().zip(&forwarder.collections) {
+            if *collection != Some(table_id) {
                 continue;
             }
             let credits: BTreeMap<SocketAddr, f64> =
-                held.lines.iter().map(|line| (line.address, line.credit)).collect();
-            let old = std::mem::take(&mut held.lines);
-            held.lines.extend(follower.usable_lines().map(|(_, line)| Line {
+                table.lines.iter().map(|line| (line.address, line.credit)).collect();
+            let old_lines = std::mem::take(&mut table.lines);
+            table.lines.extend(replica.usable_lines().map(|(_, line)| Line {
                 address: line.address,
                 weight: f64::from(line.weight) / UNIT_WEIGHT,
                 credit: credits.get(&line.address).copied().unwrap_or(0.0),
             }));
             if self.plan.ignore_drains {
-                let known: BTreeSet<SocketAddr> = held.lines.iter().map(|line| line.address).collect();
-                held.lines.extend(old.into_iter().filter(|line| !known.contains(&line.address)));
+                let current: BTreeSet<SocketAddr> = table.lines.iter().map(|line| line.address).collect();
+                table.lines.extend(old_lines.into_iter().filter(|line| !current.contains(&line.address)));
             }
         }
         self.close_unused(id);
-        self.look_for_lines(id);
+        self.trace_missing_lines(id);
     }
 
-    /// An operation's lines are this collection: it is asked for unless it is already.
-    fn collect(
+    /// Lets an operation use the lines of a collection. Subscribes to the collection if it is new, and unsubscribes
+    /// from those that no operation uses any more.
+    fn use_collection(
         &mut self,
         id: u32,
         conn: ConnId,
         stream: StreamId,
-        at: usize,
+        operation: usize,
         collection: &str,
     ) -> Result<(), Status> {
         let Some(table) = leds::table_of(collection) else {
@@ -740,61 +867,64 @@
             ));
         };
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return Ok(()) };
-        forwarder.collections[at] = Some(table);
+        forwarder.collections[operation] = Some(table);
         let used: BTreeSet<u16> = forwarder.collections.iter().flatten().copied().collect();
-        let left: Vec<u16> =
-            forwarder.followers.keys().filter(|table| !used.contains(table)).copied().collect();
-        for table in left {
-            forwarder.followers.remove(&table);
-            forwarder.list.unsubscribe(types::LINE, &leds::collection(table));
+        let unused: Vec<u16> =
+            forwarder.replicas.keys().filter(|table| !used.contains(table)).copied().collect();
+        for table in unused {
+            forwarder.replicas.remove(&table);
+            forwarder.discovery.unsubscribe(types::LINE, &leds::collection(table));
         }
-        if let Entry::Vacant(vacant) = forwarder.followers.entry(table) {
+        if let Entry::Vacant(vacant) = forwarder.replicas.entry(table) {
             let seed = self.plan.seed ^ u64::from(id) << 16 ^ u64::from(table);
             vacant.insert(Replica::new(ResyncBackoff::new(self.plan.reconnect_delay.0, seed)));
             let message =
-                forwarder.list.resubscribe(types::LINE, BTreeMap::from([(collection.to_owned(), None)]));
+                forwarder.discovery.resubscribe(types::LINE, BTreeMap::from([(collection.to_owned(), None)]));
             self.hub.send(conn, stream, &message);
         }
-        self.follow(id, table);
+        self.use_replica(id, table);
         Ok(())
     }
 
-    fn update(&mut self, id: u32, conn: ConnId, stream: StreamId, update: &Update, bytes: usize) {
+    /// Handles an update of the discovery stream other than lines, and acknowledges or rejects it.
+    fn handle_update(&mut self, id: u32, conn: ConnId, stream: StreamId, update: &Update, bytes: usize) {
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
-        if forwarder.turns_down > 0 {
-            forwarder.turns_down -= 1;
-            let answer = forwarder.list.nack(update, "told to turn it down".into());
-            return self.hub.send(conn, stream, &answer);
+        if forwarder.updates_to_reject > 0 {
+            forwarder.updates_to_reject -= 1;
+            let response = forwarder.discovery.nack(update, REJECTION_REASON.into());
+            return self.hub.send(conn, stream, &response);
         }
         let epoch = epoch_of_version(&update.version);
         if epoch < forwarder.epoch && update.version.contains('/') && !self.plan.unfenced {
-            let why = format!("epoch {epoch} is older than {} that is held", forwarder.epoch);
-            let answer = forwarder.list.nack(update, why);
-            return self.hub.send(conn, stream, &answer);
+            let reason = format!("epoch {epoch} is older than {} that is held", forwarder.epoch);
+            let response = forwarder.discovery.nack(update, reason);
+            return self.hub.send(conn, stream, &response);
         }
         forwarder.epoch = if update.version.contains('/') { epoch } else { forwarder.epoch };
         let result = match update.type_url.as_str() {
             types::ROUTES => update.resources.iter().try_for_each(|any| {
-                for (name, further) in decode_retries(any)? {
-                    if let Some(at) = self.plan.operations.iter().position(|operation| operation.name == name)
+                for (name, policy) in decode_retries(any)? {
+                    if let Some(index) =
+                        self.plan.operations.iter().position(|operation| operation.name == name)
                     {
-                        forwarder.further[at] = further;
+                        forwarder.retry_policies[index] = policy;
                     }
                 }
                 Ok::<(), Status>(())
             }),
-            _ => self.assign(id, conn, stream, update, bytes),
+            _ => self.apply_assignments(id, conn, stream, update, bytes),
         };
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
-        let answer = match result {
-            Ok(()) => forwarder.list.ack(update),
-            Err(status) => forwarder.list.nack(update, status.message),
+        let response = match result {
+            Ok(()) => forwarder.discovery.ack(update),
+            Err(status) => forwarder.discovery.nack(update, status.message),
         };
-        self.hub.send(conn, stream, &answer);
-        self.look_for_lines(id);
+        self.hub.send(conn, stream, &response);
+        self.trace_missing_lines(id);
     }
 
-    fn assign(
+    /// Applies the tables of an update.
+    fn apply_assignments(
         &mut self,
         id: u32,
         conn: ConnId,
@@ -802,68 +932,73 @@
         update: &Update,
         bytes: usize,
     ) -> Result<(), Status> {
-        // All of an update or nothing of it.
+        // Everything is decoded first, so that an invalid resource rejects the whole update.
         let tables: Vec<Assignment> =
             update.resources.iter().map(Assignment::decode).collect::<Result<_, _>>()?;
         let collections: Vec<Option<String>> =
             update.resources.iter().map(leds::collection_of).collect::<Result<_, _>>()?;
-        let mut changed = 0;
-        for (told, collection) in tables.into_iter().zip(collections) {
+        let mut changed_lines = 0;
+        for (assignment, collection) in tables.into_iter().zip(collections) {
             let Some(forwarder) = self.forwarders.get_mut(&id) else { return Ok(()) };
-            if told.cluster == EXCLUDED {
-                let fresh: BTreeSet<SocketAddr> = told.endpoints.iter().map(|row| row.address).collect();
-                changed = changed.max(fresh.symmetric_difference(&forwarder.shunned).count());
+            if assignment.cluster == EXCLUDED {
+                let new_excluded: BTreeSet<SocketAddr> =
+                    assignment.endpoints.iter().map(|endpoint| endpoint.address).collect();
+                changed_lines =
+                    changed_lines.max(new_excluded.symmetric_difference(&forwarder.excluded).count());
                 if !self.plan.ignore_drains {
-                    forwarder.shunned = fresh;
+                    forwarder.excluded = new_excluded;
                 }
                 continue;
             }
-            let Some(at) = self.plan.operations.iter().position(|operation| operation.name == told.cluster)
+            let Some(index) =
+                self.plan.operations.iter().position(|operation| operation.name == assignment.cluster)
             else {
                 continue;
             };
-            let table = &mut forwarder.tables[at];
+            let table = &mut forwarder.tables[index];
             if let Some(collection) = collection {
-                table.admitted = told.admitted;
-                self.collect(id, conn, stream, at, &collection)?;
+                table.admitted = assignment.admitted;
+                self.use_collection(id, conn, stream, index, &collection)?;
                 continue;
             }
-            let fresh: BTreeMap<SocketAddr, (u64, Health)> =
-                told.endpoints.iter().map(|row| (row.address, (row.weight.to_bits(), row.health))).collect();
-            let differs = |key: &&SocketAddr| fresh.get(*key) != table.told.get(*key);
-            let keys: BTreeSet<&SocketAddr> = fresh.keys().chain(table.told.keys()).collect();
-            changed = changed.max(keys.iter().filter(|key| differs(key)).count());
-            table.told = fresh;
+            let new_received: BTreeMap<SocketAddr, (u64, Health)> = assignment
+                .endpoints
+                .iter()
+                .map(|endpoint| (endpoint.address, (endpoint.weight.to_bits(), endpoint.health)))
+                .collect();
+            let differs = |address: &&SocketAddr| new_received.get(*address) != table.received.get(*address);
+            let addresses: BTreeSet<&SocketAddr> = new_received.keys().chain(table.received.keys()).collect();
+            changed_lines = changed_lines.max(addresses.iter().filter(|address| differs(address)).count());
+            table.received = new_received;
             let credits: BTreeMap<SocketAddr, f64> =
                 table.lines.iter().map(|line| (line.address, line.credit)).collect();
-            let ready = told.endpoints.iter().filter(|row| row.health == Health::Ready);
+            let ready = assignment.endpoints.iter().filter(|endpoint| endpoint.health == Health::Ready);
             let mut lines: Vec<Line> = ready
-                .map(|row| Line {
-                    address: row.address,
-                    weight: row.weight,
-                    credit: credits.get(&row.address).copied().unwrap_or(0.0),
+                .map(|endpoint| Line {
+                    address: endpoint.address,
+                    weight: endpoint.weight,
+                    credit: credits.get(&endpoint.address).copied().unwrap_or(0.0),
                 })
                 .collect();
             if self.plan.ignore_drains {
-                let kept = table
-                    .lines
-                    .iter()
-                    .filter(|old| !told.endpoints.iter().any(|row| row.address == old.address));
+                let kept = table.lines.iter().filter(|old| {
+                    !assignment.endpoints.iter().any(|endpoint| endpoint.address == old.address)
+                });
                 lines.extend(kept.cloned());
             }
             table.lines = lines;
-            table.admitted = told.admitted;
+            table.admitted = assignment.admitted;
         }
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return Ok(()) };
-        let (_, ordered) = update.stamp().unwrap_or_default();
-        let supervisor = forwarder.supervisor as u32;
-        let (lines, epoch, bytes) = (changed as u32, forwarder.epoch, bytes as u32);
+        let (_, ordered_at) = update.stamp().unwrap_or_default();
+        let supervisor = forwarder.supervisor_index as u32;
+        let (changed_lines, epoch, bytes) = (changed_lines as u32, forwarder.epoch, bytes as u32);
         self.trace.write(&TraceEvent::UpdateReceived {
             at: now(),
             forwarder: id,
             supervisor,
-            changed_lines: lines,
-            ordered_at: ordered,
+            changed_lines,
+            ordered_at,
             epoch,
             bytes,
         });
@@ -871,74 +1006,80 @@
         Ok(())
     }
 
-    /// Connections to servers that left all tables are closed, once nothing runs on them.
+    /// Closes connections to servers that are in no table any more and have no open attempt.
     fn close_unused(&mut self, id: u32) {
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
-        let held: BTreeSet<SocketAddr> =
+        let used: BTreeSet<SocketAddr> =
             forwarder.tables.iter().flat_map(|table| table.lines.iter().map(|line| line.address)).collect();
-        let idle = |address: &SocketAddr| {
-            !held.contains(address) && forwarder.open.get(address).copied().unwrap_or(0) == 0
+        let is_unused = |address: &SocketAddr| {
+            !used.contains(address) && forwarder.open_attempts.get(address).copied().unwrap_or(0) == 0
         };
         let unused: Vec<SocketAddr> =
-            forwarder.conns.keys().filter(|address| idle(address)).copied().collect();
+            forwarder.server_connections.keys().filter(|address| is_unused(address)).copied().collect();
         for address in unused {
-            if let Some(conn) = forwarder.conns.remove(&address) {
-                self.servers.remove(&conn);
+            if let Some(conn) = forwarder.server_connections.remove(&address) {
+                self.server_connections.remove(&conn);
                 self.hub.close(conn);
             }
         }
     }
 
-    fn look_for_lines(&mut self, id: u32) {
+    /// Traces operations that begin or cease to lack a usable line.
+    fn trace_missing_lines(&mut self, id: u32) {
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
-        for at in 0..forwarder.tables.len() {
-            let bare = forwarder.lines(at).next().is_none();
-            if bare != std::mem::replace(&mut forwarder.tables[at].bare, bare) {
+        for operation in 0..forwarder.tables.len() {
+            let lacks_line = forwarder.usable_lines(operation).next().is_none();
+            if lacks_line != std::mem::replace(&mut forwarder.tables[operation].lacks_line, lacks_line) {
                 self.trace.write(&TraceEvent::LacksLine {
                     at: now(),
                     forwarder: id,
-                    operation: at as u16,
-                    on: bare,
+                    operation: operation as u16,
+                    on: lacks_line,
                 });
             }
         }
     }
 
-    fn report(&mut self, id: u32, generation: u64) {
-        let Some(forwarder) = self.forwarders.get_mut(&id).filter(|f| f.generation == generation) else {
+    /// Sends a load report and sets the timer for the next one.
+    fn send_report(&mut self, id: u32, generation: u64) {
+        let Some(forwarder) =
+            self.forwarders.get_mut(&id).filter(|forwarder| forwarder.report_generation == generation)
+        else {
             return;
         };
-        self.hub.set_timer(now() + forwarder.interval, Key::Report(id, generation));
-        let Some((conn, _, load)) = forwarder.link.filter(|_| !forwarder.stalled) else { return };
-        let interval = now().saturating_sub(std::mem::replace(&mut forwarder.reported, now()));
+        self.hub.set_timer(now() + forwarder.report_interval, Timer::Report(id, generation));
+        let Some((conn, _, load_reports)) = forwarder.supervisor_link.filter(|_| !forwarder.stalled) else {
+            return;
+        };
+        let interval = now().saturating_sub(std::mem::replace(&mut forwarder.reported_at, now()));
         let mut clusters = Vec::new();
-        for (operation, sums) in self.plan.operations.iter().zip(&mut forwarder.sums) {
-            let sums = std::mem::take(sums);
-            let mut endpoints: Vec<EndpointLoad> = sums
-                .met
+        for (operation, stats) in self.plan.operations.iter().zip(&mut forwarder.stats) {
+            let stats = std::mem::take(stats);
+            let mut endpoints: Vec<EndpointLoad> = stats
+                .servers
                 .into_iter()
-                .map(|(address, met)| EndpointLoad {
+                .map(|(address, server)| EndpointLoad {
                     address,
-                    zone: self.zones.get(&address).cloned().unwrap_or_default(),
-                    successes: met.succeeded,
-                    failures: met.errored,
-                    timed_responses: met.timed,
-                    response_time_sum: met.time,
-                    metrics: met.cpu.map(|cpu| ("cpu".to_owned(), cpu)).into_iter().collect(),
+                    zone: self.server_zones.get(&address).cloned().unwrap_or_default(),
+                    successes: server.succeeded,
+                    failures: server.failed,
+                    timed_responses: server.timed_responses,
+                    response_time_sum: server.response_time_sum,
+                    metrics: server.cpu.map(|cpu| ("cpu".to_owned(), cpu)).into_iter().collect(),
                 })
                 .collect();
-            if self.ghost {
-                // A server that never was.
+            if self.reports_unknown_server {
+                // An address at which no server ever was.
                 let address = SocketAddr::from(([127, 9, 9, 9], 9));
                 let zone = forwarder.plan.zone.clone();
-                let (timed, time, metrics) = (0, 0, BTreeMap::new());
+                let (timed_responses, response_time_sum, metrics) = (0, 0, BTreeMap::new());
                 endpoints.push(EndpointLoad {
                     address,
                     zone,
                     successes: 0,
-                    failures: 50,
-                    timed_responses: timed,
-                    response_time_sum: time,
+                    failures: UNKNOWN_SERVER_FAILURES,
+                    timed_responses,
+                    response_time_sum,
                     metrics,
                 });
             }
@@ -947,103 +1088,109 @@
                 interval,
                 issued: endpoints.iter().map(|load| load.successes + load.failures).sum(),
                 failures: endpoints.iter().map(|load| load.failures).sum(),
-                dropped: sums.dropped,
+                dropped: stats.dropped,
                 endpoints,
             });
         }
         let message = LoadReport { node: None, clusters }.encode();
-        if self.late > 0 {
-            self.hub.set_timer(now() + self.late, Key::Send(id, conn, message));
+        if self.report_delay > 0 {
+            self.hub.set_timer(now() + self.report_delay, Timer::DelayedReport(id, conn, message));
         } else {
-            self.hub.send(conn, load, &message);
+            self.hub.send(conn, load_reports, &message);
         }
     }
 
-    // The callers' and servers' side.
-
-    fn asked(&mut self, id: u32, caller: (ConnId, StreamId), inv: Invocation) {
-        let at = inv.operation as usize;
-        let Some(operation) = self.plan.operations.get(at) else {
+    /// Routes an invocation of a caller, or rejects it.
+    fn handle_invocation(&mut self, id: u32, caller: (ConnId, StreamId), invocation: Invocation) {
+        let index = invocation.operation as usize;
+        let Some(operation) = self.plan.operations.get(index) else {
             return self.hub.finish(
                 caller.0,
                 caller.1,
                 Status::new(Code::Unimplemented, "no such operation"),
             );
         };
-        let until = now() + operation.integration_timeout;
+        let deadline = now() + operation.integration_timeout;
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
-        if self.chance.rand_float() >= forwarder.tables[at].admitted {
-            forwarder.sums[at].dropped += 1;
+        if self.random.rand_float() >= forwarder.tables[index].admitted {
+            forwarder.stats[index].dropped += 1;
             let status = Status::new(Code::ResourceExhausted, "rate-limited by the operation's level");
             return self.hub.finish(caller.0, caller.1, status);
         }
-        // By key: to the range's one owner, by a line that is still good, or nowhere.
-        let by_key = self.plan.keyed_operation == Some(at);
-        let range = (inv.inv.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32) as u32 % forwarder.ranges.max(1);
-        let line = forwarder.tenant.route(now(), range).filter(|_| by_key);
-        let owner = line.and_then(|line| forwarder.owners.get(&line.owner).copied());
-        let picked = if by_key { owner } else { self.pick(id, at, None) };
-        let Some(address) = picked else {
+        // An invocation with a key goes to the owner of its range while the route is leased; otherwise it is rejected.
+        let by_key = self.plan.keyed_operation == Some(index);
+        let range =
+            (invocation.number.wrapping_mul(KEY_HASH_MULTIPLIER) >> 32) as u32 % forwarder.range_count.max(1);
+        let route = forwarder.lease_client.route(now(), range).filter(|_| by_key);
+        let owner = route.and_then(|route| forwarder.owner_addresses.get(&route.owner).copied());
+        let server = if by_key { owner } else { self.pick_server(id, index, None) };
+        let Some(server) = server else {
             if let Some(forwarder) = self.forwarders.get_mut(&id) {
-                forwarder.sums[at].dropped += 1;
+                forwarder.stats[index].dropped += 1;
             }
             return self.hub.finish(caller.0, caller.1, Status::new(Code::NotFound, "no line to pick"));
         };
-        self.last += 1;
-        let trial = Trial {
+        self.last_id += 1;
+        let pending = PendingInvocation {
             forwarder: id,
             caller,
-            inv: Invocation {
+            invocation: Invocation {
                 forwarder: id,
-                further: 0,
+                forwarder_attempt: 0,
                 range,
-                epoch: line.map_or(0, |line| line.epoch),
-                ..inv
+                epoch: route.map_or(0, |route| route.epoch),
+                ..invocation
             },
-            until,
-            address,
-            begun: now(),
-            at: None,
+            deadline,
+            server,
+            attempt_started_at: now(),
+            call: None,
             timer: None,
-            further: RetryPolicy::Never,
-            answer: None,
+            retry_policy: RetryPolicy::Never,
+            response: None,
         };
-        self.trials.insert(self.last, trial);
-        self.by_caller.insert(caller, self.last);
-        self.attempt(self.last);
+        self.pending.insert(self.last_id, pending);
+        self.pending_by_caller_call.insert(caller, self.last_id);
+        self.start_attempt(self.last_id);
     }
 
-    fn pick(&mut self, id: u32, at: usize, not: Option<SocketAddr>) -> Option<SocketAddr> {
+    /// Chooses a server by the weights of an operation's lines. Ejected servers are used only if all are ejected.
+    fn pick_server(&mut self, id: u32, operation: usize, except: Option<SocketAddr>) -> Option<SocketAddr> {
         let time = now();
-        let pick = self.plan.load_balancing;
+        let load_balancing = self.plan.load_balancing;
         let forwarder = self.forwarders.get_mut(&id)?;
-        forwarder.avoided.retain(|_, until| *until > time);
+        forwarder.ejected_until.retain(|_, until| *until > time);
         let lines: Vec<Line> =
-            forwarder.lines(at).filter(|line| Some(line.address) != not).cloned().collect();
-        let sound: Vec<&Line> =
-            lines.iter().filter(|line| !forwarder.avoided.contains_key(&line.address)).collect();
-        let from: Vec<&Line> = if sound.is_empty() { lines.iter().collect() } else { sound };
-        let total: f64 = from.iter().map(|line| line.weight).sum();
-        let chance = &mut self.chance;
+            forwarder.usable_lines(operation).filter(|line| Some(line.address) != except).cloned().collect();
+        let healthy: Vec<&Line> =
+            lines.iter().filter(|line| !forwarder.ejected_until.contains_key(&line.address)).collect();
+        let candidates: Vec<&Line> = if healthy.is_empty() { lines.iter().collect() } else { healthy };
+        let total: f64 = candidates.iter().map(|line| line.weight).sum();
+        let random = &mut self.random;
         let mut draw = || {
-            let mut left = chance.rand_float() * total;
-            let drawn = from.iter().find(|line| {
-                left -= line.weight;
-                left <= 0.0
+            let mut remaining = random.rand_float() * total;
+            let drawn = candidates.iter().find(|line| {
+                remaining -= line.weight;
+                remaining <= 0.0
             });
-            drawn.or(from.last()).map(|line| line.address)
+            drawn.or(candidates.last()).map(|line| line.address)
         };
-        match pick {
+        match load_balancing {
             LoadBalancing::WeightedRandom => draw(),
             LoadBalancing::TwoChoices => {
-                let (one, other) = (draw()?, draw()?);
-                let open = |address| forwarder.open.get(&address).copied().unwrap_or(0);
-                Some(if open(other) < open(one) { other } else { one })
+                let (first, second) = (draw()?, draw()?);
+                let open = |address| forwarder.open_attempts.get(&address).copied().unwrap_or(0);
+                Some(if open(second) < open(first) { second } else { first })
             }
             LoadBalancing::WeightedRoundRobin => {
-                let chosen: BTreeSet<SocketAddr> = from.iter().map(|line| line.address).collect();
+                let candidate_addresses: BTreeSet<SocketAddr> =
+                    candidates.iter().map(|line| line.address).collect();
                 let mut best: Option<&mut Line> = None;
-                for line in forwarder.tables[at].lines.iter_mut().filter(|l| chosen.contains(&l.address)) {
+                for line in forwarder.tables[operation]
+                    .lines
+                    .iter_mut()
+                    .filter(|line| candidate_addresses.contains(&line.address))
+                {
                     line.credit += line.weight;
                     if best.as_ref().is_none_or(|best| line.credit > best.credit) {
                         best = Some(line);
@@ -1057,335 +1204,378 @@
         }
     }
 
-    fn attempt(&mut self, number: u64) {
-        let Some(trial) = self.trials.get_mut(&number) else { return };
-        let (id, address, at) = (trial.forwarder, trial.address, trial.inv.operation as usize);
+    /// Sends a pending invocation to its server.
+    fn start_attempt(&mut self, pending_id: u64) {
+        let Some(pending) = self.pending.get_mut(&pending_id) else { return };
+        let (id, address, operation) =
+            (pending.forwarder, pending.server, pending.invocation.operation as usize);
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
-        trial.further = if trial.inv.epoch > 0 { RetryPolicy::Never } else { forwarder.further[at] };
-        trial.begun = now();
-        trial.answer = None;
-        *forwarder.open.entry(address).or_default() += 1;
-        let tries = trial.inv.further;
-        let followed = match trial.further {
-            RetryPolicy::Once => tries < 1,
-            RetryPolicy::Twice => tries < 2,
+        pending.retry_policy = if pending.invocation.epoch > 0 {
+            RetryPolicy::Never
+        } else {
+            forwarder.retry_policies[operation]
+        };
+        pending.attempt_started_at = now();
+        pending.response = None;
+        *forwarder.open_attempts.entry(address).or_default() += 1;
+        let retries = pending.invocation.forwarder_attempt;
+        let may_retry = match pending.retry_policy {
+            RetryPolicy::Once => retries < 1,
+            RetryPolicy::Twice => retries < 2,
             _ => false,
         };
-        let objective = self.plan.operations[at].latency_objective as f64;
-        let wait = (objective * self.plan.attempt_timeout_factor) as Nanos;
-        let until = if followed { trial.until.min(now() + wait) } else { trial.until };
-        let server = self.ids.get(&address).copied().unwrap_or(u32::MAX);
-        let (inv, further) = (trial.inv.inv, trial.inv.further);
+        let objective = self.plan.operations[operation].latency_objective as f64;
+        let attempt_timeout = (objective * self.plan.attempt_timeout_factor) as Nanos;
+        let attempt_deadline =
+            if may_retry { pending.deadline.min(now() + attempt_timeout) } else { pending.deadline };
+        let server = self.server_numbers.get(&address).copied().unwrap_or(u32::MAX);
+        let (invocation, forwarder_attempt) =
+            (pending.invocation.number, pending.invocation.forwarder_attempt);
         self.trace.write(&TraceEvent::AttemptStarted {
             at: now(),
             forwarder: id,
             server,
-            invocation: inv,
-            forwarder_attempt: further,
+            invocation,
+            forwarder_attempt,
         });
-        trial.timer = Some(self.hub.set_timer(until, Key::TryOver(number)));
-        // Across a cut nothing passes: the try ends by its time alone.
-        let far = self.zones.get(&address).is_some_and(|zone| {
+        pending.timer = Some(self.hub.set_timer(attempt_deadline, Timer::AttemptTimeout(pending_id)));
+        // Nothing passes between isolated zones: the attempt ends by its timeout.
+        let isolated = self.server_zones.get(&address).is_some_and(|zone| {
             *zone != forwarder.plan.zone
-                && (self.cut.contains(zone) || self.cut.contains(&forwarder.plan.zone))
+                && (self.isolated_zones.contains(zone) || self.isolated_zones.contains(&forwarder.plan.zone))
         });
-        if far {
+        if isolated {
             return;
         }
-        let conn = match forwarder.conns.get(&address) {
+        let conn = match forwarder.server_connections.get(&address) {
             Some(&conn) => Some(conn),
             None => self.hub.dial(address).ok(),
         };
         let call = conn.and_then(|conn| {
-            forwarder.conns.insert(address, conn);
-            self.servers.insert(conn, (id, address));
-            let timeout = Some(until.saturating_sub(now()));
-            Some((conn, self.hub.call(conn, &path(&self.plan.operations[at].name), timeout)?))
+            forwarder.server_connections.insert(address, conn);
+            self.server_connections.insert(conn, (id, address));
+            let timeout = Some(attempt_deadline.saturating_sub(now()));
+            Some((conn, self.hub.call(conn, &path(&self.plan.operations[operation].name), timeout)?))
         });
         let Some((conn, stream)) = call else {
-            forwarder.conns.remove(&address);
-            return self.tried(number, Err((Status::new(Code::Unavailable, "no connection"), true)));
+            forwarder.server_connections.remove(&address);
+            return self
+                .finish_attempt(pending_id, Err((Status::new(Code::Unavailable, "no connection"), true)));
         };
-        self.hub.send(conn, stream, &trial.inv.encode_to_vec());
+        self.hub.send(conn, stream, &pending.invocation.encode_to_vec());
         self.hub.finish(conn, stream, Status::OK);
-        trial.at = Some((conn, stream));
-        self.by_call.insert((conn, stream), number);
+        pending.call = Some((conn, stream));
+        self.pending_by_server_call.insert((conn, stream), pending_id);
     }
 
-    fn ended(&mut self, conn: ConnId, stream: StreamId, status: &Status) {
-        if let Some(&id) = self.links.get(&conn) {
-            return self.lost(id);
+    /// Handles the end of a call from a caller, to a server or to a supervisor.
+    fn handle_call_end(&mut self, conn: ConnId, stream: StreamId, status: &Status) {
+        if let Some(&id) = self.supervisor_connections.get(&conn) {
+            return self.disconnect(id);
         }
-        self.answered.insert(conn);
-        if let Some(number) = self.by_call.remove(&(conn, stream)) {
+        self.responding_connections.insert(conn);
+        if let Some(pending_id) = self.pending_by_server_call.remove(&(conn, stream)) {
             let result = match status.code {
                 Code::Ok => Ok(()),
-                // A full queue or a draining server says so before anything ran.
+                // A full queue and a draining server reject an invocation before it is executed.
                 Code::ResourceExhausted => Err((status.clone(), true)),
                 _ => Err((status.clone(), false)),
             };
-            return self.tried(number, result);
+            return self.finish_attempt(pending_id, result);
         }
-        self.calls.remove(&(conn, stream));
-        // The caller has given it up.
-        if let Some(number) = self.by_caller.remove(&(conn, stream)) {
-            if let Some(trial) = self.trials.remove(&number) {
-                self.settle(&trial);
-                if let Some((conn, stream)) = trial.at {
+        self.caller_calls.remove(&(conn, stream));
+        // The caller has cancelled the invocation.
+        if let Some(pending_id) = self.pending_by_caller_call.remove(&(conn, stream)) {
+            if let Some(pending) = self.pending.remove(&pending_id) {
+                self.release_attempt(&pending);
+                if let Some((conn, stream)) = pending.call {
                     self.hub.cancel(conn, stream);
-                    self.by_call.remove(&(conn, stream));
+                    self.pending_by_server_call.remove(&(conn, stream));
                 }
-                self.note(&trial, false);
+                self.record_attempt(&pending, false);
             }
         }
     }
 
-    fn closed(&mut self, conn: ConnId, why: &str) {
-        if let Some(&id) = self.links.get(&conn) {
-            return self.lost(id);
+    /// Handles the end of a connection.
+    fn handle_close(&mut self, conn: ConnId, reason: &str) {
+        if let Some(&id) = self.supervisor_connections.get(&conn) {
+            return self.disconnect(id);
         }
-        if self.odd.remove(&conn).is_some() {
+        if self.faulty_balancers.remove(&conn).is_some() {
             return;
         }
-        if let Some((id, address)) = self.servers.remove(&conn) {
+        if let Some((id, address)) = self.server_connections.remove(&conn) {
             if let Some(forwarder) = self.forwarders.get_mut(&id) {
-                forwarder.conns.remove(&address);
+                forwarder.server_connections.remove(&address);
             }
-            // Refused before a connection stood: nothing of it ever ran.
-            let proof = !self.answered.remove(&conn) && why.contains("refused");
-            let open: Vec<u64> =
-                self.by_call.range((conn, 0)..=(conn, StreamId::MAX)).map(|(_, &number)| number).collect();
-            self.by_call.retain(|(of, _), _| *of != conn);
-            for number in open {
-                self.tried(number, Err((Status::new(Code::Unavailable, why), proof)));
+            // A refused connection never existed, so nothing sent on it was executed.
+            let not_executed = !self.responding_connections.remove(&conn) && reason.contains("refused");
+            let open: Vec<u64> = self
+                .pending_by_server_call
+                .range((conn, 0)..=(conn, StreamId::MAX))
+                .map(|(_, &pending_id)| pending_id)
+                .collect();
+            self.pending_by_server_call.retain(|(owner, _), _| *owner != conn);
+            for pending_id in open {
+                self.finish_attempt(pending_id, Err((Status::new(Code::Unavailable, reason), not_executed)));
             }
             return;
         }
         for forwarder in self.forwarders.values_mut() {
-            forwarder.callers.remove(&conn);
+            forwarder.caller_connections.remove(&conn);
         }
-        let open: Vec<StreamId> =
-            self.calls.range((conn, 0)..=(conn, StreamId::MAX)).map(|((_, stream), _)| *stream).collect();
+        let open: Vec<StreamId> = self
+            .caller_calls
+            .range((conn, 0)..=(conn, StreamId::MAX))
+            .map(|((_, stream), _)| *stream)
+            .collect();
         for stream in open {
-            self.ended(conn, stream, &Status::new(Code::Cancelled, why));
+            self.handle_call_end(conn, stream, &Status::new(Code::Cancelled, reason));
         }
     }
 
-    fn settle(&mut self, trial: &Trial) {
-        if let Some(timer) = trial.timer {
+    /// Cancels the timer of an attempt and stops counting it as open.
+    fn release_attempt(&mut self, pending: &PendingInvocation) {
+        if let Some(timer) = pending.timer {
             self.hub.cancel_timer(timer);
         }
-        if let Some(forwarder) = self.forwarders.get_mut(&trial.forwarder) {
-            if let Some(open) = forwarder.open.get_mut(&trial.address) {
+        if let Some(forwarder) = self.forwarders.get_mut(&pending.forwarder) {
+            if let Some(open) = forwarder.open_attempts.get_mut(&pending.server) {
                 *open = open.saturating_sub(1);
             }
         }
     }
 
-    /// Adds a try to what is reported, and to what is avoided.
-    fn note(&mut self, trial: &Trial, succeeded: bool) {
-        let Some(forwarder) = self.forwarders.get_mut(&trial.forwarder) else { return };
-        let met = forwarder.sums[trial.inv.operation as usize].met.entry(trial.address).or_default();
+    /// Counts an attempt in the load report, and ejects a server that failed too often in a row.
+    fn record_attempt(&mut self, pending: &PendingInvocation, succeeded: bool) {
+        let Some(forwarder) = self.forwarders.get_mut(&pending.forwarder) else { return };
+        let stats =
+            forwarder.stats[pending.invocation.operation as usize].servers.entry(pending.server).or_default();
         if succeeded {
-            met.succeeded += 1;
-            met.timed += 1;
-            met.time += now().saturating_sub(trial.begun);
-            met.cpu = trial.answer.as_ref().map(|answer| answer.cpu).or(met.cpu);
-            forwarder.fails.remove(&trial.address);
+            stats.succeeded += 1;
+            stats.timed_responses += 1;
+            stats.response_time_sum += now().saturating_sub(pending.attempt_started_at);
+            stats.cpu = pending.response.as_ref().map(|response| response.cpu).or(stats.cpu);
+            forwarder.consecutive_failures.remove(&pending.server);
         } else {
-            met.errored += 1;
-            let fails = forwarder.fails.entry(trial.address).or_default();
-            *fails += 1;
-            if self.plan.ejection_failure_threshold > 0 && *fails >= self.plan.ejection_failure_threshold {
-                *fails = 0;
-                forwarder.avoided.insert(trial.address, now() + self.plan.ejection_duration);
+            stats.failed += 1;
+            let failures = forwarder.consecutive_failures.entry(pending.server).or_default();
+            *failures += 1;
+            if self.plan.ejection_failure_threshold > 0 && *failures >= self.plan.ejection_failure_threshold {
+                *failures = 0;
+                forwarder.ejected_until.insert(pending.server, now() + self.plan.ejection_duration);
             }
         }
     }
 
-    /// One try is over; the error comes with whether it is proof that nothing ran.
-    fn tried(&mut self, number: u64, result: Result<(), (Status, bool)>) {
-        let Some(mut trial) = self.trials.remove(&number) else { return };
-        self.settle(&trial);
-        self.note(&trial, result.is_ok());
-        if let Err((_, proof)) = &result {
-            let tries = trial.inv.further;
-            let again = match trial.further {
+    /// Ends an attempt, then retries or answers the caller. An error comes with whether the invocation was provably not
+    /// executed.
+    fn finish_attempt(&mut self, pending_id: u64, result: Result<(), (Status, bool)>) {
+        let Some(mut pending) = self.pending.remove(&pending_id) else { return };
+        self.release_attempt(&pending);
+        self.record_attempt(&pending, result.is_ok());
+        if let Err((_, not_executed)) = &result {
+            let retries = pending.invocation.forwarder_attempt;
+            let may_retry = match pending.retry_policy {
                 RetryPolicy::Never => false,
-                RetryPolicy::IfNotExecuted => tries < 1 && *proof,
-                RetryPolicy::Once => tries < 1,
-                RetryPolicy::Twice => tries < 2,
+                RetryPolicy::IfNotExecuted => retries < 1 && *not_executed,
+                RetryPolicy::Once => retries < 1,
+                RetryPolicy::Twice => retries < 2,
             };
-            if again && now() < trial.until {
-                let (id, at) = (trial.forwarder, trial.inv.operation as usize);
-                if let Some(address) = self.pick(id, at, Some(trial.address)) {
-                    trial.address = address;
-                    trial.inv.further += 1;
-                    trial.at = None;
-                    self.trials.insert(number, trial);
-                    return self.attempt(number);
+            if may_retry && now() < pending.deadline {
+                let (id, operation) = (pending.forwarder, pending.invocation.operation as usize);
+                if let Some(server) = self.pick_server(id, operation, Some(pending.server)) {
+                    pending.server = server;
+                    pending.invocation.forwarder_attempt += 1;
+                    pending.call = None;
+                    self.pending.insert(pending_id, pending);
+                    return self.start_attempt(pending_id);
                 }
             }
         }
-        let (conn, stream) = trial.caller;
-        self.by_caller.remove(&trial.caller);
-        self.calls.remove(&trial.caller);
+        let (conn, stream) = pending.caller;
+        self.pending_by_caller_call.remove(&pending.caller);
+        self.caller_calls.remove(&pending.caller);
         match result {
             Ok(()) => {
-                self.hub.send(conn, stream, &trial.answer.unwrap_or_default().encode_to_vec());
+                self.hub.send(conn, stream, &pending.response.unwrap_or_default().encode_to_vec());
                 self.hub.finish(conn, stream, Status::OK);
             }
             Err((status, _)) => self.hub.finish(conn, stream, status),
         }
     }
 
-    // Troubles.
-
-    fn odd_group(balancer: &str, name: &str) -> Group {
+    fn sasp_group(balancer: &str, name: &str) -> Group {
         Group { balancer: balancer.into(), name: name.into() }
     }
 
-    /// Opens what is missing at the first supervisor that answers, and does one more thing on each.
-    fn be_odd(&mut self) {
-        if self.oddity == 0 {
+    /// Runs one tick of the faulty balancers: opens those that have no connection, then lets each act.
+    fn run_faulty_balancers(&mut self) {
+        if self.fault_tick == 0 {
             return;
         }
-        self.oddity += 1;
-        self.hub.set_timer(now() + SECOND / 1000, Key::Odd);
+        self.fault_tick += 1;
+        self.hub.set_timer(now() + FAULT_TICK, Timer::FaultyBalancers);
         let operation = self.plan.operations[0].name.clone();
-        let own = |servers: Vec<Member>| {
-            let groups = vec![(Self::odd_group("odd", &operation), servers)];
+        let register = |servers: Vec<Member>| {
+            let groups = vec![(Self::sasp_group("odd", &operation), servers)];
             Body::Register { from_balancer: true, groups }
         };
-        let address = |at: u16| SocketAddr::from(([127, 9, (at >> 8) as u8, at as u8], 9));
-        for kind in [Odd::Asks, Odd::ReadsNothing, Odd::Dies, Odd::TakesAway, Odd::Flaps] {
-            if self.odd.values().any(|&known| known == kind) || !self.oddity.is_multiple_of(50) {
+        let member_address = |index: u16| SocketAddr::from(([127, 9, (index >> 8) as u8, index as u8], 9));
+        for fault in [
+            BalancerFault::PollsConstantly,
+            BalancerFault::NeverReads,
+            BalancerFault::ResetsWithinMessage,
+            BalancerFault::DeregistersOthers,
+            BalancerFault::FlapsState,
+        ] {
+            if self.faulty_balancers.values().any(|&running| running == fault)
+                || !self.fault_tick.is_multiple_of(FAULT_CONNECT_TICKS)
+            {
                 continue;
             }
-            let at = (self.oddity as usize / 50) % self.plan.sasp_supervisors.len().max(1);
-            let Some(Ok(conn)) = self.plan.sasp_supervisors.get(at).map(|&front| self.hub.dial_plain(front))
+            let supervisor = (self.fault_tick as usize / FAULT_CONNECT_TICKS as usize)
+                % self.plan.sasp_supervisors.len().max(1);
+            let Some(Ok(conn)) =
+                self.plan.sasp_supervisors.get(supervisor).map(|&address| self.hub.dial_plain(address))
             else {
                 return;
             };
-            self.odd.insert(conn, kind);
-            let opening = match kind {
-                Odd::Asks => {
+            self.faulty_balancers.insert(conn, fault);
+            let opening = match fault {
+                BalancerFault::PollsConstantly => {
                     let flags = LbFlags { push: false, trust: true, no_change: false };
                     let state = Body::SetLbState { balancer: b"odd".to_vec(), health: 0, flags };
-                    vec![state, own(vec![Member::tcp(address(1))])]
+                    vec![state, register(vec![Member::tcp(member_address(1))])]
                 }
-                Odd::ReadsNothing => {
+                BalancerFault::NeverReads => {
                     let flags = LbFlags { push: true, trust: false, no_change: false };
                     let balancer = b"odd-large".to_vec();
                     let groups = vec![(
-                        Self::odd_group("odd-large", &operation),
-                        (0..10_000).map(|at| Member::tcp(address(at))).collect(),
+                        Self::sasp_group("odd-large", &operation),
+                        (0..LARGE_GROUP_MEMBERS).map(|index| Member::tcp(member_address(index))).collect(),
                     )];
                     vec![
                         Body::SetLbState { balancer, health: 0, flags },
                         Body::Register { from_balancer: true, groups },
                     ]
                 }
-                Odd::Flaps => {
-                    let groups = vec![(Self::odd_group("odd", &operation), vec![Member::tcp(address(2))])];
+                BalancerFault::FlapsState => {
+                    let groups =
+                        vec![(Self::sasp_group("odd", &operation), vec![Member::tcp(member_address(2))])];
                     vec![Body::Register { from_balancer: false, groups }]
                 }
-                Odd::Dies | Odd::TakesAway => Vec::new(),
+                BalancerFault::ResetsWithinMessage | BalancerFault::DeregistersOthers => Vec::new(),
             };
             for body in opening {
                 self.hub.write(conn, &Message { id: 1, body }.encode());
             }
         }
-        let time = self.oddity;
-        for (conn, kind) in self.odd.clone() {
-            let body = match kind {
-                Odd::Asks => Body::GetWeights { groups: vec![Self::odd_group("odd", &operation)] },
-                Odd::ReadsNothing => {
+        let tick = self.fault_tick;
+        for (conn, fault) in self.faulty_balancers.clone() {
+            let body = match fault {
+                BalancerFault::PollsConstantly => {
+                    Body::GetWeights { groups: vec![Self::sasp_group("odd", &operation)] }
+                }
+                BalancerFault::NeverReads => {
                     self.hub.set_paused(conn, true);
                     continue;
                 }
-                Odd::Dies => {
+                BalancerFault::ResetsWithinMessage => {
                     // Half a message, then a reset.
-                    if time.is_multiple_of(20) {
-                        self.hub.write(conn, &Message { id: 1, body: own(Vec::new()) }.encode()[..20]);
-                    } else if time % 20 == 10 {
-                        self.odd.remove(&conn);
+                    if tick.is_multiple_of(FAULT_ACTION_TICKS) {
+                        self.hub.write(
+                            conn,
+                            &Message { id: 1, body: register(Vec::new()) }.encode()[..PARTIAL_MESSAGE_BYTES],
+                        );
+                    } else if tick % FAULT_ACTION_TICKS == FAULT_ACTION_TICKS / 2 {
+                        self.faulty_balancers.remove(&conn);
                         self.hub.reset(conn);
                     }
                     continue;
                 }
-                Odd::TakesAway => {
-                    let groups = vec![(Self::odd_group("balancer-0", &operation), Vec::new())];
+                BalancerFault::DeregistersOthers => {
+                    let groups = vec![(Self::sasp_group("balancer-0", &operation), Vec::new())];
                     Body::Deregister { from_balancer: true, reason: 0, groups }
                 }
-                Odd::Flaps => {
-                    let (state, contact, quiesce) = (0, true, time.is_multiple_of(2));
+                BalancerFault::FlapsState => {
+                    let (state, contact, quiesce) = (0, true, tick.is_multiple_of(2));
                     let states =
-                        vec![MemberState { state, contact, quiesce, member: Member::tcp(address(2)) }];
-                    let groups = vec![(Self::odd_group("odd", &operation), states)];
+                        vec![MemberState { state, contact, quiesce, member: Member::tcp(member_address(2)) }];
+                    let groups = vec![(Self::sasp_group("odd", &operation), states)];
                     Body::SetMemberState { from_balancer: false, groups }
                 }
             };
-            if kind != Odd::TakesAway || time.is_multiple_of(20) {
+            if fault != BalancerFault::DeregistersOthers || tick.is_multiple_of(FAULT_ACTION_TICKS) {
                 self.hub.write(conn, &Message { id: 2, body }.encode());
             }
         }
     }
 
-    fn die(&mut self, id: u32) {
+    /// Crashes a forwarder, which loses its state.
+    fn crash(&mut self, id: u32) {
         let Some(forwarder) = self.forwarders.get_mut(&id).filter(|forwarder| forwarder.alive) else {
             return;
         };
         forwarder.alive = false;
-        let link = forwarder.link.take().map(|link| link.0);
+        let link = forwarder.supervisor_link.take().map(|link| link.0);
         let conns: Vec<ConnId> = link
             .into_iter()
-            .chain(forwarder.conns.values().copied())
-            .chain(forwarder.callers.iter().copied())
+            .chain(forwarder.server_connections.values().copied())
+            .chain(forwarder.caller_connections.iter().copied())
             .collect();
         self.hub.stop_listening(forwarder.listener);
         for conn in conns {
-            self.links.remove(&conn);
-            self.servers.remove(&conn);
+            self.supervisor_connections.remove(&conn);
+            self.server_connections.remove(&conn);
             self.hub.reset(conn);
-            self.by_call.retain(|(of, _), _| *of != conn);
-            self.by_caller.retain(|(of, _), _| *of != conn);
-            self.calls.retain(|(of, _), _| *of != conn);
+            self.pending_by_server_call.retain(|(owner, _), _| *owner != conn);
+            self.pending_by_caller_call.retain(|(owner, _), _| *owner != conn);
+            self.caller_calls.retain(|(owner, _), _| *owner != conn);
         }
-        let gone: Vec<u64> =
-            self.trials.iter().filter(|(_, t)| t.forwarder == id).map(|(&number, _)| number).collect();
-        for number in gone {
-            if let Some(trial) = self.trials.remove(&number) {
-                self.settle(&trial);
+        let lost: Vec<u64> = self
+            .pending
+            .iter()
+            .filter(|(_, pending)| pending.forwarder == id)
+            .map(|(&pending_id, _)| pending_id)
+            .collect();
+        for pending_id in lost {
+            if let Some(pending) = self.pending.remove(&pending_id) {
+                self.release_attempt(&pending);
             }
         }
         self.trace.write(&TraceEvent::ForwarderCrashed { at: now(), forwarder: id });
     }
 
+    /// Stops or resumes reading from all connections of a forwarder.
     fn stall(&mut self, id: u32, on: bool) {
         let Some(forwarder) = self.forwarders.get_mut(&id) else { return };
         forwarder.stalled = on;
         self.trace.write(&TraceEvent::ReadsSupervisor { at: now(), forwarder: id, on: !on });
-        let link = forwarder.link.map(|link| link.0);
+        let link = forwarder.supervisor_link.map(|link| link.0);
         let conns = link
             .into_iter()
-            .chain(forwarder.conns.values().copied())
-            .chain(forwarder.callers.iter().copied());
+            .chain(forwarder.server_connections.values().copied())
+            .chain(forwarder.caller_connections.iter().copied());
         conns.collect::<Vec<_>>().into_iter().for_each(|conn| self.hub.set_paused(conn, on));
         self.hub.set_listener_paused(forwarder.listener, on);
     }
 
-    fn command(&mut self, command: Command) {
+    /// Carries out a command.
+    fn handle_command(&mut self, command: Command) {
         match command {
-            Command::CrashForwarders { forwarders } => forwarders.into_iter().for_each(|id| self.die(id)),
-            Command::RestartForwarders { forwarders, bootstrap_servers: standing } => {
+            Command::CrashForwarders { forwarders } => forwarders.into_iter().for_each(|id| self.crash(id)),
+            Command::RestartForwarders { forwarders, bootstrap_servers } => {
                 for id in forwarders {
-                    self.die(id);
+                    self.crash(id);
                     let Some(forwarder) = self.forwarders.get(&id) else { continue };
-                    let (plan, supervisor) = (forwarder.plan.clone(), forwarder.supervisor);
+                    let (plan, supervisor) = (forwarder.plan.clone(), forwarder.supervisor_index);
                     match self.hub.listen(plan.address, id) {
-                        Ok((listener, _)) => self.start(plan, listener, supervisor, &standing),
-                        Err(error) => eprintln!("forwarder {id} cannot come back: {error}"),
+                        Ok((listener, _)) => {
+                            self.start_forwarder(plan, listener, supervisor, &bootstrap_servers)
+                        }
+                        Err(error) => eprintln!("forwarder {id} cannot listen again: {error}"),
                     }
                 }
             }
@@ -1395,7 +1585,7 @@
             Command::PauseSupervisorConnection { forwarders, on } => {
                 for id in forwarders {
                     self.trace.write(&TraceEvent::ReadsSupervisor { at: now(), forwarder: id, on: !on });
-                    let link = self.forwarders.get(&id).and_then(|forwarder| forwarder.link);
+                    let link = self.forwarders.get(&id).and_then(|forwarder| forwarder.supervisor_link);
                     if let Some((conn, ..)) = link {
                         self.hub.set_paused(conn, on);
                     }
@@ -1404,48 +1594,51 @@
             Command::RejectUpdates { forwarders, count } => {
                 for id in forwarders {
                     if let Some(forwarder) = self.forwarders.get_mut(&id) {
-                        forwarder.turns_down = count;
+                        forwarder.updates_to_reject = count;
                     }
                 }
             }
-            Command::DelayReports { delay } => self.late = delay,
-            Command::DisturbUpdates { fraction: part, delay } => self.lossy = (part, delay),
-            Command::IsolateZones { zones } => self.cut = zones,
+            Command::DelayReports { delay } => self.report_delay = delay,
+            Command::DisturbUpdates { fraction, delay } => self.update_disturbance = (fraction, delay),
+            Command::IsolateZones { zones } => self.isolated_zones = zones,
             Command::RunFaultyBalancers { on } => {
-                self.oddity = u32::from(on);
+                self.fault_tick = u32::from(on);
                 if on {
-                    self.hub.set_timer(now(), Key::Odd);
+                    self.hub.set_timer(now(), Timer::FaultyBalancers);
                 } else {
-                    std::mem::take(&mut self.odd).into_keys().for_each(|conn| self.hub.reset(conn));
+                    std::mem::take(&mut self.faulty_balancers)
+                        .into_keys()
+                        .for_each(|conn| self.hub.reset(conn));
                 }
             }
-            Command::ReportUnknownServer { on } => self.ghost = on,
-            other => eprintln!("forwarders cannot {other:?}"),
+            Command::ReportUnknownServer { on } => self.reports_unknown_server = on,
+            other => eprintln!("forwarders do not support the command {other:?}"),
         }
     }
 }
 
-/// The table of a message with lines, and what it says. `known`: where it names no line, the table that is asked for.
-fn read_lines(update: &Update, known: Option<u16>) -> Result<(u16, Delta), Status> {
-    let wrong = |what: &str| Status::new(Code::InvalidArgument, what.to_owned());
-    let told = update.version.split_once('/').map_or(update.version.as_str(), |(_, told)| told);
-    let (from, check) = told.split_once('>').ok_or_else(|| wrong("a version without its base"))?;
-    let from = from.parse().map_err(|_| wrong("a base that is no number"))?;
-    let check = Check::parse(check).ok_or_else(|| wrong("a version without its check"))?;
-    let (mut table, mut changed) = (known, Vec::new());
+/// Decodes an update with lines into its table and the change of it. An update that names no line is taken for
+/// `default_table`. An error is the status to send to the supervisor.
+fn decode_lines(update: &Update, default_table: Option<u16>) -> Result<(u16, Delta), Status> {
+    let invalid = |message: &str| Status::new(Code::InvalidArgument, message.to_owned());
+    let version = update.version.split_once('/').map_or(update.version.as_str(), |(_, version)| version);
+    let (base, check) = version.split_once('>').ok_or_else(|| invalid("a version without its base"))?;
+    let base = base.parse().map_err(|_| invalid("a base that is no number"))?;
+    let check = Check::parse(check).ok_or_else(|| invalid("a version without its check"))?;
+    let (mut table, mut changed) = (default_table, Vec::new());
     for (name, any) in update.names.iter().zip(&update.resources) {
-        let (of, server) = leds::line_of(name).ok_or_else(|| wrong("a name that is no line's"))?;
+        let (line_table, server) = leds::line_of(name).ok_or_else(|| invalid("a name that is no line's"))?;
         let line = leds::decode_line(any)?;
         let leds::Line { address, weight, draining } = line;
         changed.push((server, shalereel_store::Line { address, weight, draining, incarnation: 0 }));
-        table = Some(of);
+        table = Some(line_table);
     }
     let mut removed = Vec::new();
     for name in &update.removed {
-        let (of, server) = leds::line_of(name).ok_or_else(|| wrong("a name that is no line's"))?;
+        let (line_table, server) = leds::line_of(name).ok_or_else(|| invalid("a name that is no line's"))?;
         removed.push(server);
-        table = Some(of);
+        table = Some(line_table);
     }
-    let table = table.ok_or_else(|| wrong("lines of no table"))?;
-    Ok((table, Delta { check, base: from, changed, removed }))
+    let table = table.ok_or_else(|| invalid("lines of no table"))?;
+    Ok((table, Delta { check, base, changed, removed }))
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,6 +1,7 @@
-//! Stand-ins for what a supervisor works among: servers, forwarders, callers and the registry. Each is one
-//! process that reads a plan and then commands as lines of JSON on its input, says on its output when it is
-//! ready, and writes what it saw to a trace. Servers and forwarders of one day live many in one process.
+//! Stand-ins: processes that play the environment of supervisors in fault tests, that is servers, forwarders, callers,
+//! the registry and the links between supervisors. A process plays all stand-ins of one role. It reads a plan and then
+//! commands from standard input, writes a line to standard output when it is ready, and writes what it observes to a
+//! trace file.
 
 mod callers;
 mod forwarders;
@@ -25,8 +26,8 @@
 use shalereel_reactor::SECOND;
 use shalereel_rpc::{ConnectionLimits, Hub, Input};
 
-/// What one connection among stand-ins may cost.
-const BOUNDS: ConnectionLimits = ConnectionLimits {
+/// Limits of each connection of a stand-in.
+const CONNECTION_LIMITS: ConnectionLimits = ConnectionLimits {
     max_message_bytes: 4 << 20,
     max_concurrent_calls: 10_000,
     max_unsent_bytes: 16 << 20,
@@ -34,7 +35,8 @@
     retry_delay: SECOND / 20,
 };
 
-/// Plays one stand-in until its input ends or it is told to stop.
+/// Runs a role until standard input ends or a signal arrives; callers also end when a command stops them.
+/// Returns an error for an unknown role, an invalid plan or command, and failures to listen or to write the trace.
 pub fn run(role: &str) -> Result<()> {
     match role {
         "servers" => servers::run(),
@@ -42,11 +44,13 @@
         "callers" => callers::run(),
         "registry" => registry::run(),
         "links" => links::run(),
-        other => bail!("no stand-in {other:?}; there are servers, forwarders, callers, registry and links"),
+        other => {
+            bail!("unknown role {other:?}; the roles are servers, forwarders, callers, registry and links")
+        }
     }
 }
 
-/// The first line of the input, as a plan.
+/// Reads the plan from the first line of standard input. Also returns the inputs that arrived with it.
 fn read_plan<P: DeserializeOwned, L: Clone, K>(hub: &mut Hub<L, K>) -> Result<(P, Vec<Input<L, K>>)> {
     hub.read_lines()?;
     loop {
@@ -54,19 +58,19 @@
         while let Some(input) = inputs.next() {
             match input {
                 Input::Line(line) => {
-                    let plan = serde_json::from_str(&line).context("the plan cannot be read")?;
+                    let plan = serde_json::from_str(&line).context("invalid plan")?;
                     return Ok((plan, inputs.collect()));
                 }
-                Input::EndOfLines => bail!("the input ended before a plan"),
+                Input::EndOfLines => bail!("standard input ended before the plan"),
                 _ => {}
             }
         }
     }
 }
 
-/// One line on the output: ready, and where.
-fn say_ready(ready: &Ready) -> Result<()> {
-    let mut out = std::io::stdout().lock();
-    writeln!(out, "{}", serde_json::to_string(ready)?)?;
-    Ok(out.flush()?)
+/// Writes to standard output that the process is ready, with its addresses.
+fn write_ready(ready: &Ready) -> Result<()> {
+    let mut output = std::io::stdout().lock();
+    writeln!(output, "{}", serde_json::to_string(ready)?)?;
+    Ok(output.flush()?)
 }
--- a/crates/standins/src/links.rs
+++ b/crates/standins/src/links.rs
@@ -1,4 +1,4 @@
-//! Links between supervisors: each ordered pair speaks through a door of its own, which can be shut.
+//! Stand-ins for the links between supervisors: a TCP relay for each ordered pair, which can be blocked.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,44 +7,51 @@
 use shalereel_rpc::{ConnId, Hub, Input};
 
 use crate::plan::{Command, LinksPlan, Ready};
-use crate::{read_plan, say_ready, BOUNDS};
+use crate::{read_plan, write_ready, CONNECTION_LIMITS};
 
-/// From whom, to whom.
+/// Maximum number of supervisors whose links have distinct addresses.
+const MAX_MEMBERS: u32 = 16;
+
+/// Ordered pair of supervisors: source and destination.
 type Pair = (u32, u32);
 
+/// Relays of all pairs.
 struct Links {
     hub: Hub<Pair, ()>,
-    targets: BTreeMap<u32, SocketAddr>,
-    /// Both ends of each connection that passes through.
-    ends: BTreeMap<ConnId, (ConnId, Pair)>,
-    cut: BTreeSet<Pair>,
+    /// Address of each supervisor.
+    member_addresses: BTreeMap<u32, SocketAddr>,
+    /// For each relayed connection the one that it is connected to, in both directions.
+    peers: BTreeMap<ConnId, (ConnId, Pair)>,
+    blocked: BTreeSet<Pair>,
 }
 
+/// Runs the role `links`.
 pub(crate) fn run() -> Result<()> {
-    let mut hub = Hub::new(BOUNDS)?;
+    let mut hub = Hub::new(CONNECTION_LIMITS)?;
     hub.stop_on_signals()?;
     let (plan, rest): (LinksPlan, _) = read_plan(&mut hub)?;
     let mut addresses = Vec::new();
     for from in 0..plan.members {
         for to in 0..plan.members {
-            let door = SocketAddr::from(([127, 0, 5, (from * 16 + to + 1) as u8], 0));
-            addresses.push(hub.listen_plain(door, (from, to))?.1);
+            let listen_address = SocketAddr::from(([127, 0, 5, (from * MAX_MEMBERS + to + 1) as u8], 0));
+            addresses.push(hub.listen_plain(listen_address, (from, to))?.1);
         }
     }
-    say_ready(&Ready { addresses })?;
-    let mut links = Links { hub, targets: BTreeMap::new(), ends: BTreeMap::new(), cut: BTreeSet::new() };
+    write_ready(&Ready { addresses })?;
+    let mut links =
+        Links { hub, member_addresses: BTreeMap::new(), peers: BTreeMap::new(), blocked: BTreeSet::new() };
     let mut inputs = rest;
     loop {
         for input in inputs {
             match input {
-                Input::Opened { conn, at } => links.opened(conn, at),
+                Input::Opened { conn, at } => links.handle_open(conn, at),
                 Input::Bytes { conn, bytes } => {
-                    if let Some(&(other, _)) = links.ends.get(&conn) {
-                        links.hub.write(other, &bytes);
+                    if let Some(&(peer, _)) = links.peers.get(&conn) {
+                        links.hub.write(peer, &bytes);
                     }
                 }
-                Input::Closed { conn, .. } => links.over(conn),
-                Input::Line(line) => links.command(serde_json::from_str(&line)?),
+                Input::Closed { conn, .. } => links.handle_close(conn),
+                Input::Line(line) => links.handle_command(serde_json::from_str(&line)?),
                 Input::EndOfLines | Input::Stop => return Ok(()),
                 _ => {}
             }
@@ -54,37 +61,40 @@
 }
 
 impl Links {
-    fn opened(&mut self, conn: ConnId, pair: Pair) {
-        let target = self.targets.get(&pair.1).copied();
-        let Some(other) = target.and_then(|target| self.hub.dial_plain(target).ok()) else {
+    /// Connects a new connection to the supervisor that its link leads to.
+    fn handle_open(&mut self, conn: ConnId, pair: Pair) {
+        let address = self.member_addresses.get(&pair.1).copied();
+        let Some(peer) = address.and_then(|address| self.hub.dial_plain(address).ok()) else {
             return self.hub.reset(conn);
         };
-        self.ends.insert(conn, (other, pair));
-        self.ends.insert(other, (conn, pair));
-        let shut = self.cut.contains(&pair);
-        self.hub.set_paused(conn, shut);
-        self.hub.set_paused(other, shut);
+        self.peers.insert(conn, (peer, pair));
+        self.peers.insert(peer, (conn, pair));
+        let blocked = self.blocked.contains(&pair);
+        self.hub.set_paused(conn, blocked);
+        self.hub.set_paused(peer, blocked);
     }
 
-    fn over(&mut self, conn: ConnId) {
-        if let Some((other, _)) = self.ends.remove(&conn) {
-            self.ends.remove(&other);
-            self.hub.reset(other);
+    /// Resets the other end of a connection that has ended.
+    fn handle_close(&mut self, conn: ConnId) {
+        if let Some((peer, _)) = self.peers.remove(&conn) {
+            self.peers.remove(&peer);
+            self.hub.reset(peer);
         }
     }
 
-    fn command(&mut self, command: Command) {
+    /// Carries out a command.
+    fn handle_command(&mut self, command: Command) {
         match command {
             Command::SetMemberAddress { member, address } => {
-                self.targets.insert(member, address);
+                self.member_addresses.insert(member, address);
             }
             Command::BlockLinks { pairs } => {
-                self.cut = pairs.into_iter().collect();
-                for (conn, (_, pair)) in &self.ends {
-                    self.hub.set_paused(*conn, self.cut.contains(pair));
+                self.blocked = pairs.into_iter().collect();
+                for (conn, (_, pair)) in &self.peers {
+                    self.hub.set_paused(*conn, self.blocked.contains(pair));
                 }
             }
-            other => eprintln!("links cannot {other:?}"),
+            other => eprintln!("links do not support the command {other:?}"),
         }
     }
 }
--- a/crates/standins/src/registry.rs
+++ b/crates/standins/src/registry.rs
@@ -1,4 +1,4 @@
-//! The registry: serves the list of servers as an endpoint assignment, to whoever subscribes.
+//! Stand-in for the registry: serves all servers as one endpoint assignment to every subscriber.
 
 use std::collections::BTreeMap;
 
@@ -12,33 +12,40 @@
 
 use crate::plan::{Command, Ready, RegistryEntry, RegistryPlan, RegistryState};
 use crate::trace::{TraceEvent, TraceWriter};
-use crate::{read_plan, say_ready, BOUNDS};
+use crate::{read_plan, write_ready, CONNECTION_LIMITS};
 
-const FLEET: &str = "fleet";
+/// Cluster name of the assignment with all servers.
+const CLUSTER: &str = "fleet";
 
+/// State of the registry.
 struct Registry {
     hub: Hub<(), ()>,
     listener: Token,
-    list: BTreeMap<u32, RegistryEntry>,
-    left_out: Vec<u32>,
-    mute: bool,
+    entries: BTreeMap<u32, RegistryEntry>,
+    /// Servers that are wrongly left out of what is sent.
+    omitted: Vec<u32>,
+    /// Whether updates are held back.
+    suppressed: bool,
+    /// Discovery streams, each with the node id of its client.
     streams: BTreeMap<(ConnId, StreamId), (ServerStream, String)>,
+    /// Version of the entries; it grows with each change.
     version: u64,
     trace: TraceWriter,
 }
 
+/// Runs the role `registry`.
 pub(crate) fn run() -> Result<()> {
-    let mut hub = Hub::new(BOUNDS)?;
+    let mut hub = Hub::new(CONNECTION_LIMITS)?;
     hub.stop_on_signals()?;
     let (plan, rest): (RegistryPlan, _) = read_plan(&mut hub)?;
     let (listener, address) = hub.listen(plan.address, ())?;
-    say_ready(&Ready { addresses: vec![address] })?;
+    write_ready(&Ready { addresses: vec![address] })?;
     let mut registry = Registry {
         hub,
         listener,
-        list: plan.entries.into_iter().map(|row| (row.server, row)).collect(),
-        left_out: Vec::new(),
-        mute: false,
+        entries: plan.entries.into_iter().map(|entry| (entry.server, entry)).collect(),
+        omitted: Vec::new(),
+        suppressed: false,
         streams: BTreeMap::new(),
         version: 1,
         trace: TraceWriter::new(&plan.trace_path)?,
@@ -54,11 +61,11 @@
                         .streams
                         .insert((conn, stream), (ServerStream::new(variant, "registry"), String::new()));
                 }
-                Input::Message { conn, stream, message } => registry.heard(conn, stream, &message),
+                Input::Message { conn, stream, message } => registry.handle_message(conn, stream, &message),
                 Input::HalfClosed { conn, stream } => registry.hub.finish(conn, stream, Status::OK),
                 Input::Ended { conn, stream, .. } => drop(registry.streams.remove(&(conn, stream))),
                 Input::Closed { conn, .. } => registry.streams.retain(|(of, _), _| *of != conn),
-                Input::Line(line) => registry.command(serde_json::from_str(&line)?),
+                Input::Line(line) => registry.handle_command(serde_json::from_str(&line)?),
                 Input::EndOfLines | Input::Stop => return registry.trace.finish(),
                 Input::Opened { .. }
                 | Input::Bytes { .. }
@@ -72,62 +79,70 @@
 }
 
 impl Registry {
-    fn heard(&mut self, conn: ConnId, stream: StreamId, message: &[u8]) {
-        let Some((serving, who)) = self.streams.get_mut(&(conn, stream)) else { return };
-        match serving.handle(message) {
-            Ok(asked) => {
-                let mut wants = false;
-                for asked in asked {
-                    match asked {
-                        ClientRequest::Node(node) => *who = node.id,
-                        ClientRequest::Subscribe { type_url, .. } => wants |= type_url == types::ASSIGNMENT,
-                        ClientRequest::Nack { reason: why, .. } => {
-                            eprintln!("the list was turned down: {why}")
+    /// Handles a message of a client, and answers a subscription.
+    fn handle_message(&mut self, conn: ConnId, stream: StreamId, message: &[u8]) {
+        let Some((server_stream, node_id)) = self.streams.get_mut(&(conn, stream)) else { return };
+        match server_stream.handle(message) {
+            Ok(requests) => {
+                let mut subscribed = false;
+                for request in requests {
+                    match request {
+                        ClientRequest::Node(node) => *node_id = node.id,
+                        ClientRequest::Subscribe { type_url, .. } => {
+                            subscribed |= type_url == types::ASSIGNMENT
+                        }
+                        ClientRequest::Nack { reason, .. } => {
+                            eprintln!("a client rejected the entries: {reason}")
                         }
                         ClientRequest::Ack { nonce, .. } => {
-                            let (at, to) = (now(), who.clone());
+                            let (at, to) = (now(), node_id.clone());
                             self.trace.write(&TraceEvent::EntriesAcknowledged { at, to, version: nonce });
                         }
                     }
                 }
-                if wants {
-                    self.say((conn, stream));
+                if subscribed {
+                    self.send_entries((conn, stream));
                 }
             }
             Err(status) => self.hub.finish(conn, stream, status),
         }
     }
 
-    fn say(&mut self, to: (ConnId, StreamId)) {
+    /// Sends all entries on a stream.
+    fn send_entries(&mut self, call: (ConnId, StreamId)) {
         let time = now();
-        let listed = || self.list.values().filter(|row| !self.left_out.contains(&row.server));
-        let rows = listed().filter(|row| row.state != RegistryState::Gone).map(|row| AssignedEndpoint {
-            address: row.address,
-            zone: row.zone.clone(),
-            health: if row.state == RegistryState::Draining { Health::Draining } else { Health::Ready },
-            weight: row.weight,
-            info: Some(ServerInfo {
-                server: row.server,
-                kind: row.kind,
-                cell: row.cell,
-                incarnation: row.incarnation,
-                age: (row.started_at > 0).then(|| time.saturating_sub(row.started_at) / MILLI * MILLI),
-            }),
-        });
-        let any = Assignment { cluster: FLEET.into(), endpoints: rows.collect(), admitted: 1.0 }.encode();
-        let ready = listed().filter(|row| row.state == RegistryState::Ready);
-        let ready = ready.map(|row| (row.server, row.incarnation, row.started_at)).collect();
+        let sent = || self.entries.values().filter(|entry| !self.omitted.contains(&entry.server));
+        let endpoints =
+            sent().filter(|entry| entry.state != RegistryState::Gone).map(|entry| AssignedEndpoint {
+                address: entry.address,
+                zone: entry.zone.clone(),
+                health: if entry.state == RegistryState::Draining { Health::Draining } else { Health::Ready },
+                weight: entry.weight,
+                info: Some(ServerInfo {
+                    server: entry.server,
+                    kind: entry.kind,
+                    cell: entry.cell,
+                    incarnation: entry.incarnation,
+                    age: (entry.started_at > 0)
+                        .then(|| time.saturating_sub(entry.started_at) / MILLI * MILLI),
+                }),
+            });
+        let any =
+            Assignment { cluster: CLUSTER.into(), endpoints: endpoints.collect(), admitted: 1.0 }.encode();
+        let ready = sent().filter(|entry| entry.state == RegistryState::Ready);
+        let ready = ready.map(|entry| (entry.server, entry.incarnation, entry.started_at)).collect();
         let draining =
-            listed().filter(|row| row.state == RegistryState::Draining).map(|row| row.server).collect();
-        let out =
-            |row: &&RegistryEntry| row.state == RegistryState::Gone || self.left_out.contains(&row.server);
-        let gone = self.list.values().filter(out).map(|row| row.server).collect();
+            sent().filter(|entry| entry.state == RegistryState::Draining).map(|entry| entry.server).collect();
+        let missing = |entry: &&RegistryEntry| {
+            entry.state == RegistryState::Gone || self.omitted.contains(&entry.server)
+        };
+        let gone = self.entries.values().filter(missing).map(|entry| entry.server).collect();
         let version = self.version.to_string();
-        let Some((serving, who)) = self.streams.get_mut(&to) else { return };
-        let resource = Resource { name: FLEET.into(), version: version.clone(), any };
+        let Some((server_stream, node_id)) = self.streams.get_mut(&call) else { return };
+        let resource = Resource { name: CLUSTER.into(), version: version.clone(), any };
         let resources = vec![resource];
         let (type_url, removed, nonce) = (types::ASSIGNMENT, Vec::new(), self.version);
-        let message = serving.encode_response(Response {
+        let message = server_stream.encode_response(Response {
             type_url,
             version: &version,
             resources,
@@ -135,39 +150,41 @@
             nonce,
             stamp: time,
         });
-        let to_whom = who.clone();
+        let node_id = node_id.clone();
         self.trace.write(&TraceEvent::EntriesSent {
             at: time,
-            to: to_whom,
+            to: node_id,
             version: self.version,
             ready,
             draining,
             gone,
         });
-        self.hub.send(to.0, to.1, &message);
+        self.hub.send(call.0, call.1, &message);
     }
 
-    fn say_all(&mut self) {
+    /// Raises the version, and sends the entries on all streams unless updates are suppressed.
+    fn publish(&mut self) {
         self.version += 1;
-        let all: Vec<(ConnId, StreamId)> = self.streams.keys().copied().collect();
-        if !self.mute {
-            all.into_iter().for_each(|to| self.say(to));
+        let calls: Vec<(ConnId, StreamId)> = self.streams.keys().copied().collect();
+        if !self.suppressed {
+            calls.into_iter().for_each(|call| self.send_entries(call));
         }
     }
 
-    fn command(&mut self, command: Command) {
+    /// Carries out a command.
+    fn handle_command(&mut self, command: Command) {
         match command {
-            Command::UpdateEntries { entries: rows } => {
-                self.list.extend(rows.into_iter().map(|row| (row.server, row)));
-                self.say_all();
+            Command::UpdateEntries { entries } => {
+                self.entries.extend(entries.into_iter().map(|entry| (entry.server, entry)));
+                self.publish();
             }
             Command::SuppressUpdates { on } => {
-                self.mute = on;
-                self.say_all();
+                self.suppressed = on;
+                self.publish();
             }
             Command::OmitServers { servers } => {
-                self.left_out = servers;
-                self.say_all();
+                self.omitted = servers;
+                self.publish();
             }
             Command::StopRegistry { on } => {
                 self.hub.set_listener_paused(self.listener, on);
@@ -178,7 +195,7 @@
                     self.streams.clear();
                 }
             }
-            other => eprintln!("a registry cannot {other:?}"),
+            other => eprintln!("the registry does not support the command {other:?}"),
         }
     }
 }
--- a/crates/standins/src/trace.rs
+++ b/crates/standins/src/trace.rs
@@ -1,5 +1,5 @@
-//! Trace of what stand-ins observe: one [`TraceEvent`] a line, as JSON. Times are nanoseconds of the machine's monotonic
-//! clock. The serialized names are read by other builds and must not change.
+//! Trace of what stand-ins observe: one [`TraceEvent`] a line, as JSON. Times are nanoseconds of the machine's
+//! monotonic clock. The serialized names are read by other builds and must not change.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader, BufWriter, Write};
