--- a/crates/standins/src/plan.rs
+++ b/crates/standins/src/plan.rs
@@ -188,7 +188,7 @@
     /// Time for which an ejected server is avoided, in nanoseconds.
     #[serde(rename = "avoid_for")]
     pub ejection_duration: Nanos,
-    /// Timeout of an attempt that may be retried, as a multiple of the latency objective.
+    /// Timeout of an attempt that may be retried after any failure, as a multiple of the latency objective.
     #[serde(rename = "first_wait")]
     pub attempt_timeout_factor: f64,
     /// Shortest and longest delay before a lost supervisor connection is replaced, in nanoseconds.
--- a/crates/standins/src/servers.rs
+++ b/crates/standins/src/servers.rs
@@ -179,14 +179,14 @@
     }
 
     /// Accepts a connection unless the server has too many.
-    fn handle_open(&mut self, conn: ConnId, at: u32) {
-        let Some(server) = self.servers.get_mut(&at) else { return };
+    fn handle_open(&mut self, conn: ConnId, id: u32) {
+        let Some(server) = self.servers.get_mut(&id) else { return };
         let kind = &self.plan.kinds[usize::from(server.plan.kind)];
         if server.connections.len() as f64 >= f64::from(kind.max_connections) * server.connection_fraction {
             return self.hub.reset(conn);
         }
         server.connections.insert(conn);
-        self.connection_servers.insert(conn, at);
+        self.connection_servers.insert(conn, id);
         if server.silent {
             self.hub.set_paused(conn, true);
         } else if server.handshake_delay > 0 {
