--- a/crates/cli/src/hooks_command.rs
+++ b/crates/cli/src/hooks_command.rs
@@ -7,7 +7,7 @@
 
 use anyhow::{bail, Context, Result};
 use clap::Subcommand;
-use shalereel_hooks::{compile, format, parse, points, Bounds, Program, Trouble, Type, Value};
+use shalereel_hooks::{compile, format, hook_points, parse, Diagnostic, Limits, Program, Type, Value};
 
 #[derive(Subcommand)]
 pub enum HooksCommand {
@@ -31,20 +31,20 @@
 }
 
 /// What a case may use; a daemon gives less.
-const BOUNDS: Bounds = Bounds { fuel: 1_000_000, memory: 1 << 22 };
+const BOUNDS: Limits = Limits { fuel: 1_000_000, memory_bytes: 1 << 22 };
 
 fn read(file: &Path) -> Result<String> {
     std::fs::read_to_string(file).with_context(|| file.display().to_string())
 }
 
-fn tell(file: &Path, troubles: &[Trouble]) -> ExitCode {
+fn tell(file: &Path, troubles: &[Diagnostic]) -> ExitCode {
     troubles.iter().for_each(|trouble| eprintln!("{}:{trouble}", file.display()));
     ExitCode::from(1)
 }
 
 fn program(file: &Path) -> Result<Result<Program, ExitCode>> {
     let text = read(file)?;
-    let compiled = parse(&text).and_then(|source| compile(&source, &points()));
+    let compiled = parse(&text).and_then(|source| compile(&source, &hook_points()));
     Ok(compiled.map_err(|troubles| tell(file, &troubles)))
 }
 
@@ -55,7 +55,11 @@
                 Ok(program) => program,
                 Err(code) => return Ok(code),
             };
-            println!("{}: hooks into {}", file.display(), program.hooks().collect::<Vec<_>>().join(", "));
+            println!(
+                "{}: hooks into {}",
+                file.display(),
+                program.hook_names().collect::<Vec<_>>().join(", ")
+            );
             Ok(ExitCode::SUCCESS)
         }
         HooksCommand::Fmt { file, check } => {
@@ -83,13 +87,15 @@
                 Ok(program) => program,
                 Err(code) => return Ok(code),
             };
-            let found = program.test(BOUNDS, 0);
+            let found = program.run_tests(BOUNDS, 0);
             let mut wrong = 0;
             for (name, result) in &found {
                 let word = match result {
                     Ok(true) => "ok".to_owned(),
                     Ok(false) => "is not so".to_owned(),
-                    Err(fault) => format!("{:?} at {}:{}", fault.kind, fault.place.line, fault.place.column),
+                    Err(fault) => {
+                        format!("{:?} at {}:{}", fault.kind, fault.position.line, fault.position.column)
+                    }
                 };
                 wrong += usize::from(*result != Ok(true));
                 println!("{name}: {word}");
@@ -105,7 +111,9 @@
             if *calls == 0 {
                 bail!("0 calls tell nothing; give --calls a number above 0");
             }
-            for point in points().iter().filter(|point| program.hooks().any(|hook| hook == point.name)) {
+            for point in
+                hook_points().iter().filter(|point| program.hook_names().any(|hook| hook == point.name))
+            {
                 let inputs: Vec<Value> = point.inputs.iter().map(|input| sample(&input.1)).collect();
                 let begun = Instant::now();
                 let mut fuel = 0;
@@ -130,8 +138,8 @@
 fn sample(of: &Type) -> Value {
     match of {
         Type::Number(_) => Value::Number(1.5),
-        Type::Text => Value::Text("hal-a".into()),
-        Type::Truth => Value::Truth(true),
+        Type::String => Value::String("hal-a".into()),
+        Type::Boolean => Value::Boolean(true),
         Type::List(None) => Value::List(Rc::new(Vec::new())),
         Type::List(Some(item)) => Value::List(Rc::new(vec![sample(item); 8])),
         Type::Record(fields) => Value::Record(fields.values().map(sample).collect()),
--- a/crates/hooks/src/check.rs
+++ b/crates/hooks/src/check.rs
@@ -5,12 +5,14 @@
 
 use crate::lex::UNITS;
 use crate::machine::{Builtin, Chunk, Instruction, Value};
-use crate::syntax::{show, trouble, Binary, Block, Function, Kind, Node, Place, Source, Trouble};
+use crate::syntax::{
+    diagnostic, show, Binary, Block, Diagnostic, Function, Kind, Node, Position, SourceFile,
+};
 use crate::types::{Type, Unit};
 
-/// A place in the program at which a hook is asked: what it is given, and what it is to give.
+/// A position in the program at which a hook is asked: what it is given, and what it is to give.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Point {
+pub struct HookPoint {
     pub name: String,
     pub inputs: Vec<(String, Type)>,
     pub output: Type,
@@ -29,28 +31,28 @@
 const MOST: usize = 200_000;
 
 struct Checker<'a> {
-    source: &'a Source,
-    points: &'a [Point],
+    source: &'a SourceFile,
+    points: &'a [HookPoint],
     chunks: Vec<Chunk>,
     /// By name and what it is given.
     done: BTreeMap<(String, Vec<Type>), (usize, Type)>,
     under_way: Vec<String>,
     used: BTreeSet<String>,
-    troubles: Vec<Trouble>,
+    diagnostics: Vec<Diagnostic>,
     looked: usize,
 }
 
 /// One body that is being compiled.
 struct Body {
-    code: Vec<(Instruction, Place)>,
+    code: Vec<(Instruction, Position)>,
     names: Vec<(String, u16, Type)>,
     slots: u16,
 }
 
-type Checked = Result<Type, Trouble>;
+type Checked = Result<Type, Diagnostic>;
 
-/// Checks a source against the points that it may hook into. Errors: all that does not fit, by place.
-pub fn compile(source: &Source, points: &[Point]) -> Result<Program, Vec<Trouble>> {
+/// Checks a source against the points that it may hook into. Errors: all that does not fit, by position.
+pub fn compile(source: &SourceFile, points: &[HookPoint]) -> Result<Program, Vec<Diagnostic>> {
     let mut checker = Checker {
         source,
         points,
@@ -58,7 +60,7 @@
         done: BTreeMap::new(),
         under_way: Vec::new(),
         used: BTreeSet::new(),
-        troubles: Vec::new(),
+        diagnostics: Vec::new(),
         looked: 0,
     };
     checker.names();
@@ -69,29 +71,37 @@
         }
     }
     let mut tests = Vec::new();
-    for (place, name, body, _) in &source.tests {
+    for (position, name, body, _) in &source.tests {
         match checker.body(&[], &[], body) {
-            Ok((chunk, Type::Truth)) => tests.push((name.clone(), chunk)),
+            Ok((chunk, Type::Boolean)) => tests.push((name.clone(), chunk)),
             Ok((_, other)) => {
                 let what = format!("the case comes to {other}");
-                checker.troubles.push(trouble(*place, what, "end it with something that is true or false"));
+                checker.diagnostics.push(diagnostic(
+                    *position,
+                    what,
+                    "end it with something that is true or false",
+                ));
             }
-            Err(found) => checker.troubles.push(found),
+            Err(found) => checker.diagnostics.push(found),
         }
     }
     let unused = source.functions.iter().filter(|function| !checker.used.contains(&function.name));
-    let unused: Vec<Trouble> = unused
+    let unused: Vec<Diagnostic> = unused
         .map(|function| {
-            trouble(function.place, format!("nobody calls {:?}", function.name), "call it, or take it out")
+            diagnostic(
+                function.position,
+                format!("nobody calls {:?}", function.name),
+                "call it, or take it out",
+            )
         })
         .collect();
-    checker.troubles.extend(unused);
-    if checker.troubles.is_empty() {
+    checker.diagnostics.extend(unused);
+    if checker.diagnostics.is_empty() {
         return Ok(Program { chunks: checker.chunks, hooks, tests });
     }
-    let mut troubles = checker.troubles;
-    show(&mut troubles, &source.text);
-    Err(troubles)
+    let mut diagnostics = checker.diagnostics;
+    show(&mut diagnostics, &source.text);
+    Err(diagnostics)
 }
 
 impl Checker<'_> {
@@ -101,16 +111,16 @@
         for function in source.functions.iter().chain(&source.hooks) {
             if !seen.insert(&function.name) {
                 let what = format!("{:?} stands twice", function.name);
-                self.troubles.push(trouble(function.place, what, "give one of them another name"));
+                self.diagnostics.push(diagnostic(function.position, what, "give one of them another name"));
             }
             if Builtin::named(&function.name).is_some() {
                 let what = format!("{:?} is a function of the language", function.name);
-                self.troubles.push(trouble(function.place, what, "choose another name"));
+                self.diagnostics.push(diagnostic(function.position, what, "choose another name"));
             }
             let parameters: BTreeSet<&String> = function.parameters.iter().collect();
             if parameters.len() < function.parameters.len() {
                 let what = format!("{:?} names something twice", function.name);
-                self.troubles.push(trouble(function.place, what, "give each a name of its own"));
+                self.diagnostics.push(diagnostic(function.position, what, "give each a name of its own"));
             }
         }
     }
@@ -120,28 +130,28 @@
         let Some(point) = points.iter().find(|point| point.name == hook.name) else {
             let names: Vec<&str> = points.iter().map(|point| point.name.as_str()).collect();
             let hint = format!("there are {}", names.join(", "));
-            self.troubles.push(trouble(hook.place, format!("no hook point {:?}", hook.name), &hint));
+            self.diagnostics.push(diagnostic(hook.position, format!("no hook point {:?}", hook.name), &hint));
             return None;
         };
         if point.inputs.len() != hook.parameters.len() {
             let names: Vec<&str> = point.inputs.iter().map(|input| input.0.as_str()).collect();
             let what = format!("{:?} takes {}", hook.name, names.join(", "));
-            self.troubles.push(trouble(hook.place, what, "name as many between its brackets"));
+            self.diagnostics.push(diagnostic(hook.position, what, "name as many between its brackets"));
             return None;
         }
         let inputs: Vec<Type> = point.inputs.iter().map(|input| input.1.clone()).collect();
-        match self.function(hook, inputs.clone(), hook.place) {
+        match self.function(hook, inputs.clone(), hook.position) {
             Ok((chunk, output)) if output.join(&point.output).as_ref() == Some(&point.output) => {
                 Some((chunk, inputs))
             }
             Ok((_, output)) => {
                 let what = format!("{:?} comes to {output}", hook.name);
                 let hint = format!("it is to give {}", point.output);
-                self.troubles.push(trouble(hook.body.value.place, what, &hint));
+                self.diagnostics.push(diagnostic(hook.body.value.position, what, &hint));
                 None
             }
             Err(found) => {
-                self.troubles.push(found);
+                self.diagnostics.push(found);
                 None
             }
         }
@@ -151,11 +161,11 @@
         &mut self,
         function: &Function,
         given: Vec<Type>,
-        place: Place,
-    ) -> Result<(usize, Type), Trouble> {
+        position: Position,
+    ) -> Result<(usize, Type), Diagnostic> {
         if self.under_way.contains(&function.name) {
             let what = format!("{:?} calls itself, by way of {}", function.name, self.under_way.join(", "));
-            return Err(trouble(place, what, "go through a list with for instead"));
+            return Err(diagnostic(position, what, "go through a list with for instead"));
         }
         let key = (function.name.clone(), given.clone());
         if let Some(done) = self.done.get(&key) {
@@ -174,23 +184,23 @@
         parameters: &[String],
         given: &[Type],
         block: &Block,
-    ) -> Result<(usize, Type), Trouble> {
+    ) -> Result<(usize, Type), Diagnostic> {
         let names = parameters.iter().zip(given).enumerate();
         let names: Vec<_> = names.map(|(at, (name, of))| (name.clone(), at as u16, of.clone())).collect();
         let mut body = Body { code: Vec::new(), slots: names.len() as u16, names };
         let output = self.block(&mut body, block)?;
-        body.put(Instruction::Return, block.value.place);
-        let (code, places) = body.code.into_iter().unzip();
-        self.chunks.push(Chunk { code, places, slots: body.slots.into(), takes: given.len() });
+        body.put(Instruction::Return, block.value.position);
+        let (code, positions) = body.code.into_iter().unzip();
+        self.chunks.push(Chunk { code, positions, slots: body.slots.into(), takes: given.len() });
         Ok((self.chunks.len() - 1, output))
     }
 
     fn block(&mut self, body: &mut Body, block: &Block) -> Checked {
         let known = body.names.len();
-        for (place, name, value, _) in &block.lets {
+        for (position, name, value, _) in &block.lets {
             let of = self.node(body, value)?;
-            let slot = body.slot(*place)?;
-            body.put(Instruction::Store(slot), *place);
+            let slot = body.slot(*position)?;
+            body.put(Instruction::Store(slot), *position);
             body.names.push((name.clone(), slot, of));
         }
         let of = self.node(body, &block.value)?;
@@ -198,67 +208,69 @@
         Ok(of)
     }
 
-    fn number(&mut self, body: &mut Body, node: &Node) -> Result<Unit, Trouble> {
+    fn number(&mut self, body: &mut Body, node: &Node) -> Result<Unit, Diagnostic> {
         match self.node(body, node)? {
             Type::Number(unit) => Ok(unit),
-            other => Err(trouble(node.place, format!("{other} where a number is needed"), "give a number")),
+            other => {
+                Err(diagnostic(node.position, format!("{other} where a number is needed"), "give a number"))
+            }
         }
     }
 
-    fn truth(&mut self, body: &mut Body, node: &Node) -> Result<(), Trouble> {
+    fn truth(&mut self, body: &mut Body, node: &Node) -> Result<(), Diagnostic> {
         match self.node(body, node)? {
-            Type::Truth => Ok(()),
+            Type::Boolean => Ok(()),
             other => {
                 let what = format!("{other} where true or false is needed");
-                Err(trouble(node.place, what, "compare it with something"))
+                Err(diagnostic(node.position, what, "compare it with something"))
             }
         }
     }
 
-    fn items(&mut self, body: &mut Body, node: &Node) -> Result<Type, Trouble> {
+    fn items(&mut self, body: &mut Body, node: &Node) -> Result<Type, Diagnostic> {
         match self.node(body, node)? {
             Type::List(Some(item)) => Ok(*item),
             // Nothing of it is ever looked at.
-            Type::List(None) => Ok(Type::Truth),
-            other => Err(trouble(node.place, format!("{other} where a list is needed"), "give a list")),
+            Type::List(None) => Ok(Type::Boolean),
+            other => Err(diagnostic(node.position, format!("{other} where a list is needed"), "give a list")),
         }
     }
 
-    fn same(place: Place, one: &Type, other: &Type, what: &str) -> Checked {
+    fn same(position: Position, one: &Type, other: &Type, what: &str) -> Checked {
         one.join(other).ok_or_else(|| {
-            trouble(place, format!("{what}: {one}, and {other}"), "both must be of one kind and unit")
+            diagnostic(position, format!("{what}: {one}, and {other}"), "both must be of one kind and unit")
         })
     }
 
     fn node(&mut self, body: &mut Body, node: &Node) -> Checked {
         self.looked += 1;
-        let place = node.place;
+        let position = node.position;
         if self.looked > MOST {
-            return Err(trouble(place, "too much to look at", "make the source smaller"));
+            return Err(diagnostic(position, "too much to look at", "make the source smaller"));
         }
         match &node.kind {
             Kind::Number(value, unit, word) => {
                 let scale = UNITS.iter().find(|known| known.0 == *word).map_or(1.0, |known| known.1);
-                body.put(Instruction::Constant(Value::Number(value * scale)), place);
+                body.put(Instruction::Constant(Value::Number(value * scale)), position);
                 Ok(Type::Number(*unit))
             }
-            Kind::Text(text) => {
-                body.put(Instruction::Constant(Value::Text(text.as_str().into())), place);
-                Ok(Type::Text)
+            Kind::String(text) => {
+                body.put(Instruction::Constant(Value::String(text.as_str().into())), position);
+                Ok(Type::String)
             }
-            Kind::Truth(truth) => {
-                body.put(Instruction::Constant(Value::Truth(*truth)), place);
-                Ok(Type::Truth)
+            Kind::Boolean(truth) => {
+                body.put(Instruction::Constant(Value::Boolean(*truth)), position);
+                Ok(Type::Boolean)
             }
             Kind::Name(name) => match body.names.iter().rev().find(|known| known.0 == *name).cloned() {
                 Some((_, slot, of)) => {
-                    body.put(Instruction::Load(slot), place);
+                    body.put(Instruction::Load(slot), position);
                     Ok(of)
                 }
                 None => {
                     let names: Vec<&str> = body.names.iter().map(|known| known.0.as_str()).collect();
                     let hint = format!("known here: {}", names.join(", "));
-                    Err(trouble(place, format!("{name:?} is not known"), &hint))
+                    Err(diagnostic(position, format!("{name:?} is not known"), &hint))
                 }
             },
             Kind::List(items) => {
@@ -266,11 +278,11 @@
                 for item in items {
                     let found = self.node(body, item)?;
                     of = Some(match of {
-                        Some(of) => Self::same(item.place, &of, &found, "items of one list differ")?,
+                        Some(of) => Self::same(item.position, &of, &found, "items of one list differ")?,
                         None => found,
                     });
                 }
-                body.put(Instruction::List(items.len() as u32), place);
+                body.put(Instruction::List(items.len() as u32), position);
                 Ok(Type::List(of.map(Box::new)))
             }
             Kind::Record(fields) => {
@@ -280,120 +292,120 @@
                 for (name, value) in sorted {
                     of.insert(name.clone(), self.node(body, value)?);
                 }
-                body.put(Instruction::Record(fields.len() as u16), place);
+                body.put(Instruction::Record(fields.len() as u16), position);
                 Ok(Type::Record(of))
             }
             Kind::Field(record, name) => match self.node(body, record)? {
                 Type::Record(fields) => match fields.iter().position(|(known, _)| known == name) {
                     Some(at) => {
-                        body.put(Instruction::Field(at as u16), place);
+                        body.put(Instruction::Field(at as u16), position);
                         Ok(fields[name].clone())
                     }
                     None => {
                         let names: Vec<&str> = fields.keys().map(String::as_str).collect();
                         let hint = format!("there are {}", names.join(", "));
-                        Err(trouble(place, format!("no field {name:?}"), &hint))
+                        Err(diagnostic(position, format!("no field {name:?}"), &hint))
                     }
                 },
-                other => Err(trouble(place, format!("{other} has no fields"), "take the dot away")),
+                other => Err(diagnostic(position, format!("{other} has no fields"), "take the dot away")),
             },
-            Kind::Call(name, given) => self.call(body, place, name, given),
+            Kind::Call(name, given) => self.call(body, position, name, given),
             Kind::Not(inner) => {
                 self.truth(body, inner)?;
-                body.put(Instruction::Not, place);
-                Ok(Type::Truth)
+                body.put(Instruction::Not, position);
+                Ok(Type::Boolean)
             }
             Kind::Minus(inner) => {
                 let unit = self.number(body, inner)?;
-                body.put(Instruction::Minus, place);
+                body.put(Instruction::Minus, position);
                 Ok(Type::Number(unit))
             }
-            Kind::Binary(binary, left, right) => self.binary(body, place, *binary, left, right),
+            Kind::Binary(binary, left, right) => self.binary(body, position, *binary, left, right),
             Kind::If(condition, yes, no) => {
                 self.truth(body, condition)?;
-                let unless = body.hole(place);
+                let unless = body.hole(position);
                 let one = self.block(body, yes)?;
-                let end = body.hole(place);
+                let end = body.hole(position);
                 body.fill(unless, Instruction::JumpUnless);
                 let other = self.block(body, no)?;
                 body.fill(end, Instruction::Jump);
-                Self::same(place, &one, &other, "the two ways of an if differ")
+                Self::same(position, &one, &other, "the two ways of an if differ")
             }
-            Kind::Match(value, arms, rest) => self.arms(body, place, value, arms, rest),
+            Kind::Match(value, arms, rest) => self.arms(body, position, value, arms, rest),
             Kind::Fold { item, list, sum, start, next } => {
                 let of_item = self.items(body, list)?;
-                let (at, end) = self.walk(body, place)?;
+                let (at, end) = self.walk(body, position)?;
                 let of_sum = self.node(body, start)?;
-                let sum_slot = body.slot(place)?;
-                body.put(Instruction::Store(sum_slot), place);
-                let item_slot = body.slot(place)?;
+                let sum_slot = body.slot(position)?;
+                body.put(Instruction::Store(sum_slot), position);
+                let item_slot = body.slot(position)?;
                 let begin = body.code.len();
-                let over = body.hole(place);
+                let over = body.hole(position);
                 let known = body.names.len();
                 body.names.push((item.clone(), item_slot, of_item));
                 body.names.push((sum.clone(), sum_slot, of_sum.clone()));
                 let found = self.block(body, next)?;
                 body.names.truncate(known);
-                let of = Self::same(place, &of_sum, &found, "what a loop gathers changes its kind")?;
+                let of = Self::same(position, &of_sum, &found, "what a loop gathers changes its kind")?;
                 if of != of_sum {
                     // A list that begins empty: once more, with what is known of it now.
-                    return Err(trouble(
-                        place,
+                    return Err(diagnostic(
+                        position,
                         "a start that says too little",
                         "begin with a list that has an item",
                     ));
                 }
-                body.put(Instruction::Store(sum_slot), place);
-                body.put(Instruction::Jump(begin as u32), place);
+                body.put(Instruction::Store(sum_slot), position);
+                body.put(Instruction::Jump(begin as u32), position);
                 body.walk_to(over, at, end, item_slot);
-                body.put(Instruction::Load(sum_slot), place);
+                body.put(Instruction::Load(sum_slot), position);
                 Ok(of)
             }
             Kind::Each { next, item, list, filter } => {
                 let of_item = self.items(body, list)?;
-                let (at, end) = self.walk(body, place)?;
-                body.put(Instruction::List(0), place);
-                let sum_slot = body.slot(place)?;
-                body.put(Instruction::Store(sum_slot), place);
-                let item_slot = body.slot(place)?;
+                let (at, end) = self.walk(body, position)?;
+                body.put(Instruction::List(0), position);
+                let sum_slot = body.slot(position)?;
+                body.put(Instruction::Store(sum_slot), position);
+                let item_slot = body.slot(position)?;
                 let begin = body.code.len();
-                let over = body.hole(place);
+                let over = body.hole(position);
                 let known = body.names.len();
                 body.names.push((item.clone(), item_slot, of_item));
                 let unless = match filter {
                     Some(filter) => {
                         self.truth(body, filter)?;
-                        Some(body.hole(place))
+                        Some(body.hole(position))
                     }
                     None => None,
                 };
                 let of = self.node(body, next)?;
                 body.names.truncate(known);
-                body.put(Instruction::Append(sum_slot), place);
+                body.put(Instruction::Append(sum_slot), position);
                 if let Some(unless) = unless {
                     body.fill(unless, Instruction::JumpUnless);
                 }
-                body.put(Instruction::Jump(begin as u32), place);
+                body.put(Instruction::Jump(begin as u32), position);
                 body.walk_to(over, at, end, item_slot);
-                body.put(Instruction::Load(sum_slot), place);
+                body.put(Instruction::Load(sum_slot), position);
                 Ok(Type::List(Some(Box::new(of))))
             }
         }
     }
 
     /// Slots of the list that is gone through, and of how far.
-    fn walk(&mut self, body: &mut Body, place: Place) -> Result<(u16, u16), Trouble> {
-        let (list, at) = (body.slot(place)?, body.slot(place)?);
-        body.put(Instruction::Store(list), place);
-        body.put(Instruction::Constant(Value::Number(0.0)), place);
-        body.put(Instruction::Store(at), place);
+    fn walk(&mut self, body: &mut Body, position: Position) -> Result<(u16, u16), Diagnostic> {
+        let (list, at) = (body.slot(position)?, body.slot(position)?);
+        body.put(Instruction::Store(list), position);
+        body.put(Instruction::Constant(Value::Number(0.0)), position);
+        body.put(Instruction::Store(at), position);
         Ok((list, at))
     }
 
     fn binary(
         &mut self,
         body: &mut Body,
-        place: Place,
+        position: Position,
         binary: Binary,
         left: &Node,
         right: &Node,
@@ -401,46 +413,48 @@
         match binary {
             Binary::And | Binary::Or => {
                 self.truth(body, left)?;
-                let skip = body.hole(place);
+                let skip = body.hole(position);
                 self.truth(body, right)?;
-                let end = body.hole(place);
+                let end = body.hole(position);
                 body.fill(
                     skip,
                     if binary == Binary::And { Instruction::JumpUnless } else { Instruction::JumpIf },
                 );
-                body.put(Instruction::Constant(Value::Truth(binary == Binary::Or)), place);
+                body.put(Instruction::Constant(Value::Boolean(binary == Binary::Or)), position);
                 body.fill(end, Instruction::Jump);
-                Ok(Type::Truth)
+                Ok(Type::Boolean)
             }
             Binary::Equal | Binary::Differs => {
                 let one = self.node(body, left)?;
                 let other = self.node(body, right)?;
-                Self::same(place, &one, &other, "these can't be equal")?;
-                body.put(Instruction::Binary(binary), place);
-                Ok(Type::Truth)
+                Self::same(position, &one, &other, "these can't be equal")?;
+                body.put(Instruction::Binary(binary), position);
+                Ok(Type::Boolean)
             }
             Binary::Multiply | Binary::Divide => {
                 let one = self.number(body, left)?;
                 let other = self.number(body, right)?;
-                body.put(Instruction::Binary(binary), place);
+                body.put(Instruction::Binary(binary), position);
                 let unit = if binary == Binary::Multiply { one.times(other) } else { one.over(other) };
                 let unit =
-                    unit.ok_or_else(|| trouble(place, "a unit beyond all use", "multiply less often"))?;
+                    unit.ok_or_else(|| diagnostic(position, "a unit beyond all use", "multiply less often"))?;
                 Ok(Type::Number(unit))
             }
             _ => {
                 let one = self.node(body, left)?;
                 let other = self.node(body, right)?;
-                let of = Self::same(place, &one, &other, &format!("{:?} between", binary.text()))?;
-                body.put(Instruction::Binary(binary), place);
+                let of = Self::same(position, &one, &other, &format!("{:?} between", binary.text()))?;
+                body.put(Instruction::Binary(binary), position);
                 match (binary, of) {
                     (Binary::Add | Binary::Subtract, Type::Number(unit)) => Ok(Type::Number(unit)),
-                    (Binary::Add, Type::Text) => Ok(Type::Text),
+                    (Binary::Add, Type::String) => Ok(Type::String),
                     (Binary::Add | Binary::Subtract, other) => {
-                        Err(trouble(place, format!("{:?} of {other}", binary.text()), "give numbers"))
+                        Err(diagnostic(position, format!("{:?} of {other}", binary.text()), "give numbers"))
+                    }
+                    (_, Type::Number(_)) => Ok(Type::Boolean),
+                    (_, other) => {
+                        Err(diagnostic(position, format!("{other} has no order"), "compare numbers"))
                     }
-                    (_, Type::Number(_)) => Ok(Type::Truth),
-                    (_, other) => Err(trouble(place, format!("{other} has no order"), "compare numbers")),
                 }
             }
         }
@@ -449,27 +463,27 @@
     fn arms(
         &mut self,
         body: &mut Body,
-        place: Place,
+        position: Position,
         value: &Node,
         arms: &[(Node, Block)],
         rest: &Block,
     ) -> Checked {
         let of = self.node(body, value)?;
-        let slot = body.slot(place)?;
-        body.put(Instruction::Store(slot), place);
+        let slot = body.slot(position)?;
+        body.put(Instruction::Store(slot), position);
         let (mut ends, mut output) = (Vec::new(), None);
         for (pattern, block) in arms {
-            body.put(Instruction::Load(slot), pattern.place);
+            body.put(Instruction::Load(slot), pattern.position);
             let found = self.node(body, pattern)?;
-            Self::same(pattern.place, &of, &found, "an arm that can't be met")?;
-            body.put(Instruction::Binary(Binary::Equal), pattern.place);
-            let unless = body.hole(pattern.place);
+            Self::same(pattern.position, &of, &found, "an arm that can't be met")?;
+            body.put(Instruction::Binary(Binary::Equal), pattern.position);
+            let unless = body.hole(pattern.position);
             let found = self.block(body, block)?;
             output = Some(match output {
-                Some(output) => Self::same(pattern.place, &output, &found, "arms differ")?,
+                Some(output) => Self::same(pattern.position, &output, &found, "arms differ")?,
                 None => found,
             });
-            ends.push(body.hole(place));
+            ends.push(body.hole(position));
             body.fill(unless, Instruction::JumpUnless);
         }
         let last = self.block(body, rest)?;
@@ -477,12 +491,12 @@
             body.fill(end, Instruction::Jump);
         }
         match output {
-            Some(output) => Self::same(place, &output, &last, "arms differ"),
+            Some(output) => Self::same(position, &output, &last, "arms differ"),
             None => Ok(last),
         }
     }
 
-    fn call(&mut self, body: &mut Body, place: Place, name: &str, given: &[Node]) -> Checked {
+    fn call(&mut self, body: &mut Body, position: Position, name: &str, given: &[Node]) -> Checked {
         let mut of = Vec::new();
         for value in given {
             of.push(self.node(body, value)?);
@@ -494,9 +508,9 @@
                     "{name} of {}",
                     if found.is_empty() { "nothing".into() } else { found.join("; ") }
                 );
-                trouble(place, what, &format!("it is {}", builtin.words()))
+                diagnostic(position, what, &format!("it is {}", builtin.words()))
             })?;
-            body.put(Instruction::Builtin(builtin, given.len() as u8), place);
+            body.put(Instruction::Builtin(builtin, given.len() as u8), position);
             return Ok(output);
         }
         let source = self.source;
@@ -504,27 +518,27 @@
         else {
             let names: Vec<&str> = source.functions.iter().map(|known| known.name.as_str()).collect();
             let hint = format!("there are {} and those of the language", names.join(", "));
-            return Err(trouble(place, format!("no function {name:?}"), &hint));
+            return Err(diagnostic(position, format!("no function {name:?}"), &hint));
         };
         self.used.insert(name.to_owned());
         if function.parameters.len() != given.len() {
             let what = format!("{name:?} takes {}, not {}", function.parameters.len(), given.len());
-            return Err(trouble(place, what, "give as many"));
+            return Err(diagnostic(position, what, "give as many"));
         }
-        let (chunk, output) = self.function(function, of, place)?;
-        body.put(Instruction::Call(chunk as u32), place);
+        let (chunk, output) = self.function(function, of, position)?;
+        body.put(Instruction::Call(chunk as u32), position);
         Ok(output)
     }
 }
 
 impl Body {
-    fn put(&mut self, instruction: Instruction, place: Place) {
-        self.code.push((instruction, place));
+    fn put(&mut self, instruction: Instruction, position: Position) {
+        self.code.push((instruction, position));
     }
 
     /// A jump whose end is not known yet.
-    fn hole(&mut self, place: Place) -> usize {
-        self.put(Instruction::Jump(0), place);
+    fn hole(&mut self, position: Position) -> usize {
+        self.put(Instruction::Jump(0), position);
         self.code.len() - 1
     }
 
@@ -538,12 +552,11 @@
         self.code[hole].0 = Instruction::Next { list, at, item, end };
     }
 
-    fn slot(&mut self, place: Place) -> Result<u16, Trouble> {
+    fn slot(&mut self, position: Position) -> Result<u16, Diagnostic> {
         let slot = self.slots;
-        self.slots =
-            self.slots.checked_add(1).filter(|slots| *slots < 4096).ok_or_else(|| {
-                trouble(place, "more names than one body may have", "split it into functions")
-            })?;
+        self.slots = self.slots.checked_add(1).filter(|slots| *slots < 4096).ok_or_else(|| {
+            diagnostic(position, "more names than one body may have", "split it into functions")
+        })?;
         Ok(slot)
     }
 }
--- a/crates/hooks/src/format.rs
+++ b/crates/hooks/src/format.rs
@@ -2,25 +2,25 @@
 
 use std::fmt::Write;
 
-use crate::syntax::{Block, Function, Kind, Node, Source};
+use crate::syntax::{Block, Function, Kind, Node, SourceFile};
 
 /// Lines are broken where they would be longer.
 const WIDE: usize = 96;
 
 /// Writes a source anew: each item apart, four spaces a level, comments before what they stood before.
-pub fn format(source: &Source) -> String {
-    let mut items: Vec<(crate::syntax::Place, String)> = Vec::new();
+pub fn format(source: &SourceFile) -> String {
+    let mut items: Vec<(crate::syntax::Position, String)> = Vec::new();
     for (word, functions) in [("fn", &source.functions), ("hook", &source.hooks)] {
         for function in functions {
-            let Function { place, name, parameters, body, comments: before } = function;
+            let Function { position, name, parameters, body, comments: before } = function;
             let mut out = comments(before, 0);
             let _ = write!(out, "{word} {name}({}) ", parameters.join(", "));
             out += &block(body, 0);
-            items.push((*place, out));
+            items.push((*position, out));
         }
     }
-    for (place, name, body, before) in &source.tests {
-        items.push((*place, format!("{}test {} {}", comments(before, 0), quoted(name), block(body, 0))));
+    for (position, name, body, before) in &source.tests {
+        items.push((*position, format!("{}test {} {}", comments(before, 0), quoted(name), block(body, 0))));
     }
     items.sort_by_key(|item| item.0);
     let mut out = items.into_iter().map(|item| item.1).collect::<Vec<_>>().join("\n\n");
@@ -72,8 +72,8 @@
         Kind::Number(value, _, "") => format!("{value}"),
         Kind::Number(value, _, "%") => format!("{value}%"),
         Kind::Number(value, _, unit) => format!("{value} {unit}"),
-        Kind::Text(text) => quoted(text),
-        Kind::Truth(truth) => truth.to_string(),
+        Kind::String(text) => quoted(text),
+        Kind::Boolean(truth) => truth.to_string(),
         Kind::Name(name) => name.clone(),
         Kind::List(items) => broken("[", list(items), "]", level),
         Kind::Record(fields) if fields.is_empty() => "{}".into(),
--- a/crates/hooks/src/lex.rs
+++ b/crates/hooks/src/lex.rs
@@ -1,12 +1,12 @@
 //! Words of a source.
 
-use crate::syntax::{trouble, Place, Trouble};
+use crate::syntax::{diagnostic, Diagnostic, Position};
 use crate::types::Unit;
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Word {
     Number(f64, Unit, &'static str),
-    Text(String),
+    String(String),
     Name(String),
     /// A word or sign of the language.
     Sign(&'static str),
@@ -16,7 +16,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Token {
-    pub place: Place,
+    pub position: Position,
     pub word: Word,
     /// Comments before it.
     pub comments: Vec<String>,
@@ -38,45 +38,45 @@
     ("ms", 1e-3, Unit::TIME),
     ("s", 1.0, Unit::TIME),
     ("min", 60.0, Unit::TIME),
-    ("%", 0.01, Unit::NONE),
+    ("%", 0.01, Unit::DIMENSIONLESS),
     ("inv/s", 1.0, Unit::RATE),
 ];
 
 struct Lexer<'a> {
     rest: &'a str,
-    place: Place,
+    position: Position,
     tokens: Vec<Token>,
     comments: Vec<String>,
-    troubles: Vec<Trouble>,
+    diagnostics: Vec<Diagnostic>,
     /// Open brackets: directly within round and square ones a line's end says nothing.
     open: Vec<&'static str>,
 }
 
 /// Words, and what is no word; the last one is [`Word::End`].
-pub(crate) fn lex(text: &str) -> (Vec<Token>, Vec<Trouble>) {
-    let place = Place { line: 1, column: 1 };
+pub(crate) fn lex(text: &str) -> (Vec<Token>, Vec<Diagnostic>) {
+    let position = Position { line: 1, column: 1 };
     if text.len() > LONGEST {
         let what = format!("a source of {} bytes", text.len());
-        let end = Token { place, word: Word::End, comments: Vec::new() };
-        return (vec![end], vec![trouble(place, what, "keep it under a megabyte")]);
+        let end = Token { position, word: Word::End, comments: Vec::new() };
+        return (vec![end], vec![diagnostic(position, what, "keep it under a megabyte")]);
     }
     let mut lexer = Lexer {
         rest: text,
-        place,
+        position,
         tokens: Vec::new(),
         comments: Vec::new(),
-        troubles: Vec::new(),
+        diagnostics: Vec::new(),
         open: Vec::new(),
     };
     while lexer.step() {}
     lexer.put(Word::End);
-    (lexer.tokens, lexer.troubles)
+    (lexer.tokens, lexer.diagnostics)
 }
 
 impl<'a> Lexer<'a> {
     fn put(&mut self, word: Word) {
         let comments = if word == Word::Line { Vec::new() } else { std::mem::take(&mut self.comments) };
-        self.tokens.push(Token { place: self.place, word, comments });
+        self.tokens.push(Token { position: self.position, word, comments });
     }
 
     fn take(&mut self, bytes: usize) -> &'a str {
@@ -84,9 +84,9 @@
         self.rest = rest;
         for letter in taken.chars() {
             if letter == '\n' {
-                self.place = Place { line: self.place.line + 1, column: 1 };
+                self.position = Position { line: self.position.line + 1, column: 1 };
             } else {
-                self.place.column += 1;
+                self.position.column += 1;
             }
         }
         taken
@@ -136,7 +136,11 @@
                 }
                 None => {
                     let what = format!("{letter:?} means nothing");
-                    self.troubles.push(trouble(self.place, what, "take it out, or put it between quotes"));
+                    self.diagnostics.push(diagnostic(
+                        self.position,
+                        what,
+                        "take it out, or put it between quotes",
+                    ));
                     self.take(letter.len_utf8());
                 }
             },
@@ -145,13 +149,13 @@
     }
 
     fn text(&mut self) {
-        let place = self.place;
+        let position = self.position;
         let mut found = String::new();
         let mut letters = self.rest.char_indices().skip(1);
         loop {
             match letters.next() {
                 Some((at, '"')) => {
-                    self.put(Word::Text(found));
+                    self.put(Word::String(found));
                     self.take(at + 1);
                     return;
                 }
@@ -160,18 +164,30 @@
                     Some((_, letter @ ('"' | '\\'))) => found.push(letter),
                     _ => {
                         let hint = "write \\\" for a quote, \\\\ for a backslash and \\n for a line's end";
-                        self.troubles.push(trouble(place, "a backslash before nothing that it knows", hint));
+                        self.diagnostics.push(diagnostic(
+                            position,
+                            "a backslash before nothing that it knows",
+                            hint,
+                        ));
                     }
                 },
                 Some((at, '\n')) => {
-                    self.troubles.push(trouble(place, "a text without its end", "close it with a quote"));
-                    self.put(Word::Text(found));
+                    self.diagnostics.push(diagnostic(
+                        position,
+                        "a text without its end",
+                        "close it with a quote",
+                    ));
+                    self.put(Word::String(found));
                     self.take(at);
                     return;
                 }
                 Some((_, letter)) => found.push(letter),
                 None => {
-                    self.troubles.push(trouble(place, "a text without its end", "close it with a quote"));
+                    self.diagnostics.push(diagnostic(
+                        position,
+                        "a text without its end",
+                        "close it with a quote",
+                    ));
                     self.take(self.rest.len());
                     return;
                 }
@@ -187,7 +203,7 @@
             length += 1 + after[1..].find(|letter: char| !letter.is_ascii_digit()).unwrap_or(after.len() - 1);
         }
         let value: f64 = self.rest[..length].parse().unwrap_or(f64::INFINITY);
-        let (place, rest) = (self.place, &self.rest[length..]);
+        let (position, rest) = (self.position, &self.rest[length..]);
         let blank = rest.len() - rest.trim_start_matches(' ').len();
         let after = &rest[blank..];
         let ends = |word: &str| {
@@ -197,7 +213,7 @@
         let unit = UNITS.iter().filter(|(word, ..)| after.starts_with(word) && ends(word));
         let unit = unit.max_by_key(|(word, ..)| word.len());
         if !value.is_finite() {
-            self.troubles.push(trouble(place, "a number too large", "write a smaller one"));
+            self.diagnostics.push(diagnostic(position, "a number too large", "write a smaller one"));
         }
         match unit {
             Some(&(word, _, unit)) => {
@@ -205,7 +221,7 @@
                 self.take(length + blank + word.len());
             }
             None => {
-                self.put(Word::Number(value, Unit::NONE, ""));
+                self.put(Word::Number(value, Unit::DIMENSIONLESS, ""));
                 self.take(length);
             }
         }
--- a/crates/hooks/src/lib.rs
+++ b/crates/hooks/src/lib.rs
@@ -2,7 +2,7 @@
 //! without recursion, loops over lists alone. `docs/hooks-language.md` has grammar and semantics.
 //!
 //! [`parse`] reads a source and tells all that is wrong with its words; [`compile`] infers types and units, tells all that
-//! does not fit a [`Point`], and gives a [`Program`]; [`Program::call`] runs it within [`Bounds`], the same on every machine.
+//! does not fit a [`HookPoint`], and gives a [`Program`]; [`Program::call`] runs it within [`Limits`], the same on every machine.
 
 mod check;
 mod format;
@@ -13,12 +13,12 @@
 mod syntax;
 mod types;
 
-pub use check::{compile, Point, Program};
+pub use check::{compile, HookPoint, Program};
 pub use format::format;
-pub use machine::{Bounds, Fault, FaultKind, Spent, Value};
+pub use machine::{Fault, FaultKind, Limits, Usage, Value};
 pub use parse::parse;
-pub use points::{points, server};
-pub use syntax::{Source, Trouble};
+pub use points::{hook_points, server_type};
+pub use syntax::{Diagnostic, SourceFile};
 pub use types::{Type, Unit};
 
 #[cfg(test)]
--- a/crates/hooks/src/machine.rs
+++ b/crates/hooks/src/machine.rs
@@ -1,18 +1,18 @@
-//! Runs what was compiled, within bounds that are counted exactly. Every operation has a value or a fault; no number is
+//! Runs what was compiled, within limits that are counted exactly. Every operation has a value or a fault; no number is
 //! ever infinite or not a number.
 
 use std::rc::Rc;
 
 use crate::check::Program;
-use crate::syntax::{Binary, Place};
+use crate::syntax::{Binary, Position};
 use crate::types::{Type, Unit};
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// In base units: seconds, invocations a second, whole parts.
     Number(f64),
-    Text(Rc<str>),
-    Truth(bool),
+    String(Rc<str>),
+    Boolean(bool),
     List(Rc<Vec<Value>>),
     /// Fields in the order of their names.
     Record(Rc<[Value]>),
@@ -23,7 +23,7 @@
     pub fn fits(&self, of: &Type) -> bool {
         match (self, of) {
             (Value::Number(number), Type::Number(_)) => number.is_finite(),
-            (Value::Text(_), Type::Text) | (Value::Truth(_), Type::Truth) => true,
+            (Value::String(_), Type::String) | (Value::Boolean(_), Type::Boolean) => true,
             (Value::List(items), Type::List(None)) => items.is_empty(),
             (Value::List(items), Type::List(Some(of))) => items.iter().all(|item| item.fits(of)),
             (Value::Record(values), Type::Record(fields)) => {
@@ -37,7 +37,7 @@
     /// Values in it, itself included.
     fn size(&self) -> u64 {
         1 + match self {
-            Value::Text(text) => text.len() as u64 / 16,
+            Value::String(text) => text.len() as u64 / 16,
             Value::List(items) => items.iter().map(Value::size).sum(),
             Value::Record(values) => values.iter().map(Value::size).sum(),
             _ => 0,
@@ -47,28 +47,28 @@
 
 /// What one call may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct Limits {
     /// Instructions, and items that they go through.
     pub fuel: u64,
     /// Bytes of lists, records and texts that are made, all together.
-    pub memory: u64,
+    pub memory_bytes: u64,
 }
 
 /// What one call used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Spent {
+pub struct Usage {
     pub fuel: u64,
-    pub memory: u64,
+    pub memory_bytes: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultKind {
-    NoSuchHook,
+    UnknownHook,
     /// What it was given is not of the point's types.
-    Misfit,
+    TypeMismatch,
     OutOfFuel,
     OutOfMemory,
-    /// A division by nothing, or a number without bounds.
+    /// A division by nothing, or a number without limits.
     NoNumber,
 }
 
@@ -76,7 +76,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
     pub kind: FaultKind,
-    pub place: Place,
+    pub position: Position,
 }
 
 /// Functions of the language.
@@ -117,14 +117,14 @@
     }
 
     pub(crate) fn output(self, given: &[Type]) -> Option<Type> {
-        let plain = Type::Number(Unit::NONE);
+        let plain = Type::Number(Unit::DIMENSIONLESS);
         match (self, given) {
             (Builtin::Min | Builtin::Max, [Type::Number(a), Type::Number(b)]) if a == b => {
                 Some(given[0].clone())
             }
             (Builtin::Abs, [Type::Number(_)]) => Some(given[0].clone()),
             (Builtin::Round | Builtin::Number, [Type::Number(unit)]) => {
-                (self == Builtin::Number || *unit == Unit::NONE).then_some(plain)
+                (self == Builtin::Number || *unit == Unit::DIMENSIONLESS).then_some(plain)
             }
             (Builtin::Clamp, [Type::Number(a), Type::Number(b), Type::Number(c)]) if a == b && b == c => {
                 Some(given[0].clone())
@@ -135,8 +135,8 @@
                 _ => None,
             },
             (Builtin::Sum, [Type::List(None)]) => Some(plain),
-            (Builtin::Range, [Type::Number(Unit::NONE)]) => Some(Type::List(Some(Box::new(plain)))),
-            (Builtin::Chance, [Type::Text]) => Some(plain),
+            (Builtin::Range, [Type::Number(Unit::DIMENSIONLESS)]) => Some(Type::List(Some(Box::new(plain)))),
+            (Builtin::Chance, [Type::String]) => Some(plain),
             _ => None,
         }
     }
@@ -172,7 +172,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Chunk {
     pub code: Vec<Instruction>,
-    pub places: Vec<Place>,
+    pub positions: Vec<Position>,
     pub slots: usize,
     pub takes: usize,
 }
@@ -182,8 +182,8 @@
 
 struct Machine<'a> {
     program: &'a Program,
-    bounds: Bounds,
-    spent: Spent,
+    limits: Limits,
+    usage: Usage,
     seed: u64,
     stack: Vec<Value>,
     slots: Vec<Value>,
@@ -202,33 +202,33 @@
 
 impl Program {
     /// Names of the hooks that it has.
-    pub fn hooks(&self) -> impl Iterator<Item = &str> {
+    pub fn hook_names(&self) -> impl Iterator<Item = &str> {
         self.hooks.keys().map(String::as_str)
     }
 
-    /// Calls a hook. The same program, inputs, bounds and seed give the same value or fault, and spend the same.
+    /// Calls a hook. The same program, inputs, limits and seed give the same value or fault, and spend the same.
     pub fn call(
         &self,
         hook: &str,
         inputs: &[Value],
-        bounds: Bounds,
+        limits: Limits,
         seed: u64,
-    ) -> (Result<Value, Fault>, Spent) {
-        let nowhere = |kind| (Err(Fault { kind, place: Place::default() }), Spent::default());
-        let Some((chunk, of)) = self.hooks.get(hook) else { return nowhere(FaultKind::NoSuchHook) };
+    ) -> (Result<Value, Fault>, Usage) {
+        let nowhere = |kind| (Err(Fault { kind, position: Position::default() }), Usage::default());
+        let Some((chunk, of)) = self.hooks.get(hook) else { return nowhere(FaultKind::UnknownHook) };
         let fits = of.len() == inputs.len() && inputs.iter().zip(of).all(|(value, of)| value.fits(of));
         if !fits {
-            return nowhere(FaultKind::Misfit);
+            return nowhere(FaultKind::TypeMismatch);
         }
-        self.run(*chunk, inputs, bounds, seed)
+        self.run(*chunk, inputs, limits, seed)
     }
 
     /// Runs the cases that stand in the source: each with its name, and whether it came true.
-    pub fn test(&self, bounds: Bounds, seed: u64) -> Vec<(&str, Result<bool, Fault>)> {
+    pub fn run_tests(&self, limits: Limits, seed: u64) -> Vec<(&str, Result<bool, Fault>)> {
         let one = |(name, chunk): &'_ (String, usize)| {
-            let (result, _) = self.run(*chunk, &[], bounds, seed);
+            let (result, _) = self.run(*chunk, &[], limits, seed);
             result
-                .map(|value| value == Value::Truth(true))
+                .map(|value| value == Value::Boolean(true))
                 .map_err(|fault| (name, fault))
                 .map_err(|both| both.1)
         };
@@ -239,13 +239,13 @@
         &self,
         chunk: usize,
         inputs: &[Value],
-        bounds: Bounds,
+        limits: Limits,
         seed: u64,
-    ) -> (Result<Value, Fault>, Spent) {
+    ) -> (Result<Value, Fault>, Usage) {
         let (stack, slots) = (inputs.to_vec(), Vec::new());
-        let mut machine = Machine { program: self, bounds, spent: Spent::default(), seed, stack, slots };
+        let mut machine = Machine { program: self, limits, usage: Usage::default(), seed, stack, slots };
         let result = machine.run(chunk);
-        (result, machine.spent)
+        (result, machine.usage)
     }
 }
 
@@ -259,8 +259,8 @@
         loop {
             let code = &program.chunks[chunk];
             let instruction = &code.code[at];
-            let place = code.places[at];
-            let fault = |kind| Fault { kind, place };
+            let position = code.positions[at];
+            let fault = |kind| Fault { kind, position };
             self.burn(1).map_err(fault)?;
             at += 1;
             match instruction {
@@ -293,8 +293,8 @@
                     }
                 }
                 Instruction::Not => {
-                    let truth = self.pop() == Value::Truth(false);
-                    self.stack.push(Value::Truth(truth));
+                    let truth = self.pop() == Value::Boolean(false);
+                    self.stack.push(Value::Boolean(truth));
                 }
                 Instruction::Minus => {
                     let number = -self.number();
@@ -303,12 +303,12 @@
                 Instruction::Binary(binary) => self.binary(*binary).map_err(fault)?,
                 Instruction::Jump(to) => at = *to as usize,
                 Instruction::JumpIf(to) => {
-                    if self.pop() == Value::Truth(true) {
+                    if self.pop() == Value::Boolean(true) {
                         at = *to as usize;
                     }
                 }
                 Instruction::JumpUnless(to) => {
-                    if self.pop() == Value::Truth(false) {
+                    if self.pop() == Value::Boolean(false) {
                         at = *to as usize;
                     }
                 }
@@ -352,12 +352,12 @@
         let base = self.slots.len();
         let given = self.stack.split_off(self.stack.len() - chunk.takes);
         self.slots.extend(given);
-        self.slots.resize(base + chunk.slots, Value::Truth(false));
+        self.slots.resize(base + chunk.slots, Value::Boolean(false));
         base
     }
 
     fn pop(&mut self) -> Value {
-        self.stack.pop().unwrap_or(Value::Truth(false))
+        self.stack.pop().unwrap_or(Value::Boolean(false))
     }
 
     fn number(&mut self) -> f64 {
@@ -368,8 +368,8 @@
     }
 
     fn burn(&mut self, fuel: u64) -> Result<(), FaultKind> {
-        self.spent.fuel = self.spent.fuel.saturating_add(fuel);
-        if self.spent.fuel > self.bounds.fuel {
+        self.usage.fuel = self.usage.fuel.saturating_add(fuel);
+        if self.usage.fuel > self.limits.fuel {
             Err(FaultKind::OutOfFuel)
         } else {
             Ok(())
@@ -377,8 +377,8 @@
     }
 
     fn make(&mut self, bytes: u64) -> Result<(), FaultKind> {
-        self.spent.memory = self.spent.memory.saturating_add(bytes);
-        if self.spent.memory > self.bounds.memory {
+        self.usage.memory_bytes = self.usage.memory_bytes.saturating_add(bytes);
+        if self.usage.memory_bytes > self.limits.memory_bytes {
             Err(FaultKind::OutOfMemory)
         } else {
             Ok(())
@@ -399,14 +399,14 @@
         match (binary, &left, &right) {
             (Binary::Equal | Binary::Differs, ..) => {
                 self.burn(left.size().min(right.size()))?;
-                self.stack.push(Value::Truth((left == right) == (binary == Binary::Equal)));
+                self.stack.push(Value::Boolean((left == right) == (binary == Binary::Equal)));
                 Ok(())
             }
-            (Binary::Add, Value::Text(left), Value::Text(right)) => {
+            (Binary::Add, Value::String(left), Value::String(right)) => {
                 let length = (left.len() + right.len()) as u64;
                 self.burn(length / 16)?;
                 self.make(length)?;
-                self.stack.push(Value::Text([&**left, &**right].concat().into()));
+                self.stack.push(Value::String([&**left, &**right].concat().into()));
                 Ok(())
             }
             (_, Value::Number(left), Value::Number(right)) => {
@@ -420,10 +420,10 @@
                     Binary::More => left > right,
                     _ => left >= right,
                 };
-                self.stack.push(Value::Truth(truth));
+                self.stack.push(Value::Boolean(truth));
                 Ok(())
             }
-            _ => Err(FaultKind::Misfit),
+            _ => Err(FaultKind::TypeMismatch),
         }
     }
 
@@ -435,7 +435,7 @@
             (Builtin::Abs, [Value::Number(a)]) => self.put(a.abs()),
             (Builtin::Round, [Value::Number(a)]) => self.put(a.round()),
             (Builtin::Number, [Value::Number(a)]) => self.put(*a),
-            // Where the bounds are the wrong way round, the lower one holds.
+            // Where the limits are the wrong way round, the lower one holds.
             (Builtin::Clamp, [Value::Number(a), Value::Number(b), Value::Number(c)]) => {
                 self.put(a.min(*c).max(*b))
             }
@@ -457,12 +457,12 @@
                     .push(Value::List(Rc::new((0..count).map(|at| Value::Number(at as f64)).collect())));
                 Ok(())
             }
-            (Builtin::Chance, [Value::Text(key)]) => {
+            (Builtin::Chance, [Value::String(key)]) => {
                 self.burn(key.len() as u64 / 16)?;
                 let drawn = drawn(self.seed, key);
                 self.put(drawn)
             }
-            _ => Err(FaultKind::Misfit),
+            _ => Err(FaultKind::TypeMismatch),
         }
     }
 }
--- a/crates/hooks/src/parse.rs
+++ b/crates/hooks/src/parse.rs
@@ -1,7 +1,9 @@
 //! From words to a source. After something wrong it goes on at the next item, so that one run tells of several.
 
 use crate::lex::{lex, Token, Word};
-use crate::syntax::{show, trouble, Binary, Block, Function, Kind, Node, Place, Source, Trouble};
+use crate::syntax::{
+    diagnostic, show, Binary, Block, Diagnostic, Function, Kind, Node, Position, SourceFile,
+};
 
 /// Nothing is nested deeper.
 const DEEPEST: usize = 64;
@@ -14,31 +16,31 @@
     depth: usize,
 }
 
-type Parsed<T> = Result<T, Trouble>;
+type Parsed<T> = Result<T, Diagnostic>;
 
-/// Reads a source. Errors: all that is wrong with its words, by place.
-pub fn parse(text: &str) -> Result<Source, Vec<Trouble>> {
-    let (tokens, mut troubles) = lex(text);
+/// Reads a source. Errors: all that is wrong with its words, by position.
+pub fn parse(text: &str) -> Result<SourceFile, Vec<Diagnostic>> {
+    let (tokens, mut diagnostics) = lex(text);
     let mut parser = Parser { tokens, at: 0, depth: 0 };
-    let mut source = Source::default();
-    while troubles.len() < MOST {
+    let mut source = SourceFile::default();
+    while diagnostics.len() < MOST {
         parser.lines();
         if parser.word() == &Word::End {
             source.comments = parser.tokens[parser.at].comments.clone();
             break;
         }
-        if let Err(trouble) = parser.item(&mut source) {
-            troubles.push(trouble);
+        if let Err(diagnostic) = parser.item(&mut source) {
+            diagnostics.push(diagnostic);
             parser.depth = 0;
             parser.recover();
         }
     }
-    if troubles.is_empty() {
+    if diagnostics.is_empty() {
         source.text = text.to_owned();
         return Ok(source);
     }
-    show(&mut troubles, text);
-    Err(troubles)
+    show(&mut diagnostics, text);
+    Err(diagnostics)
 }
 
 impl Parser {
@@ -46,8 +48,8 @@
         &self.tokens[self.at].word
     }
 
-    fn place(&self) -> Place {
-        self.tokens[self.at].place
+    fn position(&self) -> Position {
+        self.tokens[self.at].position
     }
 
     fn comments(&mut self) -> Vec<String> {
@@ -81,7 +83,7 @@
     fn found(&self) -> String {
         match self.word() {
             Word::Number(value, _, unit) => format!("{value} {unit}").trim().to_owned(),
-            Word::Text(_) => "a text".into(),
+            Word::String(_) => "a text".into(),
             Word::Name(name) => format!("{name:?}"),
             Word::Sign(sign) => format!("{sign:?}"),
             Word::Line => "the end of the line".into(),
@@ -89,8 +91,8 @@
         }
     }
 
-    fn wanted(&self, what: &str, hint: &str) -> Trouble {
-        trouble(self.place(), format!("{} where {what} was expected", self.found()), hint)
+    fn wanted(&self, what: &str, hint: &str) -> Diagnostic {
+        diagnostic(self.position(), format!("{} where {what} was expected", self.found()), hint)
     }
 
     fn need(&mut self, sign: &str, hint: &str) -> Parsed<()> {
@@ -122,15 +124,15 @@
         }
     }
 
-    fn item(&mut self, source: &mut Source) -> Parsed<()> {
-        let (place, comments) = (self.place(), self.comments());
+    fn item(&mut self, source: &mut SourceFile) -> Parsed<()> {
+        let (position, comments) = (self.position(), self.comments());
         if self.eat("test") {
-            let Word::Text(name) = self.word().clone() else {
+            let Word::String(name) = self.word().clone() else {
                 return Err(self.wanted("a text", "name the case, such as test \"a young server is cold\""));
             };
             self.next();
             let body = self.block()?;
-            source.tests.push((place, name, body, comments));
+            source.tests.push((position, name, body, comments));
             return Ok(());
         }
         let hook = self.is("hook");
@@ -147,7 +149,7 @@
             }
         }
         let body = self.block()?;
-        let function = Function { place, name, parameters, body, comments };
+        let function = Function { position, name, parameters, body, comments };
         if hook { &mut source.hooks } else { &mut source.functions }.push(function);
         Ok(())
     }
@@ -158,7 +160,7 @@
         let mut lets = Vec::new();
         loop {
             self.lines();
-            let (place, comments) = (self.place(), self.comments());
+            let (position, comments) = (self.position(), self.comments());
             if self.eat("let") {
                 let name = self.name("name what is kept")?;
                 self.need("=", "write let name = value")?;
@@ -166,7 +168,7 @@
                 if !matches!(self.word(), Word::Line) && !self.is(";") {
                     return Err(self.wanted("the end of the line", "put each let on a line of its own"));
                 }
-                lets.push((place, name, value, comments));
+                lets.push((position, name, value, comments));
                 continue;
             }
             let value = self.node(0)?;
@@ -181,7 +183,7 @@
         self.depth += 1;
         if self.depth > DEEPEST {
             let what = format!("nested more than {DEEPEST} deep");
-            return Err(trouble(self.place(), what, "give a name to a part of it with let"));
+            return Err(diagnostic(self.position(), what, "give a name to a part of it with let"));
         }
         Ok(())
     }
@@ -210,7 +212,7 @@
         self.deeper()?;
         let mut left = self.unary()?;
         while let Some(binary) = self.binary().filter(|binary| binary.level() > least) {
-            let place = self.place();
+            let position = self.position();
             self.next();
             // A value may go on behind a sign on the next line.
             while self.word() == &Word::Line {
@@ -219,44 +221,44 @@
             let right = self.node(binary.level())?;
             if binary.level() == 3 && self.binary().is_some_and(|next| next.level() == 3) {
                 let hint = "compare two at a time, with and between";
-                return Err(trouble(self.place(), "a comparison of a comparison", hint));
+                return Err(diagnostic(self.position(), "a comparison of a comparison", hint));
             }
-            left = Node { place, kind: Kind::Binary(binary, Box::new(left), Box::new(right)) };
+            left = Node { position, kind: Kind::Binary(binary, Box::new(left), Box::new(right)) };
         }
         self.depth -= 1;
         Ok(left)
     }
 
     fn unary(&mut self) -> Parsed<Node> {
-        let place = self.place();
+        let position = self.position();
         if self.eat("not") {
             // It takes a comparison, and no more.
             let kind = Kind::Not(Box::new(self.node(2)?));
-            return Ok(Node { place, kind });
+            return Ok(Node { position, kind });
         }
         if self.eat("-") {
             self.deeper()?;
             let kind = Kind::Minus(Box::new(self.unary()?));
             self.depth -= 1;
-            return Ok(Node { place, kind });
+            return Ok(Node { position, kind });
         }
         let mut node = self.primary()?;
         while self.is(".") {
-            let place = self.place();
+            let position = self.position();
             self.next();
             let field = self.name("name the field behind the dot")?;
-            node = Node { place, kind: Kind::Field(Box::new(node), field) };
+            node = Node { position, kind: Kind::Field(Box::new(node), field) };
         }
         Ok(node)
     }
 
     fn primary(&mut self) -> Parsed<Node> {
-        let place = self.place();
+        let position = self.position();
         let kind = match self.next() {
             Word::Number(value, unit, word) => Kind::Number(value, unit, word),
-            Word::Text(text) => Kind::Text(text),
-            Word::Sign("true") => Kind::Truth(true),
-            Word::Sign("false") => Kind::Truth(false),
+            Word::String(text) => Kind::String(text),
+            Word::Sign("true") => Kind::Boolean(true),
+            Word::Sign("false") => Kind::Boolean(false),
             Word::Name(name) if self.eat("(") => {
                 let mut given = Vec::new();
                 while !self.eat(")") {
@@ -309,7 +311,7 @@
                 );
             }
         };
-        Ok(Node { place, kind })
+        Ok(Node { position, kind })
     }
 
     /// Is this the next word that is no line's end?
@@ -345,10 +347,10 @@
         let mut fields: Vec<(String, Node)> = Vec::new();
         self.lines();
         while !self.eat("}") {
-            let place = self.place();
+            let position = self.position();
             let name = self.name("a record is { name: value, ... }")?;
             if fields.iter().any(|(other, _)| *other == name) {
-                return Err(trouble(place, format!("field {name:?} twice"), "leave one of them out"));
+                return Err(diagnostic(position, format!("field {name:?} twice"), "leave one of them out"));
             }
             self.need(":", "a record is { name: value, ... }")?;
             fields.push((name, self.node(0)?));
@@ -374,19 +376,19 @@
                 self.need("}", "the arm for the rest is the last one")?;
                 return Ok(Kind::Match(value, arms, rest));
             }
-            let place = self.place();
+            let position = self.position();
             let pattern = match self.next() {
                 Word::Number(value, unit, word) => Kind::Number(value, unit, word),
-                Word::Text(text) => Kind::Text(text),
-                Word::Sign("true") => Kind::Truth(true),
-                Word::Sign("false") => Kind::Truth(false),
+                Word::String(text) => Kind::String(text),
+                Word::Sign("true") => Kind::Boolean(true),
+                Word::Sign("false") => Kind::Boolean(false),
                 _ => {
                     let hint = "an arm begins with a number, a text, true, false, or _ for the rest, which must be there";
-                    return Err(trouble(place, "no arm", hint));
+                    return Err(diagnostic(position, "no arm", hint));
                 }
             };
             self.need("=>", "write pattern => { value }")?;
-            arms.push((Node { place, kind: pattern }, self.block()?));
+            arms.push((Node { position, kind: pattern }, self.block()?));
         }
     }
 }
--- a/crates/hooks/src/points.rs
+++ b/crates/hooks/src/points.rs
@@ -1,7 +1,7 @@
 //! The points at which a hook is asked, and what it is given there. A hook gives figures, never orders: what becomes of
 //! them is decided where the module's own would be.
 
-use crate::check::Point;
+use crate::check::HookPoint;
 use crate::types::{Type, Unit};
 
 fn record(fields: &[(&str, Type)]) -> Type {
@@ -9,11 +9,12 @@
 }
 
 /// What is known of a server.
-pub fn server() -> Type {
-    let (plain, time, rate) = (Type::Number(Unit::NONE), Type::Number(Unit::TIME), Type::Number(Unit::RATE));
+pub fn server_type() -> Type {
+    let (plain, time, rate) =
+        (Type::Number(Unit::DIMENSIONLESS), Type::Number(Unit::TIME), Type::Number(Unit::RATE));
     record(&[
         ("id", plain.clone()),
-        ("locality", Type::Text),
+        ("locality", Type::String),
         ("kind", plain.clone()),
         // Beside the others', as the list has it.
         ("size", plain.clone()),
@@ -21,7 +22,7 @@
         ("age", time.clone()),
         // Part of its capacity that it has by now, by the settings.
         ("able", plain.clone()),
-        ("withdrawn", Type::Truth),
+        ("withdrawn", Type::Boolean),
         // Of its tries, of late.
         ("errors", plain),
         // Mean of its answers of late; 0 s where none came.
@@ -32,9 +33,10 @@
 }
 
 /// All points there are.
-pub fn points() -> Vec<Point> {
-    let (plain, time, rate) = (Type::Number(Unit::NONE), Type::Number(Unit::TIME), Type::Number(Unit::RATE));
-    let point = |name: &str, inputs: &[(&str, Type)], output: &Type| Point {
+pub fn hook_points() -> Vec<HookPoint> {
+    let (plain, time, rate) =
+        (Type::Number(Unit::DIMENSIONLESS), Type::Number(Unit::TIME), Type::Number(Unit::RATE));
+    let point = |name: &str, inputs: &[(&str, Type)], output: &Type| HookPoint {
         name: name.to_owned(),
         inputs: inputs.iter().map(|(name, of)| ((*name).to_owned(), of.clone())).collect(),
         output: output.clone(),
@@ -46,24 +48,24 @@
         ("rate", rate.clone()),
     ]);
     let operation = record(&[
-        ("name", Type::Text),
+        ("name", Type::String),
         ("objective", time),
         ("value", plain.clone()),
         // Part that is let in now.
         ("level", plain.clone()),
         ("rate", rate),
     ]);
-    let decision = record(&[("what", Type::Text), ("server", server())]);
+    let decision = record(&[("what", Type::String), ("server", server_type())]);
     vec![
-        point("warm", &[("server", server())], &Type::Truth),
+        point("warm", &[("server", server_type())], &Type::Boolean),
         point(
             "score",
-            &[("server", server()), ("fleet", fleet.clone()), ("proposed", plain.clone())],
+            &[("server", server_type()), ("fleet", fleet.clone()), ("proposed", plain.clone())],
             &plain,
         ),
-        point("weight", &[("server", server()), ("proposed", plain.clone())], &plain),
-        point("withdraw", &[("server", server()), ("proposed", Type::Truth)], &Type::Truth),
+        point("weight", &[("server", server_type()), ("proposed", plain.clone())], &plain),
+        point("withdraw", &[("server", server_type()), ("proposed", Type::Boolean)], &Type::Boolean),
         point("admit", &[("operation", operation), ("fleet", fleet), ("proposed", plain.clone())], &plain),
-        point("announce", &[("decision", decision)], &Type::Text),
+        point("announce", &[("decision", decision)], &Type::String),
     ]
 }
--- a/crates/hooks/src/syntax.rs
+++ b/crates/hooks/src/syntax.rs
@@ -4,32 +4,32 @@
 
 use crate::types::Unit;
 
-/// A place in a source: line and column, from 1.
+/// A position in a source: line and column, from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct Position {
     pub line: u32,
     pub column: u32,
 }
 
 /// Something wrong with a source, where, and what would help.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Trouble {
-    pub place: Place,
-    pub what: String,
+pub struct Diagnostic {
+    pub position: Position,
+    pub message: String,
     pub hint: String,
     /// The line that it stands on.
-    pub text: String,
+    pub source_line: String,
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Trouble { place, what, hint, text } = self;
-        write!(f, "{}:{}: {what}; {hint}\n    {text}", place.line, place.column)
+        let Diagnostic { position, message, hint, source_line } = self;
+        write!(f, "{}:{}: {message}; {hint}\n    {source_line}", position.line, position.column)
     }
 }
 
-pub(crate) fn trouble(place: Place, what: impl Into<String>, hint: &str) -> Trouble {
-    Trouble { place, what: what.into(), hint: hint.to_owned(), text: String::new() }
+pub(crate) fn diagnostic(position: Position, message: impl Into<String>, hint: &str) -> Diagnostic {
+    Diagnostic { position, message: message.into(), hint: hint.to_owned(), source_line: String::new() }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -82,8 +82,8 @@
 pub(crate) enum Kind {
     /// The number as written, its unit, and the unit's word.
     Number(f64, Unit, &'static str),
-    Text(String),
-    Truth(bool),
+    String(String),
+    Boolean(bool),
     Name(String),
     List(Vec<Node>),
     Record(Vec<(String, Node)>),
@@ -114,14 +114,14 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Node {
-    pub place: Place,
+    pub position: Position,
     pub kind: Kind,
 }
 
 /// Names, then what it comes to.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Block {
-    pub lets: Vec<(Place, String, Node, Vec<String>)>,
+    pub lets: Vec<(Position, String, Node, Vec<String>)>,
     pub value: Node,
     /// Comments before the value.
     pub comments: Vec<String>,
@@ -129,7 +129,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Function {
-    pub place: Place,
+    pub position: Position,
     pub name: String,
     pub parameters: Vec<String>,
     pub body: Block,
@@ -138,24 +138,24 @@
 
 /// A parsed source.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Source {
+pub struct SourceFile {
     pub(crate) functions: Vec<Function>,
     pub(crate) hooks: Vec<Function>,
     /// Cases: a name, and what must be true.
-    pub(crate) tests: Vec<(Place, String, Block, Vec<String>)>,
+    pub(crate) tests: Vec<(Position, String, Block, Vec<String>)>,
     /// Comments at the end.
     pub(crate) comments: Vec<String>,
     pub(crate) text: String,
 }
 
 /// Puts in order, and beside each the line that it stands on.
-pub(crate) fn show(troubles: &mut Vec<Trouble>, text: &str) {
-    troubles.sort_by(|a, b| a.place.cmp(&b.place).then(a.what.cmp(&b.what)));
-    troubles.dedup();
+pub(crate) fn show(diagnostics: &mut Vec<Diagnostic>, text: &str) {
+    diagnostics.sort_by(|a, b| a.position.cmp(&b.position).then(a.message.cmp(&b.message)));
+    diagnostics.dedup();
     let lines: Vec<&str> = text.lines().collect();
-    for trouble in troubles {
-        let line = lines.get(trouble.place.line as usize - 1).copied().unwrap_or_default();
-        trouble.text = line.chars().take(WIDE).collect();
+    for diagnostic in diagnostics {
+        let line = lines.get(diagnostic.position.line as usize - 1).copied().unwrap_or_default();
+        diagnostic.source_line = line.chars().take(WIDE).collect();
     }
 }
 
--- a/crates/hooks/src/tests.rs
+++ b/crates/hooks/src/tests.rs
@@ -7,36 +7,40 @@
 use super::*;
 use crate::syntax::{Binary, Block, Kind, Node};
 
-const AMPLE: Bounds = Bounds { fuel: 1_000_000, memory: 1 << 24 };
+const AMPLE: Limits = Limits { fuel: 1_000_000, memory_bytes: 1 << 24 };
 
 fn number() -> Type {
-    Type::Number(Unit::NONE)
+    Type::Number(Unit::DIMENSIONLESS)
 }
 
-fn server() -> Type {
+fn server_type() -> Type {
     let fields = [
         ("age", Type::Number(Unit::TIME)),
         ("answer_time", Type::Number(Unit::TIME)),
-        ("locality", Type::Text),
+        ("locality", Type::String),
         ("rate", Type::Number(Unit::RATE)),
         ("errors", number()),
     ];
     Type::Record(fields.into_iter().map(|(name, of)| (name.to_owned(), of)).collect())
 }
 
-fn points() -> Vec<Point> {
-    let point = |name: &str, inputs: &[(&str, Type)], output| Point {
+fn hook_points() -> Vec<HookPoint> {
+    let point = |name: &str, inputs: &[(&str, Type)], output| HookPoint {
         name: name.into(),
         inputs: inputs.iter().map(|(name, of)| ((*name).to_owned(), of.clone())).collect(),
         output,
     };
     let numbers = Type::List(Some(Box::new(number())));
     vec![
-        point("warm", &[("server", server())], Type::Truth),
-        point("score", &[("server", server()), ("others", Type::List(Some(Box::new(server()))))], number()),
+        point("warm", &[("server", server_type())], Type::Boolean),
+        point(
+            "score",
+            &[("server", server_type()), ("others", Type::List(Some(Box::new(server_type()))))],
+            number(),
+        ),
         point(
             "mix",
-            &[("x", number()), ("y", number()), ("xs", numbers), ("t", Type::Truth), ("s", Type::Text)],
+            &[("x", number()), ("y", number()), ("xs", numbers), ("t", Type::Boolean), ("s", Type::String)],
             number(),
         ),
     ]
@@ -48,15 +52,15 @@
         Value::Number(age),
         Value::Number(answer_time),
         Value::Number(0.02),
-        Value::Text(locality.into()),
+        Value::String(locality.into()),
         Value::Number(120.0),
     ];
     Value::Record(Rc::new(values) as Rc<[Value]>)
 }
 
 fn program(text: &str) -> Program {
-    let source = parse(text).unwrap_or_else(|troubles| panic!("{}", troubles[0]));
-    compile(&source, &points()).unwrap_or_else(|troubles| panic!("{}", troubles[0]))
+    let source = parse(text).unwrap_or_else(|diagnostics| panic!("{}", diagnostics[0]));
+    compile(&source, &hook_points()).unwrap_or_else(|diagnostics| panic!("{}", diagnostics[0]))
 }
 
 const HOOKS: &str = r#"
@@ -89,9 +93,9 @@
 fn hooks_with_units_lists_and_cases_run() {
     let program = program(HOOKS);
     let warm = |age, time| program.call("warm", &[a_server(age, time, "hal-a")], AMPLE, 1).0;
-    assert_eq!(warm(30.0, 0.3), Ok(Value::Truth(true)));
-    assert_eq!(warm(30.0, 0.5), Ok(Value::Truth(false)));
-    assert_eq!(warm(130.0, 0.5), Ok(Value::Truth(true)));
+    assert_eq!(warm(30.0, 0.3), Ok(Value::Boolean(true)));
+    assert_eq!(warm(30.0, 0.5), Ok(Value::Boolean(false)));
+    assert_eq!(warm(130.0, 0.5), Ok(Value::Boolean(true)));
     let others = Value::List(Rc::new(vec![
         a_server(9.0, 0.2, "hal-a"),
         a_server(9.0, 0.4, "hal-a"),
@@ -100,8 +104,8 @@
     let score = |locality| program.call("score", &[a_server(9.0, 0.6, locality), others.clone()], AMPLE, 1).0;
     assert!(matches!(score("hal-a"), Ok(Value::Number(x)) if (x - 0.5).abs() < 1e-12));
     assert_eq!(score("hal-b"), Ok(Value::Number(0.52)));
-    assert_eq!(program.test(AMPLE, 1), [("a young server is not warm", Ok(true))]);
-    assert_eq!(program.hooks().collect::<Vec<_>>(), ["score", "warm"]);
+    assert_eq!(program.run_tests(AMPLE, 1), [("a young server is not warm", Ok(true))]);
+    assert_eq!(program.hook_names().collect::<Vec<_>>(), ["score", "warm"]);
 }
 
 #[rstest]
@@ -125,24 +129,27 @@
 #[case::twice("hook warm(s) { true }\nhook warm(s) { false }", "stands twice", "2:1")]
 #[case::builtin("hook warm(s) { min(1 s, 2) > 1 s }", "min of a time; a plain number", "1:16")]
 #[case::case_of_no_truth("test \"x\" { 3 }", "comes to a plain number", "1:1")]
-fn what_does_not_fit_is_told_with_its_place(#[case] text: &str, #[case] what: &str, #[case] place: &str) {
-    let troubles = compile(&parse(text).unwrap(), &points()).unwrap_err();
-    let found: Vec<String> = troubles.iter().map(Trouble::to_string).collect();
-    assert!(found.iter().any(|one| one.contains(what) && one.starts_with(&format!("{place}:"))), "{found:?}");
+fn what_does_not_fit_is_told_with_its_place(#[case] text: &str, #[case] what: &str, #[case] position: &str) {
+    let diagnostics = compile(&parse(text).unwrap(), &hook_points()).unwrap_err();
+    let found: Vec<String> = diagnostics.iter().map(Diagnostic::to_string).collect();
+    assert!(
+        found.iter().any(|one| one.contains(what) && one.starts_with(&format!("{position}:"))),
+        "{found:?}"
+    );
 }
 
 #[test]
 fn several_troubles_come_in_one_run_with_line_and_hint() {
     let text =
         "hook warm(s) { s.age > }\n\nfn broken( { 3 }\n\nhook score(s, o) {\n    let x = 3 ?\n    x\n}\n";
-    let found: Vec<String> = parse(text).unwrap_err().iter().map(Trouble::to_string).collect();
+    let found: Vec<String> = parse(text).unwrap_err().iter().map(Diagnostic::to_string).collect();
     assert_eq!(found.len(), 3, "{found:?}");
     assert!(found[0].starts_with("1:24: \"}\" where a value was expected") && found[0].contains("s.age >"));
     assert!(found[1].starts_with("3:12: \"{\" where a name was expected"), "{found:?}");
     assert!(found[2].contains("'?' means nothing") && found[2].contains("let x = 3 ?"), "{found:?}");
     let deep = format!("hook warm(s) {{ {}true{} }}", "(".repeat(200), ")".repeat(200));
-    assert!(parse(&deep).unwrap_err()[0].what.contains("nested"));
-    assert!(parse(&" ".repeat(2 << 20)).unwrap_err()[0].what.contains("bytes"));
+    assert!(parse(&deep).unwrap_err()[0].message.contains("nested"));
+    assert!(parse(&" ".repeat(2 << 20)).unwrap_err()[0].message.contains("bytes"));
 }
 
 #[rstest]
@@ -161,18 +168,18 @@
 )]
 fn a_hook_ends_within_its_bounds(#[case] hook: &str, #[case] body: &str, #[case] kind: FaultKind) {
     let program = program(&format!("hook {hook}(x, y, xs, t, s) {{ {body} }}"));
-    let bounds = Bounds { fuel: 50_000, memory: 400_000 };
+    let limits = Limits { fuel: 50_000, memory_bytes: 400_000 };
     let numbers = Value::List(Rc::new(vec![Value::Number(1e40); 12]));
     let inputs = [
         Value::Number(1.0),
         Value::Number(2.0),
         numbers,
-        Value::Truth(true),
-        Value::Text("long ".repeat(200).into()),
+        Value::Boolean(true),
+        Value::String("long ".repeat(200).into()),
     ];
-    let (result, spent) = program.call(hook, &inputs, bounds, 7);
+    let (result, usage) = program.call(hook, &inputs, limits, 7);
     assert_eq!(result.map_err(|fault| fault.kind), Err(kind));
-    assert_eq!(program.call(hook, &inputs, bounds, 7).1, spent);
+    assert_eq!(program.call(hook, &inputs, limits, 7).1, usage);
 }
 
 #[test]
@@ -183,14 +190,17 @@
         Value::Number(1.0),
         Value::Number(2.0),
         Value::List(Rc::new(vec![])),
-        Value::Truth(true),
-        Value::Text("".into()),
+        Value::Boolean(true),
+        Value::String("".into()),
     ];
     assert_eq!(kind(&good), Ok(Value::Number(1.0)));
     let mut bad = good.clone();
     bad[0] = Value::Number(f64::NAN);
-    assert_eq!((kind(&bad), kind(&good[1..])), (Err(FaultKind::Misfit), Err(FaultKind::Misfit)));
-    assert_eq!(program.call("warm", &[], AMPLE, 1).0.map_err(|fault| fault.kind), Err(FaultKind::NoSuchHook));
+    assert_eq!((kind(&bad), kind(&good[1..])), (Err(FaultKind::TypeMismatch), Err(FaultKind::TypeMismatch)));
+    assert_eq!(
+        program.call("warm", &[], AMPLE, 1).0.map_err(|fault| fault.kind),
+        Err(FaultKind::UnknownHook)
+    );
 }
 
 #[test]
@@ -201,8 +211,8 @@
             Value::Number(1.0),
             Value::Number(2.0),
             Value::List(Rc::new(vec![])),
-            Value::Truth(true),
-            Value::Text(text.into()),
+            Value::Boolean(true),
+            Value::String(text.into()),
         ];
         match program.call("mix", &inputs, AMPLE, seed).0 {
             Ok(Value::Number(drawn)) => drawn,
@@ -217,7 +227,7 @@
 
 /// A plain evaluator that walks the tree: what the bytecode must agree with.
 struct Walker<'a> {
-    source: &'a Source,
+    source: &'a SourceFile,
 }
 
 type Scope = Vec<(String, Value)>;
@@ -240,7 +250,7 @@
     }
 
     fn truth(&self, scope: &Scope, node: &Node) -> Option<bool> {
-        Some(self.node(scope, node)? == Value::Truth(true))
+        Some(self.node(scope, node)? == Value::Boolean(true))
     }
 
     fn items(&self, scope: &Scope, node: &Node) -> Option<Rc<Vec<Value>>> {
@@ -250,7 +260,7 @@
         }
     }
 
-    /// Nothing: a number without bounds.
+    /// Nothing: a number without limits.
     fn node(&self, scope: &Scope, node: &Node) -> Option<Value> {
         let finite = |number: f64| number.is_finite().then_some(Value::Number(number + 0.0));
         let with = |name: &str, value: Value| {
@@ -263,8 +273,8 @@
                 let scale = lex::UNITS.iter().find(|known| known.0 == *word).map_or(1.0, |known| known.1);
                 finite(value * scale)
             }
-            Kind::Text(text) => Some(Value::Text(text.as_str().into())),
-            Kind::Truth(truth) => Some(Value::Truth(*truth)),
+            Kind::String(text) => Some(Value::String(text.as_str().into())),
+            Kind::Boolean(truth) => Some(Value::Boolean(*truth)),
             Kind::Name(name) => {
                 scope.iter().rev().find(|known| known.0 == *name).map(|known| known.1.clone())
             }
@@ -309,7 +319,7 @@
                     other => panic!("{other}"),
                 }
             }
-            Kind::Not(inner) => Some(Value::Truth(!self.truth(scope, inner)?)),
+            Kind::Not(inner) => Some(Value::Boolean(!self.truth(scope, inner)?)),
             Kind::Minus(inner) => finite(-self.number(scope, inner)?),
             Kind::Binary(binary, left, right) => {
                 let truth = match binary {
@@ -330,7 +340,7 @@
                     }
                     Binary::Divide => return finite(self.number(scope, left)? / self.number(scope, right)?),
                 };
-                Some(Value::Truth(truth))
+                Some(Value::Boolean(truth))
             }
             Kind::If(condition, yes, no) => {
                 self.block(scope, if self.truth(scope, condition)? { yes } else { no })
@@ -502,23 +512,23 @@
     for seed in 0..1500 {
         let mut writer = Writer { chance: Rand64::new(seed), numbers: Vec::new(), fresh: 0 };
         let text = writer.source();
-        let source = parse(&text).unwrap_or_else(|troubles| panic!("{}\n{text}", troubles[0]));
-        let program =
-            compile(&source, &points()).unwrap_or_else(|troubles| panic!("{}\n{text}", troubles[0]));
+        let source = parse(&text).unwrap_or_else(|diagnostics| panic!("{}\n{text}", diagnostics[0]));
+        let program = compile(&source, &hook_points())
+            .unwrap_or_else(|diagnostics| panic!("{}\n{text}", diagnostics[0]));
         let shown = format(&source);
-        let again = parse(&shown).unwrap_or_else(|troubles| panic!("{}\n{shown}", troubles[0]));
+        let again = parse(&shown).unwrap_or_else(|diagnostics| panic!("{}\n{shown}", diagnostics[0]));
         assert_eq!(format(&again), shown);
-        let other = compile(&again, &points()).unwrap();
+        let other = compile(&again, &hook_points()).unwrap();
         let numbers = Value::List(Rc::new([3.0, -1.5, 0.0].map(Value::Number).to_vec()));
         for truth in [true, false] {
             let inputs = [
                 Value::Number(2.0),
                 Value::Number(-0.5),
                 numbers.clone(),
-                Value::Truth(truth),
-                Value::Text("s".into()),
+                Value::Boolean(truth),
+                Value::String("s".into()),
             ];
-            let (result, spent) = program.call("mix", &inputs, AMPLE, seed as u64);
+            let (result, usage) = program.call("mix", &inputs, AMPLE, seed as u64);
             let hook = &source.hooks[0];
             let scope: Scope = hook.parameters.iter().cloned().zip(inputs.iter().cloned()).collect();
             let walked = Walker { source: &source }.block(&scope, &hook.body);
@@ -535,7 +545,7 @@
                 }
             }
             let (same, also) = other.call("mix", &inputs, AMPLE, seed as u64);
-            assert_eq!((kind(same), also), (result, spent), "seed {seed}\n{shown}");
+            assert_eq!((kind(same), also), (result, usage), "seed {seed}\n{shown}");
         }
     }
     assert!(values > 1000 && faults > 10, "{values} values, {faults} faults");
@@ -550,7 +560,7 @@
         "test", "count", "\\",
     ];
     let mut chance = Rand64::new(5);
-    let bounds = Bounds { fuel: 2_000, memory: 10_000 };
+    let limits = Limits { fuel: 2_000, memory_bytes: 10_000 };
     for round in 0..6000 {
         let mut text: String = HOOKS.into();
         if round % 2 == 0 {
@@ -570,10 +580,10 @@
         }
         let Ok(source) = parse(&text) else { continue };
         format(&source);
-        if let Ok(program) = compile(&source, &points()) {
-            let (_, spent) = program.call("warm", &[a_server(3.0, 0.1, "hal-a")], bounds, 1);
-            assert!(spent.fuel <= bounds.fuel + 1, "{spent:?}");
-            program.test(bounds, 1);
+        if let Ok(program) = compile(&source, &hook_points()) {
+            let (_, usage) = program.call("warm", &[a_server(3.0, 0.1, "hal-a")], limits, 1);
+            assert!(usage.fuel <= limits.fuel + 1, "{usage:?}");
+            program.run_tests(limits, 1);
         }
     }
 }
--- a/crates/hooks/src/types.rs
+++ b/crates/hooks/src/types.rs
@@ -11,7 +11,7 @@
 }
 
 impl Unit {
-    pub const NONE: Unit = Unit { time: 0, invocations: 0 };
+    pub const DIMENSIONLESS: Unit = Unit { time: 0, invocations: 0 };
     pub const TIME: Unit = Unit { time: 1, invocations: 0 };
     pub const RATE: Unit = Unit { time: -1, invocations: 1 };
 
@@ -29,7 +29,7 @@
 impl fmt::Display for Unit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match *self {
-            Unit::NONE => write!(f, "a plain number"),
+            Unit::DIMENSIONLESS => write!(f, "a plain number"),
             Unit::TIME => write!(f, "a time"),
             Unit::RATE => write!(f, "a rate"),
             Unit { time, invocations } => write!(f, "a number in s^{time} inv^{invocations}"),
@@ -40,8 +40,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Type {
     Number(Unit),
-    Text,
-    Truth,
+    String,
+    Boolean,
     /// Nothing is known of the items of a list without any.
     List(Option<Box<Type>>),
     /// By name; in memory the fields stand in the order of their names.
@@ -75,8 +75,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Type::Number(unit) => write!(f, "{unit}"),
-            Type::Text => write!(f, "a text"),
-            Type::Truth => write!(f, "true or false"),
+            Type::String => write!(f, "a text"),
+            Type::Boolean => write!(f, "true or false"),
             Type::List(None) => write!(f, "an empty list"),
             Type::List(Some(item)) => write!(f, "a list, each {item}"),
             Type::Record(fields) => {
