--- a/crates/hooks/src/check.rs
+++ b/crates/hooks/src/check.rs
@@ -1,20 +1,25 @@
-//! Infers types and units, and compiles. A function is compiled once for each set of types that it is given, so that it
-//! needs no word about them; what nobody calls is not looked at beyond its words, and said to be unused.
+//! The type checker and compiler: infers types and units, and emits bytecode. A function is compiled once per list of
+//! argument types, so that its parameters need no type annotations. A function that is never called is parsed but not
+//! type-checked, and reported as unused.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::lex::UNITS;
 use crate::machine::{Builtin, Chunk, Instruction, Value};
 use crate::syntax::{
-    diagnostic, show, Binary, Block, Diagnostic, Function, Kind, Node, Position, SourceFile,
+    diagnostic, finish_diagnostics, BinaryOperator, Block, Diagnostic, Expression, ExpressionKind, Function,
+    Position, SourceFile,
 };
 use crate::types::{Type, Unit};
 
-/// A position in the program at which a hook is asked: what it is given, and what it is to give.
+/// A point in the control service at which it calls a hook.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HookPoint {
+    /// The name of the hook that is called.
     pub name: String,
+    /// Names and types of the arguments.
     pub inputs: Vec<(String, Type)>,
+    /// The type that the hook must return.
     pub output: Type,
 }
 
@@ -22,48 +27,55 @@
 #[derive(Clone, Debug)]
 pub struct Program {
     pub(crate) chunks: Vec<Chunk>,
+    /// Chunk index and input types of each hook.
     pub(crate) hooks: BTreeMap<String, (usize, Vec<Type>)>,
-    /// Cases by name.
+    /// Name and chunk index of each test, in source order.
     pub(crate) tests: Vec<(String, usize)>,
 }
 
-/// Nodes that are looked at, whatever calls what.
-const MOST: usize = 200_000;
+/// Expressions that one compilation checks, counted anew for each compilation of a function. Without a limit, the number
+/// of a function's argument type lists could grow exponentially with the length of the source.
+const MAX_CHECKED_EXPRESSIONS: usize = 200_000;
+
+/// The local slots of one chunk stay below this number.
+const SLOT_LIMIT: u16 = 4096;
 
 struct Checker<'a> {
     source: &'a SourceFile,
-    points: &'a [HookPoint],
+    hook_points: &'a [HookPoint],
     chunks: Vec<Chunk>,
-    /// By name and what it is given.
-    done: BTreeMap<(String, Vec<Type>), (usize, Type)>,
-    under_way: Vec<String>,
-    used: BTreeSet<String>,
+    /// Chunk index and return type by function name and argument types.
+    compiled: BTreeMap<(String, Vec<Type>), (usize, Type)>,
+    /// Functions that are being compiled, outermost first.
+    call_stack: Vec<String>,
+    called_functions: BTreeSet<String>,
     diagnostics: Vec<Diagnostic>,
-    looked: usize,
+    checked_expressions: usize,
 }
 
-/// One body that is being compiled.
-struct Body {
+/// The chunk that is being compiled.
+struct ChunkBuilder {
     code: Vec<(Instruction, Position)>,
-    names: Vec<(String, u16, Type)>,
-    slots: u16,
+    /// Name, slot and type of each variable in scope; later ones shadow earlier ones.
+    scope: Vec<(String, u16, Type)>,
+    slot_count: u16,
 }
 
-type Checked = Result<Type, Diagnostic>;
+type CheckResult = Result<Type, Diagnostic>;
 
-/// Checks a source against the points that it may hook into. Errors: all that does not fit, by position.
-pub fn compile(source: &SourceFile, points: &[HookPoint]) -> Result<Program, Vec<Diagnostic>> {
+/// Compiles a source for these hook points. Errors: all diagnostics of the type checker, sorted by position.
+pub fn compile(source: &SourceFile, hook_points: &[HookPoint]) -> Result<Program, Vec<Diagnostic>> {
     let mut checker = Checker {
         source,
-        points,
+        hook_points,
         chunks: Vec::new(),
-        done: BTreeMap::new(),
-        under_way: Vec::new(),
-        used: BTreeSet::new(),
+        compiled: BTreeMap::new(),
+        call_stack: Vec::new(),
+        called_functions: BTreeSet::new(),
         diagnostics: Vec::new(),
-        looked: 0,
+        checked_expressions: 0,
     };
-    checker.names();
+    checker.check_declarations();
     let mut hooks = BTreeMap::new();
     for hook in &source.hooks {
         if let Some((chunk, inputs)) = checker.hook(hook) {
@@ -72,27 +84,21 @@
     }
     let mut tests = Vec::new();
     for (position, name, body, _) in &source.tests {
-        match checker.body(&[], &[], body) {
+        match checker.chunk(&[], &[], body) {
             Ok((chunk, Type::Boolean)) => tests.push((name.clone(), chunk)),
             Ok((_, other)) => {
-                let what = format!("the case comes to {other}");
-                checker.diagnostics.push(diagnostic(
-                    *position,
-                    what,
-                    "end it with something that is true or false",
-                ));
+                let message = format!("the test evaluates to {other}");
+                checker.diagnostics.push(diagnostic(*position, message, "end it with a Boolean"));
             }
-            Err(found) => checker.diagnostics.push(found),
+            Err(error) => checker.diagnostics.push(error),
         }
     }
-    let unused = source.functions.iter().filter(|function| !checker.used.contains(&function.name));
+    let unused =
+        source.functions.iter().filter(|function| !checker.called_functions.contains(&function.name));
     let unused: Vec<Diagnostic> = unused
         .map(|function| {
-            diagnostic(
-                function.position,
-                format!("nobody calls {:?}", function.name),
-                "call it, or take it out",
-            )
+            let message = format!("unused function {:?}", function.name);
+            diagnostic(function.position, message, "call it or remove it")
         })
         .collect();
     checker.diagnostics.extend(unused);
@@ -100,463 +106,526 @@
         return Ok(Program { chunks: checker.chunks, hooks, tests });
     }
     let mut diagnostics = checker.diagnostics;
-    show(&mut diagnostics, &source.text);
+    finish_diagnostics(&mut diagnostics, &source.text);
     Err(diagnostics)
 }
 
 impl Checker<'_> {
-    fn names(&mut self) {
+    /// Reports duplicate functions and parameters, and names of built-in functions.
+    fn check_declarations(&mut self) {
         let mut seen = BTreeSet::new();
         let source = self.source;
         for function in source.functions.iter().chain(&source.hooks) {
             if !seen.insert(&function.name) {
-                let what = format!("{:?} stands twice", function.name);
-                self.diagnostics.push(diagnostic(function.position, what, "give one of them another name"));
+                let message = format!("duplicate definition of {:?}", function.name);
+                self.diagnostics.push(diagnostic(function.position, message, "rename one of them"));
             }
-            if Builtin::named(&function.name).is_some() {
-                let what = format!("{:?} is a function of the language", function.name);
-                self.diagnostics.push(diagnostic(function.position, what, "choose another name"));
+            if Builtin::by_name(&function.name).is_some() {
+                let message = format!("{:?} is a built-in function", function.name);
+                self.diagnostics.push(diagnostic(function.position, message, "choose another name"));
             }
             let parameters: BTreeSet<&String> = function.parameters.iter().collect();
             if parameters.len() < function.parameters.len() {
-                let what = format!("{:?} names something twice", function.name);
-                self.diagnostics.push(diagnostic(function.position, what, "give each a name of its own"));
+                let message = format!("duplicate parameter of {:?}", function.name);
+                let hint = "give each parameter a name of its own";
+                self.diagnostics.push(diagnostic(function.position, message, hint));
             }
         }
     }
 
+    /// Compiles a hook for its hook point; returns its chunk index and input types, or `None` after an error.
     fn hook(&mut self, hook: &Function) -> Option<(usize, Vec<Type>)> {
-        let points = self.points;
-        let Some(point) = points.iter().find(|point| point.name == hook.name) else {
-            let names: Vec<&str> = points.iter().map(|point| point.name.as_str()).collect();
-            let hint = format!("there are {}", names.join(", "));
-            self.diagnostics.push(diagnostic(hook.position, format!("no hook point {:?}", hook.name), &hint));
+        let hook_points = self.hook_points;
+        let Some(hook_point) = hook_points.iter().find(|hook_point| hook_point.name == hook.name) else {
+            let names: Vec<&str> = hook_points.iter().map(|hook_point| hook_point.name.as_str()).collect();
+            let hint = format!("hook points: {}", names.join(", "));
+            let message = format!("unknown hook point {:?}", hook.name);
+            self.diagnostics.push(diagnostic(hook.position, message, &hint));
             return None;
         };
-        if point.inputs.len() != hook.parameters.len() {
-            let names: Vec<&str> = point.inputs.iter().map(|input| input.0.as_str()).collect();
-            let what = format!("{:?} takes {}", hook.name, names.join(", "));
-            self.diagnostics.push(diagnostic(hook.position, what, "name as many between its brackets"));
+        if hook_point.inputs.len() != hook.parameters.len() {
+            let names: Vec<&str> = hook_point.inputs.iter().map(|input| input.0.as_str()).collect();
+            let message = format!("hook {:?} takes the parameters {}", hook.name, names.join(", "));
+            self.diagnostics.push(diagnostic(hook.position, message, "declare as many parameters"));
             return None;
         }
-        let inputs: Vec<Type> = point.inputs.iter().map(|input| input.1.clone()).collect();
+        let inputs: Vec<Type> = hook_point.inputs.iter().map(|input| input.1.clone()).collect();
         match self.function(hook, inputs.clone(), hook.position) {
-            Ok((chunk, output)) if output.join(&point.output).as_ref() == Some(&point.output) => {
+            Ok((chunk, output)) if output.join(&hook_point.output).as_ref() == Some(&hook_point.output) => {
                 Some((chunk, inputs))
             }
             Ok((_, output)) => {
-                let what = format!("{:?} comes to {output}", hook.name);
-                let hint = format!("it is to give {}", point.output);
-                self.diagnostics.push(diagnostic(hook.body.value.position, what, &hint));
+                let message = format!("hook {:?} returns {output}", hook.name);
+                let hint = format!("it must return {}", hook_point.output);
+                self.diagnostics.push(diagnostic(hook.body.value.position, message, &hint));
                 None
             }
-            Err(found) => {
-                self.diagnostics.push(found);
+            Err(error) => {
+                self.diagnostics.push(error);
                 None
             }
         }
     }
 
+    /// Compiles a function for these argument types, unless this was done before; returns its chunk index and return
+    /// type. `call_position` is where a recursive call is reported.
     fn function(
         &mut self,
         function: &Function,
-        given: Vec<Type>,
-        position: Position,
+        argument_types: Vec<Type>,
+        call_position: Position,
     ) -> Result<(usize, Type), Diagnostic> {
-        if self.under_way.contains(&function.name) {
-            let what = format!("{:?} calls itself, by way of {}", function.name, self.under_way.join(", "));
-            return Err(diagnostic(position, what, "go through a list with for instead"));
+        if self.call_stack.contains(&function.name) {
+            let message = format!("{:?} calls itself through {}", function.name, self.call_stack.join(", "));
+            return Err(diagnostic(call_position, message, "iterate over a list with for instead"));
         }
-        let key = (function.name.clone(), given.clone());
-        if let Some(done) = self.done.get(&key) {
-            return Ok(done.clone());
+        let key = (function.name.clone(), argument_types.clone());
+        if let Some(compiled) = self.compiled.get(&key) {
+            return Ok(compiled.clone());
         }
-        self.under_way.push(function.name.clone());
-        let found = self.body(&function.parameters, &given, &function.body);
-        self.under_way.pop();
-        let found = found?;
-        self.done.insert(key, found.clone());
-        Ok(found)
+        self.call_stack.push(function.name.clone());
+        let result = self.chunk(&function.parameters, &argument_types, &function.body);
+        self.call_stack.pop();
+        let compiled = result?;
+        self.compiled.insert(key, compiled.clone());
+        Ok(compiled)
     }
 
-    fn body(
+    /// Compiles the body of a function, hook or test; returns its chunk index and return type.
+    fn chunk(
         &mut self,
         parameters: &[String],
-        given: &[Type],
+        argument_types: &[Type],
         block: &Block,
     ) -> Result<(usize, Type), Diagnostic> {
-        let names = parameters.iter().zip(given).enumerate();
-        let names: Vec<_> = names.map(|(at, (name, of))| (name.clone(), at as u16, of.clone())).collect();
-        let mut body = Body { code: Vec::new(), slots: names.len() as u16, names };
-        let output = self.block(&mut body, block)?;
-        body.put(Instruction::Return, block.value.position);
-        let (code, positions) = body.code.into_iter().unzip();
-        self.chunks.push(Chunk { code, positions, slots: body.slots.into(), takes: given.len() });
+        let parameters = parameters.iter().zip(argument_types).enumerate();
+        let scope: Vec<_> = parameters
+            .map(|(slot, (name, argument_type))| (name.clone(), slot as u16, argument_type.clone()))
+            .collect();
+        let mut builder = ChunkBuilder { code: Vec::new(), slot_count: scope.len() as u16, scope };
+        let output = self.block(&mut builder, block)?;
+        builder.emit(Instruction::Return, block.value.position);
+        let (code, positions) = builder.code.into_iter().unzip();
+        self.chunks.push(Chunk {
+            code,
+            positions,
+            slot_count: builder.slot_count.into(),
+            parameter_count: argument_types.len(),
+        });
         Ok((self.chunks.len() - 1, output))
     }
 
-    fn block(&mut self, body: &mut Body, block: &Block) -> Checked {
-        let known = body.names.len();
+    fn block(&mut self, builder: &mut ChunkBuilder, block: &Block) -> CheckResult {
+        let outer_scope = builder.scope.len();
         for (position, name, value, _) in &block.lets {
-            let of = self.node(body, value)?;
-            let slot = body.slot(*position)?;
-            body.put(Instruction::Store(slot), *position);
-            body.names.push((name.clone(), slot, of));
+            let value_type = self.expression(builder, value)?;
+            let slot = builder.allocate_slot(*position)?;
+            builder.emit(Instruction::Store(slot), *position);
+            builder.scope.push((name.clone(), slot, value_type));
         }
-        let of = self.node(body, &block.value)?;
-        body.names.truncate(known);
-        Ok(of)
+        let block_type = self.expression(builder, &block.value)?;
+        builder.scope.truncate(outer_scope);
+        Ok(block_type)
     }
 
-    fn number(&mut self, body: &mut Body, node: &Node) -> Result<Unit, Diagnostic> {
-        match self.node(body, node)? {
+    /// Compiles an expression that must be a number; returns its unit.
+    fn number(&mut self, builder: &mut ChunkBuilder, expression: &Expression) -> Result<Unit, Diagnostic> {
+        match self.expression(builder, expression)? {
             Type::Number(unit) => Ok(unit),
             other => {
-                Err(diagnostic(node.position, format!("{other} where a number is needed"), "give a number"))
+                let message = format!("expected a number, found {other}");
+                Err(diagnostic(expression.position, message, "use a number"))
             }
         }
     }
 
-    fn truth(&mut self, body: &mut Body, node: &Node) -> Result<(), Diagnostic> {
-        match self.node(body, node)? {
+    /// Compiles an expression that must be a Boolean.
+    fn boolean(&mut self, builder: &mut ChunkBuilder, expression: &Expression) -> Result<(), Diagnostic> {
+        match self.expression(builder, expression)? {
             Type::Boolean => Ok(()),
             other => {
-                let what = format!("{other} where true or false is needed");
-                Err(diagnostic(node.position, what, "compare it with something"))
+                let message = format!("expected a Boolean, found {other}");
+                Err(diagnostic(expression.position, message, "compare it with something"))
             }
         }
     }
 
-    fn items(&mut self, body: &mut Body, node: &Node) -> Result<Type, Diagnostic> {
-        match self.node(body, node)? {
+    /// Compiles an expression that must be a list; returns the type of its items.
+    fn list(&mut self, builder: &mut ChunkBuilder, expression: &Expression) -> Result<Type, Diagnostic> {
+        match self.expression(builder, expression)? {
             Type::List(Some(item)) => Ok(*item),
-            // Nothing of it is ever looked at.
+            // Any type will do, since an empty list has no item to read.
             Type::List(None) => Ok(Type::Boolean),
-            other => Err(diagnostic(node.position, format!("{other} where a list is needed"), "give a list")),
+            other => {
+                let message = format!("expected a list, found {other}");
+                Err(diagnostic(expression.position, message, "use a list"))
+            }
         }
     }
 
-    fn same(position: Position, one: &Type, other: &Type, what: &str) -> Checked {
-        one.join(other).ok_or_else(|| {
-            diagnostic(position, format!("{what}: {one}, and {other}"), "both must be of one kind and unit")
+    /// Returns the type that covers both, or a diagnostic that names `context` if they differ.
+    fn join_types(position: Position, left: &Type, right: &Type, context: &str) -> CheckResult {
+        left.join(right).ok_or_else(|| {
+            let message = format!("mismatched types {context}: {left} and {right}");
+            diagnostic(position, message, "both must have the same type and unit")
         })
     }
 
-    fn node(&mut self, body: &mut Body, node: &Node) -> Checked {
-        self.looked += 1;
-        let position = node.position;
-        if self.looked > MOST {
-            return Err(diagnostic(position, "too much to look at", "make the source smaller"));
+    fn expression(&mut self, builder: &mut ChunkBuilder, expression: &Expression) -> CheckResult {
+        self.checked_expressions += 1;
+        let position = expression.position;
+        if self.checked_expressions > MAX_CHECKED_EXPRESSIONS {
+            return Err(diagnostic(position, "too many expressions to check", "make the source smaller"));
         }
-        match &node.kind {
-            Kind::Number(value, unit, word) => {
-                let scale = UNITS.iter().find(|known| known.0 == *word).map_or(1.0, |known| known.1);
-                body.put(Instruction::Constant(Value::Number(value * scale)), position);
+        match &expression.kind {
+            ExpressionKind::Number(value, unit, suffix) => {
+                let factor = UNITS.iter().find(|known| known.0 == *suffix).map_or(1.0, |known| known.1);
+                builder.emit(Instruction::Constant(Value::Number(value * factor)), position);
                 Ok(Type::Number(*unit))
             }
-            Kind::String(text) => {
-                body.put(Instruction::Constant(Value::String(text.as_str().into())), position);
+            ExpressionKind::String(value) => {
+                builder.emit(Instruction::Constant(Value::String(value.as_str().into())), position);
                 Ok(Type::String)
             }
-            Kind::Boolean(truth) => {
-                body.put(Instruction::Constant(Value::Boolean(*truth)), position);
+            ExpressionKind::Boolean(value) => {
+                builder.emit(Instruction::Constant(Value::Boolean(*value)), position);
                 Ok(Type::Boolean)
             }
-            Kind::Name(name) => match body.names.iter().rev().find(|known| known.0 == *name).cloned() {
-                Some((_, slot, of)) => {
-                    body.put(Instruction::Load(slot), position);
-                    Ok(of)
-                }
-                None => {
-                    let names: Vec<&str> = body.names.iter().map(|known| known.0.as_str()).collect();
-                    let hint = format!("known here: {}", names.join(", "));
-                    Err(diagnostic(position, format!("{name:?} is not known"), &hint))
+            ExpressionKind::Name(name) => {
+                match builder.scope.iter().rev().find(|known| known.0 == *name).cloned() {
+                    Some((_, slot, variable_type)) => {
+                        builder.emit(Instruction::Load(slot), position);
+                        Ok(variable_type)
+                    }
+                    None => {
+                        let names: Vec<&str> = builder.scope.iter().map(|known| known.0.as_str()).collect();
+                        let hint = format!("names in scope: {}", names.join(", "));
+                        Err(diagnostic(position, format!("unknown name {name:?}"), &hint))
+                    }
                 }
-            },
-            Kind::List(items) => {
-                let mut of: Option<Type> = None;
+            }
+            ExpressionKind::List(items) => {
+                let mut joined: Option<Type> = None;
                 for item in items {
-                    let found = self.node(body, item)?;
-                    of = Some(match of {
-                        Some(of) => Self::same(item.position, &of, &found, "items of one list differ")?,
-                        None => found,
+                    let item_type = self.expression(builder, item)?;
+                    joined = Some(match joined {
+                        Some(joined) => {
+                            Self::join_types(item.position, &joined, &item_type, "of list items")?
+                        }
+                        None => item_type,
                     });
                 }
-                body.put(Instruction::List(items.len() as u32), position);
-                Ok(Type::List(of.map(Box::new)))
+                builder.emit(Instruction::List(items.len() as u32), position);
+                Ok(Type::List(joined.map(Box::new)))
             }
-            Kind::Record(fields) => {
-                let mut sorted: Vec<&(String, Node)> = fields.iter().collect();
+            ExpressionKind::Record(fields) => {
+                let mut sorted: Vec<&(String, Expression)> = fields.iter().collect();
                 sorted.sort_by(|a, b| a.0.cmp(&b.0));
-                let mut of = BTreeMap::new();
+                let mut field_types = BTreeMap::new();
                 for (name, value) in sorted {
-                    of.insert(name.clone(), self.node(body, value)?);
+                    field_types.insert(name.clone(), self.expression(builder, value)?);
                 }
-                body.put(Instruction::Record(fields.len() as u16), position);
-                Ok(Type::Record(of))
+                builder.emit(Instruction::Record(fields.len() as u16), position);
+                Ok(Type::Record(field_types))
             }
-            Kind::Field(record, name) => match self.node(body, record)? {
+            ExpressionKind::Field(record, name) => match self.expression(builder, record)? {
                 Type::Record(fields) => match fields.iter().position(|(known, _)| known == name) {
-                    Some(at) => {
-                        body.put(Instruction::Field(at as u16), position);
+                    Some(index) => {
+                        builder.emit(Instruction::Field(index as u16), position);
                         Ok(fields[name].clone())
                     }
                     None => {
                         let names: Vec<&str> = fields.keys().map(String::as_str).collect();
-                        let hint = format!("there are {}", names.join(", "));
-                        Err(diagnostic(position, format!("no field {name:?}"), &hint))
+                        let hint = format!("the record has {}", names.join(", "));
+                        Err(diagnostic(position, format!("unknown field {name:?}"), &hint))
                     }
                 },
-                other => Err(diagnostic(position, format!("{other} has no fields"), "take the dot away")),
+                other => {
+                    let message = format!("{other} has no fields");
+                    Err(diagnostic(position, message, "remove the field access"))
+                }
             },
-            Kind::Call(name, given) => self.call(body, position, name, given),
-            Kind::Not(inner) => {
-                self.truth(body, inner)?;
-                body.put(Instruction::Not, position);
+            ExpressionKind::Call(name, arguments) => self.call(builder, position, name, arguments),
+            ExpressionKind::Not(operand) => {
+                self.boolean(builder, operand)?;
+                builder.emit(Instruction::Not, position);
                 Ok(Type::Boolean)
             }
-            Kind::Minus(inner) => {
-                let unit = self.number(body, inner)?;
-                body.put(Instruction::Minus, position);
+            ExpressionKind::Negate(operand) => {
+                let unit = self.number(builder, operand)?;
+                builder.emit(Instruction::Negate, position);
                 Ok(Type::Number(unit))
             }
-            Kind::Binary(binary, left, right) => self.binary(body, position, *binary, left, right),
-            Kind::If(condition, yes, no) => {
-                self.truth(body, condition)?;
-                let unless = body.hole(position);
-                let one = self.block(body, yes)?;
-                let end = body.hole(position);
-                body.fill(unless, Instruction::JumpUnless);
-                let other = self.block(body, no)?;
-                body.fill(end, Instruction::Jump);
-                Self::same(position, &one, &other, "the two ways of an if differ")
+            ExpressionKind::Binary(operator, left, right) => {
+                self.binary(builder, position, *operator, left, right)
             }
-            Kind::Match(value, arms, rest) => self.arms(body, position, value, arms, rest),
-            Kind::Fold { item, list, sum, start, next } => {
-                let of_item = self.items(body, list)?;
-                let (at, end) = self.walk(body, position)?;
-                let of_sum = self.node(body, start)?;
-                let sum_slot = body.slot(position)?;
-                body.put(Instruction::Store(sum_slot), position);
-                let item_slot = body.slot(position)?;
-                let begin = body.code.len();
-                let over = body.hole(position);
-                let known = body.names.len();
-                body.names.push((item.clone(), item_slot, of_item));
-                body.names.push((sum.clone(), sum_slot, of_sum.clone()));
-                let found = self.block(body, next)?;
-                body.names.truncate(known);
-                let of = Self::same(position, &of_sum, &found, "what a loop gathers changes its kind")?;
-                if of != of_sum {
-                    // A list that begins empty: once more, with what is known of it now.
+            ExpressionKind::If(condition, then_block, else_block) => {
+                self.boolean(builder, condition)?;
+                let jump_to_else = builder.emit_placeholder(position);
+                let then_type = self.block(builder, then_block)?;
+                let jump_to_end = builder.emit_placeholder(position);
+                builder.patch_jump(jump_to_else, Instruction::JumpIfFalse);
+                let else_type = self.block(builder, else_block)?;
+                builder.patch_jump(jump_to_end, Instruction::Jump);
+                Self::join_types(position, &then_type, &else_type, "of the if branches")
+            }
+            ExpressionKind::Match(value, arms, default) => {
+                self.match_expression(builder, position, value, arms, default)
+            }
+            ExpressionKind::Fold { item, list, accumulator, initial, body } => {
+                let item_type = self.list(builder, list)?;
+                let (list_slot, index_slot) = self.emit_loop_setup(builder, position)?;
+                let initial_type = self.expression(builder, initial)?;
+                let accumulator_slot = builder.allocate_slot(position)?;
+                builder.emit(Instruction::Store(accumulator_slot), position);
+                let item_slot = builder.allocate_slot(position)?;
+                let loop_start = builder.code.len();
+                let next = builder.emit_placeholder(position);
+                let outer_scope = builder.scope.len();
+                builder.scope.push((item.clone(), item_slot, item_type));
+                builder.scope.push((accumulator.clone(), accumulator_slot, initial_type.clone()));
+                let body_type = self.block(builder, body)?;
+                builder.scope.truncate(outer_scope);
+                let joined = Self::join_types(position, &initial_type, &body_type, "of the accumulator")?;
+                if joined != initial_type {
+                    // The initial value has an empty list, and the body was checked without knowing its item type.
                     return Err(diagnostic(
                         position,
-                        "a start that says too little",
-                        "begin with a list that has an item",
+                        "the item type of an empty list in the initial value is unknown",
+                        "start with a list that has an item",
                     ));
                 }
-                body.put(Instruction::Store(sum_slot), position);
-                body.put(Instruction::Jump(begin as u32), position);
-                body.walk_to(over, at, end, item_slot);
-                body.put(Instruction::Load(sum_slot), position);
-                Ok(of)
+                builder.emit(Instruction::Store(accumulator_slot), position);
+                builder.emit(Instruction::Jump(loop_start as u32), position);
+                builder.patch_next(next, list_slot, index_slot, item_slot);
+                builder.emit(Instruction::Load(accumulator_slot), position);
+                Ok(joined)
             }
-            Kind::Each { next, item, list, filter } => {
-                let of_item = self.items(body, list)?;
-                let (at, end) = self.walk(body, position)?;
-                body.put(Instruction::List(0), position);
-                let sum_slot = body.slot(position)?;
-                body.put(Instruction::Store(sum_slot), position);
-                let item_slot = body.slot(position)?;
-                let begin = body.code.len();
-                let over = body.hole(position);
-                let known = body.names.len();
-                body.names.push((item.clone(), item_slot, of_item));
-                let unless = match filter {
+            ExpressionKind::ListComprehension { element, item, list, filter } => {
+                let item_type = self.list(builder, list)?;
+                let (list_slot, index_slot) = self.emit_loop_setup(builder, position)?;
+                builder.emit(Instruction::List(0), position);
+                let result_slot = builder.allocate_slot(position)?;
+                builder.emit(Instruction::Store(result_slot), position);
+                let item_slot = builder.allocate_slot(position)?;
+                let loop_start = builder.code.len();
+                let next = builder.emit_placeholder(position);
+                let outer_scope = builder.scope.len();
+                builder.scope.push((item.clone(), item_slot, item_type));
+                let skip_item = match filter {
                     Some(filter) => {
-                        self.truth(body, filter)?;
-                        Some(body.hole(position))
+                        self.boolean(builder, filter)?;
+                        Some(builder.emit_placeholder(position))
                     }
                     None => None,
                 };
-                let of = self.node(body, next)?;
-                body.names.truncate(known);
-                body.put(Instruction::Append(sum_slot), position);
-                if let Some(unless) = unless {
-                    body.fill(unless, Instruction::JumpUnless);
+                let element_type = self.expression(builder, element)?;
+                builder.scope.truncate(outer_scope);
+                builder.emit(Instruction::Append(result_slot), position);
+                if let Some(skip_item) = skip_item {
+                    builder.patch_jump(skip_item, Instruction::JumpIfFalse);
                 }
-                body.put(Instruction::Jump(begin as u32), position);
-                body.walk_to(over, at, end, item_slot);
-                body.put(Instruction::Load(sum_slot), position);
-                Ok(Type::List(Some(Box::new(of))))
+                builder.emit(Instruction::Jump(loop_start as u32), position);
+                builder.patch_next(next, list_slot, index_slot, item_slot);
+                builder.emit(Instruction::Load(result_slot), position);
+                Ok(Type::List(Some(Box::new(element_type))))
             }
         }
     }
 
-    /// Slots of the list that is gone through, and of how far.
-    fn walk(&mut self, body: &mut Body, position: Position) -> Result<(u16, u16), Diagnostic> {
-        let (list, at) = (body.slot(position)?, body.slot(position)?);
-        body.put(Instruction::Store(list), position);
-        body.put(Instruction::Constant(Value::Number(0.0)), position);
-        body.put(Instruction::Store(at), position);
-        Ok((list, at))
+    /// Stores the list on the stack and an index of 0 for [`Instruction::Next`]; returns their slots.
+    fn emit_loop_setup(
+        &mut self,
+        builder: &mut ChunkBuilder,
+        position: Position,
+    ) -> Result<(u16, u16), Diagnostic> {
+        let (list_slot, index_slot) = (builder.allocate_slot(position)?, builder.allocate_slot(position)?);
+        builder.emit(Instruction::Store(list_slot), position);
+        builder.emit(Instruction::Constant(Value::Number(0.0)), position);
+        builder.emit(Instruction::Store(index_slot), position);
+        Ok((list_slot, index_slot))
     }
 
     fn binary(
         &mut self,
-        body: &mut Body,
+        builder: &mut ChunkBuilder,
         position: Position,
-        binary: Binary,
-        left: &Node,
-        right: &Node,
-    ) -> Checked {
-        match binary {
-            Binary::And | Binary::Or => {
-                self.truth(body, left)?;
-                let skip = body.hole(position);
-                self.truth(body, right)?;
-                let end = body.hole(position);
-                body.fill(
-                    skip,
-                    if binary == Binary::And { Instruction::JumpUnless } else { Instruction::JumpIf },
-                );
-                body.put(Instruction::Constant(Value::Boolean(binary == Binary::Or)), position);
-                body.fill(end, Instruction::Jump);
+        operator: BinaryOperator,
+        left: &Expression,
+        right: &Expression,
+    ) -> CheckResult {
+        match operator {
+            BinaryOperator::And | BinaryOperator::Or => {
+                self.boolean(builder, left)?;
+                let short_circuit = builder.emit_placeholder(position);
+                self.boolean(builder, right)?;
+                let jump_to_end = builder.emit_placeholder(position);
+                let jump = if operator == BinaryOperator::And {
+                    Instruction::JumpIfFalse
+                } else {
+                    Instruction::JumpIfTrue
+                };
+                builder.patch_jump(short_circuit, jump);
+                let short_circuit_value = Value::Boolean(operator == BinaryOperator::Or);
+                builder.emit(Instruction::Constant(short_circuit_value), position);
+                builder.patch_jump(jump_to_end, Instruction::Jump);
                 Ok(Type::Boolean)
             }
-            Binary::Equal | Binary::Differs => {
-                let one = self.node(body, left)?;
-                let other = self.node(body, right)?;
-                Self::same(position, &one, &other, "these can't be equal")?;
-                body.put(Instruction::Binary(binary), position);
+            BinaryOperator::Equal | BinaryOperator::NotEqual => {
+                let left_type = self.expression(builder, left)?;
+                let right_type = self.expression(builder, right)?;
+                let context = format!("for {:?}", operator.symbol());
+                Self::join_types(position, &left_type, &right_type, &context)?;
+                builder.emit(Instruction::Binary(operator), position);
                 Ok(Type::Boolean)
             }
-            Binary::Multiply | Binary::Divide => {
-                let one = self.number(body, left)?;
-                let other = self.number(body, right)?;
-                body.put(Instruction::Binary(binary), position);
-                let unit = if binary == Binary::Multiply { one.times(other) } else { one.over(other) };
-                let unit =
-                    unit.ok_or_else(|| diagnostic(position, "a unit beyond all use", "multiply less often"))?;
+            BinaryOperator::Multiply | BinaryOperator::Divide => {
+                let left_unit = self.number(builder, left)?;
+                let right_unit = self.number(builder, right)?;
+                builder.emit(Instruction::Binary(operator), position);
+                let unit = if operator == BinaryOperator::Multiply {
+                    left_unit.multiply(right_unit)
+                } else {
+                    left_unit.divide(right_unit)
+                };
+                let unit = unit.ok_or_else(|| {
+                    diagnostic(
+                        position,
+                        "the exponents of the unit overflow",
+                        "multiply or divide less often",
+                    )
+                })?;
                 Ok(Type::Number(unit))
             }
             _ => {
-                let one = self.node(body, left)?;
-                let other = self.node(body, right)?;
-                let of = Self::same(position, &one, &other, &format!("{:?} between", binary.text()))?;
-                body.put(Instruction::Binary(binary), position);
-                match (binary, of) {
-                    (Binary::Add | Binary::Subtract, Type::Number(unit)) => Ok(Type::Number(unit)),
-                    (Binary::Add, Type::String) => Ok(Type::String),
-                    (Binary::Add | Binary::Subtract, other) => {
-                        Err(diagnostic(position, format!("{:?} of {other}", binary.text()), "give numbers"))
+                let left_type = self.expression(builder, left)?;
+                let right_type = self.expression(builder, right)?;
+                let context = format!("for {:?}", operator.symbol());
+                let joined = Self::join_types(position, &left_type, &right_type, &context)?;
+                builder.emit(Instruction::Binary(operator), position);
+                match (operator, joined) {
+                    (BinaryOperator::Add | BinaryOperator::Subtract, Type::Number(unit)) => {
+                        Ok(Type::Number(unit))
+                    }
+                    (BinaryOperator::Add, Type::String) => Ok(Type::String),
+                    (BinaryOperator::Add | BinaryOperator::Subtract, other) => {
+                        let message = format!("{:?} is not defined for {other}", operator.symbol());
+                        Err(diagnostic(position, message, "use numbers"))
                     }
                     (_, Type::Number(_)) => Ok(Type::Boolean),
                     (_, other) => {
-                        Err(diagnostic(position, format!("{other} has no order"), "compare numbers"))
+                        let message = format!("{:?} is not defined for {other}", operator.symbol());
+                        Err(diagnostic(position, message, "compare numbers"))
                     }
                 }
             }
         }
     }
 
-    fn arms(
+    fn match_expression(
         &mut self,
-        body: &mut Body,
+        builder: &mut ChunkBuilder,
         position: Position,
-        value: &Node,
-        arms: &[(Node, Block)],
-        rest: &Block,
-    ) -> Checked {
-        let of = self.node(body, value)?;
-        let slot = body.slot(position)?;
-        body.put(Instruction::Store(slot), position);
-        let (mut ends, mut output) = (Vec::new(), None);
+        value: &Expression,
+        arms: &[(Expression, Block)],
+        default: &Block,
+    ) -> CheckResult {
+        let value_type = self.expression(builder, value)?;
+        let value_slot = builder.allocate_slot(position)?;
+        builder.emit(Instruction::Store(value_slot), position);
+        let (mut jumps_to_end, mut output) = (Vec::new(), None);
         for (pattern, block) in arms {
-            body.put(Instruction::Load(slot), pattern.position);
-            let found = self.node(body, pattern)?;
-            Self::same(pattern.position, &of, &found, "an arm that can't be met")?;
-            body.put(Instruction::Binary(Binary::Equal), pattern.position);
-            let unless = body.hole(pattern.position);
-            let found = self.block(body, block)?;
+            builder.emit(Instruction::Load(value_slot), pattern.position);
+            let pattern_type = self.expression(builder, pattern)?;
+            Self::join_types(pattern.position, &value_type, &pattern_type, "of the value and the pattern")?;
+            builder.emit(Instruction::Binary(BinaryOperator::Equal), pattern.position);
+            let jump_to_next_arm = builder.emit_placeholder(pattern.position);
+            let arm_type = self.block(builder, block)?;
             output = Some(match output {
-                Some(output) => Self::same(pattern.position, &output, &found, "arms differ")?,
-                None => found,
+                Some(output) => Self::join_types(pattern.position, &output, &arm_type, "of match arms")?,
+                None => arm_type,
             });
-            ends.push(body.hole(position));
-            body.fill(unless, Instruction::JumpUnless);
+            jumps_to_end.push(builder.emit_placeholder(position));
+            builder.patch_jump(jump_to_next_arm, Instruction::JumpIfFalse);
         }
-        let last = self.block(body, rest)?;
-        for end in ends {
-            body.fill(end, Instruction::Jump);
+        let default_type = self.block(builder, default)?;
+        for jump in jumps_to_end {
+            builder.patch_jump(jump, Instruction::Jump);
         }
         match output {
-            Some(output) => Self::same(position, &output, &last, "arms differ"),
-            None => Ok(last),
+            Some(output) => Self::join_types(position, &output, &default_type, "of match arms"),
+            None => Ok(default_type),
         }
     }
 
-    fn call(&mut self, body: &mut Body, position: Position, name: &str, given: &[Node]) -> Checked {
-        let mut of = Vec::new();
-        for value in given {
-            of.push(self.node(body, value)?);
+    fn call(
+        &mut self,
+        builder: &mut ChunkBuilder,
+        position: Position,
+        name: &str,
+        arguments: &[Expression],
+    ) -> CheckResult {
+        let mut argument_types = Vec::new();
+        for argument in arguments {
+            argument_types.push(self.expression(builder, argument)?);
         }
-        if let Some(builtin) = Builtin::named(name) {
-            let output = builtin.output(&of).ok_or_else(|| {
-                let found: Vec<String> = of.iter().map(Type::to_string).collect();
-                let what = format!(
-                    "{name} of {}",
-                    if found.is_empty() { "nothing".into() } else { found.join("; ") }
-                );
-                diagnostic(position, what, &format!("it is {}", builtin.words()))
+        if let Some(builtin) = Builtin::by_name(name) {
+            let output = builtin.return_type(&argument_types).ok_or_else(|| {
+                let types: Vec<String> = argument_types.iter().map(Type::to_string).collect();
+                let types = if types.is_empty() { "none".into() } else { types.join("; ") };
+                let message = format!("invalid arguments of {name}: {types}");
+                diagnostic(position, message, &format!("it returns {}", builtin.description()))
             })?;
-            body.put(Instruction::Builtin(builtin, given.len() as u8), position);
+            builder.emit(Instruction::Builtin(builtin, arguments.len() as u8), position);
             return Ok(output);
         }
         let source = self.source;
         let Some(function) = source.functions.iter().chain(&source.hooks).find(|known| known.name == name)
         else {
             let names: Vec<&str> = source.functions.iter().map(|known| known.name.as_str()).collect();
-            let hint = format!("there are {} and those of the language", names.join(", "));
-            return Err(diagnostic(position, format!("no function {name:?}"), &hint));
+            let hint = format!("functions: {}, and the built-in functions", names.join(", "));
+            return Err(diagnostic(position, format!("unknown function {name:?}"), &hint));
         };
-        self.used.insert(name.to_owned());
-        if function.parameters.len() != given.len() {
-            let what = format!("{name:?} takes {}, not {}", function.parameters.len(), given.len());
-            return Err(diagnostic(position, what, "give as many"));
+        self.called_functions.insert(name.to_owned());
+        if function.parameters.len() != arguments.len() {
+            let (expected, found) = (function.parameters.len(), arguments.len());
+            let message = format!("{name:?} takes {expected} arguments, found {found}");
+            return Err(diagnostic(position, message, "pass one argument for each parameter"));
         }
-        let (chunk, output) = self.function(function, of, position)?;
-        body.put(Instruction::Call(chunk as u32), position);
+        let (chunk, output) = self.function(function, argument_types, position)?;
+        builder.emit(Instruction::Call(chunk as u32), position);
         Ok(output)
     }
 }
 
-impl Body {
-    fn put(&mut self, instruction: Instruction, position: Position) {
+impl ChunkBuilder {
+    fn emit(&mut self, instruction: Instruction, position: Position) {
         self.code.push((instruction, position));
     }
 
-    /// A jump whose end is not known yet.
-    fn hole(&mut self, position: Position) -> usize {
-        self.put(Instruction::Jump(0), position);
+    /// Emits an instruction that a `patch` method replaces when its target is known; returns its index.
+    fn emit_placeholder(&mut self, position: Position) -> usize {
+        self.emit(Instruction::Jump(0), position);
         self.code.len() - 1
     }
 
-    /// It jumps to what comes next.
-    fn fill(&mut self, hole: usize, jump: impl Fn(u32) -> Instruction) {
-        self.code[hole].0 = jump(self.code.len() as u32);
+    /// Replaces a placeholder by a jump to the next instruction that is emitted.
+    fn patch_jump(&mut self, placeholder: usize, jump: impl Fn(u32) -> Instruction) {
+        self.code[placeholder].0 = jump(self.code.len() as u32);
     }
 
-    fn walk_to(&mut self, hole: usize, list: u16, at: u16, item: u16) {
+    /// Replaces a placeholder by [`Instruction::Next`], which leaves the loop for the next instruction that is emitted.
+    fn patch_next(&mut self, placeholder: usize, list: u16, index: u16, item: u16) {
         let end = self.code.len() as u32;
-        self.code[hole].0 = Instruction::Next { list, at, item, end };
+        self.code[placeholder].0 = Instruction::Next { list, index, item, end };
     }
 
-    fn slot(&mut self, position: Position) -> Result<u16, Diagnostic> {
-        let slot = self.slots;
-        self.slots = self.slots.checked_add(1).filter(|slots| *slots < 4096).ok_or_else(|| {
-            diagnostic(position, "more names than one body may have", "split it into functions")
-        })?;
+    fn allocate_slot(&mut self, position: Position) -> Result<u16, Diagnostic> {
+        let slot = self.slot_count;
+        self.slot_count =
+            self.slot_count.checked_add(1).filter(|count| *count < SLOT_LIMIT).ok_or_else(|| {
+                diagnostic(position, "too many local variables", "split the function into several")
+            })?;
         Ok(slot)
     }
 }
--- a/crates/hooks/src/format.rs
+++ b/crates/hooks/src/format.rs
@@ -1,130 +1,158 @@
-//! One way to write a source, with the same meaning.
+//! The formatter: writes a source in its canonical form, with the same meaning.
 
 use std::fmt::Write;
 
-use crate::syntax::{Block, Function, Kind, Node, SourceFile};
+use crate::syntax::{precedence, Block, Expression, ExpressionKind, Function, Position, SourceFile};
 
-/// Lines are broken where they would be longer.
-const WIDE: usize = 96;
+/// Longest line, in bytes, on which a list of items, fields or arguments is kept together.
+const MAX_LINE_BYTES: usize = 96;
+/// Spaces per indentation level.
+const INDENT_SPACES: usize = 4;
 
-/// Writes a source anew: each item apart, four spaces a level, comments before what they stood before.
+/// Returns the canonical form of a source: items in source order with a blank line between them, four spaces per
+/// indentation level, and comments before the item, `let` or value that they preceded.
 pub fn format(source: &SourceFile) -> String {
-    let mut items: Vec<(crate::syntax::Position, String)> = Vec::new();
-    for (word, functions) in [("fn", &source.functions), ("hook", &source.hooks)] {
+    let mut items: Vec<(Position, String)> = Vec::new();
+    for (keyword, functions) in [("fn", &source.functions), ("hook", &source.hooks)] {
         for function in functions {
-            let Function { position, name, parameters, body, comments: before } = function;
-            let mut out = comments(before, 0);
-            let _ = write!(out, "{word} {name}({}) ", parameters.join(", "));
-            out += &block(body, 0);
+            let Function { position, name, parameters, body, comments } = function;
+            let mut out = format_comments(comments, 0);
+            let _ = write!(out, "{keyword} {name}({}) ", parameters.join(", "));
+            out += &format_block(body, 0);
             items.push((*position, out));
         }
     }
-    for (position, name, body, before) in &source.tests {
-        items.push((*position, format!("{}test {} {}", comments(before, 0), quoted(name), block(body, 0))));
+    for (position, name, body, comments) in &source.tests {
+        let comments = format_comments(comments, 0);
+        let text = format!("{comments}test {} {}", quote(name), format_block(body, 0));
+        items.push((*position, text));
     }
     items.sort_by_key(|item| item.0);
     let mut out = items.into_iter().map(|item| item.1).collect::<Vec<_>>().join("\n\n");
     out.push('\n');
     if !source.comments.is_empty() {
-        let _ = write!(out, "\n{}", comments(&source.comments, 0));
+        let _ = write!(out, "\n{}", format_comments(&source.comments, 0));
     }
     out
 }
 
-fn comments(lines: &[String], level: usize) -> String {
+fn format_comments(lines: &[String], level: usize) -> String {
     lines.iter().map(|line| format!("{}# {line}\n", indent(level)).replace("# \n", "#\n")).collect()
 }
 
 fn indent(level: usize) -> String {
-    " ".repeat(4 * level)
+    " ".repeat(INDENT_SPACES * level)
 }
 
-fn quoted(text: &str) -> String {
+/// A string literal with this value.
+fn quote(value: &str) -> String {
     let mut out = String::from("\"");
-    for letter in text.chars() {
-        match letter {
+    for character in value.chars() {
+        match character {
             '"' => out.push_str("\\\""),
             '\\' => out.push_str("\\\\"),
             '\n' => out.push_str("\\n"),
-            letter => out.push(letter),
+            character => out.push(character),
         }
     }
     out.push('"');
     out
 }
 
-fn block(body: &Block, level: usize) -> String {
-    let within = indent(level + 1);
+fn format_block(body: &Block, level: usize) -> String {
+    let inner_indent = indent(level + 1);
     let mut out = String::from("{\n");
-    for (_, name, value, before) in &body.lets {
-        out += &comments(before, level + 1);
-        let _ = writeln!(out, "{within}let {name} = {}", node(value, 0, level + 1));
+    for (_, name, value, comments) in &body.lets {
+        out += &format_comments(comments, level + 1);
+        let value = format_expression(value, precedence::LOWEST, level + 1);
+        let _ = writeln!(out, "{inner_indent}let {name} = {value}");
     }
-    out += &comments(&body.comments, level + 1);
-    let _ = write!(out, "{within}{}\n{}}}", node(&body.value, 0, level + 1), indent(level));
+    out += &format_comments(&body.comments, level + 1);
+    let value = format_expression(&body.value, precedence::LOWEST, level + 1);
+    let _ = write!(out, "{inner_indent}{value}\n{}}}", indent(level));
     out
 }
 
-/// `least`: what binds less tightly stands between brackets.
-fn node(node_of: &Node, least: u8, level: usize) -> String {
-    let list = |items: &[Node]| items.iter().map(|item| node(item, 0, level)).collect::<Vec<_>>();
-    match &node_of.kind {
-        Kind::Number(value, _, "") => format!("{value}"),
-        Kind::Number(value, _, "%") => format!("{value}%"),
-        Kind::Number(value, _, unit) => format!("{value} {unit}"),
-        Kind::String(text) => quoted(text),
-        Kind::Boolean(truth) => truth.to_string(),
-        Kind::Name(name) => name.clone(),
-        Kind::List(items) => broken("[", list(items), "]", level),
-        Kind::Record(fields) if fields.is_empty() => "{}".into(),
-        Kind::Record(fields) => {
+/// Formats an expression, in parentheses if it binds less tightly than `min_precedence`.
+fn format_expression(expression: &Expression, min_precedence: u8, level: usize) -> String {
+    let format_any = |expression: &Expression| format_expression(expression, precedence::LOWEST, level);
+    let format_all = |items: &[Expression]| items.iter().map(format_any).collect::<Vec<_>>();
+    match &expression.kind {
+        ExpressionKind::Number(value, _, "") => format!("{value}"),
+        ExpressionKind::Number(value, _, "%") => format!("{value}%"),
+        ExpressionKind::Number(value, _, suffix) => format!("{value} {suffix}"),
+        ExpressionKind::String(value) => quote(value),
+        ExpressionKind::Boolean(value) => value.to_string(),
+        ExpressionKind::Name(name) => name.clone(),
+        ExpressionKind::List(items) => wrap_items("[", format_all(items), "]", level),
+        ExpressionKind::Record(fields) if fields.is_empty() => "{}".into(),
+        ExpressionKind::Record(fields) => {
             let fields =
-                fields.iter().map(|(name, value)| format!("{name}: {}", node(value, 0, level))).collect();
-            broken("{ ", fields, " }", level)
+                fields.iter().map(|(name, value)| format!("{name}: {}", format_any(value))).collect();
+            wrap_items("{ ", fields, " }", level)
         }
-        Kind::Field(record, name) => format!("{}.{name}", node(record, 9, level)),
-        Kind::Call(name, given) => broken(&format!("{name}("), list(given), ")", level),
-        Kind::Not(inner) => bracketed(format!("not {}", node(inner, 3, level)), least > 2),
-        Kind::Minus(inner) => bracketed(format!("-{}", node(inner, 8, level)), least > 8),
-        Kind::Binary(binary, left, right) => {
-            let own = binary.level();
-            // Comparisons do not chain; the others go on from the left.
-            let (left, right) =
-                (node(left, if own == 3 { 4 } else { own }, level), node(right, own + 1, level));
-            bracketed(format!("{left} {} {right}", binary.text()), least > own)
+        ExpressionKind::Field(record, name) => {
+            format!("{}.{name}", format_expression(record, precedence::FIELD_ACCESS, level))
         }
-        Kind::If(condition, yes, no) => {
-            let condition = node(condition, 0, level);
-            let out = match &no.value.kind {
-                Kind::If(..) if no.lets.is_empty() && no.comments.is_empty() => {
-                    format!("if {condition} {} else {}", block(yes, level), node(&no.value, 0, level))
+        ExpressionKind::Call(name, arguments) => {
+            wrap_items(&format!("{name}("), format_all(arguments), ")", level)
+        }
+        ExpressionKind::Not(operand) => {
+            let text = format!("not {}", format_expression(operand, precedence::COMPARISON, level));
+            parenthesize_if(min_precedence > precedence::AND, text)
+        }
+        ExpressionKind::Negate(operand) => {
+            let text = format!("-{}", format_expression(operand, precedence::NEGATION, level));
+            parenthesize_if(min_precedence > precedence::NEGATION, text)
+        }
+        ExpressionKind::Binary(operator, left, right) => {
+            let own = operator.precedence();
+            // Comparisons can't be chained; the other operators associate to the left.
+            let left_minimum = if own == precedence::COMPARISON { precedence::ADDITIVE } else { own };
+            let left = format_expression(left, left_minimum, level);
+            let right = format_expression(right, own + 1, level);
+            parenthesize_if(min_precedence > own, format!("{left} {} {right}", operator.symbol()))
+        }
+        ExpressionKind::If(condition, then_block, else_block) => {
+            let condition = format_any(condition);
+            let then_text = format_block(then_block, level);
+            let else_text = match &else_block.value.kind {
+                ExpressionKind::If(..) if else_block.lets.is_empty() && else_block.comments.is_empty() => {
+                    format_any(&else_block.value)
                 }
-                _ => format!("if {condition} {} else {}", block(yes, level), block(no, level)),
+                _ => format_block(else_block, level),
             };
-            bracketed(out, least > 0)
+            let text = format!("if {condition} {then_text} else {else_text}");
+            parenthesize_if(min_precedence > precedence::LOWEST, text)
         }
-        Kind::Match(value, arms, rest) => {
-            let within = indent(level + 1);
-            let mut out = format!("match {} {{\n", node(value, 0, level));
+        ExpressionKind::Match(value, arms, default) => {
+            let inner_indent = indent(level + 1);
+            let mut out = format!("match {} {{\n", format_any(value));
             for (pattern, body) in arms {
-                let _ = writeln!(out, "{within}{} => {}", node(pattern, 0, level), block(body, level + 1));
+                let (pattern, body) = (format_any(pattern), format_block(body, level + 1));
+                let _ = writeln!(out, "{inner_indent}{pattern} => {body}");
             }
-            let _ = write!(out, "{within}_ => {}\n{}}}", block(rest, level + 1), indent(level));
-            bracketed(out, least > 0)
+            let default = format_block(default, level + 1);
+            let _ = write!(out, "{inner_indent}_ => {default}\n{}}}", indent(level));
+            parenthesize_if(min_precedence > precedence::LOWEST, out)
         }
-        Kind::Fold { item, list, sum, start, next } => {
-            let (list, start) = (node(list, 0, level), node(start, 0, level));
-            bracketed(format!("for {item} in {list} with {sum} = {start} {}", block(next, level)), least > 0)
+        ExpressionKind::Fold { item, list, accumulator, initial, body } => {
+            let (list, initial) = (format_any(list), format_any(initial));
+            let body = format_block(body, level);
+            let text = format!("for {item} in {list} with {accumulator} = {initial} {body}");
+            parenthesize_if(min_precedence > precedence::LOWEST, text)
         }
-        Kind::Each { next, item, list, filter } => {
-            let filter = filter.as_ref().map(|filter| format!(" if {}", node(filter, 0, level)));
-            let (next, list) = (node(next, 0, level), node(list, 1, level));
-            format!("[{next} for {item} in {list}{}]", filter.unwrap_or_default())
+        ExpressionKind::ListComprehension { element, item, list, filter } => {
+            let filter = filter.as_ref().map(|filter| format!(" if {}", format_any(filter)));
+            let element = format_any(element);
+            // An `if` expression needs parentheses here, since `if` after the list starts the filter.
+            let list = format_expression(list, precedence::OR, level);
+            format!("[{element} for {item} in {list}{}]", filter.unwrap_or_default())
         }
     }
 }
 
-fn bracketed(text: String, needed: bool) -> String {
+fn parenthesize_if(needed: bool, text: String) -> String {
     if needed {
         format!("({text})")
     } else {
@@ -132,14 +160,14 @@
     }
 }
 
-/// On one line, or each part on one of its own.
-fn broken(open: &str, parts: Vec<String>, close: &str, level: usize) -> String {
-    let line = format!("{open}{}{close}", parts.join(", "));
-    let long = line.len() + 4 * level > WIDE && !line.contains('\n') && parts.len() > 1;
-    if !long {
+/// Writes items on one line, or each on a line of its own if the line would be longer than [`MAX_LINE_BYTES`].
+fn wrap_items(open: &str, items: Vec<String>, close: &str, level: usize) -> String {
+    let line = format!("{open}{}{close}", items.join(", "));
+    let too_long = line.len() + INDENT_SPACES * level > MAX_LINE_BYTES;
+    if !(too_long && !line.contains('\n') && items.len() > 1) {
         return line;
     }
-    let within = indent(level + 1);
-    let parts: Vec<String> = parts.iter().map(|part| format!("{within}{part}")).collect();
-    format!("{}\n{}\n{}{}", open.trim_end(), parts.join(",\n"), indent(level), close.trim_start())
+    let inner_indent = indent(level + 1);
+    let items: Vec<String> = items.iter().map(|item| format!("{inner_indent}{item}")).collect();
+    format!("{}\n{}\n{}{}", open.trim_end(), items.join(",\n"), indent(level), close.trim_start())
 }
--- a/crates/hooks/src/lex.rs
+++ b/crates/hooks/src/lex.rs
@@ -1,39 +1,46 @@
-//! Words of a source.
+//! The lexer: splits a source into tokens.
 
 use crate::syntax::{diagnostic, Diagnostic, Position};
 use crate::types::Unit;
 
+/// The kinds of tokens.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Word {
+pub(crate) enum TokenKind {
+    /// The number as written, its unit, and the unit's suffix; empty for a number without a unit.
     Number(f64, Unit, &'static str),
+    /// A string literal, with its escapes replaced.
     String(String),
+    /// A name that is not a keyword.
     Name(String),
-    /// A word or sign of the language.
-    Sign(&'static str),
-    Line,
-    End,
+    /// A keyword, operator or punctuation mark.
+    Symbol(&'static str),
+    /// The end of a line, where it can end an expression.
+    Newline,
+    EndOfSource,
 }
 
+/// A token with its position.
 #[derive(Clone, Debug)]
 pub(crate) struct Token {
     pub position: Position,
-    pub word: Word,
-    /// Comments before it.
+    pub kind: TokenKind,
+    /// Comments before the token.
     pub comments: Vec<String>,
 }
 
-/// Sources are no longer: a hook is read aloud at night.
-pub(crate) const LONGEST: usize = 1 << 20;
+/// Sources longer than this are rejected: an operator on call at night must be able to read a hook.
+pub(crate) const MAX_SOURCE_BYTES: usize = 1 << 20;
 
 const KEYWORDS: [&str; 16] = [
     "let", "if", "else", "match", "for", "in", "with", "fn", "hook", "test", "and", "or", "not", "true",
     "false", "_",
 ];
-const SIGNS: [&str; 24] = [
+/// Operators and punctuation; an entry stands before those that are a prefix of it.
+const SYMBOLS: [&str; 24] = [
     "==", "!=", "<=", ">=", "=>", "(", ")", "[", "]", "{", "}", ",", ":", ".", "=", "<", ">", "+", "-", "*",
     "/", ";", "%", "|",
 ];
-/// Words of units: how much of the base unit each is, and its unit.
+/// Suffix of each unit, its factor to the base unit, and the unit.
 pub(crate) const UNITS: [(&str, f64, Unit); 5] = [
     ("ms", 1e-3, Unit::TIME),
     ("s", 1.0, Unit::TIME),
@@ -46,19 +53,20 @@
     rest: &'a str,
     position: Position,
     tokens: Vec<Token>,
+    /// Comments since the last token.
     comments: Vec<String>,
     diagnostics: Vec<Diagnostic>,
-    /// Open brackets: directly within round and square ones a line's end says nothing.
-    open: Vec<&'static str>,
+    /// Brackets that are open. A newline is not a token if the innermost one is round or square.
+    open_brackets: Vec<&'static str>,
 }
 
-/// Words, and what is no word; the last one is [`Word::End`].
+/// Returns the tokens of a source and the diagnostics; the last token is [`TokenKind::EndOfSource`].
 pub(crate) fn lex(text: &str) -> (Vec<Token>, Vec<Diagnostic>) {
     let position = Position { line: 1, column: 1 };
-    if text.len() > LONGEST {
-        let what = format!("a source of {} bytes", text.len());
-        let end = Token { position, word: Word::End, comments: Vec::new() };
-        return (vec![end], vec![diagnostic(position, what, "keep it under a megabyte")]);
+    if text.len() > MAX_SOURCE_BYTES {
+        let message = format!("the source has {} bytes", text.len());
+        let end = Token { position, kind: TokenKind::EndOfSource, comments: Vec::new() };
+        return (vec![end], vec![diagnostic(position, message, "the limit is one mebibyte")]);
     }
     let mut lexer = Lexer {
         rest: text,
@@ -66,163 +74,166 @@
         tokens: Vec::new(),
         comments: Vec::new(),
         diagnostics: Vec::new(),
-        open: Vec::new(),
+        open_brackets: Vec::new(),
     };
-    while lexer.step() {}
-    lexer.put(Word::End);
+    while lexer.lex_next() {}
+    lexer.push_token(TokenKind::EndOfSource);
     (lexer.tokens, lexer.diagnostics)
 }
 
 impl<'a> Lexer<'a> {
-    fn put(&mut self, word: Word) {
-        let comments = if word == Word::Line { Vec::new() } else { std::mem::take(&mut self.comments) };
-        self.tokens.push(Token { position: self.position, word, comments });
+    /// Appends a token at the current position. Newlines leave the comments to the token after them.
+    fn push_token(&mut self, kind: TokenKind) {
+        let comments =
+            if kind == TokenKind::Newline { Vec::new() } else { std::mem::take(&mut self.comments) };
+        self.tokens.push(Token { position: self.position, kind, comments });
     }
 
-    fn take(&mut self, bytes: usize) -> &'a str {
-        let (taken, rest) = self.rest.split_at(bytes);
+    /// Consumes this many bytes and moves the position past them.
+    fn advance(&mut self, bytes: usize) -> &'a str {
+        let (consumed, rest) = self.rest.split_at(bytes);
         self.rest = rest;
-        for letter in taken.chars() {
-            if letter == '\n' {
+        for character in consumed.chars() {
+            if character == '\n' {
                 self.position = Position { line: self.position.line + 1, column: 1 };
             } else {
                 self.position.column += 1;
             }
         }
-        taken
+        consumed
     }
 
-    fn while_of(&self, of: impl Fn(char) -> bool) -> usize {
-        self.rest.find(|letter| !of(letter)).unwrap_or(self.rest.len())
+    /// Bytes of the prefix whose characters all match.
+    fn prefix_length(&self, matches: impl Fn(char) -> bool) -> usize {
+        self.rest.find(|character| !matches(character)).unwrap_or(self.rest.len())
     }
 
-    fn step(&mut self) -> bool {
+    /// Consumes the next token, comment, white space or invalid character; returns false at the end of the source.
+    fn lex_next(&mut self) -> bool {
         let Some(first) = self.rest.chars().next() else { return false };
         match first {
             '\n' => {
-                if !matches!(self.open.last(), Some(&"(" | &"["))
-                    && !matches!(self.tokens.last().map(|token| &token.word), None | Some(Word::Line))
+                if !matches!(self.open_brackets.last(), Some(&"(" | &"["))
+                    && !matches!(self.tokens.last().map(|token| &token.kind), None | Some(TokenKind::Newline))
                 {
-                    self.put(Word::Line);
+                    self.push_token(TokenKind::Newline);
                 }
-                self.take(1);
+                self.advance(1);
             }
             '#' => {
-                let length = self.while_of(|letter| letter != '\n');
-                let comment = self.take(length)[1..].trim().to_owned();
+                let length = self.prefix_length(|character| character != '\n');
+                let comment = self.advance(length)[1..].trim().to_owned();
                 self.comments.push(comment);
             }
-            letter if letter.is_whitespace() => drop(self.take(letter.len_utf8())),
-            '"' => self.text(),
+            character if character.is_whitespace() => drop(self.advance(character.len_utf8())),
+            '"' => self.string(),
             '0'..='9' => self.number(),
-            letter if letter.is_ascii_alphabetic() || letter == '_' => {
-                let length = self.while_of(|letter| letter.is_ascii_alphanumeric() || letter == '_');
+            character if character.is_ascii_alphabetic() || character == '_' => {
+                let length =
+                    self.prefix_length(|character| character.is_ascii_alphanumeric() || character == '_');
                 let word = &self.rest[..length];
                 match KEYWORDS.iter().find(|keyword| **keyword == word) {
-                    Some(keyword) => self.put(Word::Sign(keyword)),
-                    None => self.put(Word::Name(word.to_owned())),
+                    Some(keyword) => self.push_token(TokenKind::Symbol(keyword)),
+                    None => self.push_token(TokenKind::Name(word.to_owned())),
                 }
-                self.take(length);
+                self.advance(length);
             }
-            letter => match SIGNS.iter().find(|sign| self.rest.starts_with(**sign)) {
-                Some(sign) => {
-                    match *sign {
-                        "(" | "[" | "{" => self.open.push(sign),
-                        ")" | "]" | "}" => drop(self.open.pop()),
+            character => match SYMBOLS.iter().find(|symbol| self.rest.starts_with(**symbol)) {
+                Some(symbol) => {
+                    match *symbol {
+                        "(" | "[" | "{" => self.open_brackets.push(symbol),
+                        ")" | "]" | "}" => drop(self.open_brackets.pop()),
                         _ => {}
                     }
-                    self.put(Word::Sign(sign));
-                    self.take(sign.len());
+                    self.push_token(TokenKind::Symbol(symbol));
+                    self.advance(symbol.len());
                 }
                 None => {
-                    let what = format!("{letter:?} means nothing");
-                    self.diagnostics.push(diagnostic(
-                        self.position,
-                        what,
-                        "take it out, or put it between quotes",
-                    ));
-                    self.take(letter.len_utf8());
+                    let message = format!("unknown character {character:?}");
+                    let hint = "remove it or put it in quotes";
+                    self.diagnostics.push(diagnostic(self.position, message, hint));
+                    self.advance(character.len_utf8());
                 }
             },
         }
         true
     }
 
-    fn text(&mut self) {
+    /// Consumes a string literal.
+    fn string(&mut self) {
         let position = self.position;
-        let mut found = String::new();
-        let mut letters = self.rest.char_indices().skip(1);
+        let mut value = String::new();
+        let mut characters = self.rest.char_indices().skip(1);
         loop {
-            match letters.next() {
-                Some((at, '"')) => {
-                    self.put(Word::String(found));
-                    self.take(at + 1);
+            match characters.next() {
+                Some((offset, '"')) => {
+                    self.push_token(TokenKind::String(value));
+                    self.advance(offset + 1);
                     return;
                 }
-                Some((_, '\\')) => match letters.next() {
-                    Some((_, 'n')) => found.push('\n'),
-                    Some((_, letter @ ('"' | '\\'))) => found.push(letter),
+                Some((_, '\\')) => match characters.next() {
+                    Some((_, 'n')) => value.push('\n'),
+                    Some((_, character @ ('"' | '\\'))) => value.push(character),
                     _ => {
-                        let hint = "write \\\" for a quote, \\\\ for a backslash and \\n for a line's end";
-                        self.diagnostics.push(diagnostic(
-                            position,
-                            "a backslash before nothing that it knows",
-                            hint,
-                        ));
+                        let hint = "write \\\" for a quote, \\\\ for a backslash and \\n for a newline";
+                        self.diagnostics.push(diagnostic(position, "unknown escape in a string", hint));
                     }
                 },
-                Some((at, '\n')) => {
+                Some((offset, '\n')) => {
                     self.diagnostics.push(diagnostic(
                         position,
-                        "a text without its end",
+                        "unterminated string",
                         "close it with a quote",
                     ));
-                    self.put(Word::String(found));
-                    self.take(at);
+                    self.push_token(TokenKind::String(value));
+                    self.advance(offset);
                     return;
                 }
-                Some((_, letter)) => found.push(letter),
+                Some((_, character)) => value.push(character),
                 None => {
                     self.diagnostics.push(diagnostic(
                         position,
-                        "a text without its end",
+                        "unterminated string",
                         "close it with a quote",
                     ));
-                    self.take(self.rest.len());
+                    self.advance(self.rest.len());
                     return;
                 }
             }
         }
     }
 
+    /// Consumes a number and the unit suffix after it, if there is one.
     fn number(&mut self) {
-        let digits = self.while_of(|letter| letter.is_ascii_digit());
+        let digits = self.prefix_length(|character| character.is_ascii_digit());
         let mut length = digits;
         let after = &self.rest[digits..];
-        if after.starts_with('.') && after[1..].starts_with(|letter: char| letter.is_ascii_digit()) {
-            length += 1 + after[1..].find(|letter: char| !letter.is_ascii_digit()).unwrap_or(after.len() - 1);
+        if after.starts_with('.') && after[1..].starts_with(|character: char| character.is_ascii_digit()) {
+            length +=
+                1 + after[1..].find(|character: char| !character.is_ascii_digit()).unwrap_or(after.len() - 1);
         }
         let value: f64 = self.rest[..length].parse().unwrap_or(f64::INFINITY);
         let (position, rest) = (self.position, &self.rest[length..]);
-        let blank = rest.len() - rest.trim_start_matches(' ').len();
-        let after = &rest[blank..];
-        let ends = |word: &str| {
-            let next = after[word.len()..].chars().next();
-            word == "%" || next.is_none_or(|letter| !letter.is_ascii_alphanumeric() && letter != '_')
+        let spaces = rest.len() - rest.trim_start_matches(' ').len();
+        let after = &rest[spaces..];
+        let ends_after = |suffix: &str| {
+            let next = after[suffix.len()..].chars().next();
+            suffix == "%"
+                || next.is_none_or(|character| !character.is_ascii_alphanumeric() && character != '_')
         };
-        let unit = UNITS.iter().filter(|(word, ..)| after.starts_with(word) && ends(word));
-        let unit = unit.max_by_key(|(word, ..)| word.len());
+        let unit = UNITS.iter().filter(|(suffix, ..)| after.starts_with(suffix) && ends_after(suffix));
+        let unit = unit.max_by_key(|(suffix, ..)| suffix.len());
         if !value.is_finite() {
-            self.diagnostics.push(diagnostic(position, "a number too large", "write a smaller one"));
+            self.diagnostics.push(diagnostic(position, "number too large", "write a smaller number"));
         }
         match unit {
-            Some(&(word, _, unit)) => {
-                self.put(Word::Number(value, unit, word));
-                self.take(length + blank + word.len());
+            Some(&(suffix, _, unit)) => {
+                self.push_token(TokenKind::Number(value, unit, suffix));
+                self.advance(length + spaces + suffix.len());
             }
             None => {
-                self.put(Word::Number(value, Unit::DIMENSIONLESS, ""));
-                self.take(length);
+                self.push_token(TokenKind::Number(value, Unit::DIMENSIONLESS, ""));
+                self.advance(length);
             }
         }
     }
--- a/crates/hooks/src/lib.rs
+++ b/crates/hooks/src/lib.rs
@@ -1,8 +1,9 @@
-//! A small scripting language for operators' hooks, free of I/O: numbers with units, texts, lists and records, functions
-//! without recursion, loops over lists alone. `docs/hooks-language.md` has grammar and semantics.
+//! A small scripting language for operators' hooks, free of I/O: numbers with units, strings, lists and records,
+//! functions without recursion, and loops over lists only. `docs/hooks-language.md` has the grammar and the semantics.
 //!
-//! [`parse`] reads a source and tells all that is wrong with its words; [`compile`] infers types and units, tells all that
-//! does not fit a [`HookPoint`], and gives a [`Program`]; [`Program::call`] runs it within [`Limits`], the same on every machine.
+//! [`parse`] returns the syntax tree of a source, or its syntax errors; [`compile`] infers types and units, reports what
+//! doesn't match a [`HookPoint`], and returns a [`Program`]; [`Program::call`] runs a hook within [`Limits`], with the
+//! same result on every machine.
 
 mod check;
 mod format;
--- a/crates/hooks/src/parse.rs
+++ b/crates/hooks/src/parse.rs
@@ -1,32 +1,36 @@
-//! From words to a source. After something wrong it goes on at the next item, so that one run tells of several.
+//! The parser: builds the syntax tree from tokens. After a syntax error it continues at the next item, so that one run
+//! reports several errors.
 
-use crate::lex::{lex, Token, Word};
+use crate::lex::{lex, Token, TokenKind};
 use crate::syntax::{
-    diagnostic, show, Binary, Block, Diagnostic, Function, Kind, Node, Position, SourceFile,
+    diagnostic, finish_diagnostics, precedence, BinaryOperator, Block, Diagnostic, Expression,
+    ExpressionKind, Function, Position, SourceFile,
 };
 
-/// Nothing is nested deeper.
-const DEEPEST: usize = 64;
-/// Troubles that one run tells.
-const MOST: usize = 32;
+/// Deepest permitted nesting of expressions and blocks.
+const MAX_NESTING_DEPTH: usize = 64;
+/// Number of diagnostics after which the parser stops.
+const MAX_DIAGNOSTICS: usize = 32;
 
 struct Parser {
     tokens: Vec<Token>,
-    at: usize,
+    /// Index of the current token.
+    index: usize,
+    /// Current nesting depth.
     depth: usize,
 }
 
-type Parsed<T> = Result<T, Diagnostic>;
+type ParseResult<T> = Result<T, Diagnostic>;
 
-/// Reads a source. Errors: all that is wrong with its words, by position.
+/// Parses a source. Errors: the diagnostics of the lexer and the parser, sorted by position.
 pub fn parse(text: &str) -> Result<SourceFile, Vec<Diagnostic>> {
     let (tokens, mut diagnostics) = lex(text);
-    let mut parser = Parser { tokens, at: 0, depth: 0 };
+    let mut parser = Parser { tokens, index: 0, depth: 0 };
     let mut source = SourceFile::default();
-    while diagnostics.len() < MOST {
-        parser.lines();
-        if parser.word() == &Word::End {
-            source.comments = parser.tokens[parser.at].comments.clone();
+    while diagnostics.len() < MAX_DIAGNOSTICS {
+        parser.skip_separators();
+        if parser.current() == &TokenKind::EndOfSource {
+            source.comments = parser.tokens[parser.index].comments.clone();
             break;
         }
         if let Err(diagnostic) = parser.item(&mut source) {
@@ -39,356 +43,386 @@
         source.text = text.to_owned();
         return Ok(source);
     }
-    show(&mut diagnostics, text);
+    finish_diagnostics(&mut diagnostics, text);
     Err(diagnostics)
 }
 
 impl Parser {
-    fn word(&self) -> &Word {
-        &self.tokens[self.at].word
+    /// The kind of the current token.
+    fn current(&self) -> &TokenKind {
+        &self.tokens[self.index].kind
     }
 
     fn position(&self) -> Position {
-        self.tokens[self.at].position
+        self.tokens[self.index].position
     }
 
-    fn comments(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.tokens[self.at].comments)
+    /// Takes the comments before the current token.
+    fn take_comments(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.tokens[self.index].comments)
     }
 
-    fn next(&mut self) -> Word {
-        let word = self.tokens[self.at].word.clone();
-        self.at = (self.at + 1).min(self.tokens.len() - 1);
-        word
+    /// Consumes and returns the current token; the last one is never passed.
+    fn advance(&mut self) -> TokenKind {
+        let kind = self.tokens[self.index].kind.clone();
+        self.index = (self.index + 1).min(self.tokens.len() - 1);
+        kind
     }
 
-    fn is(&self, sign: &str) -> bool {
-        matches!(self.word(), Word::Sign(word) if *word == sign)
+    fn at_symbol(&self, symbol: &str) -> bool {
+        matches!(self.current(), TokenKind::Symbol(current) if *current == symbol)
     }
 
-    fn eat(&mut self, sign: &str) -> bool {
-        let is = self.is(sign);
-        if is {
-            self.next();
+    /// Consumes the symbol if it is the current token; returns whether it was.
+    fn eat(&mut self, symbol: &str) -> bool {
+        let found = self.at_symbol(symbol);
+        if found {
+            self.advance();
         }
-        is
+        found
     }
 
-    fn lines(&mut self) {
-        while self.word() == &Word::Line || self.is(";") {
-            self.next();
+    /// Skips newlines and semicolons.
+    fn skip_separators(&mut self) {
+        while self.current() == &TokenKind::Newline || self.at_symbol(";") {
+            self.advance();
         }
     }
 
-    fn found(&self) -> String {
-        match self.word() {
-            Word::Number(value, _, unit) => format!("{value} {unit}").trim().to_owned(),
-            Word::String(_) => "a text".into(),
-            Word::Name(name) => format!("{name:?}"),
-            Word::Sign(sign) => format!("{sign:?}"),
-            Word::Line => "the end of the line".into(),
-            Word::End => "the end of the source".into(),
+    /// The current token, as diagnostics name it.
+    fn describe_current(&self) -> String {
+        match self.current() {
+            TokenKind::Number(value, _, suffix) => format!("{value} {suffix}").trim().to_owned(),
+            TokenKind::String(_) => "a string".into(),
+            TokenKind::Name(name) => format!("{name:?}"),
+            TokenKind::Symbol(symbol) => format!("{symbol:?}"),
+            TokenKind::Newline => "the end of the line".into(),
+            TokenKind::EndOfSource => "the end of the source".into(),
         }
     }
 
-    fn wanted(&self, what: &str, hint: &str) -> Diagnostic {
-        diagnostic(self.position(), format!("{} where {what} was expected", self.found()), hint)
+    fn unexpected_token(&self, expected: &str, hint: &str) -> Diagnostic {
+        diagnostic(self.position(), format!("expected {expected}, found {}", self.describe_current()), hint)
     }
 
-    fn need(&mut self, sign: &str, hint: &str) -> Parsed<()> {
-        if self.eat(sign) {
+    /// Consumes the symbol, or fails if it is not the current token.
+    fn expect(&mut self, symbol: &str, hint: &str) -> ParseResult<()> {
+        if self.eat(symbol) {
             return Ok(());
         }
-        Err(self.wanted(&format!("{sign:?}"), hint))
+        Err(self.unexpected_token(&format!("{symbol:?}"), hint))
     }
 
-    fn name(&mut self, hint: &str) -> Parsed<String> {
-        match self.word().clone() {
-            Word::Name(name) => {
-                self.next();
+    fn name(&mut self, hint: &str) -> ParseResult<String> {
+        match self.current().clone() {
+            TokenKind::Name(name) => {
+                self.advance();
                 Ok(name)
             }
-            _ => Err(self.wanted("a name", hint)),
+            _ => Err(self.unexpected_token("a name", hint)),
         }
     }
 
-    /// To the next word that can begin an item on a line of its own.
+    /// Skips to the next line that starts with `fn`, `hook` or `test`, or to the end of the source.
     fn recover(&mut self) {
         loop {
-            self.next();
-            let begins = self.is("fn") || self.is("hook") || self.is("test");
-            let alone = self.at > 0 && self.tokens[self.at - 1].word == Word::Line;
-            if self.word() == &Word::End || begins && alone {
+            self.advance();
+            let item_keyword = self.at_symbol("fn") || self.at_symbol("hook") || self.at_symbol("test");
+            let line_start = self.index > 0 && self.tokens[self.index - 1].kind == TokenKind::Newline;
+            if self.current() == &TokenKind::EndOfSource || item_keyword && line_start {
                 return;
             }
         }
     }
 
-    fn item(&mut self, source: &mut SourceFile) -> Parsed<()> {
-        let (position, comments) = (self.position(), self.comments());
+    /// Parses a function, hook or test.
+    fn item(&mut self, source: &mut SourceFile) -> ParseResult<()> {
+        let (position, comments) = (self.position(), self.take_comments());
         if self.eat("test") {
-            let Word::String(name) = self.word().clone() else {
-                return Err(self.wanted("a text", "name the case, such as test \"a young server is cold\""));
+            let TokenKind::String(name) = self.current().clone() else {
+                return Err(self
+                    .unexpected_token("a string", "name the test, such as test \"a young server is cold\""));
             };
-            self.next();
+            self.advance();
             let body = self.block()?;
             source.tests.push((position, name, body, comments));
             return Ok(());
         }
-        let hook = self.is("hook");
+        let is_hook = self.at_symbol("hook");
         if !self.eat("fn") && !self.eat("hook") {
-            return Err(self.wanted("fn, hook or test", "begin each item with one of these words"));
+            return Err(
+                self.unexpected_token("fn, hook or test", "start each item with one of these keywords")
+            );
         }
-        let name = self.name("give it a name of letters, digits and _")?;
-        self.need("(", "names of what it takes stand between round brackets")?;
+        let name = self.name("a name consists of letters, digits and _")?;
+        self.expect("(", "put the parameter names in parentheses")?;
         let mut parameters = Vec::new();
         while !self.eat(")") {
-            parameters.push(self.name("name what it takes")?);
-            if !self.is(")") {
-                self.need(",", "put a comma between two names")?;
+            parameters.push(self.name("give the name of a parameter")?);
+            if !self.at_symbol(")") {
+                self.expect(",", "separate parameters with commas")?;
             }
         }
         let body = self.block()?;
         let function = Function { position, name, parameters, body, comments };
-        if hook { &mut source.hooks } else { &mut source.functions }.push(function);
+        if is_hook { &mut source.hooks } else { &mut source.functions }.push(function);
         Ok(())
     }
 
-    fn block(&mut self) -> Parsed<Block> {
-        self.need("{", "a body stands between braces")?;
-        self.deeper()?;
+    /// Parses `let` bindings and the value after them, in braces.
+    fn block(&mut self) -> ParseResult<Block> {
+        self.expect("{", "put the body in braces")?;
+        self.enter_nested()?;
         let mut lets = Vec::new();
         loop {
-            self.lines();
-            let (position, comments) = (self.position(), self.comments());
+            self.skip_separators();
+            let (position, comments) = (self.position(), self.take_comments());
             if self.eat("let") {
-                let name = self.name("name what is kept")?;
-                self.need("=", "write let name = value")?;
-                let value = self.node(0)?;
-                if !matches!(self.word(), Word::Line) && !self.is(";") {
-                    return Err(self.wanted("the end of the line", "put each let on a line of its own"));
+                let name = self.name("write let name = value")?;
+                self.expect("=", "write let name = value")?;
+                let value = self.expression(precedence::LOWEST)?;
+                if !matches!(self.current(), TokenKind::Newline) && !self.at_symbol(";") {
+                    return Err(
+                        self.unexpected_token("the end of the line", "put each let on a line of its own")
+                    );
                 }
                 lets.push((position, name, value, comments));
                 continue;
             }
-            let value = self.node(0)?;
-            self.lines();
-            self.need("}", "a body ends with one value and a brace")?;
+            let value = self.expression(precedence::LOWEST)?;
+            self.skip_separators();
+            self.expect("}", "a body ends with one value and a closing brace")?;
             self.depth -= 1;
             return Ok(Block { lets, value, comments });
         }
     }
 
-    fn deeper(&mut self) -> Parsed<()> {
+    /// Counts one more level of nesting, up to [`MAX_NESTING_DEPTH`].
+    fn enter_nested(&mut self) -> ParseResult<()> {
         self.depth += 1;
-        if self.depth > DEEPEST {
-            let what = format!("nested more than {DEEPEST} deep");
-            return Err(diagnostic(self.position(), what, "give a name to a part of it with let"));
+        if self.depth > MAX_NESTING_DEPTH {
+            let message = format!("nesting is deeper than {MAX_NESTING_DEPTH} levels");
+            return Err(diagnostic(self.position(), message, "bind a part of it to a name with let"));
         }
         Ok(())
     }
 
-    fn binary(&self) -> Option<Binary> {
-        let Word::Sign(sign) = self.word() else { return None };
-        Some(match *sign {
-            "or" => Binary::Or,
-            "and" => Binary::And,
-            "==" => Binary::Equal,
-            "!=" => Binary::Differs,
-            "<" => Binary::Less,
-            "<=" => Binary::LessEqual,
-            ">" => Binary::More,
-            ">=" => Binary::MoreEqual,
-            "+" => Binary::Add,
-            "-" => Binary::Subtract,
-            "*" => Binary::Multiply,
-            "/" => Binary::Divide,
+    /// The current token as a binary operator.
+    fn binary_operator(&self) -> Option<BinaryOperator> {
+        let TokenKind::Symbol(symbol) = self.current() else { return None };
+        Some(match *symbol {
+            "or" => BinaryOperator::Or,
+            "and" => BinaryOperator::And,
+            "==" => BinaryOperator::Equal,
+            "!=" => BinaryOperator::NotEqual,
+            "<" => BinaryOperator::Less,
+            "<=" => BinaryOperator::LessEqual,
+            ">" => BinaryOperator::Greater,
+            ">=" => BinaryOperator::GreaterEqual,
+            "+" => BinaryOperator::Add,
+            "-" => BinaryOperator::Subtract,
+            "*" => BinaryOperator::Multiply,
+            "/" => BinaryOperator::Divide,
             _ => return None,
         })
     }
 
-    /// What binds at least as tightly as `least`.
-    fn node(&mut self, least: u8) -> Parsed<Node> {
-        self.deeper()?;
+    /// Parses an expression whose binary operators bind more tightly than `outer_precedence`.
+    fn expression(&mut self, outer_precedence: u8) -> ParseResult<Expression> {
+        self.enter_nested()?;
         let mut left = self.unary()?;
-        while let Some(binary) = self.binary().filter(|binary| binary.level() > least) {
+        while let Some(operator) =
+            self.binary_operator().filter(|operator| operator.precedence() > outer_precedence)
+        {
             let position = self.position();
-            self.next();
-            // A value may go on behind a sign on the next line.
-            while self.word() == &Word::Line {
-                self.next();
+            self.advance();
+            // The right operand may stand on the next line.
+            while self.current() == &TokenKind::Newline {
+                self.advance();
             }
-            let right = self.node(binary.level())?;
-            if binary.level() == 3 && self.binary().is_some_and(|next| next.level() == 3) {
-                let hint = "compare two at a time, with and between";
-                return Err(diagnostic(self.position(), "a comparison of a comparison", hint));
+            let right = self.expression(operator.precedence())?;
+            if operator.precedence() == precedence::COMPARISON
+                && self.binary_operator().is_some_and(|next| next.precedence() == precedence::COMPARISON)
+            {
+                let hint = "join two comparisons with and";
+                return Err(diagnostic(self.position(), "comparisons can't be chained", hint));
             }
-            left = Node { position, kind: Kind::Binary(binary, Box::new(left), Box::new(right)) };
+            left = Expression {
+                position,
+                kind: ExpressionKind::Binary(operator, Box::new(left), Box::new(right)),
+            };
         }
         self.depth -= 1;
         Ok(left)
     }
 
-    fn unary(&mut self) -> Parsed<Node> {
+    /// Parses `not`, `-`, or a primary expression with its field accesses.
+    fn unary(&mut self) -> ParseResult<Expression> {
         let position = self.position();
         if self.eat("not") {
-            // It takes a comparison, and no more.
-            let kind = Kind::Not(Box::new(self.node(2)?));
-            return Ok(Node { position, kind });
+            // The operand extends over comparisons and tighter operators, not over `and` and `or`.
+            let kind = ExpressionKind::Not(Box::new(self.expression(precedence::AND)?));
+            return Ok(Expression { position, kind });
         }
         if self.eat("-") {
-            self.deeper()?;
-            let kind = Kind::Minus(Box::new(self.unary()?));
+            self.enter_nested()?;
+            let kind = ExpressionKind::Negate(Box::new(self.unary()?));
             self.depth -= 1;
-            return Ok(Node { position, kind });
+            return Ok(Expression { position, kind });
         }
-        let mut node = self.primary()?;
-        while self.is(".") {
+        let mut expression = self.primary()?;
+        while self.at_symbol(".") {
             let position = self.position();
-            self.next();
-            let field = self.name("name the field behind the dot")?;
-            node = Node { position, kind: Kind::Field(Box::new(node), field) };
+            self.advance();
+            let field = self.name("give the name of the field after the dot")?;
+            expression = Expression { position, kind: ExpressionKind::Field(Box::new(expression), field) };
         }
-        Ok(node)
+        Ok(expression)
     }
 
-    fn primary(&mut self) -> Parsed<Node> {
+    /// Parses a literal, name, call, parenthesized expression, list, record, `if`, `match` or `for`.
+    fn primary(&mut self) -> ParseResult<Expression> {
         let position = self.position();
-        let kind = match self.next() {
-            Word::Number(value, unit, word) => Kind::Number(value, unit, word),
-            Word::String(text) => Kind::String(text),
-            Word::Sign("true") => Kind::Boolean(true),
-            Word::Sign("false") => Kind::Boolean(false),
-            Word::Name(name) if self.eat("(") => {
-                let mut given = Vec::new();
+        let kind = match self.advance() {
+            TokenKind::Number(value, unit, suffix) => ExpressionKind::Number(value, unit, suffix),
+            TokenKind::String(value) => ExpressionKind::String(value),
+            TokenKind::Symbol("true") => ExpressionKind::Boolean(true),
+            TokenKind::Symbol("false") => ExpressionKind::Boolean(false),
+            TokenKind::Name(name) if self.eat("(") => {
+                let mut arguments = Vec::new();
                 while !self.eat(")") {
-                    given.push(self.node(0)?);
-                    if !self.is(")") {
-                        self.need(",", "put a comma between two values")?;
+                    arguments.push(self.expression(precedence::LOWEST)?);
+                    if !self.at_symbol(")") {
+                        self.expect(",", "separate values with commas")?;
                     }
                 }
-                Kind::Call(name, given)
+                ExpressionKind::Call(name, arguments)
             }
-            Word::Name(name) => Kind::Name(name),
-            Word::Sign("(") => {
-                let node = self.node(0)?;
-                self.need(")", "close the bracket")?;
-                return Ok(node);
+            TokenKind::Name(name) => ExpressionKind::Name(name),
+            TokenKind::Symbol("(") => {
+                let expression = self.expression(precedence::LOWEST)?;
+                self.expect(")", "close the parenthesis")?;
+                return Ok(expression);
             }
-            Word::Sign("[") => self.list()?,
-            Word::Sign("{") => self.record()?,
-            Word::Sign("if") => {
-                let condition = self.node(0)?;
-                let yes = self.block()?;
-                while self.word() == &Word::Line && self.follows("else") {
-                    self.next();
+            TokenKind::Symbol("[") => self.list()?,
+            TokenKind::Symbol("{") => self.record()?,
+            TokenKind::Symbol("if") => {
+                let condition = self.expression(precedence::LOWEST)?;
+                let then_block = self.block()?;
+                while self.current() == &TokenKind::Newline && self.next_line_starts_with("else") {
+                    self.advance();
                 }
-                self.need("else", "an if has a value either way: give the other one")?;
-                let no = if self.is("if") {
+                self.expect("else", "an if has a value in both cases: add an else block")?;
+                let else_block = if self.at_symbol("if") {
                     let value = self.primary()?;
                     Block { lets: Vec::new(), value, comments: Vec::new() }
                 } else {
                     self.block()?
                 };
-                Kind::If(Box::new(condition), Box::new(yes), Box::new(no))
+                ExpressionKind::If(Box::new(condition), Box::new(then_block), Box::new(else_block))
             }
-            Word::Sign("match") => self.arms()?,
-            Word::Sign("for") => {
-                let item = self.name("write for item in list with sum = start { next }")?;
-                self.need("in", "write for item in list with sum = start { next }")?;
-                let list = Box::new(self.node(0)?);
-                self.need("with", "a loop gathers something: with sum = start")?;
-                let sum = self.name("name what is gathered")?;
-                self.need("=", "give it a start")?;
-                let start = Box::new(self.node(0)?);
-                let next = Box::new(self.block()?);
-                Kind::Fold { item, list, sum, start, next }
+            TokenKind::Symbol("match") => self.match_expression()?,
+            TokenKind::Symbol("for") => {
+                let item = self.name("write for item in list with accumulator = initial { body }")?;
+                self.expect("in", "write for item in list with accumulator = initial { body }")?;
+                let list = Box::new(self.expression(precedence::LOWEST)?);
+                self.expect("with", "a loop needs an accumulator: with accumulator = initial")?;
+                let accumulator = self.name("give the name of the accumulator")?;
+                self.expect("=", "give the accumulator an initial value")?;
+                let initial = Box::new(self.expression(precedence::LOWEST)?);
+                let body = Box::new(self.block()?);
+                ExpressionKind::Fold { item, list, accumulator, initial, body }
             }
             _ => {
-                self.at -= usize::from(self.at > 0 && self.word() != &Word::End);
-                return Err(
-                    self.wanted("a value", "a value is a number, a text, a name, a call, if, match or for")
-                );
+                self.index -= usize::from(self.index > 0 && self.current() != &TokenKind::EndOfSource);
+                return Err(self.unexpected_token(
+                    "a value",
+                    "a value is a number, a string, a name, a call, if, match or for",
+                ));
             }
         };
-        Ok(Node { position, kind })
+        Ok(Expression { position, kind })
     }
 
-    /// Is this the next word that is no line's end?
-    fn follows(&self, sign: &str) -> bool {
-        let next = self.tokens[self.at..].iter().find(|token| token.word != Word::Line);
-        next.is_some_and(|token| matches!(token.word, Word::Sign(word) if word == sign))
+    /// Whether this symbol is the next token after any newlines.
+    fn next_line_starts_with(&self, symbol: &str) -> bool {
+        let next = self.tokens[self.index..].iter().find(|token| token.kind != TokenKind::Newline);
+        next.is_some_and(|token| matches!(token.kind, TokenKind::Symbol(current) if current == symbol))
     }
 
-    fn list(&mut self) -> Parsed<Kind> {
+    /// Parses a list or a list comprehension after its opening bracket.
+    fn list(&mut self) -> ParseResult<ExpressionKind> {
         if self.eat("]") {
-            return Ok(Kind::List(Vec::new()));
+            return Ok(ExpressionKind::List(Vec::new()));
         }
-        let first = self.node(0)?;
+        let first = self.expression(precedence::LOWEST)?;
         if self.eat("for") {
-            let item = self.name("write [next for item in list]")?;
-            self.need("in", "write [next for item in list]")?;
-            let list = Box::new(self.node(0)?);
-            let filter = if self.eat("if") { Some(Box::new(self.node(0)?)) } else { None };
-            self.need("]", "close the list")?;
-            return Ok(Kind::Each { next: Box::new(first), item, list, filter });
+            let item = self.name("write [element for item in list]")?;
+            self.expect("in", "write [element for item in list]")?;
+            let list = Box::new(self.expression(precedence::LOWEST)?);
+            let filter =
+                if self.eat("if") { Some(Box::new(self.expression(precedence::LOWEST)?)) } else { None };
+            self.expect("]", "close the list")?;
+            return Ok(ExpressionKind::ListComprehension { element: Box::new(first), item, list, filter });
         }
         let mut items = vec![first];
         while !self.eat("]") {
-            self.need(",", "put a comma between two values")?;
-            if !self.is("]") {
-                items.push(self.node(0)?);
+            self.expect(",", "separate values with commas")?;
+            if !self.at_symbol("]") {
+                items.push(self.expression(precedence::LOWEST)?);
             }
         }
-        Ok(Kind::List(items))
+        Ok(ExpressionKind::List(items))
     }
 
-    fn record(&mut self) -> Parsed<Kind> {
-        let mut fields: Vec<(String, Node)> = Vec::new();
-        self.lines();
+    /// Parses a record after its opening brace.
+    fn record(&mut self) -> ParseResult<ExpressionKind> {
+        let mut fields: Vec<(String, Expression)> = Vec::new();
+        self.skip_separators();
         while !self.eat("}") {
             let position = self.position();
             let name = self.name("a record is { name: value, ... }")?;
             if fields.iter().any(|(other, _)| *other == name) {
-                return Err(diagnostic(position, format!("field {name:?} twice"), "leave one of them out"));
+                return Err(diagnostic(position, format!("duplicate field {name:?}"), "remove one of them"));
             }
-            self.need(":", "a record is { name: value, ... }")?;
-            fields.push((name, self.node(0)?));
-            self.lines();
-            if !self.is("}") {
-                self.need(",", "put a comma between two fields")?;
-                self.lines();
+            self.expect(":", "a record is { name: value, ... }")?;
+            fields.push((name, self.expression(precedence::LOWEST)?));
+            self.skip_separators();
+            if !self.at_symbol("}") {
+                self.expect(",", "separate fields with commas")?;
+                self.skip_separators();
             }
         }
-        Ok(Kind::Record(fields))
+        Ok(ExpressionKind::Record(fields))
     }
 
-    fn arms(&mut self) -> Parsed<Kind> {
-        let value = Box::new(self.node(0)?);
-        self.need("{", "arms stand between braces")?;
+    /// Parses the value and the arms after `match`; the last arm is the default `_`.
+    fn match_expression(&mut self) -> ParseResult<ExpressionKind> {
+        let value = Box::new(self.expression(precedence::LOWEST)?);
+        self.expect("{", "put the arms in braces")?;
         let mut arms = Vec::new();
         loop {
-            self.lines();
+            self.skip_separators();
             if self.eat("_") {
-                self.need("=>", "write _ => { value }")?;
-                let rest = Box::new(self.block()?);
-                self.lines();
-                self.need("}", "the arm for the rest is the last one")?;
-                return Ok(Kind::Match(value, arms, rest));
+                self.expect("=>", "write _ => { value }")?;
+                let default = Box::new(self.block()?);
+                self.skip_separators();
+                self.expect("}", "the default arm _ must be the last one")?;
+                return Ok(ExpressionKind::Match(value, arms, default));
             }
             let position = self.position();
-            let pattern = match self.next() {
-                Word::Number(value, unit, word) => Kind::Number(value, unit, word),
-                Word::String(text) => Kind::String(text),
-                Word::Sign("true") => Kind::Boolean(true),
-                Word::Sign("false") => Kind::Boolean(false),
+            let pattern = match self.advance() {
+                TokenKind::Number(value, unit, suffix) => ExpressionKind::Number(value, unit, suffix),
+                TokenKind::String(value) => ExpressionKind::String(value),
+                TokenKind::Symbol("true") => ExpressionKind::Boolean(true),
+                TokenKind::Symbol("false") => ExpressionKind::Boolean(false),
                 _ => {
-                    let hint = "an arm begins with a number, a text, true, false, or _ for the rest, which must be there";
-                    return Err(diagnostic(position, "no arm", hint));
+                    let hint = "an arm starts with a number, a string, true, false, or _; the default arm _ is required";
+                    return Err(diagnostic(position, "expected an arm", hint));
                 }
             };
-            self.need("=>", "write pattern => { value }")?;
-            arms.push((Node { position, kind: pattern }, self.block()?));
+            self.expect("=>", "write pattern => { value }")?;
+            arms.push((Expression { position, kind: pattern }, self.block()?));
         }
     }
 }
--- a/crates/hooks/src/points.rs
+++ b/crates/hooks/src/points.rs
@@ -1,71 +1,79 @@
-//! The points at which a hook is asked, and what it is given there. A hook gives figures, never orders: what becomes of
-//! them is decided where the module's own would be.
+//! The hook points and the types of their inputs and outputs. A hook returns figures, never commands: the controller
+//! decides what to do with them where it would use its own.
 
 use crate::check::HookPoint;
 use crate::types::{Type, Unit};
 
 fn record(fields: &[(&str, Type)]) -> Type {
-    Type::Record(fields.iter().map(|(name, of)| ((*name).to_owned(), of.clone())).collect())
+    Type::Record(fields.iter().map(|(name, field_type)| ((*name).to_owned(), field_type.clone())).collect())
 }
 
-/// What is known of a server.
+/// The record type in which a hook receives a server.
 pub fn server_type() -> Type {
-    let (plain, time, rate) =
-        (Type::Number(Unit::DIMENSIONLESS), Type::Number(Unit::TIME), Type::Number(Unit::RATE));
+    let dimensionless = Type::Number(Unit::DIMENSIONLESS);
+    let (time, rate) = (Type::Number(Unit::TIME), Type::Number(Unit::RATE));
     record(&[
-        ("id", plain.clone()),
+        ("id", dimensionless.clone()),
         ("locality", Type::String),
-        ("kind", plain.clone()),
-        // Beside the others', as the list has it.
-        ("size", plain.clone()),
-        // Since its start; a day where that is longer ago.
+        ("kind", dimensionless.clone()),
+        // Relative to the other servers, as in the server list.
+        ("size", dimensionless.clone()),
+        // Since the server's start; at most one day.
         ("age", time.clone()),
-        // Part of its capacity that it has by now, by the settings.
-        ("able", plain.clone()),
+        // Share of its capacity that it has reached by now, according to the settings.
+        ("able", dimensionless.clone()),
         ("withdrawn", Type::Boolean),
-        // Of its tries, of late.
-        ("errors", plain),
-        // Mean of its answers of late; 0 s where none came.
+        // Share of its recent attempts that failed.
+        ("errors", dimensionless),
+        // Mean of its recent response times; 0 s if there were no responses.
         ("answer_time", time),
-        // Tries that came to it.
+        // Attempts per second that reached it.
         ("rate", rate),
     ])
 }
 
-/// All points there are.
+/// All hook points.
 pub fn hook_points() -> Vec<HookPoint> {
-    let (plain, time, rate) =
-        (Type::Number(Unit::DIMENSIONLESS), Type::Number(Unit::TIME), Type::Number(Unit::RATE));
-    let point = |name: &str, inputs: &[(&str, Type)], output: &Type| HookPoint {
+    let dimensionless = Type::Number(Unit::DIMENSIONLESS);
+    let (time, rate) = (Type::Number(Unit::TIME), Type::Number(Unit::RATE));
+    let hook_point = |name: &str, inputs: &[(&str, Type)], output: &Type| HookPoint {
         name: name.to_owned(),
-        inputs: inputs.iter().map(|(name, of)| ((*name).to_owned(), of.clone())).collect(),
+        inputs: inputs.iter().map(|(name, field_type)| ((*name).to_owned(), field_type.clone())).collect(),
         output: output.clone(),
     };
     let fleet = record(&[
-        ("servers", plain.clone()),
+        ("servers", dimensionless.clone()),
         ("answer_time", time.clone()),
-        ("errors", plain.clone()),
+        ("errors", dimensionless.clone()),
         ("rate", rate.clone()),
     ]);
     let operation = record(&[
         ("name", Type::String),
         ("objective", time),
-        ("value", plain.clone()),
-        // Part that is let in now.
-        ("level", plain.clone()),
+        ("value", dimensionless.clone()),
+        // Share of the operation's requests that is admitted now.
+        ("level", dimensionless.clone()),
         ("rate", rate),
     ]);
     let decision = record(&[("what", Type::String), ("server", server_type())]);
     vec![
-        point("warm", &[("server", server_type())], &Type::Boolean),
-        point(
+        hook_point("warm", &[("server", server_type())], &Type::Boolean),
+        hook_point(
             "score",
-            &[("server", server_type()), ("fleet", fleet.clone()), ("proposed", plain.clone())],
-            &plain,
+            &[("server", server_type()), ("fleet", fleet.clone()), ("proposed", dimensionless.clone())],
+            &dimensionless,
         ),
-        point("weight", &[("server", server_type()), ("proposed", plain.clone())], &plain),
-        point("withdraw", &[("server", server_type()), ("proposed", Type::Boolean)], &Type::Boolean),
-        point("admit", &[("operation", operation), ("fleet", fleet), ("proposed", plain.clone())], &plain),
-        point("announce", &[("decision", decision)], &Type::String),
+        hook_point(
+            "weight",
+            &[("server", server_type()), ("proposed", dimensionless.clone())],
+            &dimensionless,
+        ),
+        hook_point("withdraw", &[("server", server_type()), ("proposed", Type::Boolean)], &Type::Boolean),
+        hook_point(
+            "admit",
+            &[("operation", operation), ("fleet", fleet), ("proposed", dimensionless.clone())],
+            &dimensionless,
+        ),
+        hook_point("announce", &[("decision", decision)], &Type::String),
     ]
 }
--- a/crates/hooks/src/syntax.rs
+++ b/crates/hooks/src/syntax.rs
@@ -1,23 +1,25 @@
-//! What a source is made of, and what can be wrong with it.
+//! The syntax tree of a source file, and the diagnostics of the parser and the type checker.
 
 use std::fmt;
 
 use crate::types::Unit;
 
-/// A position in a source: line and column, from 1.
+/// A position in a source; line and column count from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
     pub line: u32,
     pub column: u32,
 }
 
-/// Something wrong with a source, where, and what would help.
+/// An error in a source, with its position and a hint for the correction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
     pub position: Position,
+    /// What is wrong.
     pub message: String,
+    /// How to correct it.
     pub hint: String,
-    /// The line that it stands on.
+    /// The source line at `position`, cut to 120 characters.
     pub source_line: String,
 }
 
@@ -28,111 +30,136 @@
     }
 }
 
+/// Returns a diagnostic whose source line [`finish_diagnostics`] fills in.
 pub(crate) fn diagnostic(position: Position, message: impl Into<String>, hint: &str) -> Diagnostic {
     Diagnostic { position, message: message.into(), hint: hint.to_owned(), source_line: String::new() }
 }
 
+/// Precedence levels; a higher one binds more tightly.
+pub(crate) mod precedence {
+    /// Any expression.
+    pub(crate) const LOWEST: u8 = 0;
+    pub(crate) const OR: u8 = 1;
+    pub(crate) const AND: u8 = 2;
+    pub(crate) const COMPARISON: u8 = 3;
+    pub(crate) const ADDITIVE: u8 = 4;
+    pub(crate) const MULTIPLICATIVE: u8 = 5;
+    pub(crate) const NEGATION: u8 = 8;
+    pub(crate) const FIELD_ACCESS: u8 = 9;
+}
+
+/// An operator with two operands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Binary {
+pub(crate) enum BinaryOperator {
     Or,
     And,
     Equal,
-    Differs,
+    NotEqual,
     Less,
     LessEqual,
-    More,
-    MoreEqual,
+    Greater,
+    GreaterEqual,
     Add,
     Subtract,
     Multiply,
     Divide,
 }
 
-impl Binary {
-    pub(crate) fn text(self) -> &'static str {
+impl BinaryOperator {
+    /// The operator as a source has it.
+    pub(crate) fn symbol(self) -> &'static str {
         match self {
-            Binary::Or => "or",
-            Binary::And => "and",
-            Binary::Equal => "==",
-            Binary::Differs => "!=",
-            Binary::Less => "<",
-            Binary::LessEqual => "<=",
-            Binary::More => ">",
-            Binary::MoreEqual => ">=",
-            Binary::Add => "+",
-            Binary::Subtract => "-",
-            Binary::Multiply => "*",
-            Binary::Divide => "/",
+            BinaryOperator::Or => "or",
+            BinaryOperator::And => "and",
+            BinaryOperator::Equal => "==",
+            BinaryOperator::NotEqual => "!=",
+            BinaryOperator::Less => "<",
+            BinaryOperator::LessEqual => "<=",
+            BinaryOperator::Greater => ">",
+            BinaryOperator::GreaterEqual => ">=",
+            BinaryOperator::Add => "+",
+            BinaryOperator::Subtract => "-",
+            BinaryOperator::Multiply => "*",
+            BinaryOperator::Divide => "/",
         }
     }
 
-    /// What binds more tightly has a higher one.
-    pub(crate) fn level(self) -> u8 {
+    /// The level in [`precedence`].
+    pub(crate) fn precedence(self) -> u8 {
         match self {
-            Binary::Or => 1,
-            Binary::And => 2,
-            Binary::Add | Binary::Subtract => 4,
-            Binary::Multiply | Binary::Divide => 5,
-            _ => 3,
+            BinaryOperator::Or => precedence::OR,
+            BinaryOperator::And => precedence::AND,
+            BinaryOperator::Add | BinaryOperator::Subtract => precedence::ADDITIVE,
+            BinaryOperator::Multiply | BinaryOperator::Divide => precedence::MULTIPLICATIVE,
+            _ => precedence::COMPARISON,
         }
     }
 }
 
+/// The kinds of expressions, with their operands.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Kind {
-    /// The number as written, its unit, and the unit's word.
+pub(crate) enum ExpressionKind {
+    /// The number as written, its unit, and the unit's suffix; empty for a number without a unit.
     Number(f64, Unit, &'static str),
     String(String),
     Boolean(bool),
     Name(String),
-    List(Vec<Node>),
-    Record(Vec<(String, Node)>),
-    Field(Box<Node>, String),
-    Call(String, Vec<Node>),
-    Not(Box<Node>),
-    Minus(Box<Node>),
-    Binary(Binary, Box<Node>, Box<Node>),
-    If(Box<Node>, Box<Block>, Box<Block>),
-    /// Arms by text, number or truth; the last one, without a pattern, takes the rest.
-    Match(Box<Node>, Vec<(Node, Block)>, Box<Block>),
-    /// `for item in list with sum = start { next }`: the sum after the last item.
+    List(Vec<Expression>),
+    /// Field names and values in source order.
+    Record(Vec<(String, Expression)>),
+    /// Access to a field of a record by name.
+    Field(Box<Expression>, String),
+    /// Call of a function by name, with its arguments.
+    Call(String, Vec<Expression>),
+    Not(Box<Expression>),
+    Negate(Box<Expression>),
+    Binary(BinaryOperator, Box<Expression>, Box<Expression>),
+    /// Condition, then-block and else-block.
+    If(Box<Expression>, Box<Block>, Box<Block>),
+    /// Matched value, arms with a literal number, string or Boolean as pattern, and the default arm `_`.
+    Match(Box<Expression>, Vec<(Expression, Block)>, Box<Block>),
+    /// `for item in list with accumulator = initial { body }`: the accumulator after the last item.
     Fold {
         item: String,
-        list: Box<Node>,
-        sum: String,
-        start: Box<Node>,
-        next: Box<Block>,
+        list: Box<Expression>,
+        accumulator: String,
+        initial: Box<Expression>,
+        body: Box<Block>,
     },
-    /// `[next for item in list if filter]`.
-    Each {
-        next: Box<Node>,
+    /// `[element for item in list if filter]`.
+    ListComprehension {
+        element: Box<Expression>,
         item: String,
-        list: Box<Node>,
-        filter: Option<Box<Node>>,
+        list: Box<Expression>,
+        filter: Option<Box<Expression>>,
     },
 }
 
+/// An expression, with the position that its diagnostics and faults name.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Node {
+pub(crate) struct Expression {
     pub position: Position,
-    pub kind: Kind,
+    pub kind: ExpressionKind,
 }
 
-/// Names, then what it comes to.
+/// `let` bindings followed by the block's value.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Block {
-    pub lets: Vec<(Position, String, Node, Vec<String>)>,
-    pub value: Node,
+    /// Position, name, value, and comments before each `let`.
+    pub lets: Vec<(Position, String, Expression, Vec<String>)>,
+    pub value: Expression,
     /// Comments before the value.
     pub comments: Vec<String>,
 }
 
+/// A function or a hook.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Function {
     pub position: Position,
     pub name: String,
     pub parameters: Vec<String>,
     pub body: Block,
+    /// Comments before the function.
     pub comments: Vec<String>,
 }
 
@@ -141,23 +168,23 @@
 pub struct SourceFile {
     pub(crate) functions: Vec<Function>,
     pub(crate) hooks: Vec<Function>,
-    /// Cases: a name, and what must be true.
+    /// Position, name, and body of each test, which must evaluate to true, and the comments before it.
     pub(crate) tests: Vec<(Position, String, Block, Vec<String>)>,
     /// Comments at the end.
     pub(crate) comments: Vec<String>,
     pub(crate) text: String,
 }
 
-/// Puts in order, and beside each the line that it stands on.
-pub(crate) fn show(diagnostics: &mut Vec<Diagnostic>, text: &str) {
+/// Sorts diagnostics by position, removes duplicates, and fills in their source lines.
+pub(crate) fn finish_diagnostics(diagnostics: &mut Vec<Diagnostic>, text: &str) {
     diagnostics.sort_by(|a, b| a.position.cmp(&b.position).then(a.message.cmp(&b.message)));
     diagnostics.dedup();
     let lines: Vec<&str> = text.lines().collect();
     for diagnostic in diagnostics {
         let line = lines.get(diagnostic.position.line as usize - 1).copied().unwrap_or_default();
-        diagnostic.source_line = line.chars().take(WIDE).collect();
+        diagnostic.source_line = line.chars().take(MAX_SOURCE_LINE_CHARS).collect();
     }
 }
 
-/// Letters of a line that are shown.
-const WIDE: usize = 120;
+/// Characters of a source line that a diagnostic quotes.
+const MAX_SOURCE_LINE_CHARS: usize = 120;
--- a/crates/hooks/src/types.rs
+++ b/crates/hooks/src/types.rs
@@ -1,26 +1,33 @@
-//! Types and units, as the checker infers them.
+//! Types and units of values, as the type checker infers them.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Powers of time (s) and of invocations in a number's unit.
+/// A number's unit, as exponents of seconds and of invocations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Unit {
+    /// Exponent of seconds.
     pub time: i8,
+    /// Exponent of invocations.
     pub invocations: i8,
 }
 
 impl Unit {
+    /// No unit.
     pub const DIMENSIONLESS: Unit = Unit { time: 0, invocations: 0 };
+    /// Seconds.
     pub const TIME: Unit = Unit { time: 1, invocations: 0 };
+    /// Invocations per second.
     pub const RATE: Unit = Unit { time: -1, invocations: 1 };
 
-    pub(crate) fn times(self, other: Unit) -> Option<Unit> {
+    /// The unit of a product, or `None` if an exponent overflows.
+    pub(crate) fn multiply(self, other: Unit) -> Option<Unit> {
         let time = self.time.checked_add(other.time)?;
         Some(Unit { time, invocations: self.invocations.checked_add(other.invocations)? })
     }
 
-    pub(crate) fn over(self, other: Unit) -> Option<Unit> {
+    /// The unit of a quotient, or `None` if an exponent overflows.
+    pub(crate) fn divide(self, other: Unit) -> Option<Unit> {
         let time = self.time.checked_sub(other.time)?;
         Some(Unit { time, invocations: self.invocations.checked_sub(other.invocations)? })
     }
@@ -29,7 +36,7 @@
 impl fmt::Display for Unit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match *self {
-            Unit::DIMENSIONLESS => write!(f, "a plain number"),
+            Unit::DIMENSIONLESS => write!(f, "a number without a unit"),
             Unit::TIME => write!(f, "a time"),
             Unit::RATE => write!(f, "a rate"),
             Unit { time, invocations } => write!(f, "a number in s^{time} inv^{invocations}"),
@@ -37,32 +44,34 @@
     }
 }
 
+/// The type of a value.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Type {
     Number(Unit),
     String,
     Boolean,
-    /// Nothing is known of the items of a list without any.
+    /// A list and its item type; `None` for an empty list, whose item type is unknown.
     List(Option<Box<Type>>),
-    /// By name; in memory the fields stand in the order of their names.
+    /// Field types by name; a value holds the fields in the order of their names.
     Record(BTreeMap<String, Type>),
 }
 
 impl Type {
-    /// The type of what is either, where one has more to say of an empty list than the other.
+    /// The type that covers both, where an item type known on one side fills in an empty list on the other; `None` if
+    /// the types differ.
     pub(crate) fn join(&self, other: &Type) -> Option<Type> {
         match (self, other) {
-            (Type::List(one), Type::List(other)) => Some(Type::List(match (one, other) {
-                (Some(one), Some(other)) => Some(Box::new(one.join(other)?)),
-                (one, other) => one.clone().or(other.clone()),
+            (Type::List(left), Type::List(right)) => Some(Type::List(match (left, right) {
+                (Some(left), Some(right)) => Some(Box::new(left.join(right)?)),
+                (left, right) => left.clone().or(right.clone()),
             })),
-            (Type::Record(one), Type::Record(other)) if one.len() == other.len() => {
+            (Type::Record(left), Type::Record(right)) if left.len() == right.len() => {
                 let mut fields = BTreeMap::new();
-                for ((name, a), (same, b)) in one.iter().zip(other) {
-                    if name != same {
+                for ((name, left_type), (right_name, right_type)) in left.iter().zip(right) {
+                    if name != right_name {
                         return None;
                     }
-                    fields.insert(name.clone(), a.join(b)?);
+                    fields.insert(name.clone(), left_type.join(right_type)?);
                 }
                 Some(Type::Record(fields))
             }
@@ -75,13 +84,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Type::Number(unit) => write!(f, "{unit}"),
-            Type::String => write!(f, "a text"),
-            Type::Boolean => write!(f, "true or false"),
+            Type::String => write!(f, "a string"),
+            Type::Boolean => write!(f, "a Boolean"),
             Type::List(None) => write!(f, "an empty list"),
-            Type::List(Some(item)) => write!(f, "a list, each {item}"),
+            Type::List(Some(item)) => write!(f, "a list whose items are each {item}"),
             Type::Record(fields) => {
                 let names: Vec<&str> = fields.keys().map(String::as_str).collect();
-                write!(f, "a record of {}", names.join(", "))
+                write!(f, "a record with the fields {}", names.join(", "))
             }
         }
     }
