--- a/crates/cli/src/expect_command.rs
+++ b/crates/cli/src/expect_command.rs
@@ -5,7 +5,7 @@
 
 use anyhow::{Context, Result};
 use clap::Args;
-use shalereel_routing_checks::{captured, read_expectations, run};
+use shalereel_routing_checks::{check_expectations, parse_captured_table, read_expectations};
 use shalereel_xds_supervisor::Deployment;
 
 #[derive(Args)]
@@ -40,7 +40,7 @@
     let table = match &arguments.table {
         Some(path) => {
             let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
-            let view = captured(&text, &deployment).map_err(anyhow::Error::msg);
+            let view = parse_captured_table(&text, &deployment).map_err(anyhow::Error::msg);
             Some(view.with_context(|| path.display().to_string())?)
         }
         None => None,
@@ -48,24 +48,24 @@
     let (mut count, mut wrong) = (0, 0);
     for file in files(&arguments.folder)? {
         let told = read_expectations(&file, &deployment)?;
-        count += told.all.len();
+        count += told.expectations.len();
         if let Some(view) = &table {
-            for one in &told.all {
-                if let Some((figure, server)) = one.broken(view) {
+            for one in &told.expectations {
+                if let Some((figure, server)) = one.violation(view) {
                     wrong += 1;
                     println!("FAILS {:?}: {figure:.4} in the captured table{}", one.name, of(server));
                 }
             }
             continue;
         }
-        let found = run(&deployment, &told);
+        let found = check_expectations(&deployment, &told);
         println!("{}: {} fleets, {} tables", file.display(), found.fleets, found.tables);
-        for one in &found.broken {
+        for one in &found.violations {
             println!(
                 "FAILS {:?}: {:.4}, {} asked for{}; with {} servers {}, {} ms after",
                 one.name,
-                one.figure,
-                one.asked,
+                one.value,
+                one.bound,
                 of(one.server),
                 one.servers,
                 one.shape,
@@ -75,10 +75,10 @@
         for one in &found.contradictions {
             println!(
                 "AGAINST A RULE {:?}: {} asked for; with {} servers {} the rule {:?} allows {:.4}",
-                one.name, one.asked, one.servers, one.shape, one.rule, one.allows
+                one.name, one.bound, one.servers, one.shape, one.rule, one.allowed
             );
         }
-        wrong += found.broken.len() + found.contradictions.len();
+        wrong += found.violations.len() + found.contradictions.len();
     }
     if count == 0 {
         anyhow::bail!("{} holds no expectation", arguments.folder.display());
--- a/crates/routing-checks/src/expectation.rs
+++ b/crates/routing-checks/src/expectation.rs
@@ -1,24 +1,24 @@
-//! The file of expectations, and what each asks of a table.
+//! The expectation file, and the check of one expectation on one table.
 
 use std::path::Path;
 
 use serde::Deserialize;
 use shalereel_xds_supervisor::{Deployment, FileError};
 
-use crate::fleet::{Seen, View};
+use crate::fleet::{ServerEntry, TableView};
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct ExpectationFile {
     #[serde(default)]
-    fleet: FleetFile,
+    fleet: FleetSection,
     #[serde(rename = "expect")]
-    expectations: Vec<ExpectationFile>,
+    expectations: Vec<ExpectationSection>,
 }
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct FleetFile {
+struct FleetSection {
     servers: Option<u32>,
     #[serde(default)]
     sizes: Vec<f64>,
@@ -26,7 +26,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct ExpectationFile {
+struct ExpectationSection {
     name: String,
     operation: Option<String>,
     from: Option<String>,
@@ -39,161 +39,189 @@
     servers_at_least: Option<usize>,
 }
 
-/// Which servers an expectation is about.
+/// The servers of a table that an expectation applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
-    /// Drain or are gone.
-    Out,
-    /// Not warm yet.
+pub enum ServerGroup {
+    /// Servers that drain or have left the list; `draining` in the file.
+    Unavailable,
+    /// Available servers in slow start, which do not have their whole capacity yet.
     Fresh,
+    /// Available servers that have their whole capacity.
     Warm,
+    /// All servers of the locality at this position of `localities`.
     Locality(u16),
+    /// All servers.
     All,
 }
 
-/// What is asked of a group.
+/// The bound that a group of servers must keep.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Bound {
+    /// The largest share of the table's weight, from 0 to 1.
     AtMost(f64),
+    /// The smallest share of the table's weight, from 0 to 1.
     AtLeast(f64),
-    Servers(usize),
+    /// The least number of servers that take new requests.
+    ServersAtLeast(usize),
 }
 
+/// One expectation: a bound on the share that a group of servers gets.
 #[derive(Clone, Debug)]
 pub struct Expectation {
+    /// The name that reports give.
     pub name: String,
-    /// Only forwarders of this locality.
+    /// Position of the only locality whose forwarders it applies to; all localities if none.
     pub from: Option<u16>,
-    pub group: Group,
-    /// Each server of the group alone.
+    /// The servers that it applies to.
+    pub group: ServerGroup,
+    /// The bound applies to each server of the group instead of to the group's sum.
     pub(crate) each: bool,
     pub(crate) bound: Bound,
 }
 
+/// The expectations of a file, and the fleet that they are checked on.
 #[derive(Clone, Debug)]
-pub struct Expectations {
-    pub all: Vec<Expectation>,
-    /// Servers of the fleet as it is, and their sizes in turn.
+pub struct ExpectationSet {
+    /// In the order of the file.
+    pub expectations: Vec<Expectation>,
+    /// Number of servers of the unchanged fleet.
     pub servers: u32,
+    /// Capacities that the servers get in turn.
     pub sizes: Vec<f64>,
 }
 
-/// Where the file names no fleet: one server for each forwarder, eight at least.
-const LEAST: u32 = 8;
+/// Smallest default fleet. Where the file names no fleet, it has one server for each forwarder.
+const MIN_DEFAULT_SERVERS: u32 = 8;
+
+/// Largest fleet that a file may name.
+const MAX_SERVERS: u32 = 1000;
 
-/// Reads a file of expectations for a deployment. Errors: named with file, line, key and remedy.
-pub fn read_expectations(file: &Path, deployment: &Deployment) -> Result<Expectations, FileError> {
+/// Reads the expectation file of a deployment.
+///
+/// Errors: the file cannot be read or is invalid; the error names file, line, key and remedy.
+pub fn read_expectations(file: &Path, deployment: &Deployment) -> Result<ExpectationSet, FileError> {
     let text = FileError::read(file)?;
-    let told: File = FileError::parse(file, &text)?;
-    let places: Vec<usize> = (text.lines().enumerate())
+    let parsed: ExpectationFile = FileError::parse(file, &text)?;
+    let section_lines: Vec<usize> = (text.lines().enumerate())
         .filter(|(_, line)| line.trim() == "[[expect]]")
-        .map(|(at, _)| at + 1)
+        .map(|(index, _)| index + 1)
         .collect();
-    let mut all = Vec::new();
-    for (at, one) in told.expectations.into_iter().enumerate() {
-        let refuse = |key: &str, problem: String, remedy: &str| FileError::InvalidSetting {
+    let mut expectations = Vec::new();
+    for (index, section) in parsed.expectations.into_iter().enumerate() {
+        let invalid = |key: &str, problem: String, remedy: &str| FileError::InvalidSetting {
             file: file.to_owned(),
-            line: places.get(at).copied().unwrap_or(1),
+            line: section_lines.get(index).copied().unwrap_or(1),
             key: format!("expect.{key}"),
-            problem: format!("{:?}: {problem}", one.name),
+            problem: format!("{:?}: {problem}", section.name),
             remedy: remedy.to_owned(),
         };
         let locality = |key: &str, name: &str| {
-            let found = deployment.localities.iter().position(|known| known == name);
-            found.map(|at| at as u16).ok_or_else(|| {
-                refuse(key, format!("no locality {name:?}"), "name one of the configuration's `localities`")
+            let position = deployment.localities.iter().position(|known| known == name);
+            position.map(|position| position as u16).ok_or_else(|| {
+                invalid(key, format!("no locality {name:?}"), "name one of the configuration's `localities`")
             })
         };
-        if let Some(operation) = one.operation.as_ref().filter(|name| !deployment.operations.contains(name)) {
+        if let Some(operation) =
+            section.operation.as_ref().filter(|name| !deployment.operations.contains(name))
+        {
             let problem = format!("no operation {operation:?}");
-            return Err(refuse("operation", problem, "name one of the configuration's operations"));
+            return Err(invalid("operation", problem, "name one of the configuration's operations"));
         }
-        let from = one.from.as_deref().map(|name| locality("from", name)).transpose()?;
-        let group = match (one.of.as_str(), one.locality.as_deref()) {
-            ("draining", None) => Group::Out,
-            ("fresh", None) => Group::Fresh,
-            ("warm", None) => Group::Warm,
-            ("all", None) => Group::All,
-            ("locality", Some(name)) => Group::Locality(locality("locality", name)?),
-            (other, _) => {
+        let from = section.from.as_deref().map(|name| locality("from", name)).transpose()?;
+        let group = match (section.of.as_str(), section.locality.as_deref()) {
+            ("draining", None) => ServerGroup::Unavailable,
+            ("fresh", None) => ServerGroup::Fresh,
+            ("warm", None) => ServerGroup::Warm,
+            ("all", None) => ServerGroup::All,
+            ("locality", Some(name)) => ServerGroup::Locality(locality("locality", name)?),
+            (unknown, _) => {
                 let remedy = "say draining, fresh, warm, all, or locality with a `locality`";
-                return Err(refuse("of", format!("{other:?} is no group"), remedy));
+                return Err(invalid("of", format!("{unknown:?} is not a group"), remedy));
             }
         };
-        let bound = match (one.at_most, one.at_least, one.servers_at_least) {
-            (Some(part), None, None) => Bound::AtMost(part),
-            (None, Some(part), None) => Bound::AtLeast(part),
-            (None, None, Some(count)) => Bound::Servers(count),
+        let bound = match (section.at_most, section.at_least, section.servers_at_least) {
+            (Some(share_bound), None, None) => Bound::AtMost(share_bound),
+            (None, Some(share_bound), None) => Bound::AtLeast(share_bound),
+            (None, None, Some(count)) => Bound::ServersAtLeast(count),
             _ => {
                 let remedy = "give one of at_most, at_least and servers_at_least";
-                return Err(refuse("at_most", "not one bound".into(), remedy));
+                return Err(invalid("at_most", "not exactly one bound".into(), remedy));
             }
         };
-        if let Bound::AtMost(part) | Bound::AtLeast(part) = bound {
-            if !(0.0..=1.0).contains(&part) {
-                let key = if one.at_most.is_some() { "at_most" } else { "at_least" };
-                return Err(refuse(key, format!("{part} is no part"), "give a number from 0 to 1"));
+        if let Bound::AtMost(share_bound) | Bound::AtLeast(share_bound) = bound {
+            if !(0.0..=1.0).contains(&share_bound) {
+                let key = if section.at_most.is_some() { "at_most" } else { "at_least" };
+                return Err(invalid(
+                    key,
+                    format!("{share_bound} is not a fraction"),
+                    "give a number from 0 to 1",
+                ));
             }
         }
-        all.push(Expectation { name: one.name, from, group, each: one.each, bound });
+        expectations.push(Expectation { name: section.name, from, group, each: section.each, bound });
     }
-    let servers = told.fleet.servers.unwrap_or(deployment.config.proxy_count.max(LEAST));
-    let sizes = if told.fleet.sizes.is_empty() { vec![1.0] } else { told.fleet.sizes };
-    Ok(Expectations { all, servers: servers.clamp(1, 1000), sizes })
+    let servers = parsed.fleet.servers.unwrap_or(deployment.config.proxy_count.max(MIN_DEFAULT_SERVERS));
+    let sizes = if parsed.fleet.sizes.is_empty() { vec![1.0] } else { parsed.fleet.sizes };
+    Ok(ExpectationSet { expectations, servers: servers.clamp(1, MAX_SERVERS), sizes })
 }
 
-impl Group {
-    pub(crate) fn has(self, seen: &Seen) -> bool {
+impl ServerGroup {
+    /// Whether a server of a table belongs to the group.
+    pub(crate) fn contains(self, server: &ServerEntry) -> bool {
         match self {
-            Group::Out => seen.out,
-            Group::Fresh => seen.able < 1.0 && !seen.out,
-            Group::Warm => seen.able >= 1.0 && !seen.out,
-            Group::Locality(locality) => seen.locality == locality,
-            Group::All => true,
+            ServerGroup::Unavailable => server.unavailable,
+            ServerGroup::Fresh => server.capacity_fraction < 1.0 && !server.unavailable,
+            ServerGroup::Warm => server.capacity_fraction >= 1.0 && !server.unavailable,
+            ServerGroup::Locality(locality) => server.locality == locality,
+            ServerGroup::All => true,
         }
     }
 }
 
 impl Expectation {
-    /// What a table has of it, where that is not what is expected: the figure, and of which server.
-    pub fn broken(&self, view: &View) -> Option<(f64, Option<u32>)> {
-        let total: f64 = view.servers.iter().map(Seen::open).sum();
-        let share = |seen: &Seen| if total > 0.0 { seen.open() / total } else { 0.0 };
-        let members = || view.servers.iter().filter(|seen| self.group.has(seen));
-        // Of a group without a server nothing is expected.
+    /// The measured value where a table does not keep the bound, and its server where each server has a bound of its own.
+    pub fn violation(&self, view: &TableView) -> Option<(f64, Option<u32>)> {
+        let total: f64 = view.servers.iter().map(ServerEntry::effective_weight).sum();
+        let share = |server: &ServerEntry| if total > 0.0 { server.effective_weight() / total } else { 0.0 };
+        let members = || view.servers.iter().filter(|server| self.group.contains(server));
+        // A group without servers meets every expectation.
         members().next()?;
         match self.bound {
-            Bound::Servers(count) => {
-                let open = members().filter(|seen| seen.open() > 0.0).count();
-                (open < count.min(members().filter(|seen| !seen.out).count())).then_some((open as f64, None))
+            Bound::ServersAtLeast(count) => {
+                let open_servers = members().filter(|server| server.effective_weight() > 0.0).count();
+                (open_servers < count.min(members().filter(|server| !server.unavailable).count()))
+                    .then_some((open_servers as f64, None))
             }
-            Bound::AtMost(part) if self.each => {
-                let most = members().max_by(|a, b| share(a).total_cmp(&share(b)))?;
-                (share(most) > part + SLACK).then_some((share(most), Some(most.server)))
+            Bound::AtMost(share_bound) if self.each => {
+                let largest = members().max_by(|a, b| share(a).total_cmp(&share(b)))?;
+                (share(largest) > share_bound + SHARE_TOLERANCE)
+                    .then_some((share(largest), Some(largest.server)))
             }
-            Bound::AtLeast(part) if self.each => {
-                let least = members().min_by(|a, b| share(a).total_cmp(&share(b)))?;
-                (share(least) < part - SLACK).then_some((share(least), Some(least.server)))
+            Bound::AtLeast(share_bound) if self.each => {
+                let smallest = members().min_by(|a, b| share(a).total_cmp(&share(b)))?;
+                (share(smallest) < share_bound - SHARE_TOLERANCE)
+                    .then_some((share(smallest), Some(smallest.server)))
             }
-            Bound::AtMost(part) => {
+            Bound::AtMost(share_bound) => {
                 let sum: f64 = members().map(share).sum();
-                (sum > part + SLACK).then_some((sum, None))
+                (sum > share_bound + SHARE_TOLERANCE).then_some((sum, None))
             }
-            Bound::AtLeast(part) => {
+            Bound::AtLeast(share_bound) => {
                 let sum: f64 = members().map(share).sum();
-                (sum < part - SLACK).then_some((sum, None))
+                (sum < share_bound - SHARE_TOLERANCE).then_some((sum, None))
             }
         }
     }
 
-    pub(crate) fn asked(&self) -> String {
+    /// The bound in words, for reports.
+    pub(crate) fn bound_text(&self) -> String {
         match self.bound {
-            Bound::AtMost(part) => format!("{part} at most"),
-            Bound::AtLeast(part) => format!("{part} at least"),
-            Bound::Servers(count) => format!("{count} servers at least"),
+            Bound::AtMost(share_bound) => format!("{share_bound} at most"),
+            Bound::AtLeast(share_bound) => format!("{share_bound} at least"),
+            Bound::ServersAtLeast(count) => format!("{count} servers at least"),
         }
     }
 }
 
-/// Weights are rounded on the wire.
-const SLACK: f64 = 1e-6;
+/// Tolerance on shares, since weights are rounded on the wire.
+const SHARE_TOLERANCE: f64 = 1e-6;
--- a/crates/routing-checks/src/fleet.rs
+++ b/crates/routing-checks/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets of any size and shape, and the tables that the real decisions make for them; captured tables.
+//! Generator of fleets of any size and shape, the tables that the controller computes for them, and captured tables.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,73 +11,87 @@
 use shalereel_xds_supervisor::{Deployment, EndpointList, InjectedFault, TableContext, Tables};
 
 const SECOND: Nanos = 1_000_000_000;
-/// Batches of a run, and which of them sees the fleet change; four a second.
+/// Batches of events of a run.
 const BATCHES: u64 = 28;
-const CHANGES: u64 = 12;
-const BATCH: Nanos = SECOND / 4;
+/// The batch in which the fleet takes its shape.
+const CHANGE_BATCH: u64 = 12;
+const BATCHES_PER_SECOND: u64 = 4;
+const BATCH_INTERVAL: Nanos = SECOND / BATCHES_PER_SECOND;
+/// Time of the first batch.
+const START_TIME: Nanos = 1000 * SECOND;
+/// Id of the first server; the others follow in turn.
+const FIRST_SERVER: ServerId = 1000;
 
-/// What becomes of a fleet while it is looked at.
+/// How a generated fleet changes during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Shape {
-    AsItIs,
+pub enum FleetShape {
+    /// The fleet does not change.
+    Unchanged,
+    /// All servers of the locality at this position leave the list.
     LocalityGone(u16),
-    /// One has just started.
+    /// One server has just started.
     OneFresh,
-    /// Four of five have just started.
+    /// Four of five servers have just started.
     MostFresh,
-    /// Every second one drains.
+    /// Every second server of a locality drains.
     HalfDraining,
-    /// A third drains, a third has just started: a deploy under way.
+    /// One third of the servers drains and another has just started, as in a rolling deploy.
     Deploy,
-    /// All but one are gone.
+    /// All servers but one leave the list.
     OneLeft,
 }
 
-impl Shape {
-    pub fn all(localities: u16) -> Vec<Shape> {
-        let gone = (0..localities).map(Shape::LocalityGone);
+impl FleetShape {
+    /// All shapes of a fleet with this number of localities.
+    pub fn all(localities: u16) -> Vec<FleetShape> {
+        let gone = (0..localities).map(FleetShape::LocalityGone);
         let others = [
-            Shape::AsItIs,
-            Shape::OneFresh,
-            Shape::MostFresh,
-            Shape::HalfDraining,
-            Shape::Deploy,
-            Shape::OneLeft,
+            FleetShape::Unchanged,
+            FleetShape::OneFresh,
+            FleetShape::MostFresh,
+            FleetShape::HalfDraining,
+            FleetShape::Deploy,
+            FleetShape::OneLeft,
         ];
         others.into_iter().chain(gone).collect()
     }
 
-    pub fn text(self, localities: &[String]) -> String {
+    /// The shape in words, for reports.
+    pub fn description(self, localities: &[String]) -> String {
         match self {
-            Shape::AsItIs => "as it is".into(),
-            Shape::LocalityGone(at) => format!("with {} gone", localities[usize::from(at)]),
-            Shape::OneFresh => "with one just started".into(),
-            Shape::MostFresh => "with four of five just started".into(),
-            Shape::HalfDraining => "with every second one draining".into(),
-            Shape::Deploy => "in a deploy".into(),
-            Shape::OneLeft => "with one left".into(),
+            FleetShape::Unchanged => "as it is".into(),
+            FleetShape::LocalityGone(position) => format!("with {} gone", localities[usize::from(position)]),
+            FleetShape::OneFresh => "with one just started".into(),
+            FleetShape::MostFresh => "with four of five just started".into(),
+            FleetShape::HalfDraining => "with every second one draining".into(),
+            FleetShape::Deploy => "in a deploy".into(),
+            FleetShape::OneLeft => "with one left".into(),
         }
     }
 }
 
-/// A server as a table has it.
+/// A listed server, and its line of a table.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Seen {
+pub struct ServerEntry {
+    /// The server's id.
     pub server: ServerId,
+    /// Position of its locality.
     pub locality: u16,
-    /// 0 where the table does not have it.
+    /// Weight of its line; 0 where the table has no line for it.
     pub weight: f64,
-    /// The line says that nothing new goes there.
+    /// Its line says that it gets no new requests.
     pub draining: bool,
-    /// The list says so, or has it no more.
-    pub out: bool,
-    /// Part of its capacity that it has by now.
-    pub able: f64,
-    pub listed: f64,
+    /// The list says that it drains, or no longer has it.
+    pub unavailable: bool,
+    /// Fraction of its capacity that it has reached in slow start.
+    pub capacity_fraction: f64,
+    /// Capacity according to the list.
+    pub listed_capacity: f64,
 }
 
-impl Seen {
-    pub(crate) fn open(&self) -> f64 {
+impl ServerEntry {
+    /// Weight for new requests.
+    pub(crate) fn effective_weight(&self) -> f64 {
         if self.draining {
             0.0
         } else {
@@ -86,184 +100,204 @@
     }
 }
 
-/// A table beside the list, for forwarders of some localities.
+/// A table together with the server list, as forwarders of some localities use it.
 #[derive(Clone, Debug)]
-pub struct View {
-    pub servers: Vec<Seen>,
-    /// Localities whose forwarders use it.
-    pub users: BTreeSet<u16>,
-    /// When in the run, in ms.
+pub struct TableView {
+    /// The servers that are listed, with their lines.
+    pub servers: Vec<ServerEntry>,
+    /// Positions of the localities whose forwarders use the table.
+    pub localities: BTreeSet<u16>,
+    /// Milliseconds since the fleet took its shape.
     pub at_ms: u64,
 }
 
-/// A fleet in its shape and size.
+/// A fleet to generate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Fleet {
-    pub shape: Shape,
+    pub shape: FleetShape,
     pub servers: u32,
 }
 
-/// Plays a fleet through the decisions; gives each table that forwarders would hold from the change on.
-pub(crate) fn play(deployment: &Deployment, sizes: &[f64], fleet: Fleet) -> Vec<View> {
-    let facts = &deployment.config;
-    let mut tables = Tables::new(deployment, RetentionLimits::new(facts));
-    let mut roster = EndpointList::new(&deployment.localities);
-    let mut brain = Controller::new(facts);
-    let mut bound: BTreeMap<ProxyId, TableId> = BTreeMap::new();
-    let parts = BTreeMap::new();
+/// Runs the controller on a fleet. Returns each table that forwarders would hold from the change on.
+pub(crate) fn simulate(deployment: &Deployment, sizes: &[f64], fleet: Fleet) -> Vec<TableView> {
+    let config = &deployment.config;
+    let mut tables = Tables::new(deployment, RetentionLimits::new(config));
+    let mut endpoints = EndpointList::new(&deployment.localities);
+    let mut controller = Controller::new(config);
+    let mut table_of_proxy: BTreeMap<ProxyId, TableId> = BTreeMap::new();
+    let traffic_shares = BTreeMap::new();
     let mut views = Vec::new();
     for batch in 0..BATCHES {
-        let now = 1000 * SECOND + batch * BATCH;
+        let now = START_TIME + batch * BATCH_INTERVAL;
         let mut events = Vec::new();
-        if batch == 0 || batch == CHANGES {
-            let list = listed(deployment, sizes, fleet, batch > 0);
-            events.push(Event::Endpoints(roster.apply_list(now, &list).event));
+        if batch == 0 || batch == CHANGE_BATCH {
+            let list = server_list(deployment, sizes, fleet, batch > 0);
+            events.push(Event::Endpoints(endpoints.apply_list(now, &list).event));
         }
         if batch == 0 {
-            events.extend((0..facts.locality_count).map(|locality| Event::Joined {
+            events.extend((0..config.locality_count).map(|locality| Event::Joined {
                 proxy: locality,
                 locality,
                 rate: 10.0,
                 is_new: true,
             }));
         }
-        events.extend((0..fleet.servers).filter(|_| batch % 4 == 3).map(|at| {
-            let answer_time = facts.operations.first().map_or(SECOND, |one| one.latency_objective) / 4;
-            let (server, locality) = (1000 + at, 0);
-            Event::EndpointReport(EndpointReport {
-                server,
-                locality,
-                attempts: 20,
-                failures: 0,
-                response_time: answer_time,
-                window: SECOND,
-                load: vec![],
-            })
-        }));
+        events.extend(
+            (0..fleet.servers).filter(|_| batch % BATCHES_PER_SECOND == BATCHES_PER_SECOND - 1).map(
+                |index| {
+                    let response_time =
+                        config.operations.first().map_or(SECOND, |operation| operation.latency_objective) / 4;
+                    let (server, locality) = (FIRST_SERVER + index, 0);
+                    Event::EndpointReport(EndpointReport {
+                        server,
+                        locality,
+                        attempts: 20,
+                        failures: 0,
+                        response_time,
+                        window: SECOND,
+                        load: vec![],
+                    })
+                },
+            ),
+        );
         events.push(Event::TimerFired { token: 1 });
-        for order in brain.decide(now, events) {
-            let order = bend(deployment, &roster, now, order);
-            if let Action::AssignTable { proxy, table, .. } = order {
-                bound.insert(proxy, table);
+        for action in controller.decide(now, events) {
+            let action = apply_injected_fault(deployment, &endpoints, now, action);
+            if let Action::AssignTable { proxy, table, .. } = action {
+                table_of_proxy.insert(proxy, table);
             }
-            // The channel is as wide as it takes: what is ordered is confirmed at once.
-            tables.apply(&order, deployment.operations.len());
+            // The channel is unlimited here, so every action is acknowledged at once.
+            tables.apply(&action, deployment.operations.len());
         }
         let context = TableContext {
-            endpoints: &roster,
+            endpoints: &endpoints,
             now,
             wall_clock_offset: 0,
-            slow_start_duration: facts.slow_start_duration,
-            traffic_shares: &parts,
+            slow_start_duration: config.slow_start_duration,
+            traffic_shares: &traffic_shares,
         };
         tables.publish(&context, &Provenance::default());
-        if batch >= CHANGES {
-            let users = |table: TableId| -> BTreeSet<u16> {
-                bound.iter().filter(|(_, of)| **of == table).map(|(&proxy, _)| proxy).collect()
+        if batch >= CHANGE_BATCH {
+            let localities_of = |table: TableId| -> BTreeSet<u16> {
+                table_of_proxy.iter().filter(|(_, held)| **held == table).map(|(&proxy, _)| proxy).collect()
             };
-            let used: BTreeSet<TableId> = bound.values().copied().collect();
-            views.extend(used.into_iter().map(|table| View {
-                servers: seen(deployment, &roster, &tables, table, now),
-                users: users(table),
-                at_ms: (batch - CHANGES) * BATCH / 1_000_000,
+            let used: BTreeSet<TableId> = table_of_proxy.values().copied().collect();
+            views.extend(used.into_iter().map(|table| TableView {
+                servers: table_entries(deployment, &endpoints, &tables, table, now),
+                localities: localities_of(table),
+                at_ms: (batch - CHANGE_BATCH) * BATCH_INTERVAL / 1_000_000,
             }));
         }
     }
     views
 }
 
-/// Injected faults of a supervisor's orders that show without traffic.
-fn bend(deployment: &Deployment, roster: &EndpointList, now: Nanos, order: Action) -> Action {
-    match (deployment.injected_fault, order) {
+/// Weight that gives a server in slow start far more than it can bear.
+const OVERLOADING_WEIGHT: f64 = 1e4;
+
+/// Applies those injected faults of a supervisor's actions that show without traffic.
+fn apply_injected_fault(
+    deployment: &Deployment,
+    endpoints: &EndpointList,
+    now: Nanos,
+    action: Action,
+) -> Action {
+    match (deployment.injected_fault, action) {
         (Some(InjectedFault::NoSlowStart), Action::SetWeight { table, server, .. })
-            if roster.started_within(server, now, deployment.config.slow_start_duration) =>
+            if endpoints.started_within(server, now, deployment.config.slow_start_duration) =>
         {
-            Action::SetWeight { table, server, weight: 1e4 }
+            Action::SetWeight { table, server, weight: OVERLOADING_WEIGHT }
         }
         (Some(InjectedFault::EmptyTables), Action::SetWeight { table, server, .. }) => {
             Action::SetWeight { table, server, weight: 0.0 }
         }
-        (_, order) => order,
+        (_, action) => action,
     }
 }
 
-fn seen(
+/// The servers that the guard knows, with their lines of a table.
+fn table_entries(
     deployment: &Deployment,
-    roster: &EndpointList,
+    endpoints: &EndpointList,
     tables: &Tables,
     table: TableId,
     now: Nanos,
-) -> Vec<Seen> {
-    let facts = &deployment.config;
-    let limits = Limits::new(facts);
-    let place = |(server, known): (ServerId, Server)| {
+) -> Vec<ServerEntry> {
+    let config = &deployment.config;
+    let limits = Limits::new(config);
+    let entry = |(server, known): (ServerId, Server)| {
         let line = tables.store.line(table, server);
-        Some(Seen {
+        Some(ServerEntry {
             server,
-            locality: roster.locality(&roster.endpoint(server)?.zone)?,
+            locality: endpoints.locality(&endpoints.endpoint(server)?.zone)?,
             weight: line.map_or(0.0, |line| f64::from(line.weight)),
             draining: line.is_some_and(|line| line.draining),
-            out: known.availability == Availability::Unavailable,
-            able: limits.capacity_fraction(&known),
-            listed: known.capacity,
+            unavailable: known.availability == Availability::Unavailable,
+            capacity_fraction: limits.capacity_fraction(&known),
+            listed_capacity: known.capacity,
         })
     };
-    roster
-        .guard_servers(now, facts.slow_start_duration, !facts.removal_is_advisory)
-        .filter_map(place)
+    endpoints
+        .guard_servers(now, config.slow_start_duration, !config.removal_is_advisory)
+        .filter_map(entry)
         .collect()
 }
 
-fn listed(deployment: &Deployment, sizes: &[f64], fleet: Fleet, changed: bool) -> Assignment {
+/// The server list of a fleet, before or after it has taken its shape.
+fn server_list(deployment: &Deployment, sizes: &[f64], fleet: Fleet, changed: bool) -> Assignment {
     let localities = &deployment.localities;
-    let row = |at: u32| {
-        let locality = at as usize % localities.len();
-        let nth = at as usize / localities.len();
+    let row = |index: u32| {
+        let locality = index as usize % localities.len();
+        let index_in_locality = index as usize / localities.len();
         let (mut health, mut incarnation) = (Health::Ready, 1);
         match fleet.shape {
             _ if !changed => {}
-            Shape::AsItIs => {}
-            Shape::LocalityGone(gone) if locality == usize::from(gone) => return None,
-            Shape::LocalityGone(_) => {}
-            Shape::OneFresh if at == 0 => incarnation = 2,
-            Shape::MostFresh if !at.is_multiple_of(5) => incarnation = 2,
-            Shape::HalfDraining if nth % 2 == 1 => health = Health::Draining,
-            Shape::Deploy if nth % 3 == 1 => health = Health::Draining,
-            Shape::Deploy if nth % 3 == 2 => incarnation = 2,
-            Shape::OneLeft if at > 0 => return None,
+            FleetShape::Unchanged => {}
+            FleetShape::LocalityGone(gone) if locality == usize::from(gone) => return None,
+            FleetShape::LocalityGone(_) => {}
+            FleetShape::OneFresh if index == 0 => incarnation = 2,
+            FleetShape::MostFresh if !index.is_multiple_of(5) => incarnation = 2,
+            FleetShape::HalfDraining if index_in_locality % 2 == 1 => health = Health::Draining,
+            FleetShape::Deploy if index_in_locality % 3 == 1 => health = Health::Draining,
+            FleetShape::Deploy if index_in_locality % 3 == 2 => incarnation = 2,
+            FleetShape::OneLeft if index > 0 => return None,
             _ => {}
         }
-        let [high, low] = (at as u16).to_be_bytes();
+        let [high, low] = (index as u16).to_be_bytes();
         let age = (incarnation > 1).then_some(0);
         Some(AssignedEndpoint {
             address: ([127, 20, high, low], 80).into(),
             zone: localities[locality].clone(),
             health,
-            weight: sizes[at as usize % sizes.len()],
-            info: Some(ServerInfo { server: 1000 + at, kind: 0, cell: 0, incarnation, age }),
+            weight: sizes[index as usize % sizes.len()],
+            info: Some(ServerInfo { server: FIRST_SERVER + index, kind: 0, cell: 0, incarnation, age }),
         })
     };
     let rows = (0..fleet.servers).filter_map(row).collect();
     Assignment { cluster: "fleet".into(), endpoints: rows, admitted: 1.0 }
 }
 
-/// A table as `shalereel tables ... --json show` printed it. Errors: it is none.
-pub fn captured(text: &str, deployment: &Deployment) -> Result<View, String> {
-    let told: Value = serde_json::from_str(text).map_err(|error| error.to_string())?;
-    let rows = told["lines"].as_array().ok_or("no lines in it; give what `tables --json show` prints")?;
-    let row = |row: &Value| -> Option<Seen> {
+/// Parses a table as `shalereel tables ... --json show` prints it.
+///
+/// Errors: the text is not such a table, or the table is of another deployment.
+pub fn parse_captured_table(text: &str, deployment: &Deployment) -> Result<TableView, String> {
+    let parsed: Value = serde_json::from_str(text).map_err(|error| error.to_string())?;
+    let rows = parsed["lines"]
+        .as_array()
+        .ok_or("the table has no `lines`; give what `tables --json show` prints")?;
+    let row = |row: &Value| -> Option<ServerEntry> {
         let locality = row["locality"].as_str()?;
-        Some(Seen {
+        Some(ServerEntry {
             server: u32::try_from(row["server"].as_u64()?).ok()?,
             locality: deployment.localities.iter().position(|name| name == locality)? as u16,
             weight: row["line"]["weight"].as_f64()?,
             draining: row["line"]["draining"].as_bool()?,
-            out: row["out"].as_bool()?,
-            able: row["able"].as_f64()?,
-            listed: row["listed"].as_f64()?,
+            unavailable: row["out"].as_bool()?,
+            capacity_fraction: row["able"].as_f64()?,
+            listed_capacity: row["listed"].as_f64()?,
         })
     };
-    let servers: Option<Vec<Seen>> = rows.iter().map(row).collect();
-    let servers = servers.ok_or("a line lacks its locality, or is of another deployment")?;
-    Ok(View { servers, users: (0..deployment.config.locality_count).collect(), at_ms: 0 })
+    let servers: Option<Vec<ServerEntry>> = rows.iter().map(row).collect();
+    let servers = servers.ok_or("a line is incomplete, or its locality is not in this deployment")?;
+    Ok(TableView { servers, localities: (0..deployment.config.locality_count).collect(), at_ms: 0 })
 }
--- a/crates/routing-checks/src/lib.rs
+++ b/crates/routing-checks/src/lib.rs
@@ -1,10 +1,12 @@
-//! What operators expect of routing, beside their configuration: read from TOML, and run without any traffic against a
-//! captured table and against fleets of many sizes and shapes, through the real decisions. `docs/expect.md` has the design.
+//! Checks operators' expectations of routing, which stand in TOML files beside the configuration.
+//!
+//! No traffic is needed: the expectations are checked against a captured table, and against the tables that the real
+//! controller computes for generated fleets of many sizes and shapes. `docs/expect.md` describes the design.
 
 mod expectation;
 mod fleet;
 mod search;
 
-pub use expectation::{read_expectations, Expectation, Expectations, Group};
-pub use fleet::{captured, Seen, Shape, View};
-pub use search::{run, Broken, Contradiction, Outcome};
+pub use expectation::{read_expectations, Expectation, ExpectationSet, ServerGroup};
+pub use fleet::{parse_captured_table, FleetShape, ServerEntry, TableView};
+pub use search::{check_expectations, CheckReport, Contradiction, Violation};
--- a/crates/routing-checks/src/search.rs
+++ b/crates/routing-checks/src/search.rs
@@ -1,189 +1,219 @@
-//! Runs expectations against fleets, finds the smallest fleet that breaks one, and tells which can't be kept.
+//! Checks expectations on generated fleets, shrinks each violation to a small fleet, and reports contradictions.
 
 use std::collections::BTreeMap;
 
 use shalereel_xds_supervisor::Deployment;
 
-use crate::expectation::{Bound, Expectation, Expectations};
-use crate::fleet::{play, Fleet, Seen, Shape, View};
+use crate::expectation::{Bound, Expectation, ExpectationSet};
+use crate::fleet::{simulate, Fleet, FleetShape, ServerEntry, TableView};
 
 /// An expectation that a table does not meet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
+pub struct Violation {
+    /// Name of the expectation.
     pub name: String,
-    /// The smallest fleet found: how many servers, and in which shape.
+    /// Number of servers of the smallest fleet that was found.
     pub servers: u32,
+    /// Shape of that fleet, in words.
     pub shape: String,
-    /// After the fleet took that shape.
+    /// Milliseconds since the fleet took that shape.
     pub at_ms: u64,
-    pub figure: f64,
-    pub asked: String,
+    /// The measured share or number of servers.
+    pub value: f64,
+    /// The expected bound, in words.
+    pub bound: String,
+    /// The server concerned, where the expectation is about each server.
     pub server: Option<u32>,
 }
 
 /// An expectation that no table can meet without breaking a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Contradiction {
+    /// Name of the expectation.
     pub name: String,
+    /// Shape of the fleet, in words.
     pub shape: String,
+    /// Number of servers of the fleet.
     pub servers: u32,
+    /// Name of the rule.
     pub rule: &'static str,
-    /// The most, or the least, that the rule allows.
-    pub allows: f64,
-    pub asked: String,
+    /// The largest or the smallest share that the rule allows.
+    pub allowed: f64,
+    /// The expected bound, in words.
+    pub bound: String,
 }
 
+/// The result of a check of all expectations of a file.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Outcome {
-    pub broken: Vec<Broken>,
+pub struct CheckReport {
+    /// At most one violation for each expectation.
+    pub violations: Vec<Violation>,
+    /// At most one contradiction for each expectation.
     pub contradictions: Vec<Contradiction>,
-    /// Fleets played, and tables looked at.
+    /// Number of fleets that were generated.
     pub fleets: usize,
+    /// Number of tables that were checked.
     pub tables: usize,
 }
 
-/// When after the change, the figure, and of which server.
-type Found = (u64, f64, Option<u32>);
+/// Milliseconds since the change, the measured value, and the server concerned.
+type Finding = (u64, f64, Option<u32>);
 
-/// A fleet is tried at these multiples of what it is.
-const TIMES: [u32; 3] = [1, 2, 3];
+/// Multiples of the fleet's size that are checked.
+const SIZE_FACTORS: [u32; 3] = [1, 2, 3];
 
-struct Run<'a> {
+/// Tolerance on computed shares.
+const SHARE_TOLERANCE: f64 = 1e-9;
+
+/// The tables of all fleets that were generated so far.
+struct TableCache<'a> {
     deployment: &'a Deployment,
-    told: &'a Expectations,
-    views: BTreeMap<(Shape, u32), Vec<View>>,
+    expectations: &'a ExpectationSet,
+    views: BTreeMap<(FleetShape, u32), Vec<TableView>>,
 }
 
-impl Run<'_> {
-    fn views(&mut self, shape: Shape, servers: u32) -> &[View] {
-        let (deployment, sizes) = (self.deployment, &self.told.sizes);
+impl TableCache<'_> {
+    /// The tables of a fleet, which is generated on first use.
+    fn views(&mut self, shape: FleetShape, servers: u32) -> &[TableView] {
+        let (deployment, sizes) = (self.deployment, &self.expectations.sizes);
         self.views
             .entry((shape, servers))
-            .or_insert_with(|| play(deployment, sizes, Fleet { shape, servers }))
+            .or_insert_with(|| simulate(deployment, sizes, Fleet { shape, servers }))
     }
 
-    /// The first table of a fleet that breaks an expectation, unless no table could keep it.
-    fn breaks(&mut self, one: &Expectation, shape: Shape, servers: u32) -> Option<Found> {
-        let tip = self.deployment.config.overload_ratio;
-        let concerns = |view: &&View| one.from.is_none_or(|from| view.users.contains(&from));
-        let mut views = self.views(shape, servers).iter().filter(concerns);
+    /// The first violation in a fleet's tables. Tables whose fleet contradicts the expectation are skipped.
+    fn first_violation(
+        &mut self,
+        expectation: &Expectation,
+        shape: FleetShape,
+        servers: u32,
+    ) -> Option<Finding> {
+        let overload_ratio = self.deployment.config.overload_ratio;
+        let applies = |view: &&TableView| expectation.from.is_none_or(|from| view.localities.contains(&from));
+        let mut views = self.views(shape, servers).iter().filter(applies);
         views.find_map(|view| {
-            let (figure, server) = one.broken(view)?;
-            contradicts(one, view, tip).is_none().then_some((view.at_ms, figure, server))
+            let (value, server) = expectation.violation(view)?;
+            contradiction_with_rules(expectation, view, overload_ratio)
+                .is_none()
+                .then_some((view.at_ms, value, server))
         })
     }
 }
 
-/// Runs all expectations at the fleet's size, twice and three times that, in every shape.
-pub fn run(deployment: &Deployment, told: &Expectations) -> Outcome {
-    let mut run = Run { deployment, told, views: BTreeMap::new() };
-    let mut outcome = Outcome::default();
-    let shapes = Shape::all(deployment.config.locality_count);
-    let text = |shape: Shape| shape.text(&deployment.localities);
-    for one in &told.all {
-        let mut smallest: Option<(u32, Shape, Found)> = None;
+/// Checks all expectations on fleets of every shape, at the fleet's size and at twice and three times that size.
+pub fn check_expectations(deployment: &Deployment, expectations: &ExpectationSet) -> CheckReport {
+    let mut cache = TableCache { deployment, expectations, views: BTreeMap::new() };
+    let mut report = CheckReport::default();
+    let shapes = FleetShape::all(deployment.config.locality_count);
+    let describe = |shape: FleetShape| shape.description(&deployment.localities);
+    for expectation in &expectations.expectations {
+        let mut smallest: Option<(u32, FleetShape, Finding)> = None;
         let mut contradiction = None;
-        for times in TIMES {
+        for factor in SIZE_FACTORS {
             for &shape in &shapes {
-                let servers = times * told.servers;
-                let tip = deployment.config.overload_ratio;
-                for view in run.views(shape, servers) {
-                    if let Some((rule, allows)) =
-                        contradicts(one, view, tip).filter(|_| contradiction.is_none())
+                let servers = factor * expectations.servers;
+                let overload_ratio = deployment.config.overload_ratio;
+                for view in cache.views(shape, servers) {
+                    if let Some((rule, allowed)) = contradiction_with_rules(expectation, view, overload_ratio)
+                        .filter(|_| contradiction.is_none())
                     {
                         contradiction = Some(Contradiction {
-                            name: one.name.clone(),
-                            shape: text(shape),
+                            name: expectation.name.clone(),
+                            shape: describe(shape),
                             servers,
                             rule,
-                            allows,
-                            asked: one.asked(),
+                            allowed,
+                            bound: expectation.bound_text(),
                         });
                     }
                 }
-                if let Some(found) = run.breaks(one, shape, servers) {
-                    let (servers, found) = shrink(&mut run, one, shape, servers, found);
+                if let Some(finding) = cache.first_violation(expectation, shape, servers) {
+                    let (servers, finding) = shrink(&mut cache, expectation, shape, servers, finding);
                     if smallest.as_ref().is_none_or(|smallest| servers < smallest.0) {
-                        smallest = Some((servers, shape, found));
+                        smallest = Some((servers, shape, finding));
                     }
                 }
             }
         }
-        outcome.contradictions.extend(contradiction);
-        outcome.broken.extend(smallest.map(|(servers, shape, (at_ms, figure, server))| Broken {
-            name: one.name.clone(),
+        report.contradictions.extend(contradiction);
+        report.violations.extend(smallest.map(|(servers, shape, (at_ms, value, server))| Violation {
+            name: expectation.name.clone(),
             servers,
-            shape: text(shape),
+            shape: describe(shape),
             at_ms,
-            figure,
-            asked: one.asked(),
+            value,
+            bound: expectation.bound_text(),
             server,
         }));
     }
-    outcome.fleets = run.views.len();
-    outcome.tables = run.views.values().map(Vec::len).sum();
-    outcome
+    report.fleets = cache.views.len();
+    report.tables = cache.views.values().map(Vec::len).sum();
+    report
 }
 
-/// Halves a fleet as long as it still breaks the expectation, then takes servers away one by one: the smallest found
-/// that way, which need not be the smallest there is.
+/// Shrinks a fleet that violates an expectation: removes half of its servers while the violation remains, then fewer
+/// at a time, down to one. The result is a local minimum, which need not be the smallest fleet that violates it.
 fn shrink(
-    run: &mut Run,
-    one: &Expectation,
-    shape: Shape,
+    cache: &mut TableCache,
+    expectation: &Expectation,
+    shape: FleetShape,
     mut servers: u32,
-    mut found: Found,
-) -> (u32, Found) {
+    mut finding: Finding,
+) -> (u32, Finding) {
     let mut step = servers / 2;
     while step > 0 {
-        match servers
-            .checked_sub(step)
-            .filter(|fewer| *fewer > 0)
-            .and_then(|fewer| run.breaks(one, shape, fewer).map(|found| (fewer, found)))
-        {
-            Some(fewer) => (servers, found) = fewer,
+        match servers.checked_sub(step).filter(|fewer| *fewer > 0).and_then(|fewer| {
+            cache.first_violation(expectation, shape, fewer).map(|finding| (fewer, finding))
+        }) {
+            Some(smaller) => (servers, finding) = smaller,
             None => step /= 2,
         }
     }
-    (servers, found)
+    (servers, finding)
 }
 
-/// Can any table keep both the rules and this expectation, with these servers? If not: which rule, and what it allows.
-fn contradicts(one: &Expectation, view: &View, tip: f64) -> Option<(&'static str, f64)> {
-    let ready = |seen: &&Seen| !seen.out;
-    let size: f64 = view.servers.iter().filter(ready).map(|seen| seen.listed).sum();
-    let warm = view.servers.iter().filter(ready).any(|seen| seen.able >= 1.0);
-    // The most that a server may be given: nothing while it is out, what it bears while it is cold.
-    let most = |seen: &Seen| match () {
-        () if seen.out => 0.0,
-        () if seen.able >= 1.0 || !warm => 1.0,
-        () => (tip * seen.able * seen.listed / size).min(1.0),
+/// The rule that no table for these servers can keep together with the expectation, and the share that it allows.
+fn contradiction_with_rules(
+    expectation: &Expectation,
+    view: &TableView,
+    overload_ratio: f64,
+) -> Option<(&'static str, f64)> {
+    let available = |server: &&ServerEntry| !server.unavailable;
+    let total_capacity: f64 =
+        view.servers.iter().filter(available).map(|server| server.listed_capacity).sum();
+    let any_warm = view.servers.iter().filter(available).any(|server| server.capacity_fraction >= 1.0);
+    // The largest share that the rules allow: none while unavailable, and no overload while in slow start.
+    let max_share = |server: &ServerEntry| match () {
+        () if server.unavailable => 0.0,
+        () if server.capacity_fraction >= 1.0 || !any_warm => 1.0,
+        () => (overload_ratio * server.capacity_fraction * server.listed_capacity / total_capacity).min(1.0),
     };
-    let members: Vec<&Seen> = view.servers.iter().filter(|seen| one.group.has(seen)).collect();
+    let members: Vec<&ServerEntry> =
+        view.servers.iter().filter(|server| expectation.group.contains(server)).collect();
     if members.is_empty() {
         return None;
     }
-    match one.bound {
-        Bound::AtLeast(part) => {
-            let allows = if one.each {
-                members.iter().map(|seen| most(seen)).fold(1.0, f64::min)
+    match expectation.bound {
+        Bound::AtLeast(bound) => {
+            let allowed = if expectation.each {
+                members.iter().map(|server| max_share(server)).fold(1.0, f64::min)
             } else {
-                members.iter().map(|seen| most(seen)).sum::<f64>().min(1.0)
+                members.iter().map(|server| max_share(server)).sum::<f64>().min(1.0)
             };
-            let rule = match members.iter().any(|seen| !seen.out) {
+            let rule = match members.iter().any(|server| !server.unavailable) {
                 true => "no cold server pushed over",
                 false => "drains kept",
             };
-            (part > allows + 1e-9).then_some((rule, allows))
+            (bound > allowed + SHARE_TOLERANCE).then_some((rule, allowed))
         }
-        Bound::AtMost(part) => {
-            // Somebody must be sent to: those outside the group take what they may, the group the rest.
-            let others = view.servers.iter().filter(|seen| !one.group.has(seen));
-            let elsewhere = others.map(most).sum::<f64>().min(1.0);
-            let open = members.iter().filter(|seen| most(seen) > 0.0).count().max(1);
-            let least = (1.0 - elsewhere) / if one.each { open as f64 } else { 1.0 };
-            let any = view.servers.iter().any(|seen| !seen.out);
-            (any && part < least - 1e-9).then_some(("a line to pick", least))
+        Bound::AtMost(bound) => {
+            // All requests go to some server: those outside the group take their largest shares, the group takes the rest.
+            let others = view.servers.iter().filter(|server| !expectation.group.contains(server));
+            let others_share = others.map(max_share).sum::<f64>().min(1.0);
+            let open_servers = members.iter().filter(|server| max_share(server) > 0.0).count().max(1);
+            let allowed = (1.0 - others_share) / if expectation.each { open_servers as f64 } else { 1.0 };
+            let any_available = view.servers.iter().any(|server| !server.unavailable);
+            (any_available && bound < allowed - SHARE_TOLERANCE).then_some(("a line to pick", allowed))
         }
         _ => None,
     }
