--- a/crates/cli/src/drill_command.rs
+++ b/crates/cli/src/drill_command.rs
@@ -5,11 +5,11 @@
 use std::process::ExitCode;
 
 use anyhow::{Context, Result};
-use shalereel_fault_scenarios::{as_json, as_text, from_bench, play, Day};
+use shalereel_fault_scenarios::{convert_bench_scenario, json_report, run_scenario, text_report, Scenario};
 
 /// Exit 0: the day stands; 1: it does not.
 pub fn drill(file: &Path, json: bool, keep: Option<PathBuf>) -> Result<ExitCode> {
-    let day = Day::read(file)?;
+    let day = Scenario::read(file)?;
     let kept = keep.is_some();
     let folder =
         keep.unwrap_or_else(|| std::env::temp_dir().join(format!("shalereel-drill-{}", std::process::id())));
@@ -26,17 +26,17 @@
         }
         last = trouble.to_owned();
     };
-    let verdict = play(&program, &folder, &day, &mut progress);
+    let verdict = run_scenario(&program, &folder, &day, &mut progress);
     if !kept {
         let _ = std::fs::remove_dir_all(&folder);
     }
     let verdict = verdict?;
-    println!("{}", if json { as_json(&verdict) } else { as_text(&verdict) });
-    Ok(if verdict.stands() { ExitCode::SUCCESS } else { ExitCode::from(1) })
+    println!("{}", if json { json_report(&verdict) } else { text_report(&verdict) });
+    Ok(if verdict.passed() { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
 
 pub fn drill_from(day: &Path, fleet: &Path) -> Result<()> {
     let read = |file: &Path| std::fs::read_to_string(file).with_context(|| file.display().to_string());
-    print!("{}", from_bench(&read(day)?, &read(fleet)?)?);
+    print!("{}", convert_bench_scenario(&read(day)?, &read(fleet)?)?);
     Ok(())
 }
--- a/crates/cli/src/group_command.rs
+++ b/crates/cli/src/group_command.rs
@@ -8,7 +8,7 @@
 use anyhow::{bail, Context, Result};
 use clap::{Args, Subcommand};
 use serde_json::Value;
-use shalereel_fault_scenarios::{order_at, standing};
+use shalereel_fault_scenarios::{group_status, submit_command};
 use shalereel_group::sim::{run_schedule, ScheduleSettings, ScheduleStats, Violation};
 use shalereel_group::wire::{
     CommandPayload, MemberAddress, MembershipChange, MoveRange, OperatorOrder, ReleaseOrder,
@@ -51,7 +51,7 @@
 }
 
 pub fn members(at: SocketAddr, json: bool) -> Result<()> {
-    let told = standing(at)?;
+    let told = group_status(at)?;
     if json {
         println!("{told:#}");
         return Ok(());
@@ -75,7 +75,7 @@
 }
 
 pub fn duties(at: SocketAddr, json: bool) -> Result<()> {
-    let told = standing(at)?;
+    let told = group_status(at)?;
     if json {
         println!("{told:#}");
         return Ok(());
@@ -101,7 +101,7 @@
 }
 
 fn locality(at: SocketAddr, name: &str) -> Result<u32> {
-    let told = standing(at)?;
+    let told = group_status(at)?;
     let names: Vec<&str> = rows(&told, "localities").filter_map(Value::as_str).collect();
     let found = names.iter().position(|one| *one == name);
     found.map(|at| at as u32).with_context(|| format!("no locality {name:?}; there are {names:?}"))
@@ -138,7 +138,7 @@
             CommandPayload::ChangeMembership(MembershipChange { member: seat, removed: true })
         }
     };
-    println!("agreed: {}", order_at(at, act)?);
+    println!("agreed: {}", submit_command(at, act)?);
     Ok(())
 }
 
--- a/crates/cli/src/group_measure.rs
+++ b/crates/cli/src/group_measure.rs
@@ -8,7 +8,7 @@
 
 use anyhow::{bail, Context, Result};
 use serde_json::Value;
-use shalereel_fault_scenarios::{standing, Day, Stage};
+use shalereel_fault_scenarios::{group_status, LocalDeployment, Scenario};
 use shalereel_group::wire::{Command, CommandPayload, Entry, RecordKind, ReleaseOrder, StoredRecord};
 use shalereel_group::{encode_records, LOG_FILE_MAGIC};
 use shalereel_journal::frame;
@@ -21,7 +21,7 @@
 
 /// Prints it all as a table.
 pub fn group(sizes: &[u16], rounds: u32, day: &Path) -> Result<()> {
-    let day = Day::read(day)?;
+    let day = Scenario::read(day)?;
     for &size in sizes {
         traffic_and_take_over(&day, size, rounds)?;
     }
@@ -30,14 +30,14 @@
 
 /// Looks at all that are there until one of them satisfies.
 fn until<T>(
-    stage: &Stage,
+    stage: &LocalDeployment,
     but: Option<usize>,
     mut found: impl FnMut(usize, &Value) -> Option<T>,
 ) -> Result<T> {
     let begun = Instant::now();
     while begun.elapsed() < PATIENCE {
         for number in (0..stage.supervisors()).filter(|&number| Some(number) != but) {
-            let told = standing(stage.address(number));
+            let told = group_status(stage.address(number));
             if let Some(found) = told.ok().and_then(|told| found(number, &told)) {
                 return Ok(found);
             }
@@ -58,10 +58,10 @@
     (told["state"] == "leads" && alive == usize::from(size)).then_some(())
 }
 
-fn told_so_far(stage: &Stage) -> Result<(u64, u64)> {
+fn told_so_far(stage: &LocalDeployment) -> Result<(u64, u64)> {
     let mut sum = (0, 0);
     for number in 0..stage.supervisors() {
-        let told = standing(stage.address(number))?;
+        let told = group_status(stage.address(number))?;
         sum.0 += told["told"]["messages"].as_u64().unwrap_or(0);
         sum.1 += told["told"]["bytes"].as_u64().unwrap_or(0);
     }
@@ -73,13 +73,13 @@
     sorted.get(at.clamp(1, sorted.len().max(1)) - 1).copied().unwrap_or_default()
 }
 
-fn traffic_and_take_over(day: &Day, size: u16, rounds: u32) -> Result<()> {
+fn traffic_and_take_over(day: &Scenario, size: u16, rounds: u32) -> Result<()> {
     let mut day = day.clone();
     day.supervisors.count = size;
-    let election = day.shared.as_ref().context("the day has no [shared]")?.election_ms;
+    let election = day.group.as_ref().context("the day has no [shared]")?.election_ms;
     let folder = std::env::temp_dir().join(format!("shalereel-group-{}-{size}", std::process::id()));
     let program = std::env::current_exe()?;
-    let mut stage = Stage::open(&program, &folder, &day)?;
+    let mut stage = LocalDeployment::start(&program, &folder, &day)?;
     until(&stage, None, |_, told| settled(told, size))?;
     let (before, begun) = (told_so_far(&stage)?, Instant::now());
     std::thread::sleep(Duration::from_secs(10));
@@ -104,7 +104,7 @@
         next.push(killed.elapsed());
         until(&stage, Some(leader), |number, told| leads(number, told).filter(|_| holds(told) == 0))?;
         tables.push(killed.elapsed());
-        stage.revive_supervisor(leader)?;
+        stage.restart_supervisor(leader)?;
     }
     next.sort();
     tables.sort();
@@ -117,7 +117,7 @@
         percentile(&tables, 0.5).as_secs_f64(),
         percentile(&tables, 0.99).as_secs_f64(),
     );
-    stage.close()?;
+    stage.stop()?;
     let _ = fs::remove_dir_all(folder);
     Ok(())
 }
--- a/crates/cli/src/restart_measure.rs
+++ b/crates/cli/src/restart_measure.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use anyhow::{bail, Context, Result};
-use shalereel_fault_scenarios::{play, Day, TroubleKind, Verdict};
+use shalereel_fault_scenarios::{run_scenario, FaultKind, Scenario, Verdict};
 
 /// Service is looked at for so long after the restart.
 const AFTER_S: f64 = 30.0;
@@ -20,8 +20,8 @@
 
 /// `healed`: whatever ailed servers ends as the supervisors go down, so that what they knew is wrong.
 pub fn restart(file: &Path, first: u32, rounds: u32, healed: bool) -> Result<()> {
-    let day = Day::read(file)?;
-    let crash = day.troubles.iter().find(|trouble| trouble.kind == TroubleKind::SupervisorCrash);
+    let day = Scenario::read(file)?;
+    let crash = day.faults.iter().find(|trouble| trouble.kind == FaultKind::SupervisorCrash);
     let (from, back) = crash
         .map(|crash| (crash.at_s, crash.at_s + crash.for_s))
         .context("the day has no supervisor_crash")?;
@@ -39,13 +39,13 @@
                 day.seed += u64::from(round);
                 day.supervisors.forget = way == Way::Forgets;
                 if healed {
-                    let ill = [TroubleKind::Hang, TroubleKind::Slow, TroubleKind::FastErrors];
-                    for trouble in day.troubles.iter_mut().filter(|trouble| ill.contains(&trouble.kind)) {
+                    let ill = [FaultKind::Hang, FaultKind::Slow, FaultKind::FastErrors];
+                    for trouble in day.faults.iter_mut().filter(|trouble| ill.contains(&trouble.kind)) {
                         trouble.for_s = trouble.for_s.min((from - trouble.at_s).max(0.0));
                     }
                 }
                 if way == Way::Calm {
-                    day.troubles.retain(|trouble| trouble.kind != TroubleKind::SupervisorCrash);
+                    day.faults.retain(|trouble| trouble.kind != FaultKind::SupervisorCrash);
                 }
                 scope.spawn(move || one(&day, back))
             });
@@ -68,12 +68,12 @@
     println!("{name:>5} {calm:>8.4} {remembers:>11.4} {forgets:>9.4} {won:>9}");
 }
 
-fn one(day: &Day, back: f64) -> Result<f64> {
+fn one(day: &Scenario, back: f64) -> Result<f64> {
     let thread = std::thread::current().id();
     let folder = std::env::temp_dir().join(format!("shalereel-restart-{}-{thread:?}", std::process::id()));
-    let verdict: Verdict = play(&std::env::current_exe()?, &folder, day, &mut |_| {})?;
+    let verdict: Verdict = run_scenario(&std::env::current_exe()?, &folder, day, &mut |_| {})?;
     let _ = std::fs::remove_dir_all(&folder);
-    if let Some(broken) = verdict.broken().next() {
+    if let Some(broken) = verdict.violated_rules().next() {
         bail!("a rule broke: {broken:?}");
     }
     let after = verdict
@@ -81,6 +81,6 @@
         .iter()
         .filter(|window| window.from_s >= back.floor() && window.from_s < back + AFTER_S);
     let (asked, answered) =
-        after.fold((0.0, 0.0), |sum, window| (sum.0 + window.asked, sum.1 + window.answered));
+        after.fold((0.0, 0.0), |sum, window| (sum.0 + window.requested_value, sum.1 + window.answered_value));
     Ok(answered / asked)
 }
--- a/crates/cli/src/tables_command.rs
+++ b/crates/cli/src/tables_command.rs
@@ -6,7 +6,7 @@
 use anyhow::{bail, Result};
 use clap::{Args, Subcommand};
 use serde_json::Value;
-use shalereel_fault_scenarios::tables_at;
+use shalereel_fault_scenarios::query_tables;
 use shalereel_xds_supervisor::admin::{
     AdminQuery, CapServer, DiffVersions, EndRollbacks, ListVersions, ShowVersion, StartRollback,
 };
@@ -116,7 +116,7 @@
         }
         TablesCommand::Onward => AdminQuery::EndRollbacks(EndRollbacks {}),
     };
-    let told = tables_at(at, question)?;
+    let told = query_tables(at, question)?;
     if json {
         println!("{told:#}");
         return Ok(());
--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use rstest::rstest;
-use shalereel_fault_scenarios::{play, Day, Rule, Verdict};
+use shalereel_fault_scenarios::{run_scenario, Rule, Scenario, Verdict};
 
 const SHORT: &str = include_str!("days/short.toml");
 
@@ -25,17 +25,18 @@
     for trouble in troubles {
         text += &format!("\n[[trouble]]\n{}\n", trouble.replace(", ", "\n"));
     }
-    let day = Day::parse(Path::new("short.toml"), &text).unwrap();
+    let day = Scenario::parse(Path::new("short.toml"), &text).unwrap();
     let folder = folder();
-    let verdict = play(Path::new(env!("CARGO_BIN_EXE_shalereel")), &folder, &day, &mut |_| {}).unwrap();
-    if verdict.stands() {
+    let verdict =
+        run_scenario(Path::new(env!("CARGO_BIN_EXE_shalereel")), &folder, &day, &mut |_| {}).unwrap();
+    if verdict.passed() {
         let _ = std::fs::remove_dir_all(folder);
     }
     verdict
 }
 
 fn assert_stands(verdict: &Verdict) {
-    assert!(verdict.stands(), "{}", shalereel_fault_scenarios::as_text(verdict));
+    assert!(verdict.passed(), "{}", shalereel_fault_scenarios::text_report(verdict));
 }
 
 #[rstest]
@@ -54,8 +55,8 @@
 ) {
     let troubles: Vec<&str> = Some(trouble).filter(|trouble| !trouble.is_empty()).into_iter().collect();
     let verdict = day(planted, changes, &troubles);
-    let broken: Vec<Rule> = verdict.broken().map(|measure| measure.rule).collect();
-    assert!(broken.contains(&rule), "{broken:?}\n{}", shalereel_fault_scenarios::as_text(&verdict));
+    let broken: Vec<Rule> = verdict.violated_rules().map(|measure| measure.rule).collect();
+    assert!(broken.contains(&rule), "{broken:?}\n{}", shalereel_fault_scenarios::text_report(&verdict));
     // Without the fault the same day stands.
     assert_stands(&day("", changes, &troubles));
 }
@@ -150,6 +151,6 @@
 #[case::out_of_range("service = 0.7", "service = 7.0", "short.toml:")]
 #[case::missing("rate = 60.0\n", "", "missing field `rate`")]
 fn a_bad_file_is_refused_with_its_place(#[case] from: &str, #[case] to: &str, #[case] said: &str) {
-    let error = Day::parse(Path::new("short.toml"), &SHORT.replace(from, to)).unwrap_err().to_string();
+    let error = Scenario::parse(Path::new("short.toml"), &SHORT.replace(from, to)).unwrap_err().to_string();
     assert!(error.contains(said), "{error}");
 }
--- a/crates/cli/tests/shared.rs
+++ b/crates/cli/tests/shared.rs
@@ -6,7 +6,9 @@
 
 use rstest::rstest;
 use serde_json::Value;
-use shalereel_fault_scenarios::{order_at, play, standing, Day, Rule, Stage, Verdict};
+use shalereel_fault_scenarios::{
+    group_status, run_scenario, submit_command, LocalDeployment, Rule, Scenario, Verdict,
+};
 use shalereel_group::wire::{CommandPayload, MemberAddress, MembershipChange, OperatorOrder, ReleaseOrder};
 use shalereel_xds_supervisor::GROUP_LOG_FILE;
 
@@ -19,7 +21,7 @@
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("shared-{}-{number}", std::process::id()))
 }
 
-fn day(planted: &str, length: &str, troubles: &[&str]) -> Day {
+fn day(planted: &str, length: &str, troubles: &[&str]) -> Scenario {
     let mut text = if planted.is_empty() { String::new() } else { format!("planted = {planted:?}\n") };
     let short = include_str!("days/short.toml");
     text += &short.replace("[rules]", SHARED).replace("count = 2\ntick_ms", "count = 3\ntick_ms");
@@ -27,13 +29,14 @@
     for trouble in troubles {
         text += &format!("\n[[trouble]]\n{}\n", trouble.replace(", ", "\n"));
     }
-    Day::parse(Path::new("shared.toml"), &text).unwrap()
+    Scenario::parse(Path::new("shared.toml"), &text).unwrap()
 }
 
-fn played(day: &Day) -> Verdict {
+fn played(day: &Scenario) -> Verdict {
     let folder = folder();
-    let verdict = play(Path::new(env!("CARGO_BIN_EXE_shalereel")), &folder, day, &mut |_| {}).unwrap();
-    if verdict.stands() {
+    let verdict =
+        run_scenario(Path::new(env!("CARGO_BIN_EXE_shalereel")), &folder, day, &mut |_| {}).unwrap();
+    if verdict.passed() {
         let _ = std::fs::remove_dir_all(folder);
     }
     verdict
@@ -54,7 +57,7 @@
             "at_s = 12.0, for_s = 2.0, kind = \"links_one_way\", count = 1",
         ],
     ));
-    assert!(verdict.stands(), "{}", shalereel_fault_scenarios::as_text(&verdict));
+    assert!(verdict.passed(), "{}", shalereel_fault_scenarios::text_report(&verdict));
     assert!(verdict.operations["order-place"] > 0.3, "{:?}", verdict.operations);
 }
 
@@ -66,23 +69,23 @@
         "at_s = 4.5, for_s = 0.0, kind = \"move_ranges\"",
     ];
     // What most ask for goes by key, so that something is in flight whenever a range moves.
-    let keyed = |mut day: Day| {
-        day.shared.as_mut().unwrap().keyed = "box-view".into();
+    let keyed = |mut day: Scenario| {
+        day.group.as_mut().unwrap().keyed = "box-view".into();
         day
     };
     let verdict = played(&keyed(day("no_fence", "length_s = 14.0", &moves)));
-    let broken: Vec<Rule> = verdict.broken().map(|measure| measure.rule).collect();
-    assert!(broken.contains(&Rule::Fenced), "{}", shalereel_fault_scenarios::as_text(&verdict));
+    let broken: Vec<Rule> = verdict.violated_rules().map(|measure| measure.rule).collect();
+    assert!(broken.contains(&Rule::Fenced), "{}", shalereel_fault_scenarios::text_report(&verdict));
     let verdict = played(&keyed(day("", "length_s = 14.0", &moves)));
-    assert!(verdict.stands(), "{}", shalereel_fault_scenarios::as_text(&verdict));
+    assert!(verdict.passed(), "{}", shalereel_fault_scenarios::text_report(&verdict));
 }
 
 /// Waits for some supervisor of whom this holds.
-fn until<T>(stage: &Stage, mut found: impl FnMut(usize, &Value) -> Option<T>) -> T {
+fn until<T>(stage: &LocalDeployment, mut found: impl FnMut(usize, &Value) -> Option<T>) -> T {
     let begun = Instant::now();
     loop {
         for number in 0..stage.supervisors() {
-            let told = standing(stage.address(number));
+            let told = group_status(stage.address(number));
             if let Some(found) = told.ok().and_then(|told| found(number, &told)) {
                 return found;
             }
@@ -92,7 +95,7 @@
     }
 }
 
-fn leader(stage: &Stage) -> usize {
+fn leader(stage: &LocalDeployment) -> usize {
     until(stage, |number, told| (told["state"] == "leads" && told["duties"][0].is_object()).then_some(number))
 }
 
@@ -104,12 +107,12 @@
 fn orders_need_a_majority_and_outlive_their_leader() {
     let folder = folder();
     let program = Path::new(env!("CARGO_BIN_EXE_shalereel"));
-    let mut stage = Stage::open(program, &folder, &day("", "length_s = 12.0", &[])).unwrap();
+    let mut stage = LocalDeployment::start(program, &folder, &day("", "length_s = 12.0", &[])).unwrap();
     let first = leader(&stage);
     // Given at one that only follows, twice: it stands once.
     let other = stage.address((first + 1) % 3);
-    let order = order_at(other, drain(1000)).unwrap()["order"].as_u64().unwrap();
-    assert!(order_at(other, drain(1000)).unwrap_err().to_string().contains("stands already"));
+    let order = submit_command(other, drain(1000)).unwrap()["order"].as_u64().unwrap();
+    assert!(submit_command(other, drain(1000)).unwrap_err().to_string().contains("stands already"));
     stage.kill_supervisor(first);
     let second =
         until(&stage, |number, told| (told["state"] == "leads" && number != first).then_some(number));
@@ -118,21 +121,23 @@
     stage.kill_supervisor(second);
     let last = 3 - first - second;
     until(&stage, |_, told| (told["state"] == "alone").then_some(()));
-    let refused = order_at(stage.address(last), drain(1003)).unwrap_err().to_string();
+    let refused = submit_command(stage.address(last), drain(1003)).unwrap_err().to_string();
     assert!(refused.contains("2 are needed; nothing was ordered"), "{refused}");
     // The first is back, its log torn by its death: with the last one it is a majority, and knows the order.
     let log = folder.join(format!("supervisor-{first}")).join(GROUP_LOG_FILE);
     let mut bytes = std::fs::read(&log).unwrap();
     bytes.extend([9, 0, 0, 0, 1, 2, 3]);
     std::fs::write(&log, bytes).unwrap();
-    stage.revive_supervisor(first).unwrap();
+    stage.restart_supervisor(first).unwrap();
     leader(&stage);
     assert!(
-        stands(&standing(stage.address(first)).unwrap()) || stands(&standing(stage.address(last)).unwrap())
+        stands(&group_status(stage.address(first)).unwrap())
+            || stands(&group_status(stage.address(last)).unwrap())
     );
-    order_at(stage.address(last), CommandPayload::ReleaseOrder(ReleaseOrder { order_index: order })).unwrap();
+    submit_command(stage.address(last), CommandPayload::ReleaseOrder(ReleaseOrder { order_index: order }))
+        .unwrap();
     until(&stage, |_, told| told["orders"].as_array().is_some_and(Vec::is_empty).then_some(()));
-    stage.close().unwrap();
+    stage.stop().unwrap();
     let _ = std::fs::remove_dir_all(folder);
 }
 
@@ -142,7 +147,7 @@
     let folder = folder();
     let program = Path::new(env!("CARGO_BIN_EXE_shalereel"));
     let day = day("", "length_s = 12.0", &[]);
-    let mut stage = Stage::open(program, &folder, &day).unwrap();
+    let mut stage = LocalDeployment::start(program, &folder, &day).unwrap();
     let first = leader(&stage);
     let lost = (first + 1) % 3;
     stage.kill_supervisor(lost);
@@ -162,7 +167,7 @@
         .unwrap();
     let seat = |number, address: String, out| {
         let seat = Some(MemberAddress { id: number, address });
-        order_at(
+        submit_command(
             stage.address(first),
             CommandPayload::ChangeMembership(MembershipChange { member: seat, removed: out }),
         )
@@ -180,14 +185,14 @@
     stage.kill_supervisor(first);
     let other = 3 - first - lost;
     let begun = Instant::now();
-    while order_at(stage.address(other), drain(1000)).is_err() {
+    while submit_command(stage.address(other), drain(1000)).is_err() {
         assert!(begun.elapsed() < Duration::from_secs(30), "no order is taken");
         std::thread::sleep(Duration::from_millis(100));
     }
-    assert_eq!(standing(free).unwrap()["me"], 3);
+    assert_eq!(group_status(free).unwrap()["me"], 3);
     new.kill().unwrap();
     new.wait().unwrap();
-    stage.close().unwrap();
+    stage.stop().unwrap();
     let _ = std::fs::remove_dir_all(folder);
 }
 
--- a/crates/cli/tests/tables.rs
+++ b/crates/cli/tests/tables.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use shalereel_fault_scenarios::{play, Day, Rule, Verdict};
+use shalereel_fault_scenarios::{run_scenario, Rule, Scenario, Verdict};
 
 const SHORT: &str = include_str!("days/short.toml");
 
@@ -19,8 +19,9 @@
     }
     // The second supervisor's disk takes no history: where the fresh file should be stands a folder.
     std::fs::create_dir_all(folder.join("supervisor-1").join("tables.log.new")).unwrap();
-    let day = Day::parse(Path::new("short.toml"), &text).unwrap();
-    let verdict = play(Path::new(env!("CARGO_BIN_EXE_shalereel")), &folder, &day, &mut |_| {}).unwrap();
+    let day = Scenario::parse(Path::new("short.toml"), &text).unwrap();
+    let verdict =
+        run_scenario(Path::new(env!("CARGO_BIN_EXE_shalereel")), &folder, &day, &mut |_| {}).unwrap();
     (verdict, folder)
 }
 
@@ -31,7 +32,7 @@
 #[test]
 fn lost_lines_are_noticed_and_a_way_back_crosses_a_drain() {
     let (verdict, folder) = play_day("", &[LOSSY, DRAIN, BACK]);
-    assert!(verdict.stands(), "{}", shalereel_fault_scenarios::as_text(&verdict));
+    assert!(verdict.passed(), "{}", shalereel_fault_scenarios::text_report(&verdict));
     assert!(verdict.traffic.disturbed > 20, "{:?}", verdict.traffic);
     // What was told is on the disk, whole, with the reasons.
     let file = std::fs::read(folder.join("supervisor-0").join(shalereel_xds_supervisor::TABLE_HISTORY_FILE))
@@ -50,7 +51,7 @@
 #[test]
 fn a_way_back_that_outranks_the_module_is_found() {
     let (verdict, folder) = play_day("supervisor_way_outranks", &[DRAIN, BACK]);
-    let broken: Vec<Rule> = verdict.broken().map(|measure| measure.rule).collect();
-    assert!(broken.contains(&Rule::DrainsKept), "{}", shalereel_fault_scenarios::as_text(&verdict));
+    let broken: Vec<Rule> = verdict.violated_rules().map(|measure| measure.rule).collect();
+    assert!(broken.contains(&Rule::DrainsKept), "{}", shalereel_fault_scenarios::text_report(&verdict));
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/fault-scenarios/src/control.rs
+++ b/crates/fault-scenarios/src/admin_client.rs
@@ -18,36 +18,36 @@
 const PATIENCE: Nanos = 60 * SECOND;
 
 /// How things stand at a supervisor. Errors: it is not there, or shares nothing.
-pub fn standing(at: SocketAddr) -> Result<Value> {
+pub fn group_status(at: SocketAddr) -> Result<Value> {
     ask(at, ControlRequest { command: None })
 }
 
 /// An order. Errors: it was refused, and why.
-pub fn order_at(at: SocketAddr, act: CommandPayload) -> Result<Value> {
+pub fn submit_command(at: SocketAddr, act: CommandPayload) -> Result<Value> {
     ask(at, ControlRequest { command: Some(Command { request_id: 0, payload: Some(act) }) })
 }
 
 /// Ends the order about a server that is like this one. Errors: none stands.
-pub fn release(at: SocketAddr, order: &OperatorOrder) -> Result<Value> {
-    let standing = standing(at)?;
+pub fn release_order(at: SocketAddr, order: &OperatorOrder) -> Result<Value> {
+    let standing = group_status(at)?;
     let does = if order.weight_cap_millionths.is_some() { "hold" } else { "drain" };
     let like = |one: &&Value| one["server"] == order.server && one["does"] == does;
     let orders = standing["orders"].as_array().into_iter().flatten();
     let Some(found) = orders.into_iter().find(like).and_then(|one| one["order"].as_u64()) else {
         bail!("no order to {does} server {} stands", order.server);
     };
-    order_at(at, CommandPayload::ReleaseOrder(ReleaseOrder { order_index: found }))
+    submit_command(at, CommandPayload::ReleaseOrder(ReleaseOrder { order_index: found }))
 }
 
 /// Asks about tables, or orders a way back. Errors: it is not there, or refused, and why.
-pub fn tables_at(at: SocketAddr, question: AdminQuery) -> Result<Value> {
+pub fn query_tables(at: SocketAddr, question: AdminQuery) -> Result<Value> {
     let answer = unary(at, ADMIN_PATH, &AdminRequest { query: Some(question) }.encode_to_vec())?;
     Ok(serde_json::from_str(&AdminResponse::decode(&answer[..])?.json)?)
 }
 
 /// The way back to what stood so long ago, or to the oldest that is kept. Errors: nothing is kept, or it was refused.
-pub fn way_back(at: SocketAddr, age: Nanos, span: Nanos) -> Result<Value> {
-    let told = tables_at(at, AdminQuery::List(ListVersions { last: u32::MAX }))?;
+pub fn start_rollback(at: SocketAddr, age: Nanos, span: Nanos) -> Result<Value> {
+    let told = query_tables(at, AdminQuery::List(ListVersions { last: u32::MAX }))?;
     let versions: Vec<&Value> = told["versions"].as_array().into_iter().flatten().collect();
     let newest = versions.iter().filter_map(|version| version["at_ms"].as_u64()).max().unwrap_or(0);
     let then = newest.saturating_sub(age / 1_000_000);
@@ -57,7 +57,7 @@
     let version = found.and_then(|version| version["version"].as_u64()).context("no version is kept")?;
     let (who, why) = ("drill".to_owned(), "a day's script".to_owned());
     let for_ms = span / 1_000_000;
-    tables_at(
+    query_tables(
         at,
         AdminQuery::StartRollback(StartRollback {
             version,
--- a/crates/fault-scenarios/src/bench.rs
+++ b/crates/fault-scenarios/src/bench_import.rs
@@ -125,10 +125,10 @@
 
 /// The text of a drill: the fleet of `template`, itself a drill's text, and the troubles of a bench day. What a
 /// drill has no word for stands in a comment.
-pub fn from_bench(day: &str, template: &str) -> Result<String> {
+pub fn convert_bench_scenario(day: &str, template: &str) -> Result<String> {
     let bench: BenchDay = serde_json::from_str(day).context("the bench day cannot be read")?;
     let fleet = template.split("[[trouble]]").next().unwrap_or_default().trim_end();
-    let parsed = crate::Day::parse(std::path::Path::new("template"), fleet)?;
+    let parsed = crate::Scenario::parse(std::path::Path::new("template"), fleet)?;
     if bench.servers.is_empty() {
         bail!("the bench day has no servers");
     }
@@ -158,7 +158,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::day::TroubleKind;
+    use crate::scenario::FaultKind;
 
     #[test]
     fn troubles_of_a_bench_day_become_a_drill_that_can_be_read() {
@@ -169,13 +169,13 @@
             {"kind": "balancer_stall", "at": 7000000, "len": 1500000, "size": 0.0, "extra": 0.0, "on": [0, 2]},
             {"kind": "flapping", "at": 10000000, "len": 20000000, "size": 10.0, "extra": 0.3, "on": [0, 1]},
             {"kind": "tide", "at": 0, "len": 1, "size": 0.0, "extra": 0.0, "on": []}]}"#;
-        let text = from_bench(day, include_str!("../../../drills/bad-day.toml")).unwrap();
-        let drill = crate::Day::parse(std::path::Path::new("out"), &text).unwrap();
-        let kinds: Vec<TroubleKind> = drill.troubles.iter().map(|trouble| trouble.kind).collect();
-        use TroubleKind::*;
+        let text = convert_bench_scenario(day, include_str!("../../../drills/bad-day.toml")).unwrap();
+        let drill = crate::Scenario::parse(std::path::Path::new("out"), &text).unwrap();
+        let kinds: Vec<FaultKind> = drill.faults.iter().map(|trouble| trouble.kind).collect();
+        use FaultKind::*;
         assert_eq!(kinds, [Slow, SupervisorCrash, ForwarderStall, Silence, Silence]);
-        assert_eq!((drill.troubles[0].part, drill.troubles[0].factor, drill.length_s), (0.25, 4.5, 45.0));
-        assert_eq!((drill.troubles[4].at_s, drill.troubles[4].for_s), (20.0, 3.0));
+        assert_eq!((drill.faults[0].part, drill.faults[0].factor, drill.length_s), (0.25, 4.5, 45.0));
+        assert_eq!((drill.faults[4].at_s, drill.faults[4].for_s), (20.0, 3.0));
         assert!(text.contains("left out: tide"));
     }
 }
--- a/crates/fault-scenarios/src/judge.rs
+++ b/crates/fault-scenarios/src/evaluation.rs
@@ -8,7 +8,7 @@
 use shalereel_reactor::SECOND;
 use shalereel_standins::{Outcome, Seen, WhichEffect};
 
-use crate::day::{nanos, Day};
+use crate::scenario::{nanos, Scenario};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
@@ -24,28 +24,32 @@
 
 /// One time that a rule was broken, with the invocations that prove it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Breach {
+pub struct Violation {
     pub at_s: f64,
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     pub invocations: Vec<u64>,
 }
 
 /// How near a rule came to its limit, 1 being the limit, and each time that it was broken.
 #[derive(Clone, Debug, Serialize)]
-pub struct Measure {
+pub struct RuleResult {
     pub rule: Rule,
     pub limit: String,
     pub nearest: f64,
-    pub breaches: Vec<Breach>,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
 }
 
 /// Service by operation over some seconds; nothing where nothing was asked for.
 #[derive(Clone, Debug, Serialize)]
-pub struct Window {
+pub struct ServiceWindow {
     pub from_s: f64,
     /// Billed value asked for, and answered in time.
-    pub asked: f64,
-    pub answered: f64,
+    #[serde(rename = "asked")]
+    pub requested_value: f64,
+    #[serde(rename = "answered")]
+    pub answered_value: f64,
     pub service: BTreeMap<String, f64>,
 }
 
@@ -56,29 +60,33 @@
     pub expected: f64,
     pub operations: BTreeMap<String, f64>,
     /// What was expected and not reached.
-    pub missed: Vec<String>,
-    pub windows: Vec<Window>,
-    pub rules: Vec<Measure>,
-    pub asked: usize,
-    pub tries: usize,
-    pub traffic: Traffic,
+    #[serde(rename = "missed")]
+    pub missed_expectations: Vec<String>,
+    pub windows: Vec<ServiceWindow>,
+    pub rules: Vec<RuleResult>,
+    #[serde(rename = "asked")]
+    pub invocations: usize,
+    #[serde(rename = "tries")]
+    pub attempts: usize,
+    pub traffic: TableTraffic,
     pub remarks: Vec<String>,
 }
 
 /// What supervisors told forwarders of their tables.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Traffic {
+pub struct TableTraffic {
     pub messages: u64,
     pub lines: u64,
     pub bytes: u64,
     /// Lost, late or doubled on the way, and asked for anew.
     pub disturbed: u64,
-    pub asked_anew: u64,
+    #[serde(rename = "asked_anew")]
+    pub repeated_requests: u64,
 }
 
-impl Traffic {
+impl TableTraffic {
     fn of(seen: &[Seen]) -> Self {
-        let mut sum = Traffic::default();
+        let mut sum = TableTraffic::default();
         for one in seen {
             match one {
                 Seen::Told { lines, bytes, .. } => {
@@ -87,7 +95,7 @@
                     sum.bytes += u64::from(*bytes);
                 }
                 Seen::Disturbed { .. } => sum.disturbed += 1,
-                Seen::AskedAnew { .. } => sum.asked_anew += 1,
+                Seen::AskedAnew { .. } => sum.repeated_requests += 1,
                 _ => {}
             }
         }
@@ -96,13 +104,13 @@
 }
 
 impl Verdict {
-    pub fn broken(&self) -> impl Iterator<Item = &Measure> {
-        self.rules.iter().filter(|measure| !measure.breaches.is_empty())
+    pub fn violated_rules(&self) -> impl Iterator<Item = &RuleResult> {
+        self.rules.iter().filter(|measure| !measure.violations.is_empty())
     }
 
     /// All rules kept and all that was expected reached?
-    pub fn stands(&self) -> bool {
-        self.broken().next().is_none() && self.missed.is_empty()
+    pub fn passed(&self) -> bool {
+        self.violated_rules().next().is_none() && self.missed_expectations.is_empty()
     }
 }
 
@@ -120,7 +128,7 @@
 }
 
 struct Scene<'a> {
-    day: &'a Day,
+    day: &'a Scenario,
     start: Nanos,
     end: Nanos,
     /// By forwarder: to which supervisor it was joined, and when.
@@ -148,7 +156,7 @@
 }
 
 impl<'a> Scene<'a> {
-    fn new(day: &'a Day, (start, end): Span, seen: &'a [Seen]) -> Self {
+    fn new(day: &'a Scenario, (start, end): Span, seen: &'a [Seen]) -> Self {
         let far = end + 3600 * SECOND;
         let mut joined: BTreeMap<u32, Vec<(u32, Span)>> = BTreeMap::new();
         let mut deaf: BTreeMap<u32, Vec<(Nanos, bool)>> = BTreeMap::new();
@@ -214,7 +222,7 @@
     }
 
     /// A joined forwarder is never without a line for longer than the stated time, while a warm server is listed.
-    fn line_to_pick(&self, seen: &[Seen]) -> Measure {
+    fn line_to_pick(&self, seen: &[Seen]) -> RuleResult {
         let limit = nanos(self.day.rules.empty_for_s * 1e3);
         let mut bare: BTreeMap<(u32, u16), Vec<(Nanos, bool)>> = BTreeMap::new();
         for one in seen {
@@ -231,7 +239,7 @@
                 _ => {}
             }
         }
-        let (mut nearest, mut breaches) = (0.0_f64, Vec::new());
+        let (mut nearest, mut violations) = (0.0_f64, Vec::new());
         for ((forwarder, operation), events) in bare {
             for (from, to) in spans(events, self.end) {
                 for (supervisor, joined) in self.joined.get(&forwarder).into_iter().flatten() {
@@ -245,9 +253,11 @@
                     if part > 1.0 {
                         let name = &self.day.operations[usize::from(operation)].name;
                         let span = (end - begin) as f64 / SECOND as f64;
-                        breaches.push(Breach {
+                        violations.push(Violation {
                             at_s: self.seconds(begin),
-                            what: format!("forwarder {forwarder} had no line for {name} for {span:.2} s"),
+                            description: format!(
+                                "forwarder {forwarder} had no line for {name} for {span:.2} s"
+                            ),
                             invocations: Vec::new(),
                         });
                     }
@@ -255,11 +265,11 @@
             }
         }
         let limit = format!("{} s without a line", self.day.rules.empty_for_s);
-        Measure { rule: Rule::LineToPick, limit, nearest, breaches }
+        RuleResult { rule: Rule::LineToPick, limit, nearest, violations }
     }
 
     /// Repeats by forwarders, that is within one try of a caller, take effect once.
-    fn no_effect_twice(&self, seen: &[Seen]) -> Measure {
+    fn no_effect_twice(&self, seen: &[Seen]) -> RuleResult {
         // When, where, and in which try of its forwarder.
         type EffectSeen = (Nanos, u32, u32);
         let mut effects: BTreeMap<(u64, u32), Vec<EffectSeen>> = BTreeMap::new();
@@ -271,10 +281,10 @@
             }
         }
         let twice = effects.into_iter().filter(|(_, effects)| effects.len() > 1);
-        let breaches: Vec<Breach> = twice
-            .map(|((inv, _), effects)| Breach {
+        let violations: Vec<Violation> = twice
+            .map(|((inv, _), effects)| Violation {
                 at_s: self.seconds(effects[1].0),
-                what: format!(
+                description: format!(
                     "took effect {} times: at {}",
                     effects.len(),
                     effects
@@ -286,8 +296,8 @@
                 invocations: vec![inv],
             })
             .collect();
-        let nearest = if breaches.is_empty() { 0.0 } else { 2.0 };
-        Measure { rule: Rule::NoEffectTwice, limit: "one effect".into(), nearest, breaches }
+        let nearest = if violations.is_empty() { 0.0 } else { 2.0 };
+        RuleResult { rule: Rule::NoEffectTwice, limit: "one effect".into(), nearest, violations }
     }
 
     /// When a supervisor knew a server as one that nothing may go to.
@@ -314,7 +324,7 @@
     }
 
     /// Within the grace nothing goes to a server known as draining or gone.
-    fn drains_kept(&self, seen: &[Seen]) -> Measure {
+    fn drains_kept(&self, seen: &[Seen]) -> RuleResult {
         let grace = nanos(self.day.rules.drain_grace_s * 1e3);
         let bound: BTreeMap<u32, BTreeMap<u32, Vec<Span>>> =
             self.known.keys().map(|&supervisor| (supervisor, self.bound(supervisor))).collect();
@@ -336,15 +346,15 @@
                 entry.1.push(*inv);
             }
         }
-        let breaches = late.into_iter().map(|((supervisor, forwarder, server), (at, invocations))| Breach {
+        let violations = late.into_iter().map(|((supervisor, forwarder, server), (at, invocations))| Violation {
             at_s: self.seconds(at),
-            what: format!(
+            description: format!(
                 "forwarder {forwarder} of supervisor {supervisor} still sends to server {server}, which drains or is gone"
             ),
             invocations,
         });
         let limit = format!("{} s after it was told", self.day.rules.drain_grace_s);
-        Measure { rule: Rule::DrainsKept, limit, nearest, breaches: breaches.collect() }
+        RuleResult { rule: Rule::DrainsKept, limit, nearest, violations: violations.collect() }
     }
 
     /// Has a forwarder's supervisor had its say about this start?
@@ -367,7 +377,7 @@
     }
 
     /// A cold server gets less than the stated multiple of what it can do, over the stated time.
-    fn no_cold_server_pushed_over(&self, seen: &[Seen]) -> Measure {
+    fn no_cold_server_pushed_over(&self, seen: &[Seen]) -> RuleResult {
         let (window, multiple) = (nanos(self.day.rules.tip_after_s * 1e3), self.day.rules.tip_multiple);
         let mut told: BTreeMap<u32, Vec<Nanos>> = BTreeMap::new();
         // When, how much work, from whom, which invocation, and the capacity at that moment.
@@ -385,7 +395,7 @@
                 _ => {}
             }
         }
-        let (mut nearest, mut breaches) = (0.0_f64, Vec::new());
+        let (mut nearest, mut violations) = (0.0_f64, Vec::new());
         for (start, arrivals) in sent {
             let mut from = 0;
             let mut sum = 0.0;
@@ -407,9 +417,12 @@
                     nearest = nearest.max(part);
                 }
                 if part > 1.0 && blamed >= sum * 2.0 / 3.0 {
-                    breaches.push(Breach {
+                    violations.push(Violation {
                         at_s: self.seconds(at),
-                        what: format!("server {} was sent {part:.2} times what pushes it over", start.0),
+                        description: format!(
+                            "server {} was sent {part:.2} times what pushes it over",
+                            start.0
+                        ),
                         invocations: within.iter().map(|a| a.3).collect(),
                     });
                     break;
@@ -417,11 +430,11 @@
             }
         }
         let limit = format!("{multiple} times its capacity for {} s", self.day.rules.tip_after_s);
-        Measure { rule: Rule::NoColdServerPushedOver, limit, nearest, breaches }
+        RuleResult { rule: Rule::NoColdServerPushedOver, limit, nearest, violations }
     }
 
     /// What was ordered and could not have left at the told pace waited; messages a forwarder where limited.
-    fn short_queue(&self, seen: &[Seen]) -> Measure {
+    fn short_queue(&self, seen: &[Seen]) -> RuleResult {
         let told = &self.day.supervisors;
         let mut messages: BTreeMap<u32, Vec<(Nanos, u32, f64)>> = BTreeMap::new();
         for one in seen {
@@ -431,7 +444,7 @@
                 messages.entry(*supervisor).or_default().push((*ordered, *forwarder, lines));
             }
         }
-        let (mut nearest, mut breaches) = (0.0_f64, Vec::new());
+        let (mut nearest, mut violations) = (0.0_f64, Vec::new());
         for (supervisor, mut sent) in messages {
             sent.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.cmp(&b.1)));
             let (mut waiting, mut last, mut over) = (0.0_f64, 0, false);
@@ -443,9 +456,11 @@
                 let part = waiting / told.backlog;
                 nearest = nearest.max(part);
                 if part > 1.0 && !over {
-                    breaches.push(Breach {
+                    violations.push(Violation {
                         at_s: self.seconds(ordered),
-                        what: format!("{waiting:.0} lines wait in the channel of supervisor {supervisor}"),
+                        description: format!(
+                            "{waiting:.0} lines wait in the channel of supervisor {supervisor}"
+                        ),
                         invocations: Vec::new(),
                     });
                 }
@@ -458,9 +473,9 @@
                     let part = times.len() as f64 / f64::from(told.messages_max);
                     nearest = nearest.max(part);
                     if part > 1.0 {
-                        breaches.push(Breach {
+                        violations.push(Violation {
                             at_s: self.seconds(ordered),
-                            what: format!("{} messages to forwarder {forwarder}", times.len()),
+                            description: format!("{} messages to forwarder {forwarder}", times.len()),
                             invocations: Vec::new(),
                         });
                     }
@@ -468,14 +483,14 @@
             }
         }
         let limit = format!("{} lines", told.backlog);
-        Measure { rule: Rule::ShortQueue, limit, nearest, breaches }
+        RuleResult { rule: Rule::ShortQueue, limit, nearest, violations }
     }
 }
 
 impl Scene<'_> {
     /// Epochs only rise at each forwarder, and writes of a range never go back to a former owner.
-    fn fenced(&self, seen: &[Seen]) -> Measure {
-        let mut breaches = Vec::new();
+    fn fenced(&self, seen: &[Seen]) -> RuleResult {
+        let mut violations = Vec::new();
         let mut told: BTreeMap<u32, Vec<(Nanos, u64)>> = BTreeMap::new();
         let mut writes: BTreeMap<u32, Vec<(Nanos, u64, u32, u64)>> = BTreeMap::new();
         for one in seen {
@@ -498,8 +513,13 @@
                 if epoch == u64::MAX {
                     highest = 0;
                 } else if epoch < highest {
-                    let what = format!("forwarder {forwarder} went back from epoch {highest} to {epoch}");
-                    breaches.push(Breach { at_s: self.seconds(at), what, invocations: Vec::new() });
+                    let description =
+                        format!("forwarder {forwarder} went back from epoch {highest} to {epoch}");
+                    violations.push(Violation {
+                        at_s: self.seconds(at),
+                        description,
+                        invocations: Vec::new(),
+                    });
                 } else {
                     highest = epoch;
                 }
@@ -510,22 +530,26 @@
             let (mut epoch, mut owner) = (0, 0);
             for (at, of, server, inv) in writes {
                 if of < epoch || (of == epoch && server != owner) {
-                    let what = format!(
+                    let description = format!(
                         "range {range}: server {server} (epoch {of}) took a write after {owner} ({epoch})"
                     );
-                    breaches.push(Breach { at_s: self.seconds(at), what, invocations: vec![inv] });
+                    violations.push(Violation {
+                        at_s: self.seconds(at),
+                        description,
+                        invocations: vec![inv],
+                    });
                 } else {
                     (epoch, owner) = (of, server);
                 }
             }
         }
-        let nearest = if breaches.is_empty() { 0.0 } else { 2.0 };
-        Measure { rule: Rule::Fenced, limit: "no way back".into(), nearest, breaches }
+        let nearest = if violations.is_empty() { 0.0 } else { 2.0 };
+        RuleResult { rule: Rule::Fenced, limit: "no way back".into(), nearest, violations }
     }
 }
 
 /// Judges a day that was played from `span.0` to `span.1` by what was seen of it.
-pub fn judge(day: &Day, span: (Nanos, Nanos), seen: &[Seen]) -> Verdict {
+pub fn evaluate(day: &Scenario, span: (Nanos, Nanos), seen: &[Seen]) -> Verdict {
     let scene = Scene::new(day, span, seen);
     let rules = vec![
         scene.line_to_pick(seen),
@@ -571,10 +595,10 @@
             missed.push(format!("service of {name} {got:.4} is under {expected}"));
         }
     }
-    let windows = by_window.iter().map(|(&at, sums)| Window {
+    let windows = by_window.iter().map(|(&at, sums)| ServiceWindow {
         from_s: at as f64 * width,
-        asked: sums.iter().map(|sum| sum.1).sum(),
-        answered: sums.iter().map(|sum| sum.0).sum(),
+        requested_value: sums.iter().map(|sum| sum.1).sum(),
+        answered_value: sums.iter().map(|sum| sum.0).sum(),
         service: named(sums),
     });
     Verdict {
@@ -582,12 +606,12 @@
         service,
         expected: day.expect.service,
         operations,
-        missed,
+        missed_expectations: missed,
         windows: windows.collect(),
         rules,
-        asked: asked_for,
-        traffic: Traffic::of(seen),
-        tries: seen.iter().filter(|one| matches!(one, Seen::Tried { .. })).count(),
+        invocations: asked_for,
+        traffic: TableTraffic::of(seen),
+        attempts: seen.iter().filter(|one| matches!(one, Seen::Tried { .. })).count(),
         remarks: Vec::new(),
     }
 }
--- a/crates/fault-scenarios/src/lib.rs
+++ b/crates/fault-scenarios/src/lib.rs
@@ -1,17 +1,17 @@
 //! A day from a script on real sockets and real processes, judged by its traffic alone.
 
-mod bench;
-mod control;
-mod day;
-mod judge;
-mod play;
+mod admin_client;
+mod bench_import;
+mod evaluation;
+mod local_deployment;
 mod report;
-mod stage;
+mod runner;
+mod scenario;
 
-pub use bench::from_bench;
-pub use control::{order_at, release, standing, tables_at, way_back};
-pub use day::{Day, Trouble, TroubleKind};
-pub use judge::{judge, Breach, Measure, Rule, Traffic, Verdict, Window};
-pub use play::play;
-pub use report::{as_json, as_text};
-pub use stage::{Stage, Staged};
+pub use admin_client::{group_status, query_tables, release_order, start_rollback, submit_command};
+pub use bench_import::convert_bench_scenario;
+pub use evaluation::{evaluate, Rule, RuleResult, ServiceWindow, TableTraffic, Verdict, Violation};
+pub use local_deployment::{LocalDeployment, Role};
+pub use report::{json_report, text_report};
+pub use runner::run_scenario;
+pub use scenario::{Fault, FaultKind, Scenario};
--- a/crates/fault-scenarios/src/stage.rs
+++ b/crates/fault-scenarios/src/local_deployment.rs
@@ -15,7 +15,7 @@
     ServerPlan, ServersPlan,
 };
 
-use crate::day::{nanos, Day, Planted};
+use crate::scenario::{nanos, InjectedFault, Scenario};
 
 /// A running process with its input.
 struct Actor {
@@ -75,7 +75,7 @@
 
 /// Who is spoken to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Staged {
+pub enum Role {
     Servers,
     Forwarders,
     Callers,
@@ -84,11 +84,11 @@
 }
 
 /// A whole deployment as processes of this machine.
-pub struct Stage {
+pub struct LocalDeployment {
     program: PathBuf,
     folder: PathBuf,
-    day: Day,
-    actors: BTreeMap<Staged, Actor>,
+    day: Scenario,
+    actors: BTreeMap<Role, Actor>,
     /// Each with its address on either front, and the operators'.
     supervisors: Vec<(Option<Actor>, [SocketAddr; 3])>,
     /// Doors between supervisors, by from whom and to whom.
@@ -100,12 +100,12 @@
     pub list: BTreeMap<u32, Listed>,
 }
 
-impl Stage {
+impl LocalDeployment {
     /// Starts everything but the callers. `program` plays all parts; `folder` takes traces and logs.
-    pub fn open(program: &Path, folder: &Path, day: &Day) -> Result<Self> {
+    pub fn start(program: &Path, folder: &Path, day: &Scenario) -> Result<Self> {
         fs::create_dir_all(folder).with_context(|| format!("folder {}", folder.display()))?;
         let mut chance = Rand64::new(u128::from(day.seed) + 1);
-        let mut stage = Stage {
+        let mut stage = LocalDeployment {
             program: program.to_owned(),
             folder: folder.to_owned(),
             day: day.clone(),
@@ -118,16 +118,16 @@
         };
         let mut servers = stage.server_plans(&mut chance);
         let told = stage.cast(
-            Staged::Servers,
+            Role::Servers,
             &ServersPlan {
-                trace: stage.trace(Staged::Servers),
+                trace: stage.trace(Role::Servers),
                 seed: day.seed,
                 servers: servers.clone(),
                 kinds: day.kind_plans(),
                 operations: day.operation_plans(),
                 tip_multiple: day.rules.tip_multiple,
                 tip_after: nanos(day.rules.tip_after_s * 1e3),
-                repeat_effects: day.planted == Some(Planted::ServerRepeatsEffects),
+                repeat_effects: day.injected_fault == Some(InjectedFault::ServerRepeatsEffects),
             },
         )?;
         for (server, address) in servers.iter_mut().zip(told.addresses) {
@@ -149,17 +149,17 @@
             );
         }
         let told = stage.cast(
-            Staged::Registry,
+            Role::Registry,
             &RegistryPlan {
-                trace: stage.trace(Staged::Registry),
+                trace: stage.trace(Role::Registry),
                 address: stage.registry,
                 list: stage.list.values().cloned().collect(),
             },
         )?;
         stage.registry = told.addresses[0];
-        if day.shared.is_some() {
+        if day.group.is_some() {
             let members = day.supervisors.count.into();
-            stage.doors = stage.cast(Staged::Links, &LinksPlan { members })?.addresses;
+            stage.doors = stage.cast(Role::Links, &LinksPlan { members })?.addresses;
         }
         for number in 0..day.supervisors.count {
             let on = |net| SocketAddr::from(([127, 0, net, number as u8 + 1], 0));
@@ -168,9 +168,9 @@
         }
         let forwarders = stage.forwarder_plans(&mut chance);
         let told = stage.cast(
-            Staged::Forwarders,
+            Role::Forwarders,
             &ForwardersPlan {
-                trace: stage.trace(Staged::Forwarders),
+                trace: stage.trace(Role::Forwarders),
                 seed: day.seed,
                 operations: day.operation_plans(),
                 supervisors: stage.supervisors.iter().map(|supervisor| supervisor.1[0]).collect(),
@@ -185,16 +185,16 @@
                 first_wait: day.forwarders.first_wait,
                 redial: (nanos(day.forwarders.redial_ms.0), nanos(day.forwarders.redial_ms.1)),
                 keyed: day.keyed(),
-                unfenced: day.planted == Some(Planted::NoFence),
-                ignore_drains: day.planted == Some(Planted::ForwarderIgnoresDrains),
+                unfenced: day.injected_fault == Some(InjectedFault::NoFence),
+                ignore_drains: day.injected_fault == Some(InjectedFault::ForwarderIgnoresDrains),
                 forwarders: forwarders.clone(),
             },
         )?;
         let rates = forwarders.iter().map(|forwarder| forwarder.rate);
         stage.cast(
-            Staged::Callers,
+            Role::Callers,
             &CallersPlan {
-                trace: stage.trace(Staged::Callers),
+                trace: stage.trace(Role::Callers),
                 seed: day.seed,
                 forwarders: told.addresses.into_iter().zip(rates).collect(),
                 operations: day.operation_plans(),
@@ -249,7 +249,7 @@
         parts.into_iter().enumerate().map(plan).collect()
     }
 
-    pub fn trace(&self, who: Staged) -> PathBuf {
+    pub fn trace(&self, who: Role) -> PathBuf {
         self.folder.join(format!("{who:?}.trace").to_lowercase())
     }
 
@@ -257,7 +257,7 @@
         self.folder.join(format!("supervisor-{supervisor}.log"))
     }
 
-    fn cast(&mut self, who: Staged, plan: &impl Serialize) -> Result<Ready> {
+    fn cast(&mut self, who: Role, plan: &impl Serialize) -> Result<Ready> {
         let role = format!("{who:?}").to_lowercase();
         let log = self.folder.join(format!("{role}.log"));
         let mut actor = Actor::start(&self.program, &["stand-in", &role], &log)?;
@@ -267,7 +267,7 @@
         Ok(ready)
     }
 
-    pub fn tell(&mut self, who: Staged, command: &Command) -> Result<()> {
+    pub fn tell(&mut self, who: Role, command: &Command) -> Result<()> {
         let actor = self.actors.get_mut(&who).with_context(|| format!("{who:?} are gone"))?;
         actor.say(command).with_context(|| format!("{who:?}: {command:?}"))
     }
@@ -284,7 +284,7 @@
                 rows.push(row.clone());
             }
         }
-        self.tell(Staged::Registry, &Command::List { rows })
+        self.tell(Role::Registry, &Command::List { rows })
     }
 
     fn start_supervisor(&mut self, number: usize) -> Result<()> {
@@ -314,14 +314,14 @@
         let fronts = held.1.iter_mut().zip(served).filter(|front| front.1);
         fronts.zip(ready.addresses).for_each(|((old, _), address)| *old = address);
         let address = held.1[0];
-        if self.day.shared.is_some() {
-            self.tell(Staged::Links, &Command::Member { member: number as u32, address })?;
+        if self.day.group.is_some() {
+            self.tell(Role::Links, &Command::Member { member: number as u32, address })?;
         }
         Ok(())
     }
 
     /// What killed it is over: it starts again unless something else still keeps it down.
-    pub fn revive_supervisor(&mut self, number: usize) -> Result<()> {
+    pub fn restart_supervisor(&mut self, number: usize) -> Result<()> {
         self.down[number] = self.down[number].saturating_sub(1);
         if self.down[number] > 0 {
             return Ok(());
@@ -367,8 +367,8 @@
     }
 
     /// Ends everything, callers first, so that all traces are whole.
-    pub fn close(mut self) -> Result<()> {
-        for who in [Staged::Callers, Staged::Forwarders, Staged::Servers] {
+    pub fn stop(mut self) -> Result<()> {
+        for who in [Role::Callers, Role::Forwarders, Role::Servers] {
             if let Some(mut actor) = self.actors.remove(&who) {
                 actor.end();
             }
@@ -381,7 +381,7 @@
                 actor.end();
             }
         }
-        for who in [Staged::Registry, Staged::Links] {
+        for who in [Role::Registry, Role::Links] {
             if let Some(mut actor) = self.actors.remove(&who) {
                 actor.end();
             }
--- a/crates/fault-scenarios/src/report.rs
+++ b/crates/fault-scenarios/src/report.rs
@@ -1,6 +1,6 @@
 //! A verdict as a person reads it, and as JSON.
 
-use crate::judge::{Rule, Verdict};
+use crate::evaluation::{Rule, Verdict};
 
 fn name(rule: Rule) -> &'static str {
     match rule {
@@ -16,10 +16,10 @@
 /// Breaches and invocations shown of each; JSON has them all.
 const SHOWN: usize = 5;
 
-pub fn as_text(verdict: &Verdict) -> String {
+pub fn text_report(verdict: &Verdict) -> String {
     let mut out = String::new();
     let mut line = |text: String| out.extend([text.as_str(), "\n"]);
-    line(format!("{}: {} invocations, {} tries", verdict.title, verdict.asked, verdict.tries));
+    line(format!("{}: {} invocations, {} tries", verdict.title, verdict.invocations, verdict.attempts));
     line(format!("service {:.4}, expected {:.4}", verdict.service, verdict.expected));
     for (operation, service) in &verdict.operations {
         line(format!("  {operation:<24} {service:.4}"));
@@ -36,47 +36,48 @@
         told.lines,
         told.bytes as f64 / 1e6,
         told.disturbed,
-        told.asked_anew
+        told.repeated_requests
     ));
     line("rules".into());
     for measure in &verdict.rules {
-        let word = if measure.breaches.is_empty() { "kept  " } else { "BROKEN" };
+        let word = if measure.violations.is_empty() { "kept  " } else { "BROKEN" };
         let part = 100.0 * measure.nearest;
         line(format!(
             "  {word} {:<28} came to {part:.0}% of its limit ({})",
             name(measure.rule),
             measure.limit
         ));
-        for breach in measure.breaches.iter().take(SHOWN) {
-            line(format!("         at {} s: {}", breach.at_s, breach.what));
-            if !breach.invocations.is_empty() {
-                let some: Vec<String> = breach.invocations.iter().take(SHOWN).map(u64::to_string).collect();
+        for violation in measure.violations.iter().take(SHOWN) {
+            line(format!("         at {} s: {}", violation.at_s, violation.description));
+            if !violation.invocations.is_empty() {
+                let some: Vec<String> =
+                    violation.invocations.iter().take(SHOWN).map(u64::to_string).collect();
                 line(format!(
                     "           invocations {} ({} in all)",
                     some.join(", "),
-                    breach.invocations.len()
+                    violation.invocations.len()
                 ));
             }
         }
-        if measure.breaches.len() > SHOWN {
-            line(format!("         and {} more", measure.breaches.len() - SHOWN));
+        if measure.violations.len() > SHOWN {
+            line(format!("         and {} more", measure.violations.len() - SHOWN));
         }
     }
     if !verdict.remarks.is_empty() {
         line("remarks of the supervisors".into());
         verdict.remarks.iter().for_each(|remark| line(format!("  {remark}")));
     }
-    for missed in &verdict.missed {
+    for missed in &verdict.missed_expectations {
         line(format!("MISSED: {missed}"));
     }
     line(
-        if verdict.stands() { "all rules kept, service as expected" } else { "the day does not stand" }
+        if verdict.passed() { "all rules kept, service as expected" } else { "the day does not stand" }
             .into(),
     );
     out
 }
 
 /// The whole verdict, all breaches included.
-pub fn as_json(verdict: &Verdict) -> String {
+pub fn json_report(verdict: &Verdict) -> String {
     serde_json::to_string_pretty(verdict).unwrap_or_default()
 }
--- a/crates/fault-scenarios/src/play.rs
+++ b/crates/fault-scenarios/src/runner.rs
@@ -11,14 +11,14 @@
 use shalereel_reactor::{now, SECOND};
 use shalereel_standins::{read_trace, Command, ListedAs, Seen};
 
-use crate::control::{order_at, release, way_back};
-use crate::day::{nanos, Day, Trouble, TroubleKind};
-use crate::judge::{judge, Verdict};
-use crate::stage::{Stage, Staged};
+use crate::admin_client::{release_order, start_rollback, submit_command};
+use crate::evaluation::{evaluate, Verdict};
+use crate::local_deployment::{LocalDeployment, Role};
+use crate::scenario::{nanos, Fault, FaultKind, Scenario};
 
 enum Action {
     Say(String),
-    Tell(Staged, Command),
+    Tell(Role, Command),
     Start(Vec<u32>),
     ListAs(Vec<u32>, ListedAs),
     /// As just started.
@@ -48,7 +48,7 @@
 }
 
 struct Script<'a> {
-    day: &'a Day,
+    day: &'a Scenario,
     chance: Rand64,
     actions: BTreeMap<(Nanos, usize), Action>,
 }
@@ -63,11 +63,11 @@
         self.actions.insert((at(seconds), number), action);
     }
 
-    fn tell(&mut self, seconds: f64, who: Staged, command: Command) {
+    fn tell(&mut self, seconds: f64, who: Role, command: Command) {
         self.put(seconds, Action::Tell(who, command));
     }
 
-    fn drawn(&mut self, trouble: &Trouble, all: Vec<u32>) -> Vec<u32> {
+    fn drawn(&mut self, trouble: &Fault, all: Vec<u32>) -> Vec<u32> {
         let wanted = match trouble.count {
             0 => (trouble.part * all.len() as f64).ceil() as usize,
             count => count as usize,
@@ -80,7 +80,7 @@
         all
     }
 
-    fn servers(&mut self, trouble: &Trouble) -> Vec<u32> {
+    fn servers(&mut self, trouble: &Fault) -> Vec<u32> {
         let zones = &self.day.localities;
         let near =
             |at: &u32| trouble.locality.is_empty() || zones[*at as usize % zones.len()] == trouble.locality;
@@ -88,7 +88,7 @@
         self.drawn(trouble, all)
     }
 
-    fn forwarders(&mut self, trouble: &Trouble) -> Vec<u32> {
+    fn forwarders(&mut self, trouble: &Fault) -> Vec<u32> {
         let zones = &self.day.localities;
         let near =
             |at: &u32| trouble.locality.is_empty() || zones[*at as usize % zones.len()] == trouble.locality;
@@ -99,7 +99,7 @@
     /// Down at `from`, cold again at `to`; the list tells each later.
     fn crash(&mut self, servers: Vec<u32>, from: f64, to: f64) {
         let (notice, add) = (self.day.fleet.notice_s, self.day.fleet.add_s);
-        self.tell(from, Staged::Servers, Command::Crash { servers: servers.clone() });
+        self.tell(from, Role::Servers, Command::Crash { servers: servers.clone() });
         // A short death is told only as a fresh start.
         if notice < to - from {
             self.put(from + notice, Action::ListAs(servers.clone(), ListedAs::Gone));
@@ -112,16 +112,16 @@
     fn replace(&mut self, servers: Vec<u32>, from: f64, grace: f64) {
         self.put(from, Action::ListAs(servers.clone(), ListedAs::Draining));
         let leave = nanos(grace * 1e3);
-        self.tell(from, Staged::Servers, Command::Drain { servers: servers.clone(), grace: leave });
+        self.tell(from, Role::Servers, Command::Drain { servers: servers.clone(), grace: leave });
         let gone = from + 1.5 * grace;
-        self.tell(gone, Staged::Servers, Command::Crash { servers: servers.clone() });
+        self.tell(gone, Role::Servers, Command::Crash { servers: servers.clone() });
         self.put(gone, Action::ListAs(servers.clone(), ListedAs::Gone));
         self.put(gone + 0.5, Action::Start(servers.clone()));
         self.put(gone + 0.5 + self.day.fleet.add_s, Action::ListFresh(servers));
     }
 
-    fn trouble(&mut self, trouble: &Trouble) {
-        use TroubleKind::*;
+    fn trouble(&mut self, trouble: &Fault) {
+        use FaultKind::*;
         let (from, to) = (trouble.at_s, trouble.at_s + trouble.for_s);
         let grace = self.day.rules.drain_grace_s;
         let place =
@@ -147,11 +147,11 @@
                     Hang => Command::Hang { servers: servers.clone(), on },
                     _ => Command::Misreport { servers: servers.clone(), on },
                 };
-                both(self, Staged::Servers, command(true), command(false));
+                both(self, Role::Servers, command(true), command(false));
                 // One that says it has no load while it stalls.
                 if trouble.kind == Misreport {
                     let command = |on| Command::Hang { servers: servers.clone(), on };
-                    both(self, Staged::Servers, command(true), command(false));
+                    both(self, Role::Servers, command(true), command(false));
                 }
             }
             Slow | SharedSlow => {
@@ -161,16 +161,16 @@
                     (0..self.day.fleet.servers).map(|at| 1000 + at).collect()
                 };
                 let command = |factor| Command::Slow { servers: servers.clone(), factor };
-                both(self, Staged::Servers, command(trouble.factor.max(1.0)), command(1.0));
+                both(self, Role::Servers, command(trouble.factor.max(1.0)), command(1.0));
             }
             Neighbour => {
                 let servers = self.servers(trouble);
                 let mut time = from;
                 while time < to {
                     let (on, off) = (trouble.factor.max(1.0), 1.0);
-                    self.tell(time, Staged::Servers, Command::Slow { servers: servers.clone(), factor: on });
+                    self.tell(time, Role::Servers, Command::Slow { servers: servers.clone(), factor: on });
                     let end = (time + 2.0).min(to);
-                    self.tell(end, Staged::Servers, Command::Slow { servers: servers.clone(), factor: off });
+                    self.tell(end, Role::Servers, Command::Slow { servers: servers.clone(), factor: off });
                     time += 3.0;
                 }
             }
@@ -178,7 +178,7 @@
                 let servers = self.servers(trouble);
                 let part = if trouble.factor > 0.0 { trouble.factor.min(1.0) } else { 0.6 };
                 let command = |part| Command::Fail { servers: servers.clone(), part };
-                both(self, Staged::Servers, command(part), command(0.0));
+                both(self, Role::Servers, command(part), command(0.0));
             }
             Drain => {
                 let servers = self.servers(trouble);
@@ -196,20 +196,20 @@
             Squeeze => {
                 let servers = self.servers(trouble);
                 let command = |part| Command::Squeeze { servers: servers.clone(), part };
-                both(self, Staged::Servers, command(trouble.factor), command(1.0));
+                both(self, Role::Servers, command(trouble.factor), command(1.0));
             }
             Handshake => {
                 let servers = self.servers(trouble);
                 let command = |delay| Command::Handshake { servers: servers.clone(), delay };
-                both(self, Staged::Servers, command(nanos(trouble.delay_s * 1e3)), command(0));
+                both(self, Role::Servers, command(nanos(trouble.delay_s * 1e3)), command(0));
             }
             LateReports => {
                 let command = |delay| Command::LateReports { delay };
-                both(self, Staged::Forwarders, command(nanos(trouble.delay_s * 1e3)), command(0));
+                both(self, Role::Forwarders, command(nanos(trouble.delay_s * 1e3)), command(0));
             }
             LossyLinks => {
                 let command = |part| Command::Lossy { part, delay: nanos(trouble.delay_s * 1e3) };
-                both(self, Staged::Forwarders, command(trouble.part.min(0.4)), command(0.0));
+                both(self, Role::Forwarders, command(trouble.part.min(0.4)), command(0.0));
             }
             WayBack => {
                 let (age, span) = (nanos(trouble.delay_s * 1e3), nanos(trouble.for_s * 1e3));
@@ -221,21 +221,21 @@
                     servers = (0..self.day.fleet.servers).map(|at| 1000 + at).collect();
                 }
                 let off = Command::LeaveOut { servers: Vec::new() };
-                both(self, Staged::Registry, Command::LeaveOut { servers }, off);
+                both(self, Role::Registry, Command::LeaveOut { servers }, off);
             }
             RegistryAway => {
-                both(self, Staged::Registry, Command::Away { on: true }, Command::Away { on: false });
+                both(self, Role::Registry, Command::Away { on: true }, Command::Away { on: false });
             }
             RegistryMute => {
-                both(self, Staged::Registry, Command::Mute { on: true }, Command::Mute { on: false });
+                both(self, Role::Registry, Command::Mute { on: true }, Command::Mute { on: false });
             }
             LocalityCut => {
                 let zones = vec![trouble.locality.clone()];
-                both(self, Staged::Forwarders, Command::Cut { zones }, Command::Cut { zones: Vec::new() });
+                both(self, Role::Forwarders, Command::Cut { zones }, Command::Cut { zones: Vec::new() });
             }
             ForwarderCrash => {
                 let forwarders = self.forwarders(trouble);
-                self.tell(from, Staged::Forwarders, Command::Die { forwarders: forwarders.clone() });
+                self.tell(from, Role::Forwarders, Command::Die { forwarders: forwarders.clone() });
                 self.put(to, Action::Revive(forwarders));
             }
             ForwarderStall | ForwarderDeaf => {
@@ -244,7 +244,7 @@
                     ForwarderStall => Command::Stall { forwarders: forwarders.clone(), on },
                     _ => Command::Deaf { forwarders: forwarders.clone(), on },
                 };
-                both(self, Staged::Forwarders, command(true), command(false));
+                both(self, Role::Forwarders, command(true), command(false));
             }
             SlowChannel => {
                 // Every second stands still for four fifths of it: what is sent travels late.
@@ -252,27 +252,27 @@
                 let mut time = from;
                 while time < to {
                     let command = |on| Command::Deaf { forwarders: forwarders.clone(), on };
-                    self.tell(time, Staged::Forwarders, command(true));
-                    self.tell((time + 0.8).min(to), Staged::Forwarders, command(false));
+                    self.tell(time, Role::Forwarders, command(true));
+                    self.tell((time + 0.8).min(to), Role::Forwarders, command(false));
                     time += 1.0;
                 }
             }
             TurnDown => {
                 let forwarders = self.forwarders(trouble);
                 let count = trouble.factor.max(1.0) as u32;
-                self.tell(from, Staged::Forwarders, Command::TurnDown { forwarders, count });
+                self.tell(from, Role::Forwarders, Command::TurnDown { forwarders, count });
             }
             GhostReports => {
                 both(
                     self,
-                    Staged::Forwarders,
+                    Role::Forwarders,
                     Command::ReportGhost { on: true },
                     Command::ReportGhost { on: false },
                 );
             }
             OddBalancers => {
                 let command = |on| Command::OddBalancers { on };
-                both(self, Staged::Forwarders, command(true), command(false));
+                both(self, Role::Forwarders, command(true), command(false));
             }
             LinksCut | LinksOneWay | LinksFlap => {
                 let all: Vec<u32> = (0..u32::from(self.day.supervisors.count)).collect();
@@ -290,12 +290,12 @@
                 let off = Command::CutLinks { pairs: Vec::new() };
                 let mut time = from;
                 while trouble.kind == LinksFlap && time + 2.0 < to {
-                    self.tell(time, Staged::Links, Command::CutLinks { pairs: pairs.clone() });
-                    self.tell(time + 0.8, Staged::Links, off.clone());
+                    self.tell(time, Role::Links, Command::CutLinks { pairs: pairs.clone() });
+                    self.tell(time + 0.8, Role::Links, off.clone());
                     time += 1.6;
                 }
-                self.tell(time, Staged::Links, Command::CutLinks { pairs });
-                self.tell(to, Staged::Links, off);
+                self.tell(time, Role::Links, Command::CutLinks { pairs });
+                self.tell(to, Role::Links, off);
             }
             SupervisorPause => {
                 let all = (0..u32::from(self.day.supervisors.count)).collect();
@@ -306,7 +306,7 @@
             }
             MoveRanges => {
                 // Said to every supervisor: those that are cut off refuse it.
-                let ranges = self.day.shared.as_ref().map_or(0, |shared| shared.ranges);
+                let ranges = self.day.group.as_ref().map_or(0, |shared| shared.ranges);
                 for range in 0..ranges {
                     let at = self.chance.rand_range(0..u64::from(self.day.fleet.servers)) as u32;
                     for number in 0..usize::from(self.day.supervisors.count) {
@@ -343,14 +343,14 @@
             }
             Surge => {
                 let command = |factor| Command::Rate { factor };
-                both(self, Staged::Callers, command(trouble.factor), command(1.0));
+                both(self, Role::Callers, command(trouble.factor), command(1.0));
             }
         }
     }
 }
 
 fn carry_out(
-    stage: &mut Stage,
+    stage: &mut LocalDeployment,
     action: Action,
     incarnation: &mut u64,
     started: &mut BTreeMap<u32, (u64, Nanos)>,
@@ -361,7 +361,7 @@
         Action::Start(servers) => {
             *incarnation += 1;
             started.extend(servers.iter().map(|&server| (server, (*incarnation, now()))));
-            stage.tell(Staged::Servers, &Command::Start { servers, incarnation: *incarnation })?;
+            stage.tell(Role::Servers, &Command::Start { servers, incarnation: *incarnation })?;
         }
         Action::ListAs(servers, state) => stage.list_as(&servers, state, None)?,
         Action::ListFresh(servers) => {
@@ -370,12 +370,12 @@
             }
         }
         Action::KillSupervisor(number) => stage.kill_supervisor(number),
-        Action::StartSupervisor(number) => stage.revive_supervisor(number)?,
+        Action::StartSupervisor(number) => stage.restart_supervisor(number)?,
         Action::StallSupervisor(number, on) => stage.stall_supervisor(number, on),
         Action::WayBack { age, span } => {
             for number in 0..stage.supervisors() {
                 let at = stage.admin(number);
-                std::thread::spawn(move || match way_back(at, age, span) {
+                std::thread::spawn(move || match start_rollback(at, age, span) {
                     Ok(told) => eprintln!("a way back at {at}: {} servers take it", told["takes"]),
                     Err(error) => eprintln!("a way back at {at}: {error:#}"),
                 });
@@ -384,9 +384,10 @@
         Action::Move { number, range, to } => {
             let at = stage.address(number);
             std::thread::spawn(move || {
-                if let Err(error) =
-                    order_at(at, CommandPayload::MoveRange(MoveRange { range, to_server: to, epoch: 0 }))
-                {
+                if let Err(error) = submit_command(
+                    at,
+                    CommandPayload::MoveRange(MoveRange { range, to_server: to, epoch: 0 }),
+                ) {
                     eprintln!("a move at {at}: {error:#}");
                 }
             });
@@ -398,9 +399,9 @@
             std::thread::spawn(move || {
                 let order = OperatorOrder { server, locality, weight_cap_millionths: hold };
                 let told = if off {
-                    release(at, &order)
+                    release_order(at, &order)
                 } else {
-                    order_at(at, CommandPayload::OperatorOrder(order))
+                    submit_command(at, CommandPayload::OperatorOrder(order))
                 };
                 if let Err(error) = told {
                     eprintln!("an order at {at}: {error:#}");
@@ -410,19 +411,24 @@
         Action::Revive(forwarders) => {
             let listed = stage.list.values().filter(|row| row.state == ListedAs::Ready);
             let standing = listed.map(|row| row.server).collect();
-            stage.tell(Staged::Forwarders, &Command::Revive { forwarders, standing })?;
+            stage.tell(Role::Forwarders, &Command::Revive { forwarders, standing })?;
         }
     }
     Ok(())
 }
 
 /// Starts everything, plays the day, stops everything, and judges what was seen. `progress` gets a line a second.
-pub fn play(program: &Path, folder: &Path, day: &Day, progress: &mut dyn FnMut(&str)) -> Result<Verdict> {
+pub fn run_scenario(
+    program: &Path,
+    folder: &Path,
+    day: &Scenario,
+    progress: &mut dyn FnMut(&str),
+) -> Result<Verdict> {
     let mut script = Script { day, chance: Rand64::new(u128::from(day.seed) + 2), actions: BTreeMap::new() };
-    for trouble in &day.troubles {
+    for trouble in &day.faults {
         script.trouble(trouble);
     }
-    let mut stage = Stage::open(program, folder, day)?;
+    let mut stage = LocalDeployment::start(program, folder, day)?;
     let (start, length) = (now(), at(day.length_s));
     let (mut incarnation, mut started, mut told) = (1, BTreeMap::new(), 0);
     let mut said = String::new();
@@ -446,20 +452,19 @@
         std::thread::sleep(Duration::from_nanos(next.saturating_sub(now() - start).min(SECOND)));
     }
     let end = now();
-    stage.tell(Staged::Callers, &Command::Quit)?;
+    stage.tell(Role::Callers, &Command::Quit)?;
     // What was asked for last is still answered or timed out.
     let longest = day.operations.iter().map(|operation| operation.integration_timeout_ms).fold(0.0, f64::max);
     std::thread::sleep(Duration::from_nanos(nanos(longest) + SECOND / 5));
     progress(&format!("{:>4} s of {}: over", day.length_s, day.length_s));
-    let traces =
-        [Staged::Servers, Staged::Forwarders, Staged::Callers, Staged::Registry].map(|who| stage.trace(who));
+    let traces = [Role::Servers, Role::Forwarders, Role::Callers, Role::Registry].map(|who| stage.trace(who));
     let logs: Vec<_> = (0..stage.supervisors()).map(|number| stage.log(number)).collect();
-    stage.close()?;
+    stage.stop()?;
     let mut seen: Vec<Seen> = Vec::new();
     for trace in traces {
         seen.extend(read_trace(&trace)?);
     }
-    let mut verdict = judge(day, (start, end), &seen);
+    let mut verdict = evaluate(day, (start, end), &seen);
     for (number, log) in logs.iter().enumerate() {
         let text = std::fs::read_to_string(log).unwrap_or_default();
         let remarks = text.lines().filter_map(|line| line.split_once("remark=").map(|(_, remark)| remark));
--- a/crates/fault-scenarios/src/day.rs
+++ b/crates/fault-scenarios/src/scenario.rs
@@ -8,7 +8,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Day {
+pub struct Scenario {
     pub title: String,
     pub length_s: f64,
     #[serde(default)]
@@ -16,21 +16,21 @@
     pub localities: Vec<String>,
     pub fleet: Fleet,
     #[serde(rename = "kind")]
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<ServerKind>,
     #[serde(rename = "operation")]
     pub operations: Vec<Operation>,
     pub demand: Demand,
     pub forwarders: Forwarders,
     pub supervisors: Supervisors,
     /// The supervisors are a group; each acts alone unless given.
-    #[serde(default)]
-    pub shared: Option<Shared>,
+    #[serde(rename = "shared", default)]
+    pub group: Option<GroupSettings>,
     pub rules: Rules,
     pub expect: Expect,
     #[serde(rename = "trouble", default)]
-    pub troubles: Vec<Trouble>,
-    #[serde(default)]
-    pub planted: Option<Planted>,
+    pub faults: Vec<Fault>,
+    #[serde(rename = "planted", default)]
+    pub injected_fault: Option<InjectedFault>,
     /// The guard stands before a planted fault; without, the fault shows.
     #[serde(default)]
     pub guarded: bool,
@@ -52,7 +52,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Kind {
+pub struct ServerKind {
     pub share: f64,
     pub cores: u32,
     pub speed: f64,
@@ -131,7 +131,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Shared {
+pub struct GroupSettings {
     pub election_ms: f64,
     pub drift: f64,
     #[serde(default)]
@@ -166,7 +166,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum TroubleKind {
+pub enum FaultKind {
     Crash,
     Silence,
     Hang,
@@ -209,10 +209,10 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct Fault {
     pub at_s: f64,
     pub for_s: f64,
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
     /// Part of the servers, forwarders or supervisors that it hits; of failed invocations with `fast_errors`.
     #[serde(default)]
     pub part: f64,
@@ -233,7 +233,7 @@
 /// A fault put in on purpose, to show that the judge finds it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Planted {
+pub enum InjectedFault {
     ForwarderIgnoresDrains,
     ServerRepeatsEffects,
     SupervisorDropsSuspensions,
@@ -245,18 +245,18 @@
     SupervisorWayOutranks,
 }
 
-impl Planted {
+impl InjectedFault {
     /// The supervisor's own name for it, where it is one of its faults.
     pub fn of_supervisor(self) -> Option<&'static str> {
         Some(match self {
-            Planted::SupervisorDropsSuspensions => "drop_suspensions",
-            Planted::SupervisorRepeatsAll => "repeat_all",
-            Planted::SupervisorColdInFull => "cold_in_full",
-            Planted::SupervisorFloods => "flood",
-            Planted::SupervisorEmptiesTables => "empty_tables",
-            Planted::NoFence => "no_fence",
-            Planted::SupervisorWayOutranks => "way_outranks",
-            Planted::ForwarderIgnoresDrains | Planted::ServerRepeatsEffects => return None,
+            InjectedFault::SupervisorDropsSuspensions => "drop_suspensions",
+            InjectedFault::SupervisorRepeatsAll => "repeat_all",
+            InjectedFault::SupervisorColdInFull => "cold_in_full",
+            InjectedFault::SupervisorFloods => "flood",
+            InjectedFault::SupervisorEmptiesTables => "empty_tables",
+            InjectedFault::NoFence => "no_fence",
+            InjectedFault::SupervisorWayOutranks => "way_outranks",
+            InjectedFault::ForwarderIgnoresDrains | InjectedFault::ServerRepeatsEffects => return None,
         })
     }
 }
@@ -265,14 +265,14 @@
     (ms * 1e6).round().max(0.0) as u64
 }
 
-impl Day {
+impl Scenario {
     pub fn read(file: &Path) -> Result<Self, FileError> {
-        Day::parse(file, &FileError::read(file)?)
+        Scenario::parse(file, &FileError::read(file)?)
     }
 
     /// `file` is only named in errors.
     pub fn parse(file: &Path, text: &str) -> Result<Self, FileError> {
-        let day: Day = FileError::parse(file, text)?;
+        let day: Scenario = FileError::parse(file, text)?;
         let refuse = |line: usize, key: &str, problem: String, remedy: &str| {
             let (key, remedy) = (key.to_owned(), remedy.to_owned());
             Err(FileError::InvalidSetting { file: file.to_owned(), line, key, problem, remedy })
@@ -302,7 +302,7 @@
                 "name at least one each",
             );
         }
-        if let Some(shared) = day.shared.as_ref().filter(|shared| !shared.keyed.is_empty()) {
+        if let Some(shared) = day.group.as_ref().filter(|shared| !shared.keyed.is_empty()) {
             if day.keyed().is_none() || shared.ranges == 0 {
                 let problem = format!("{:?} by {} ranges", shared.keyed, shared.ranges);
                 return refuse(
@@ -322,7 +322,7 @@
             .filter(|(_, line)| line.trim() == "[[trouble]]")
             .map(|(at, _)| at + 1)
             .collect();
-        for (at, trouble) in day.troubles.iter().enumerate() {
+        for (at, trouble) in day.faults.iter().enumerate() {
             let line = places.get(at).copied().unwrap_or(1);
             let end = trouble.at_s + trouble.for_s;
             if trouble.at_s < 0.0 || trouble.for_s < 0.0 || end > day.length_s {
@@ -333,9 +333,9 @@
                 let problem = format!("{} is no part", trouble.part);
                 return refuse(line, "trouble.part", problem, "give a number from 0 to 1");
             }
-            use TroubleKind::{LinksCut, LinksFlap, LinksOneWay, MoveRanges, Order};
+            use FaultKind::{LinksCut, LinksFlap, LinksOneWay, MoveRanges, Order};
             if [LinksCut, LinksFlap, LinksOneWay, MoveRanges, Order].contains(&trouble.kind)
-                && day.shared.is_none()
+                && day.group.is_none()
             {
                 let problem = format!("{:?} among supervisors that share nothing", trouble.kind);
                 return refuse(line, "trouble.kind", problem, "add a [shared] section");
@@ -350,12 +350,12 @@
 
     /// Position of the operation that goes by key ranges.
     pub fn keyed(&self) -> Option<usize> {
-        let shared = self.shared.as_ref()?;
+        let shared = self.group.as_ref()?;
         self.operations.iter().position(|operation| operation.name == shared.keyed)
     }
 
     pub fn kind_plans(&self) -> Vec<KindPlan> {
-        let plan = |kind: &Kind| KindPlan {
+        let plan = |kind: &ServerKind| KindPlan {
             cores: kind.cores,
             speed: kind.speed,
             queue: kind.queue,
@@ -463,7 +463,7 @@
                 operation.billed_value,
             );
         }
-        if let Some(shared) = &self.shared {
+        if let Some(shared) = &self.group {
             text += &format!(
                 "\n[shared]\nname = \"drill\"\nmembers = {members:?}\nelection_ms = {:?}\ndrift = {:?}\nranges = {}\n\
                  tenure_ms = {:?}\nin_flight_ms = {:?}\n",
@@ -475,7 +475,7 @@
             text += &format!("\n[sasp]\nlisten = {sasp:?}\n");
         }
         text = format!("forgets = {}\n{text}", supervisors.forget);
-        match self.planted.and_then(Planted::of_supervisor) {
+        match self.injected_fault.and_then(InjectedFault::of_supervisor) {
             Some(fault) => format!("planted = {fault:?}\nunguarded = {}\n{text}", !self.guarded),
             None => text,
         }
