--- a/crates/fault-scenarios/src/admin_client.rs
+++ b/crates/fault-scenarios/src/admin_client.rs
@@ -1,4 +1,4 @@
-//! An operator's side of a supervisor: one question, one answer.
+//! A client of a supervisor's operator interfaces: one request, one response.
 
 use std::net::SocketAddr;
 
@@ -14,88 +14,100 @@
     AdminQuery, AdminRequest, AdminResponse, ListVersions, StartRollback, ADMIN_PATH,
 };
 
-/// An order that is not agreed on is given up by the supervisor before this.
-const PATIENCE: Nanos = 60 * SECOND;
+/// Time limit of a request. A supervisor gives up a command that the group does not commit before this.
+const REQUEST_TIMEOUT: Nanos = 60 * SECOND;
+const MAX_MESSAGE_BYTES: usize = 16 << 20;
+const MAX_UNSENT_BYTES: usize = 1 << 20;
+const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// How things stand at a supervisor. Errors: it is not there, or shares nothing.
+/// Queries the status of the group from a supervisor.
+///
+/// Errors: the supervisor cannot be reached, or is not a member of a group.
 pub fn group_status(at: SocketAddr) -> Result<Value> {
-    ask(at, ControlRequest { command: None })
+    send_control_request(at, ControlRequest { command: None })
 }
 
-/// An order. Errors: it was refused, and why.
-pub fn submit_command(at: SocketAddr, act: CommandPayload) -> Result<Value> {
-    ask(at, ControlRequest { command: Some(Command { request_id: 0, payload: Some(act) }) })
+/// Submits a command to the group.
+///
+/// Errors: the supervisor cannot be reached, or rejected the command, with its reason.
+pub fn submit_command(at: SocketAddr, command: CommandPayload) -> Result<Value> {
+    send_control_request(
+        at,
+        ControlRequest { command: Some(Command { request_id: 0, payload: Some(command) }) },
+    )
 }
 
-/// Ends the order about a server that is like this one. Errors: none stands.
+/// Releases the active order for the same server and of the same kind.
+///
+/// Errors: there is none, or the supervisor rejected the command.
 pub fn release_order(at: SocketAddr, order: &OperatorOrder) -> Result<Value> {
-    let standing = group_status(at)?;
-    let does = if order.weight_cap_millionths.is_some() { "hold" } else { "drain" };
-    let like = |one: &&Value| one["server"] == order.server && one["does"] == does;
-    let orders = standing["orders"].as_array().into_iter().flatten();
-    let Some(found) = orders.into_iter().find(like).and_then(|one| one["order"].as_u64()) else {
-        bail!("no order to {does} server {} stands", order.server);
+    let status = group_status(at)?;
+    let kind = if order.weight_cap_millionths.is_some() { "hold" } else { "drain" };
+    let matches = |active: &&Value| active["server"] == order.server && active["does"] == kind;
+    let orders = status["orders"].as_array().into_iter().flatten();
+    let Some(order_index) = orders.into_iter().find(matches).and_then(|active| active["order"].as_u64())
+    else {
+        bail!("no order to {kind} server {} is active", order.server);
     };
-    submit_command(at, CommandPayload::ReleaseOrder(ReleaseOrder { order_index: found }))
+    submit_command(at, CommandPayload::ReleaseOrder(ReleaseOrder { order_index }))
 }
 
-/// Asks about tables, or orders a way back. Errors: it is not there, or refused, and why.
-pub fn query_tables(at: SocketAddr, question: AdminQuery) -> Result<Value> {
-    let answer = unary(at, ADMIN_PATH, &AdminRequest { query: Some(question) }.encode_to_vec())?;
-    Ok(serde_json::from_str(&AdminResponse::decode(&answer[..])?.json)?)
+/// Queries a supervisor's tables, or starts a rollback of them.
+///
+/// Errors: the supervisor cannot be reached, or rejected the query, with its reason.
+pub fn query_tables(at: SocketAddr, query: AdminQuery) -> Result<Value> {
+    let response = call_unary(at, ADMIN_PATH, &AdminRequest { query: Some(query) }.encode_to_vec())?;
+    Ok(serde_json::from_str(&AdminResponse::decode(&response[..])?.json)?)
 }
 
-/// The way back to what stood so long ago, or to the oldest that is kept. Errors: nothing is kept, or it was refused.
-pub fn start_rollback(at: SocketAddr, age: Nanos, span: Nanos) -> Result<Value> {
-    let told = query_tables(at, AdminQuery::List(ListVersions { last: u32::MAX }))?;
-    let versions: Vec<&Value> = told["versions"].as_array().into_iter().flatten().collect();
+/// Starts a rollback to the tables of `age` ago, or to the oldest version that is kept, for `duration`.
+///
+/// Errors: no version is kept, or the supervisor rejected the rollback.
+pub fn start_rollback(at: SocketAddr, age: Nanos, duration: Nanos) -> Result<Value> {
+    let list = query_tables(at, AdminQuery::List(ListVersions { last: u32::MAX }))?;
+    let versions: Vec<&Value> = list["versions"].as_array().into_iter().flatten().collect();
     let newest = versions.iter().filter_map(|version| version["at_ms"].as_u64()).max().unwrap_or(0);
-    let then = newest.saturating_sub(age / 1_000_000);
-    // The newest come first.
-    let found = versions.iter().find(|version| version["at_ms"].as_u64().is_some_and(|at| at <= then));
+    let target_ms = newest.saturating_sub(age / NANOS_PER_MS);
+    // The newest versions come first.
+    let found =
+        versions.iter().find(|version| version["at_ms"].as_u64().is_some_and(|at_ms| at_ms <= target_ms));
     let found = found.or(versions.last());
     let version = found.and_then(|version| version["version"].as_u64()).context("no version is kept")?;
-    let (who, why) = ("drill".to_owned(), "a day's script".to_owned());
-    let for_ms = span / 1_000_000;
+    let (actor, reason) = ("drill".to_owned(), "a day's script".to_owned());
+    let duration_ms = duration / NANOS_PER_MS;
     query_tables(
         at,
-        AdminQuery::StartRollback(StartRollback {
-            version,
-            duration_ms: for_ms,
-            dry_run: false,
-            actor: who,
-            reason: why,
-        }),
+        AdminQuery::StartRollback(StartRollback { version, duration_ms, dry_run: false, actor, reason }),
     )
 }
 
-fn ask(at: SocketAddr, question: ControlRequest) -> Result<Value> {
-    let answer = unary(at, CONTROL_PATH, &question.encode_to_vec())?;
-    Ok(serde_json::from_str(&ControlResponse::decode(&answer[..])?.json)?)
+fn send_control_request(at: SocketAddr, request: ControlRequest) -> Result<Value> {
+    let response = call_unary(at, CONTROL_PATH, &request.encode_to_vec())?;
+    Ok(serde_json::from_str(&ControlResponse::decode(&response[..])?.json)?)
 }
 
-/// One message there and one back.
-fn unary(at: SocketAddr, path: &str, question: &[u8]) -> Result<Vec<u8>> {
-    let bounds = ConnectionLimits {
-        max_message_bytes: 16 << 20,
+/// Sends one request message and returns the one response message.
+fn call_unary(at: SocketAddr, path: &str, request: &[u8]) -> Result<Vec<u8>> {
+    let limits = ConnectionLimits {
+        max_message_bytes: MAX_MESSAGE_BYTES,
         max_concurrent_calls: 4,
-        max_unsent_bytes: 1 << 20,
-        user_timeout: PATIENCE,
-        retry_delay: PATIENCE / 100,
+        max_unsent_bytes: MAX_UNSENT_BYTES,
+        user_timeout: REQUEST_TIMEOUT,
+        retry_delay: REQUEST_TIMEOUT / 100,
     };
-    let mut hub: Hub<(), ()> = Hub::new(bounds)?;
-    let conn = hub.dial(at).with_context(|| at.to_string())?;
-    let stream = hub.call(conn, path, None).context("no stream")?;
-    hub.send(conn, stream, question);
-    hub.finish(conn, stream, Status::OK);
-    let until = now() + PATIENCE;
-    let mut told = None;
-    while now() < until {
-        for input in hub.wait(Some(until))? {
+    let mut hub: Hub<(), ()> = Hub::new(limits)?;
+    let connection = hub.dial(at).with_context(|| at.to_string())?;
+    let stream = hub.call(connection, path, None).context("the connection takes no stream")?;
+    hub.send(connection, stream, request);
+    hub.finish(connection, stream, Status::OK);
+    let deadline = now() + REQUEST_TIMEOUT;
+    let mut response = None;
+    while now() < deadline {
+        for input in hub.wait(Some(deadline))? {
             match input {
-                Input::Message { message, .. } => told = Some(message.to_vec()),
+                Input::Message { message, .. } => response = Some(message.to_vec()),
                 Input::Ended { status, .. } if status.code == Code::Ok => {
-                    return told.take().ok_or_else(|| anyhow!("{at} answered nothing"));
+                    return response.take().ok_or_else(|| anyhow!("{at} sent no response"));
                 }
                 Input::Ended { status, .. } => bail!("{}", status.message),
                 Input::Closed { reason, .. } => bail!("{at}: {reason}"),
@@ -103,5 +115,5 @@
             }
         }
     }
-    bail!("{at} did not answer in time")
+    bail!("{at} did not respond in time")
 }
--- a/crates/fault-scenarios/src/bench_import.rs
+++ b/crates/fault-scenarios/src/bench_import.rs
@@ -1,155 +1,170 @@
-//! The troubles of a bench day, as the operators' `draw` prints it, on a fleet of our own.
+//! Converts the faults of a bench scenario, as the bench's `draw` prints it, to a scenario file for a given fleet.
 
 use std::fmt::Write;
 
 use anyhow::{bail, Context, Result};
 use serde::Deserialize;
 
-/// What is read of a bench day; its times are microseconds.
+/// The fields of a bench scenario that are read; its times are microseconds.
 #[derive(Deserialize)]
-struct BenchDay {
+struct BenchScenario {
     length: u64,
     servers: Vec<serde_json::Value>,
     balancers: Vec<serde_json::Value>,
-    #[serde(default)]
-    fam: Family,
-    troubles: Vec<BenchTrouble>,
+    #[serde(rename = "fam", default)]
+    family: Family,
+    #[serde(rename = "troubles")]
+    faults: Vec<BenchFault>,
 }
 
+/// The control plane of a bench scenario.
 #[derive(Default, Deserialize)]
 struct Family {
     #[serde(default)]
     controllers: Vec<serde_json::Value>,
 }
 
+/// A fault of a bench scenario. The meaning of `size` and `extra` depends on the kind.
 #[derive(Deserialize)]
-struct BenchTrouble {
+struct BenchFault {
     kind: String,
     at: u64,
-    len: u64,
+    #[serde(rename = "len")]
+    duration: u64,
     size: f64,
     extra: f64,
-    on: Vec<u64>,
-    #[serde(default)]
-    which: usize,
+    #[serde(rename = "on")]
+    targets: Vec<u64>,
+    #[serde(rename = "which", default)]
+    locality: usize,
     #[serde(default)]
     steps: Vec<Step>,
 }
 
+/// A step of a fault that stops its targets in turn.
 #[derive(Deserialize)]
 struct Step {
-    #[serde(default)]
-    stop: Vec<u64>,
+    #[serde(rename = "stop", default)]
+    stopped: Vec<u64>,
 }
 
-/// One trouble of a drill's file.
-struct Written<'a> {
+/// One fault of a scenario file, as keys and values.
+struct FaultSection<'a> {
     at_s: f64,
     for_s: f64,
     kind: &'a str,
-    figures: Vec<(&'a str, String)>,
+    settings: Vec<(&'a str, String)>,
 }
 
-fn seconds(us: u64) -> f64 {
-    (us as f64 / 1e4).round() / 100.0
+/// Converts microseconds to seconds, rounded to hundredths.
+fn seconds(micros: u64) -> f64 {
+    (micros as f64 / 1e4).round() / 100.0
 }
 
-impl BenchTrouble {
-    fn part(&self, day: &BenchDay) -> f64 {
-        let hit = if self.steps.is_empty() {
-            self.on.len()
+impl BenchFault {
+    /// Fraction of the servers that are affected.
+    fn fraction(&self, bench: &BenchScenario) -> f64 {
+        let affected = if self.steps.is_empty() {
+            self.targets.len()
         } else {
-            self.steps.iter().map(|step| step.stop.len()).sum()
+            self.steps.iter().map(|step| step.stopped.len()).sum()
         };
-        ((hit as f64 / day.servers.len().max(1) as f64).min(1.0) * 1000.0).round() / 1000.0
+        ((affected as f64 / bench.servers.len().max(1) as f64).min(1.0) * 1000.0).round() / 1000.0
     }
 
-    /// In a drill's words; nothing where a drill has none.
-    fn written(&self, day: &BenchDay, localities: &[String]) -> Vec<Written<'static>> {
-        let (at_s, for_s) = (seconds(self.at), seconds(self.len));
-        let part = ("part", format!("{:?}", self.part(day)));
-        let one = |kind, figures| vec![Written { at_s, for_s, kind, figures }];
+    /// The faults of a scenario file that stand for this one; none if there is no such kind.
+    fn sections(&self, bench: &BenchScenario, localities: &[String]) -> Vec<FaultSection<'static>> {
+        let (at_s, for_s) = (seconds(self.at), seconds(self.duration));
+        let fraction = ("part", format!("{:?}", self.fraction(bench)));
+        let one = |kind, settings| vec![FaultSection { at_s, for_s, kind, settings }];
         let factor = |factor: f64| ("factor", format!("{:?}", (factor * 1000.0).round() / 1000.0));
-        let controllers = day.fam.controllers.len() as u64;
-        // A trouble of the path names either supervisors or proxies by number.
-        let of_supervisors =
-            self.on.len() as u64 <= controllers && self.on.iter().all(|&number| number < controllers);
-        let all = if of_supervisors { controllers } else { day.balancers.len() as u64 };
-        let path =
-            ("part", format!("{:?}", (self.on.len() as f64 / all.max(1) as f64 * 1000.0).round() / 1000.0));
+        let controllers = bench.family.controllers.len() as u64;
+        // A fault of the control path names either supervisors or proxies by number.
+        let targets_supervisors = self.targets.len() as u64 <= controllers
+            && self.targets.iter().all(|&number| number < controllers);
+        let all = if targets_supervisors { controllers } else { bench.balancers.len() as u64 };
+        let path_fraction = (
+            "part",
+            format!("{:?}", (self.targets.len() as f64 / all.max(1) as f64 * 1000.0).round() / 1000.0),
+        );
         match self.kind.as_str() {
-            "crash" => one("crash", vec![part]),
-            "vanish" => one("silence", vec![part]),
-            "hang" => one("hang", vec![part]),
-            "slow" => one("slow", vec![part, factor(self.size)]),
-            "ageing" => one("slow", vec![part, factor(self.extra)]),
-            "fast_errors" => one("fast_errors", vec![part, factor(self.size)]),
-            "neighbour" => one("neighbour", vec![part, factor(1.0 / (1.0 - self.size).max(0.1))]),
+            "crash" => one("crash", vec![fraction]),
+            "vanish" => one("silence", vec![fraction]),
+            "hang" => one("hang", vec![fraction]),
+            "slow" => one("slow", vec![fraction, factor(self.size)]),
+            "ageing" => one("slow", vec![fraction, factor(self.extra)]),
+            "fast_errors" => one("fast_errors", vec![fraction, factor(self.size)]),
+            "neighbour" => one("neighbour", vec![fraction, factor(1.0 / (1.0 - self.size).max(0.1))]),
             "shared_slow" => one("shared_slow", vec![factor(self.size)]),
-            "deploy" => one("deploy", vec![part]),
-            "shrink" => one("drain", vec![part]),
-            "mass_restart" => one("mass_restart", vec![part]),
-            "false_reports" => one("false_reports", vec![part]),
+            "deploy" => one("deploy", vec![fraction]),
+            "shrink" => one("drain", vec![fraction]),
+            "mass_restart" => one("mass_restart", vec![fraction]),
+            "false_reports" => one("false_reports", vec![fraction]),
             "report_late" => {
                 one("late_reports", vec![("delay_s", format!("{:?}", (self.size * 100.0).round() / 100.0))])
             }
-            "conn_squeeze" => one("squeeze", vec![part, factor(1.0 / self.size.max(1.0))]),
+            "conn_squeeze" => one("squeeze", vec![fraction, factor(1.0 / self.size.max(1.0))]),
             "handshake_slow" => {
-                one("handshake", vec![part, ("delay_s", format!("{:?}", self.size.round() / 1000.0))])
+                one("handshake", vec![fraction, ("delay_s", format!("{:?}", self.size.round() / 1000.0))])
             }
             "wrong_list" => one("wrong_list", vec![("part", format!("{:?}", self.extra.min(1.0)))]),
             "zone_cut" => {
-                let locality = &localities[self.which % localities.len()];
+                let locality = &localities[self.locality % localities.len()];
                 one("locality_cut", vec![("locality", format!("{locality:?}"))])
             }
-            "balancer_crash" if of_supervisors => one("supervisor_crash", vec![path]),
-            "balancer_crash" => one("forwarder_crash", vec![path]),
-            "balancer_stall" if of_supervisors => one("supervisor_stall", vec![path]),
-            "balancer_stall" => one("forwarder_stall", vec![path]),
+            "balancer_crash" if targets_supervisors => one("supervisor_crash", vec![path_fraction]),
+            "balancer_crash" => one("forwarder_crash", vec![path_fraction]),
+            "balancer_stall" if targets_supervisors => one("supervisor_stall", vec![path_fraction]),
+            "balancer_stall" => one("forwarder_stall", vec![path_fraction]),
             "flapping" => {
-                // Silent for a part of each period.
-                let (period, silent) = (self.size.max(1.0), (self.size * self.extra).max(0.2));
-                let times = (for_s / period).floor().max(1.0) as u32;
-                let each = |time: u32| Written {
-                    at_s: at_s + f64::from(time) * period,
-                    for_s: silent,
+                // Silent for a fraction of each period.
+                let (period_s, silent_s) = (self.size.max(1.0), (self.size * self.extra).max(0.2));
+                let periods = (for_s / period_s).floor().max(1.0) as u32;
+                let silence = |index: u32| FaultSection {
+                    at_s: at_s + f64::from(index) * period_s,
+                    for_s: silent_s,
                     kind: "silence",
-                    figures: vec![part.clone()],
+                    settings: vec![fraction.clone()],
                 };
-                (0..times).map(each).collect()
+                (0..periods).map(silence).collect()
             }
             _ => Vec::new(),
         }
     }
 }
 
-/// The text of a drill: the fleet of `template`, itself a drill's text, and the troubles of a bench day. What a
-/// drill has no word for stands in a comment.
-pub fn convert_bench_scenario(day: &str, template: &str) -> Result<String> {
-    let bench: BenchDay = serde_json::from_str(day).context("the bench day cannot be read")?;
+/// Time that a scenario runs on after the end of the bench scenario, in seconds.
+const TRAILING_TIME_S: f64 = 5.0;
+
+/// Returns the text of a scenario file with the fleet of `template`, itself such a text, and the faults of a bench
+/// scenario. Faults of unknown kinds are listed in comments.
+///
+/// Errors: one of the texts is invalid, or the bench scenario has no servers.
+pub fn convert_bench_scenario(bench: &str, template: &str) -> Result<String> {
+    let bench: BenchScenario = serde_json::from_str(bench).context("the bench scenario cannot be parsed")?;
     let fleet = template.split("[[trouble]]").next().unwrap_or_default().trim_end();
     let parsed = crate::Scenario::parse(std::path::Path::new("template"), fleet)?;
     if bench.servers.is_empty() {
-        bail!("the bench day has no servers");
+        bail!("the bench scenario has no servers");
     }
-    let length = seconds(bench.length) + 5.0;
-    let old =
+    let length_s = seconds(bench.length) + TRAILING_TIME_S;
+    let old_length =
         fleet.lines().find(|line| line.starts_with("length_s")).context("the template has no length_s")?;
-    let mut out = fleet.replacen(old, &format!("length_s = {length:?}"), 1);
+    let mut out = fleet.replacen(old_length, &format!("length_s = {length_s:?}"), 1);
     out.push('\n');
-    for trouble in &bench.troubles {
-        let all = trouble.written(&bench, &parsed.localities);
-        if all.is_empty() {
-            writeln!(out, "\n# left out: {}, for which a drill has no word", trouble.kind)?;
+    for fault in &bench.faults {
+        let sections = fault.sections(&bench, &parsed.localities);
+        if sections.is_empty() {
+            writeln!(out, "\n# left out: {}, for which a drill has no word", fault.kind)?;
         }
-        for written in all {
-            let for_s = written.for_s.min(length - written.at_s);
+        for section in sections {
+            let for_s = section.for_s.min(length_s - section.at_s);
             writeln!(
                 out,
                 "\n[[trouble]]\nat_s = {:?}\nfor_s = {for_s:?}\nkind = {:?}",
-                written.at_s, written.kind
+                section.at_s, section.kind
             )?;
-            written.figures.iter().try_for_each(|(key, value)| writeln!(out, "{key} = {value}"))?;
+            section.settings.iter().try_for_each(|(key, value)| writeln!(out, "{key} = {value}"))?;
         }
     }
     Ok(out)
@@ -161,21 +176,24 @@
     use crate::scenario::FaultKind;
 
     #[test]
-    fn troubles_of_a_bench_day_become_a_drill_that_can_be_read() {
-        let day = r#"{"length": 40000000, "servers": [0, 0, 0, 0], "balancers": [0, 0, 0], "fam": {"controllers": [0, 0]},
+    fn faults_of_a_bench_scenario_become_a_valid_scenario_file() {
+        let bench = r#"{"length": 40000000, "servers": [0, 0, 0, 0], "balancers": [0, 0, 0], "fam": {"controllers": [0, 0]},
             "troubles": [
             {"kind": "slow", "at": 5000000, "len": 20000000, "size": 4.5, "extra": 0.0, "on": [2]},
             {"kind": "balancer_crash", "at": 7000000, "len": 1500000, "size": 0.0, "extra": 0.0, "on": [1]},
             {"kind": "balancer_stall", "at": 7000000, "len": 1500000, "size": 0.0, "extra": 0.0, "on": [0, 2]},
             {"kind": "flapping", "at": 10000000, "len": 20000000, "size": 10.0, "extra": 0.3, "on": [0, 1]},
             {"kind": "tide", "at": 0, "len": 1, "size": 0.0, "extra": 0.0, "on": []}]}"#;
-        let text = convert_bench_scenario(day, include_str!("../../../drills/bad-day.toml")).unwrap();
-        let drill = crate::Scenario::parse(std::path::Path::new("out"), &text).unwrap();
-        let kinds: Vec<FaultKind> = drill.faults.iter().map(|trouble| trouble.kind).collect();
+        let text = convert_bench_scenario(bench, include_str!("../../../drills/bad-day.toml")).unwrap();
+        let scenario = crate::Scenario::parse(std::path::Path::new("out"), &text).unwrap();
+        let kinds: Vec<FaultKind> = scenario.faults.iter().map(|fault| fault.kind).collect();
         use FaultKind::*;
         assert_eq!(kinds, [Slow, SupervisorCrash, ForwarderStall, Silence, Silence]);
-        assert_eq!((drill.faults[0].part, drill.faults[0].factor, drill.length_s), (0.25, 4.5, 45.0));
-        assert_eq!((drill.faults[4].at_s, drill.faults[4].for_s), (20.0, 3.0));
+        assert_eq!(
+            (scenario.faults[0].fraction, scenario.faults[0].factor, scenario.length_s),
+            (0.25, 4.5, 45.0)
+        );
+        assert_eq!((scenario.faults[4].at_s, scenario.faults[4].for_s), (20.0, 3.0));
         assert!(text.contains("left out: tide"));
     }
 }
--- a/crates/fault-scenarios/src/evaluation.rs
+++ b/crates/fault-scenarios/src/evaluation.rs
@@ -1,5 +1,8 @@
-//! The judge: sees traffic and times at forwarders, servers, callers and the registry, never a supervisor's word.
-//! (Of a table it sees the stamp of its order, without which nobody could tell from outside what waited.)
+//! Evaluates the traces of a run by rules.
+//!
+//! The traces have traffic and times at forwarders, servers, callers and the registry; nothing that a supervisor says
+//! of itself is used. The only exception is the time at which a table was ordered, which its messages carry: without it
+//! the queue of a channel could not be observed from outside.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,87 +11,118 @@
 use shalereel_reactor::SECOND;
 use shalereel_standins::{Outcome, Seen, WhichEffect};
 
-use crate::scenario::{nanos, Scenario};
+use crate::scenario::{nanos_from_ms, Scenario, MS_PER_SECOND};
 
+/// A rule that every run has to keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
+    /// No connected forwarder lacks a line for an operation for too long while a warm server is listed.
     LineToPick,
+    /// Retries of an operation that is not idempotent take effect once.
     NoEffectTwice,
+    /// Servers that drain or are gone get no invocations after the grace time.
     DrainsKept,
+    /// No server in slow start is overloaded.
     NoColdServerPushedOver,
+    /// The queue of a supervisor's channel stays within its limit.
     ShortQueue,
-    /// Of a group: no forwarder goes back to an earlier epoch, no range has two owners.
+    /// In a group, no forwarder returns to an earlier epoch and no key range has two owners.
     Fenced,
 }
 
-/// One time that a rule was broken, with the invocations that prove it.
+/// A violation of a rule, with the invocations that prove it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
+    /// Seconds since the start of the run.
     pub at_s: f64,
+    /// What violated the rule.
     #[serde(rename = "what")]
     pub description: String,
+    /// Ids of the invocations.
     pub invocations: Vec<u64>,
 }
 
-/// How near a rule came to its limit, 1 being the limit, and each time that it was broken.
+/// The result of a rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct RuleResult {
+    /// The rule.
     pub rule: Rule,
+    /// The limit, in words.
     pub limit: String,
+    /// The largest observed value as a fraction of the limit: above 1 the rule is violated.
     pub nearest: f64,
+    /// All violations.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
 }
 
-/// Service by operation over some seconds; nothing where nothing was asked for.
+/// Service in a window of some seconds.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServiceWindow {
+    /// Start of the window, in seconds since the start of the run.
     pub from_s: f64,
-    /// Billed value asked for, and answered in time.
+    /// Billed value that was requested.
     #[serde(rename = "asked")]
     pub requested_value: f64,
+    /// Billed value that was answered in time.
     #[serde(rename = "answered")]
     pub answered_value: f64,
+    /// Service by operation; operations without invocations are left out.
     pub service: BTreeMap<String, f64>,
 }
 
+/// The verdict on a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
+    /// Title of the scenario.
     pub title: String,
+    /// Ratio of the billed value that was answered in time to the billed value that was requested.
     pub service: f64,
+    /// The smallest service that is expected.
     pub expected: f64,
+    /// Service by operation; operations without invocations are left out.
     pub operations: BTreeMap<String, f64>,
-    /// What was expected and not reached.
+    /// Descriptions of the expectations that were not met.
     #[serde(rename = "missed")]
     pub missed_expectations: Vec<String>,
+    /// Service over time.
     pub windows: Vec<ServiceWindow>,
+    /// Results of all rules.
     pub rules: Vec<RuleResult>,
+    /// Number of invocations.
     #[serde(rename = "asked")]
     pub invocations: usize,
+    /// Number of attempts that forwarders sent to servers.
     #[serde(rename = "tries")]
     pub attempts: usize,
+    /// Traffic of table updates.
     pub traffic: TableTraffic,
+    /// Remarks in the supervisors' logs.
     pub remarks: Vec<String>,
 }
 
-/// What supervisors told forwarders of their tables.
+/// Traffic of table updates from supervisors to forwarders.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct TableTraffic {
+    /// Number of messages.
     pub messages: u64,
+    /// Number of changed lines.
     pub lines: u64,
+    /// Size of all messages.
     pub bytes: u64,
-    /// Lost, late or doubled on the way, and asked for anew.
+    /// Messages that were lost, late or duplicated.
     pub disturbed: u64,
+    /// Tables that forwarders requested again.
     #[serde(rename = "asked_anew")]
     pub repeated_requests: u64,
 }
 
 impl TableTraffic {
-    fn of(seen: &[Seen]) -> Self {
+    fn of(trace: &[Seen]) -> Self {
         let mut sum = TableTraffic::default();
-        for one in seen {
-            match one {
+        for record in trace {
+            match record {
                 Seen::Told { lines, bytes, .. } => {
                     sum.messages += 1;
                     sum.lines += u64::from(*lines);
@@ -104,41 +138,54 @@
 }
 
 impl Verdict {
+    /// Results of the rules that were violated.
     pub fn violated_rules(&self) -> impl Iterator<Item = &RuleResult> {
-        self.rules.iter().filter(|measure| !measure.violations.is_empty())
+        self.rules.iter().filter(|result| !result.violations.is_empty())
     }
 
-    /// All rules kept and all that was expected reached?
+    /// Whether all rules were kept and all expectations met.
     pub fn passed(&self) -> bool {
         self.violated_rules().next().is_none() && self.missed_expectations.is_empty()
     }
 }
 
-/// A stretch of time, open at its end.
-type Span = (Nanos, Nanos);
+/// Width of the windows of service, in seconds.
+const WINDOW_WIDTH_S: f64 = 5.0;
+/// `nearest` of a violated rule whose limit is not a quantity.
+const VIOLATED: f64 = 2.0;
+/// In place of an epoch: the forwarder was restarted.
+const RESTARTED: u64 = u64::MAX;
 
-/// The list as a supervisor knew it from a time on.
-struct Known<'a> {
-    /// When it was said, and when the supervisor acknowledged it, which is a moment after its first orders.
-    said: Nanos,
+/// An interval of time, from its start up to but excluding its end.
+type Interval = (Nanos, Nanos);
+
+/// A version of the server list that a supervisor knew.
+struct KnownList<'a> {
+    /// When the registry sent it.
+    sent: Nanos,
+    /// When the supervisor acknowledged it, which is shortly after its first actions.
     from: Nanos,
+    /// Id, incarnation and start time.
     ready: &'a [(u32, u64, Nanos)],
     draining: &'a [u32],
     gone: &'a [u32],
 }
 
-struct Scene<'a> {
-    day: &'a Scenario,
+/// The trace records of a run that several rules need.
+struct TraceIndex<'a> {
+    scenario: &'a Scenario,
     start: Nanos,
     end: Nanos,
-    /// By forwarder: to which supervisor it was joined, and when.
-    joined: BTreeMap<u32, Vec<(u32, Span)>>,
-    /// By forwarder: when it did not read what it was told.
-    deaf: BTreeMap<u32, Vec<Span>>,
-    known: BTreeMap<u32, Vec<Known<'a>>>,
+    /// By forwarder: the supervisor that it was connected to, and when.
+    connections: BTreeMap<u32, Vec<(u32, Interval)>>,
+    /// By forwarder: when it did not read its supervisor's stream.
+    unreachable: BTreeMap<u32, Vec<Interval>>,
+    /// By supervisor: the lists that it knew, in the order of time.
+    known_lists: BTreeMap<u32, Vec<KnownList<'a>>>,
 }
 
-fn spans(mut events: Vec<(Nanos, bool)>, end: Nanos) -> Vec<Span> {
+/// Intervals between on and off events; an open interval ends at `end`.
+fn intervals(mut events: Vec<(Nanos, bool)>, end: Nanos) -> Vec<Interval> {
     events.sort_by_key(|event| event.0);
     let (mut found, mut since) = (Vec::new(), None);
     for (at, on) in events {
@@ -155,33 +202,36 @@
     found
 }
 
-impl<'a> Scene<'a> {
-    fn new(day: &'a Scenario, (start, end): Span, seen: &'a [Seen]) -> Self {
-        let far = end + 3600 * SECOND;
-        let mut joined: BTreeMap<u32, Vec<(u32, Span)>> = BTreeMap::new();
-        let mut deaf: BTreeMap<u32, Vec<(Nanos, bool)>> = BTreeMap::new();
-        let mut known: BTreeMap<u32, Vec<Known>> = BTreeMap::new();
-        let mut said: BTreeMap<(&str, u64), &Seen> = BTreeMap::new();
-        for one in seen {
-            match one {
+impl<'a> TraceIndex<'a> {
+    fn new(scenario: &'a Scenario, (start, end): Interval, trace: &'a [Seen]) -> Self {
+        // Later than all events of the run.
+        let far_future = end + 3600 * SECOND;
+        let mut connections: BTreeMap<u32, Vec<(u32, Interval)>> = BTreeMap::new();
+        let mut unreachable: BTreeMap<u32, Vec<(Nanos, bool)>> = BTreeMap::new();
+        let mut known_lists: BTreeMap<u32, Vec<KnownList>> = BTreeMap::new();
+        let mut sent_lists: BTreeMap<(&str, u64), &Seen> = BTreeMap::new();
+        for record in trace {
+            match record {
                 Seen::Joined { at, forwarder, supervisor } => {
-                    joined.entry(*forwarder).or_default().push((*supervisor, (*at, far)));
+                    connections.entry(*forwarder).or_default().push((*supervisor, (*at, far_future)));
                 }
                 Seen::Left { at, forwarder } | Seen::Died { at, forwarder } => {
-                    let last = joined.get_mut(forwarder).and_then(|spans| spans.last_mut());
-                    if let Some((_, span)) = last {
-                        span.1 = span.1.min(*at);
+                    let last = connections.get_mut(forwarder).and_then(|connections| connections.last_mut());
+                    if let Some((_, interval)) = last {
+                        interval.1 = interval.1.min(*at);
                     }
                 }
-                Seen::Reachable { at, forwarder, on } => deaf.entry(*forwarder).or_default().push((*at, !on)),
-                Seen::Said { to, version, .. } => drop(said.insert((to, *version), one)),
+                Seen::Reachable { at, forwarder, on } => {
+                    unreachable.entry(*forwarder).or_default().push((*at, !on))
+                }
+                Seen::Said { to, version, .. } => drop(sent_lists.insert((to, *version), record)),
                 Seen::Acknowledged { at, to, version } => {
                     let number = to.rsplit('-').next().and_then(|number| number.parse().ok());
-                    if let (Some(number), Some(Seen::Said { at: said, ready, draining, gone, .. })) =
-                        (number, said.get(&(to.as_str(), *version)))
+                    if let (Some(number), Some(Seen::Said { at: sent, ready, draining, gone, .. })) =
+                        (number, sent_lists.get(&(to.as_str(), *version)))
                     {
-                        known.entry(number).or_default().push(Known {
-                            said: *said,
+                        known_lists.entry(number).or_default().push(KnownList {
+                            sent: *sent,
                             from: *at,
                             ready,
                             draining,
@@ -192,47 +242,59 @@
                 _ => {}
             }
         }
-        let deaf = deaf.into_iter().map(|(forwarder, events)| (forwarder, spans(events, far))).collect();
-        Scene { day, start, end, joined, deaf, known }
+        let unreachable = unreachable
+            .into_iter()
+            .map(|(forwarder, events)| (forwarder, intervals(events, far_future)))
+            .collect();
+        TraceIndex { scenario, start, end, connections, unreachable, known_lists }
     }
 
+    /// Seconds since the start of the run, rounded to hundredths.
     fn seconds(&self, at: Nanos) -> f64 {
         (at.saturating_sub(self.start) as f64 / SECOND as f64 * 100.0).round() / 100.0
     }
 
-    fn joined_at(&self, forwarder: u32, at: Nanos) -> Option<(u32, Span)> {
-        let spans = self.joined.get(&forwarder)?;
-        spans.iter().rev().find(|(_, span)| span.0 <= at && at < span.1).copied()
+    /// The supervisor that a forwarder was connected to, and when.
+    fn connection_at(&self, forwarder: u32, at: Nanos) -> Option<(u32, Interval)> {
+        let connections = self.connections.get(&forwarder)?;
+        connections.iter().rev().find(|(_, interval)| interval.0 <= at && at < interval.1).copied()
     }
 
-    /// Since when a forwarder could be reached without a break, as of `at`.
+    /// Start of the time up to `at` in which a forwarder always read its supervisor's stream.
     fn reachable_since(&self, forwarder: u32, at: Nanos) -> Nanos {
-        let deaf = self.deaf.get(&forwarder).map_or(&[][..], Vec::as_slice);
-        deaf.iter().filter(|span| span.0 <= at).map(|span| span.1.min(at)).max().unwrap_or(0)
+        let unreachable = self.unreachable.get(&forwarder).map_or(&[][..], Vec::as_slice);
+        unreachable
+            .iter()
+            .filter(|interval| interval.0 <= at)
+            .map(|interval| interval.1.min(at))
+            .max()
+            .unwrap_or(0)
     }
 
-    fn list_at(&self, supervisor: u32, at: Nanos) -> Option<&Known<'a>> {
-        self.known.get(&supervisor)?.iter().rev().find(|known| known.from <= at)
+    /// The list that a supervisor knew.
+    fn list_at(&self, supervisor: u32, at: Nanos) -> Option<&KnownList<'a>> {
+        self.known_lists.get(&supervisor)?.iter().rev().find(|known| known.from <= at)
     }
 
-    fn warm_at(&self, supervisor: u32, at: Nanos) -> bool {
-        let cold_for = nanos(self.day.cold_for_s() * 1e3);
-        let warm = |row: &(u32, u64, Nanos)| row.2 == 0 || row.2 + cold_for <= at;
+    /// Whether a supervisor knew a ready server that was past its slow start.
+    fn lists_warm_server_at(&self, supervisor: u32, at: Nanos) -> bool {
+        let slow_start = nanos_from_ms(self.scenario.slow_start_s() * MS_PER_SECOND);
+        let warm = |row: &(u32, u64, Nanos)| row.2 == 0 || row.2 + slow_start <= at;
         self.list_at(supervisor, at).is_some_and(|known| known.ready.iter().any(warm))
     }
 
-    /// A joined forwarder is never without a line for longer than the stated time, while a warm server is listed.
-    fn line_to_pick(&self, seen: &[Seen]) -> RuleResult {
-        let limit = nanos(self.day.rules.empty_for_s * 1e3);
-        let mut bare: BTreeMap<(u32, u16), Vec<(Nanos, bool)>> = BTreeMap::new();
-        for one in seen {
-            match one {
+    /// Checks that no connected forwarder lacks a line for longer than the limit while a warm server is listed.
+    fn line_to_pick(&self, trace: &[Seen]) -> RuleResult {
+        let limit = nanos_from_ms(self.scenario.rules.max_empty_s * MS_PER_SECOND);
+        let mut without_line: BTreeMap<(u32, u16), Vec<(Nanos, bool)>> = BTreeMap::new();
+        for record in trace {
+            match record {
                 Seen::Bare { at, forwarder, operation, on } => {
-                    bare.entry((*forwarder, *operation)).or_default().push((*at, *on));
+                    without_line.entry((*forwarder, *operation)).or_default().push((*at, *on));
                 }
-                // What comes back has a standing table.
+                // A restarted forwarder has its initial table.
                 Seen::Died { at, forwarder } => {
-                    for (_, events) in bare.range_mut((*forwarder, 0)..=(*forwarder, u16::MAX)) {
+                    for (_, events) in without_line.range_mut((*forwarder, 0)..=(*forwarder, u16::MAX)) {
                         events.push((*at, false));
                     }
                 }
@@ -240,23 +302,26 @@
             }
         }
         let (mut nearest, mut violations) = (0.0_f64, Vec::new());
-        for ((forwarder, operation), events) in bare {
-            for (from, to) in spans(events, self.end) {
-                for (supervisor, joined) in self.joined.get(&forwarder).into_iter().flatten() {
-                    let end = to.min(joined.1).min(self.end);
-                    let begin = from.max(joined.0).max(self.reachable_since(forwarder, end));
-                    if begin >= end || !self.warm_at(*supervisor, begin) || !self.warm_at(*supervisor, end) {
+        for ((forwarder, operation), events) in without_line {
+            for (from, to) in intervals(events, self.end) {
+                for (supervisor, connected) in self.connections.get(&forwarder).into_iter().flatten() {
+                    let end = to.min(connected.1).min(self.end);
+                    let begin = from.max(connected.0).max(self.reachable_since(forwarder, end));
+                    if begin >= end
+                        || !self.lists_warm_server_at(*supervisor, begin)
+                        || !self.lists_warm_server_at(*supervisor, end)
+                    {
                         continue;
                     }
-                    let part = (end - begin) as f64 / limit as f64;
-                    nearest = nearest.max(part);
-                    if part > 1.0 {
-                        let name = &self.day.operations[usize::from(operation)].name;
-                        let span = (end - begin) as f64 / SECOND as f64;
+                    let fraction = (end - begin) as f64 / limit as f64;
+                    nearest = nearest.max(fraction);
+                    if fraction > 1.0 {
+                        let name = &self.scenario.operations[usize::from(operation)].name;
+                        let seconds = (end - begin) as f64 / SECOND as f64;
                         violations.push(Violation {
                             at_s: self.seconds(begin),
                             description: format!(
-                                "forwarder {forwarder} had no line for {name} for {span:.2} s"
+                                "forwarder {forwarder} had no line for {name} for {seconds:.2} s"
                             ),
                             invocations: Vec::new(),
                         });
@@ -264,18 +329,18 @@
                 }
             }
         }
-        let limit = format!("{} s without a line", self.day.rules.empty_for_s);
+        let limit = format!("{} s without a line", self.scenario.rules.max_empty_s);
         RuleResult { rule: Rule::LineToPick, limit, nearest, violations }
     }
 
-    /// Repeats by forwarders, that is within one try of a caller, take effect once.
-    fn no_effect_twice(&self, seen: &[Seen]) -> RuleResult {
-        // When, where, and in which try of its forwarder.
-        type EffectSeen = (Nanos, u32, u32);
-        let mut effects: BTreeMap<(u64, u32), Vec<EffectSeen>> = BTreeMap::new();
-        for one in seen {
-            if let Seen::Effect { at, server, operation, inv, attempt, further, .. } = one {
-                if self.day.operations[usize::from(*operation)].effect != WhichEffect::Idempotent {
+    /// Checks that retries by forwarders, that is within one attempt of a caller, take effect once.
+    fn no_effect_twice(&self, trace: &[Seen]) -> RuleResult {
+        // Time, server, and number of the forwarder's attempt.
+        type EffectRecord = (Nanos, u32, u32);
+        let mut effects: BTreeMap<(u64, u32), Vec<EffectRecord>> = BTreeMap::new();
+        for record in trace {
+            if let Seen::Effect { at, server, operation, inv, attempt, further, .. } = record {
+                if self.scenario.operations[usize::from(*operation)].effect != WhichEffect::Idempotent {
                     effects.entry((*inv, *attempt)).or_default().push((*at, *server, *further));
                 }
             }
@@ -289,59 +354,64 @@
                     effects.len(),
                     effects
                         .iter()
-                        .map(|e| format!("server {} (try {})", e.1, e.2))
+                        .map(|effect| format!("server {} (try {})", effect.1, effect.2))
                         .collect::<Vec<_>>()
                         .join(", ")
                 ),
                 invocations: vec![inv],
             })
             .collect();
-        let nearest = if violations.is_empty() { 0.0 } else { 2.0 };
+        let nearest = if violations.is_empty() { 0.0 } else { VIOLATED };
         RuleResult { rule: Rule::NoEffectTwice, limit: "one effect".into(), nearest, violations }
     }
 
-    /// When a supervisor knew a server as one that nothing may go to.
-    fn bound(&self, supervisor: u32) -> BTreeMap<u32, Vec<Span>> {
-        let mut found: BTreeMap<u32, Vec<Span>> = BTreeMap::new();
-        let mut open: BTreeMap<u32, Nanos> = BTreeMap::new();
-        for known in self.known.get(&supervisor).into_iter().flatten() {
-            let gone = if self.day.rules.gone_does_not_bind { &[][..] } else { known.gone };
-            let now_bound: BTreeSet<u32> = known.draining.iter().chain(gone).copied().collect();
+    /// By server: when a supervisor knew it as draining or gone, so that no invocation may go to it.
+    fn closed_intervals(&self, supervisor: u32) -> BTreeMap<u32, Vec<Interval>> {
+        let mut closed: BTreeMap<u32, Vec<Interval>> = BTreeMap::new();
+        let mut closed_since: BTreeMap<u32, Nanos> = BTreeMap::new();
+        for known in self.known_lists.get(&supervisor).into_iter().flatten() {
+            let gone = if self.scenario.rules.removal_is_advisory { &[][..] } else { known.gone };
+            let now_closed: BTreeSet<u32> = known.draining.iter().chain(gone).copied().collect();
             let ready: BTreeSet<u32> = known.ready.iter().map(|row| row.0).collect();
-            for server in now_bound {
-                open.entry(server).or_insert(known.from);
+            for server in now_closed {
+                closed_since.entry(server).or_insert(known.from);
             }
             for server in ready {
-                if let Some(from) = open.remove(&server) {
-                    found.entry(server).or_default().push((from, known.from));
+                if let Some(from) = closed_since.remove(&server) {
+                    closed.entry(server).or_default().push((from, known.from));
                 }
             }
         }
-        for (server, from) in open {
-            found.entry(server).or_default().push((from, Nanos::MAX));
+        for (server, from) in closed_since {
+            closed.entry(server).or_default().push((from, Nanos::MAX));
         }
-        found
+        closed
     }
 
-    /// Within the grace nothing goes to a server known as draining or gone.
-    fn drains_kept(&self, seen: &[Seen]) -> RuleResult {
-        let grace = nanos(self.day.rules.drain_grace_s * 1e3);
-        let bound: BTreeMap<u32, BTreeMap<u32, Vec<Span>>> =
-            self.known.keys().map(|&supervisor| (supervisor, self.bound(supervisor))).collect();
+    /// Checks that no invocation goes to a server after the grace time since its supervisor knew it as draining or gone.
+    fn drains_kept(&self, trace: &[Seen]) -> RuleResult {
+        let grace = nanos_from_ms(self.scenario.rules.drain_grace_s * MS_PER_SECOND);
+        let closed: BTreeMap<u32, BTreeMap<u32, Vec<Interval>>> = self
+            .known_lists
+            .keys()
+            .map(|&supervisor| (supervisor, self.closed_intervals(supervisor)))
+            .collect();
         let mut nearest = 0.0_f64;
-        // By supervisor, forwarder and server: the first time, and the invocations.
+        // By supervisor, forwarder and server: time of the first late attempt, and all invocations.
         let mut late: BTreeMap<_, (Nanos, Vec<u64>)> = BTreeMap::new();
-        for one in seen {
-            let Seen::Tried { at, forwarder, server, inv, .. } = one else { continue };
-            let Some((supervisor, joined)) = self.joined_at(*forwarder, *at) else { continue };
-            let spans = bound.get(&supervisor).and_then(|servers| servers.get(server));
-            let Some(span) = spans.into_iter().flatten().find(|span| span.0 <= *at && *at < span.1) else {
+        for record in trace {
+            let Seen::Tried { at, forwarder, server, inv, .. } = record else { continue };
+            let Some((supervisor, connected)) = self.connection_at(*forwarder, *at) else { continue };
+            let intervals = closed.get(&supervisor).and_then(|servers| servers.get(server));
+            let Some(interval) =
+                intervals.into_iter().flatten().find(|interval| interval.0 <= *at && *at < interval.1)
+            else {
                 continue;
             };
-            let since = span.0.max(joined.0).max(self.reachable_since(*forwarder, *at));
-            let part = (at - since) as f64 / grace as f64;
-            nearest = nearest.max(part);
-            if part > 1.0 {
+            let since = interval.0.max(connected.0).max(self.reachable_since(*forwarder, *at));
+            let fraction = (at - since) as f64 / grace as f64;
+            nearest = nearest.max(fraction);
+            if fraction > 1.0 {
                 let entry = late.entry((supervisor, *forwarder, *server)).or_insert((*at, Vec::new()));
                 entry.1.push(*inv);
             }
@@ -353,126 +423,136 @@
             ),
             invocations,
         });
-        let limit = format!("{} s after it was told", self.day.rules.drain_grace_s);
+        let limit = format!("{} s after it was told", self.scenario.rules.drain_grace_s);
         RuleResult { rule: Rule::DrainsKept, limit, nearest, violations: violations.collect() }
     }
 
-    /// Has a forwarder's supervisor had its say about this start?
-    fn answers_for(
+    /// Whether a forwarder's supervisor knew of a server's start, and either has sent the forwarder a table since or had
+    /// the grace time to do so. `start` is id and incarnation of the server; `ordered` has the times of tables.
+    fn is_accountable(
         &self,
-        told: &BTreeMap<u32, Vec<Nanos>>,
+        ordered: &BTreeMap<u32, Vec<Nanos>>,
         forwarder: u32,
         at: Nanos,
         start: (u32, u64),
     ) -> bool {
-        let Some((supervisor, _)) = self.joined_at(forwarder, at) else { return false };
-        let lists = |known: &&Known| known.ready.iter().any(|row| (row.0, row.1) == start);
-        let Some(known) = self.known.get(&supervisor).and_then(|known| known.iter().find(lists)) else {
+        let Some((supervisor, _)) = self.connection_at(forwarder, at) else { return false };
+        let lists = |known: &&KnownList| known.ready.iter().any(|row| (row.0, row.1) == start);
+        let Some(known) = self.known_lists.get(&supervisor).and_then(|known| known.iter().find(lists)) else {
             return false;
         };
-        let spoken = told
+        let sent_since = ordered
             .get(&forwarder)
-            .is_some_and(|told| told.iter().any(|&said| known.said <= said && said <= at));
-        spoken || known.from + nanos(self.day.rules.drain_grace_s * 1e3) <= at
+            .is_some_and(|times| times.iter().any(|&time| known.sent <= time && time <= at));
+        sent_since || known.from + nanos_from_ms(self.scenario.rules.drain_grace_s * MS_PER_SECOND) <= at
     }
 
-    /// A cold server gets less than the stated multiple of what it can do, over the stated time.
-    fn no_cold_server_pushed_over(&self, seen: &[Seen]) -> RuleResult {
-        let (window, multiple) = (nanos(self.day.rules.tip_after_s * 1e3), self.day.rules.tip_multiple);
-        let mut told: BTreeMap<u32, Vec<Nanos>> = BTreeMap::new();
-        // When, how much work, from whom, which invocation, and the capacity at that moment.
+    /// Checks that no server in slow start gets more than a multiple of its capacity over the window.
+    fn no_cold_server_pushed_over(&self, trace: &[Seen]) -> RuleResult {
+        let (window, multiple) = (
+            nanos_from_ms(self.scenario.rules.overload_after_s * MS_PER_SECOND),
+            self.scenario.rules.overload_ratio,
+        );
+        let mut ordered_times: BTreeMap<u32, Vec<Nanos>> = BTreeMap::new();
+        // Time, work, forwarder, invocation, and the server's capacity at that time.
         type Arrival = (Nanos, f64, u32, u64, f64);
-        let mut sent: BTreeMap<(u32, u64), Vec<Arrival>> = BTreeMap::new();
-        for one in seen {
-            match one {
-                Seen::Told { forwarder, ordered, .. } => told.entry(*forwarder).or_default().push(*ordered),
+        let mut arrivals_by_start: BTreeMap<(u32, u64), Vec<Arrival>> = BTreeMap::new();
+        for record in trace {
+            match record {
+                Seen::Told { forwarder, ordered, .. } => {
+                    ordered_times.entry(*forwarder).or_default().push(*ordered)
+                }
                 Seen::Arrived {
                     at, server, incarnation, inv, forwarder, work, capacity, cold: true, ..
                 } => {
-                    let arrivals = sent.entry((*server, *incarnation)).or_default();
+                    let arrivals = arrivals_by_start.entry((*server, *incarnation)).or_default();
                     arrivals.push((*at, *work as f64, *forwarder, *inv, *capacity));
                 }
                 _ => {}
             }
         }
         let (mut nearest, mut violations) = (0.0_f64, Vec::new());
-        for (start, arrivals) in sent {
-            let mut from = 0;
+        for (start, arrivals) in arrivals_by_start {
+            let mut first = 0;
             let mut sum = 0.0;
-            for (to, &(at, work, _, _, capacity)) in arrivals.iter().enumerate() {
+            for (last, &(at, work, _, _, capacity)) in arrivals.iter().enumerate() {
                 sum += work;
-                while arrivals[from].0 + window < at {
-                    sum -= arrivals[from].1;
-                    from += 1;
+                while arrivals[first].0 + window < at {
+                    sum -= arrivals[first].1;
+                    first += 1;
                 }
-                let part = sum / (multiple * capacity * window as f64);
-                if part <= nearest.min(1.0) {
+                let fraction = sum / (multiple * capacity * window as f64);
+                if fraction <= nearest.min(1.0) {
                     continue;
                 }
-                let within = &arrivals[from..=to];
-                let ours = within.iter().filter(|a| self.answers_for(&told, a.2, a.0, start));
-                let blamed: f64 = ours.map(|a| a.1).sum();
-                // What comes from forwarders that could not know of the start is nobody's order.
-                if part <= 1.0 || blamed >= sum * 2.0 / 3.0 {
-                    nearest = nearest.max(part);
+                let within = &arrivals[first..=last];
+                let accountable = within
+                    .iter()
+                    .filter(|arrival| self.is_accountable(&ordered_times, arrival.2, arrival.0, start));
+                let accountable_work: f64 = accountable.map(|arrival| arrival.1).sum();
+                // Work from forwarders that could not know of the start does not result from a supervisor's decision;
+                // at least two thirds must come from the others.
+                if fraction <= 1.0 || accountable_work >= sum * 2.0 / 3.0 {
+                    nearest = nearest.max(fraction);
                 }
-                if part > 1.0 && blamed >= sum * 2.0 / 3.0 {
+                if fraction > 1.0 && accountable_work >= sum * 2.0 / 3.0 {
                     violations.push(Violation {
                         at_s: self.seconds(at),
                         description: format!(
-                            "server {} was sent {part:.2} times what pushes it over",
+                            "server {} was sent {fraction:.2} times what pushes it over",
                             start.0
                         ),
-                        invocations: within.iter().map(|a| a.3).collect(),
+                        invocations: within.iter().map(|arrival| arrival.3).collect(),
                     });
                     break;
                 }
             }
         }
-        let limit = format!("{multiple} times its capacity for {} s", self.day.rules.tip_after_s);
+        let limit = format!("{multiple} times its capacity for {} s", self.scenario.rules.overload_after_s);
         RuleResult { rule: Rule::NoColdServerPushedOver, limit, nearest, violations }
     }
 
-    /// What was ordered and could not have left at the told pace waited; messages a forwarder where limited.
-    fn short_queue(&self, seen: &[Seen]) -> RuleResult {
-        let told = &self.day.supervisors;
+    /// Checks that the queue of each supervisor's channel, which drains at its rate, stays within its limit, and that no
+    /// forwarder gets more messages in a window than allowed.
+    fn short_queue(&self, trace: &[Seen]) -> RuleResult {
+        let channel = &self.scenario.supervisors;
         let mut messages: BTreeMap<u32, Vec<(Nanos, u32, f64)>> = BTreeMap::new();
-        for one in seen {
-            if let Seen::Told { supervisor, forwarder, lines, ordered, .. } = one {
-                // Its head, its mark, and the lines that changed.
-                let lines = told.message_overhead + 1.0 + f64::from(*lines);
+        for record in trace {
+            if let Seen::Told { supervisor, forwarder, lines, ordered, .. } = record {
+                // A message costs its overhead, one line for its mark, and its changed lines.
+                let lines = channel.message_overhead + 1.0 + f64::from(*lines);
                 messages.entry(*supervisor).or_default().push((*ordered, *forwarder, lines));
             }
         }
         let (mut nearest, mut violations) = (0.0_f64, Vec::new());
         for (supervisor, mut sent) in messages {
             sent.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.cmp(&b.1)));
-            let (mut waiting, mut last, mut over) = (0.0_f64, 0, false);
-            let mut written: BTreeMap<u32, Vec<Nanos>> = BTreeMap::new();
+            let (mut queued, mut last, mut over_limit) = (0.0_f64, 0, false);
+            let mut sent_times: BTreeMap<u32, Vec<Nanos>> = BTreeMap::new();
             for (ordered, forwarder, lines) in sent {
-                let left = ordered.saturating_sub(last) as f64 / SECOND as f64 * told.lines_per_s;
-                waiting = (waiting - left).max(0.0) + lines;
+                let drained = ordered.saturating_sub(last) as f64 / SECOND as f64 * channel.lines_per_s;
+                queued = (queued - drained).max(0.0) + lines;
                 last = ordered;
-                let part = waiting / told.backlog;
-                nearest = nearest.max(part);
-                if part > 1.0 && !over {
+                let fraction = queued / channel.backlog;
+                nearest = nearest.max(fraction);
+                if fraction > 1.0 && !over_limit {
                     violations.push(Violation {
                         at_s: self.seconds(ordered),
                         description: format!(
-                            "{waiting:.0} lines wait in the channel of supervisor {supervisor}"
+                            "{queued:.0} lines wait in the channel of supervisor {supervisor}"
                         ),
                         invocations: Vec::new(),
                     });
                 }
-                over = part > 1.0;
-                if told.messages_max > 0 {
-                    let times = written.entry(forwarder).or_default();
+                over_limit = fraction > 1.0;
+                if channel.messages_max > 0 {
+                    let times = sent_times.entry(forwarder).or_default();
                     times.push(ordered);
-                    let since = ordered.saturating_sub(nanos(told.messages_over_ms));
+                    let since = ordered.saturating_sub(nanos_from_ms(channel.messages_over_ms));
                     times.retain(|&at| at > since);
-                    let part = times.len() as f64 / f64::from(told.messages_max);
-                    nearest = nearest.max(part);
-                    if part > 1.0 {
+                    let fraction = times.len() as f64 / f64::from(channel.messages_max);
+                    nearest = nearest.max(fraction);
+                    if fraction > 1.0 {
                         violations.push(Violation {
                             at_s: self.seconds(ordered),
                             description: format!("{} messages to forwarder {forwarder}", times.len()),
@@ -482,35 +562,35 @@
                 }
             }
         }
-        let limit = format!("{} lines", told.backlog);
+        let limit = format!("{} lines", channel.backlog);
         RuleResult { rule: Rule::ShortQueue, limit, nearest, violations }
     }
 }
 
-impl Scene<'_> {
-    /// Epochs only rise at each forwarder, and writes of a range never go back to a former owner.
-    fn fenced(&self, seen: &[Seen]) -> RuleResult {
+impl TraceIndex<'_> {
+    /// Checks that epochs only rise at each forwarder, and that writes of a range never return to a former owner.
+    fn fenced(&self, trace: &[Seen]) -> RuleResult {
         let mut violations = Vec::new();
-        let mut told: BTreeMap<u32, Vec<(Nanos, u64)>> = BTreeMap::new();
+        let mut epochs: BTreeMap<u32, Vec<(Nanos, u64)>> = BTreeMap::new();
         let mut writes: BTreeMap<u32, Vec<(Nanos, u64, u32, u64)>> = BTreeMap::new();
-        for one in seen {
-            match one {
+        for record in trace {
+            match record {
                 Seen::Told { at, forwarder, epoch, .. } => {
-                    told.entry(*forwarder).or_default().push((*at, *epoch))
+                    epochs.entry(*forwarder).or_default().push((*at, *epoch))
                 }
-                // What comes back knows nothing any more.
-                Seen::Died { at, forwarder } => told.entry(*forwarder).or_default().push((*at, u64::MAX)),
+                // A restarted forwarder has lost its epoch.
+                Seen::Died { at, forwarder } => epochs.entry(*forwarder).or_default().push((*at, RESTARTED)),
                 Seen::Effect { at, server, inv, range, epoch, .. } if *epoch > 0 => {
                     writes.entry(*range).or_default().push((*at, *epoch, *server, *inv));
                 }
                 _ => {}
             }
         }
-        for (forwarder, mut told) in told {
-            told.sort_by_key(|one| one.0);
+        for (forwarder, mut epochs) in epochs {
+            epochs.sort_by_key(|event| event.0);
             let mut highest = 0;
-            for (at, epoch) in told {
-                if epoch == u64::MAX {
+            for (at, epoch) in epochs {
+                if epoch == RESTARTED {
                     highest = 0;
                 } else if epoch < highest {
                     let description =
@@ -526,12 +606,12 @@
             }
         }
         for (range, mut writes) in writes {
-            writes.sort_by_key(|one| one.0);
+            writes.sort_by_key(|write| write.0);
             let (mut epoch, mut owner) = (0, 0);
-            for (at, of, server, inv) in writes {
-                if of < epoch || (of == epoch && server != owner) {
+            for (at, write_epoch, server, inv) in writes {
+                if write_epoch < epoch || (write_epoch == epoch && server != owner) {
                     let description = format!(
-                        "range {range}: server {server} (epoch {of}) took a write after {owner} ({epoch})"
+                        "range {range}: server {server} (epoch {write_epoch}) took a write after {owner} ({epoch})"
                     );
                     violations.push(Violation {
                         at_s: self.seconds(at),
@@ -539,79 +619,80 @@
                         invocations: vec![inv],
                     });
                 } else {
-                    (epoch, owner) = (of, server);
+                    (epoch, owner) = (write_epoch, server);
                 }
             }
         }
-        let nearest = if violations.is_empty() { 0.0 } else { 2.0 };
+        let nearest = if violations.is_empty() { 0.0 } else { VIOLATED };
         RuleResult { rule: Rule::Fenced, limit: "no way back".into(), nearest, violations }
     }
 }
 
-/// Judges a day that was played from `span.0` to `span.1` by what was seen of it.
-pub fn evaluate(day: &Scenario, span: (Nanos, Nanos), seen: &[Seen]) -> Verdict {
-    let scene = Scene::new(day, span, seen);
+/// Evaluates a run of a scenario, which took place in `interval`, by its traces.
+pub fn evaluate(scenario: &Scenario, interval: (Nanos, Nanos), trace: &[Seen]) -> Verdict {
+    let index = TraceIndex::new(scenario, interval, trace);
     let rules = vec![
-        scene.line_to_pick(seen),
-        scene.no_effect_twice(seen),
-        scene.drains_kept(seen),
-        scene.no_cold_server_pushed_over(seen),
-        scene.short_queue(seen),
-        scene.fenced(seen),
+        index.line_to_pick(trace),
+        index.no_effect_twice(trace),
+        index.drains_kept(trace),
+        index.no_cold_server_pushed_over(trace),
+        index.short_queue(trace),
+        index.fenced(trace),
     ];
-    let width = 5.0;
-    let mut by_operation = vec![(0.0, 0.0); day.operations.len()];
+    let mut by_operation = vec![(0.0, 0.0); scenario.operations.len()];
     let mut by_window: BTreeMap<u64, Vec<(f64, f64)>> = BTreeMap::new();
-    let mut asked_for = 0;
-    for one in seen {
-        let Seen::Done { asked, at, operation, outcome, .. } = one else { continue };
-        let told = &day.operations[usize::from(*operation)];
-        asked_for += 1;
-        let in_time = *outcome == Outcome::Succeeded && at - asked <= nanos(told.latency_objective_ms);
-        let window = (scene.seconds(*asked) / width) as u64;
-        let windows = by_window.entry(window).or_insert_with(|| vec![(0.0, 0.0); day.operations.len()]);
+    let mut invocations = 0;
+    for record in trace {
+        let Seen::Done { asked, at, operation, outcome, .. } = record else { continue };
+        let settings = &scenario.operations[usize::from(*operation)];
+        invocations += 1;
+        let in_time =
+            *outcome == Outcome::Succeeded && at - asked <= nanos_from_ms(settings.latency_objective_ms);
+        let window = (index.seconds(*asked) / WINDOW_WIDTH_S) as u64;
+        let windows = by_window.entry(window).or_insert_with(|| vec![(0.0, 0.0); scenario.operations.len()]);
         for sum in [&mut by_operation[usize::from(*operation)], &mut windows[usize::from(*operation)]] {
-            sum.0 += told.billed_value * f64::from(u8::from(in_time));
-            sum.1 += told.billed_value;
+            sum.0 += settings.billed_value * f64::from(u8::from(in_time));
+            sum.1 += settings.billed_value;
         }
     }
     let ratio = |sum: &(f64, f64)| if sum.1 > 0.0 { sum.0 / sum.1 } else { 1.0 };
-    let named = |sums: &[(f64, f64)]| -> BTreeMap<String, f64> {
-        let asked = day.operations.iter().zip(sums).filter(|(_, sum)| sum.1 > 0.0);
-        asked.map(|(operation, sum)| (operation.name.clone(), ratio(sum))).collect()
+    let by_name = |sums: &[(f64, f64)]| -> BTreeMap<String, f64> {
+        let requested = scenario.operations.iter().zip(sums).filter(|(_, sum)| sum.1 > 0.0);
+        requested.map(|(operation, sum)| (operation.name.clone(), ratio(sum))).collect()
     };
-    let whole = by_operation.iter().fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-    let (service, operations) = (ratio(&whole), named(&by_operation));
+    let total =
+        by_operation.iter().fold((0.0, 0.0), |sum, operation| (sum.0 + operation.0, sum.1 + operation.1));
+    let (service, operations) = (ratio(&total), by_name(&by_operation));
     let mut missed = Vec::new();
-    if asked_for == 0 {
+    if invocations == 0 {
         missed.push("nothing was asked for".to_owned());
     }
-    if service < day.expect.service {
-        missed.push(format!("service {service:.4} is under {}", day.expect.service));
+    if service < scenario.expect.service {
+        missed.push(format!("service {service:.4} is under {}", scenario.expect.service));
     }
-    for (name, expected) in &day.expect.operations {
-        let got = operations.get(name).copied().unwrap_or(0.0);
-        if got < *expected {
-            missed.push(format!("service of {name} {got:.4} is under {expected}"));
+    for (name, expected) in &scenario.expect.operations {
+        let measured = operations.get(name).copied().unwrap_or(0.0);
+        if measured < *expected {
+            missed.push(format!("service of {name} {measured:.4} is under {expected}"));
         }
     }
     let windows = by_window.iter().map(|(&at, sums)| ServiceWindow {
-        from_s: at as f64 * width,
+        from_s: at as f64 * WINDOW_WIDTH_S,
         requested_value: sums.iter().map(|sum| sum.1).sum(),
         answered_value: sums.iter().map(|sum| sum.0).sum(),
-        service: named(sums),
+        service: by_name(sums),
     });
     Verdict {
-        title: day.title.clone(),
+        title: scenario.title.clone(),
         service,
-        expected: day.expect.service,
+        expected: scenario.expect.service,
         operations,
         missed_expectations: missed,
         windows: windows.collect(),
         rules,
-        invocations: asked_for,
-        traffic: TableTraffic::of(seen),
-        attempts: seen.iter().filter(|one| matches!(one, Seen::Tried { .. })).count(),
+        invocations,
+        traffic: TableTraffic::of(trace),
+        attempts: trace.iter().filter(|record| matches!(record, Seen::Tried { .. })).count(),
         remarks: Vec::new(),
     }
 }
--- a/crates/fault-scenarios/src/lib.rs
+++ b/crates/fault-scenarios/src/lib.rs
@@ -1,4 +1,6 @@
-//! A day from a script on real sockets and real processes, judged by its traffic alone.
+//! Runs fault scenarios on real processes and sockets, and evaluates them by their traces alone.
+//!
+//! A scenario is a TOML file that names a fleet, its demand, a schedule of faults and the expected service.
 
 mod admin_client;
 mod bench_import;
--- a/crates/fault-scenarios/src/local_deployment.rs
+++ b/crates/fault-scenarios/src/local_deployment.rs
@@ -1,4 +1,4 @@
-//! The processes of a day: started, spoken to, killed, and all ended with the stage.
+//! The processes of a scenario: starts them, sends them commands, kills and pauses them, and stops them at the end.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -15,14 +15,21 @@
     ServerPlan, ServersPlan,
 };
 
-use crate::scenario::{nanos, InjectedFault, Scenario};
+use crate::scenario::{nanos_from_ms, InjectedFault, Scenario, MS_PER_SECOND};
 
-/// A running process with its input.
-struct Actor {
+/// Number of checks whether a process has exited before it is killed.
+const STOP_POLLS: u32 = 200;
+const STOP_POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(10);
+
+/// Id of the first server; the others follow in turn.
+pub(crate) const FIRST_SERVER: u32 = 1000;
+
+/// A child process that takes lines of JSON on its input. It is killed when this is dropped.
+struct ManagedProcess {
     child: Child,
 }
 
-impl Actor {
+impl ManagedProcess {
     fn start(program: &Path, arguments: &[&str], log: &Path) -> Result<Self> {
         let log = fs::OpenOptions::new().create(true).append(true).open(log)?;
         let child = Process::new(program)
@@ -32,31 +39,33 @@
             .stderr(log)
             .spawn()
             .with_context(|| format!("{} {arguments:?}", program.display()))?;
-        Ok(Actor { child })
+        Ok(ManagedProcess { child })
     }
 
-    fn say(&mut self, what: &impl Serialize) -> Result<()> {
+    /// Sends one line of JSON.
+    fn send(&mut self, message: &impl Serialize) -> Result<()> {
         let Some(input) = &mut self.child.stdin else { bail!("the process has no input") };
-        let line = serde_json::to_string(what)?;
+        let line = serde_json::to_string(message)?;
         writeln!(input, "{line}")?;
         Ok(input.flush()?)
     }
 
-    fn ready(&mut self) -> Result<Ready> {
+    /// Waits for the line that the process prints once it serves.
+    fn wait_until_ready(&mut self) -> Result<Ready> {
         let Some(output) = self.child.stdout.take() else { bail!("the process has no output") };
         let mut line = String::new();
         BufReader::new(output).read_line(&mut line)?;
-        serde_json::from_str(&line).context("the process did not come up; see its log")
+        serde_json::from_str(&line).context("the process did not start; see its log")
     }
 
-    /// By its end of input; killed where that does not help in time.
-    fn end(&mut self) {
+    /// Closes the input and waits for the process to exit; kills it after 2 seconds.
+    fn stop(&mut self) {
         drop(self.child.stdin.take());
-        for _ in 0..200 {
+        for _ in 0..STOP_POLLS {
             if matches!(self.child.try_wait(), Ok(Some(_))) {
                 return;
             }
-            std::thread::sleep(std::time::Duration::from_millis(10));
+            std::thread::sleep(STOP_POLL_INTERVAL);
         }
         self.kill();
     }
@@ -67,73 +76,80 @@
     }
 }
 
-impl Drop for Actor {
+impl Drop for ManagedProcess {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
-/// Who is spoken to.
+/// A stand-in process, by the part that it plays. Names of arguments, traces and logs are made from its variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
+    /// All servers.
     Servers,
+    /// All forwarders.
     Forwarders,
+    /// All callers.
     Callers,
+    /// The registry of servers.
     Registry,
+    /// The links between the supervisors of a group.
     Links,
 }
 
-/// A whole deployment as processes of this machine.
+/// A whole deployment as processes on this machine.
 pub struct LocalDeployment {
     program: PathBuf,
     folder: PathBuf,
-    day: Scenario,
-    actors: BTreeMap<Role, Actor>,
-    /// Each with its address on either front, and the operators'.
-    supervisors: Vec<(Option<Actor>, [SocketAddr; 3])>,
-    /// Doors between supervisors, by from whom and to whom.
-    doors: Vec<SocketAddr>,
-    /// Troubles that keep a supervisor down; it comes back with the end of the last one.
-    down: Vec<u32>,
+    scenario: Scenario,
+    stand_ins: BTreeMap<Role, ManagedProcess>,
+    /// Process of each supervisor, and its addresses for forwarders, for balancers and for operators.
+    supervisors: Vec<(Option<ManagedProcess>, [SocketAddr; 3])>,
+    /// Addresses of the links between supervisors, by sender and then by receiver.
+    links: Vec<SocketAddr>,
+    /// Number of active outages of each supervisor; it starts again when the last one ends.
+    outages: Vec<u32>,
     registry: SocketAddr,
-    /// The list as it truly is.
+    /// The correct server list, by id; faults of the registry do not change it.
     pub list: BTreeMap<u32, Listed>,
 }
 
 impl LocalDeployment {
-    /// Starts everything but the callers. `program` plays all parts; `folder` takes traces and logs.
-    pub fn start(program: &Path, folder: &Path, day: &Scenario) -> Result<Self> {
+    /// Starts all processes. `program` is the executable of every process; traces and logs are written to `folder`.
+    ///
+    /// Errors: a process cannot be started, or does not become ready.
+    pub fn start(program: &Path, folder: &Path, scenario: &Scenario) -> Result<Self> {
         fs::create_dir_all(folder).with_context(|| format!("folder {}", folder.display()))?;
-        let mut chance = Rand64::new(u128::from(day.seed) + 1);
-        let mut stage = LocalDeployment {
+        let mut random = Rand64::new(u128::from(scenario.seed) + 1);
+        let mut deployment = LocalDeployment {
             program: program.to_owned(),
             folder: folder.to_owned(),
-            day: day.clone(),
-            actors: BTreeMap::new(),
+            scenario: scenario.clone(),
+            stand_ins: BTreeMap::new(),
             supervisors: Vec::new(),
-            doors: Vec::new(),
-            down: vec![0; day.supervisors.count.into()],
+            links: Vec::new(),
+            outages: vec![0; scenario.supervisors.count.into()],
             registry: SocketAddr::from(([127, 0, 0, 1], 0)),
             list: BTreeMap::new(),
         };
-        let mut servers = stage.server_plans(&mut chance);
-        let told = stage.cast(
+        let mut servers = deployment.server_plans(&mut random);
+        let ready = deployment.start_stand_in(
             Role::Servers,
             &ServersPlan {
-                trace: stage.trace(Role::Servers),
-                seed: day.seed,
+                trace: deployment.trace_path(Role::Servers),
+                seed: scenario.seed,
                 servers: servers.clone(),
-                kinds: day.kind_plans(),
-                operations: day.operation_plans(),
-                tip_multiple: day.rules.tip_multiple,
-                tip_after: nanos(day.rules.tip_after_s * 1e3),
-                repeat_effects: day.injected_fault == Some(InjectedFault::ServerRepeatsEffects),
+                kinds: scenario.kind_plans(),
+                operations: scenario.operation_plans(),
+                tip_multiple: scenario.rules.overload_ratio,
+                tip_after: nanos_from_ms(scenario.rules.overload_after_s * MS_PER_SECOND),
+                repeat_effects: scenario.injected_fault == Some(InjectedFault::ServerRepeatsEffects),
             },
         )?;
-        for (server, address) in servers.iter_mut().zip(told.addresses) {
+        for (server, address) in servers.iter_mut().zip(ready.addresses) {
             server.address = address;
-            let kind = &day.kinds[usize::from(server.kind)];
-            stage.list.insert(
+            let kind = &scenario.kinds[usize::from(server.kind)];
+            deployment.list.insert(
                 server.server,
                 Listed {
                     server: server.server,
@@ -148,132 +164,146 @@
                 },
             );
         }
-        let told = stage.cast(
+        let ready = deployment.start_stand_in(
             Role::Registry,
             &RegistryPlan {
-                trace: stage.trace(Role::Registry),
-                address: stage.registry,
-                list: stage.list.values().cloned().collect(),
+                trace: deployment.trace_path(Role::Registry),
+                address: deployment.registry,
+                list: deployment.list.values().cloned().collect(),
             },
         )?;
-        stage.registry = told.addresses[0];
-        if day.group.is_some() {
-            let members = day.supervisors.count.into();
-            stage.doors = stage.cast(Role::Links, &LinksPlan { members })?.addresses;
+        deployment.registry = ready.addresses[0];
+        if scenario.group.is_some() {
+            let members = scenario.supervisors.count.into();
+            deployment.links = deployment.start_stand_in(Role::Links, &LinksPlan { members })?.addresses;
         }
-        for number in 0..day.supervisors.count {
-            let on = |net| SocketAddr::from(([127, 0, net, number as u8 + 1], 0));
-            stage.supervisors.push((None, [on(3), on(4), on(5)]));
-            stage.start_supervisor(usize::from(number))?;
+        for number in 0..scenario.supervisors.count {
+            // Each listener has its own loopback network: 127.0.3.x for forwarders, .4.x for balancers, .5.x for operators.
+            let address = |net| SocketAddr::from(([127, 0, net, number as u8 + 1], 0));
+            deployment.supervisors.push((None, [address(3), address(4), address(5)]));
+            deployment.start_supervisor(usize::from(number))?;
         }
-        let forwarders = stage.forwarder_plans(&mut chance);
-        let told = stage.cast(
+        let forwarders = deployment.forwarder_plans(&mut random);
+        let ready = deployment.start_stand_in(
             Role::Forwarders,
             &ForwardersPlan {
-                trace: stage.trace(Role::Forwarders),
-                seed: day.seed,
-                operations: day.operation_plans(),
-                supervisors: stage.supervisors.iter().map(|supervisor| supervisor.1[0]).collect(),
-                sasp: stage.supervisors.iter().map(|supervisor| supervisor.1[1]).collect(),
+                trace: deployment.trace_path(Role::Forwarders),
+                seed: scenario.seed,
+                operations: scenario.operation_plans(),
+                supervisors: deployment.supervisors.iter().map(|supervisor| supervisor.1[0]).collect(),
+                sasp: deployment.supervisors.iter().map(|supervisor| supervisor.1[1]).collect(),
                 servers,
-                standing: day.forwarders.standing,
-                pick: day.forwarders.pick,
-                incremental: day.forwarders.incremental,
-                lines: day.forwarders.lines,
-                fails_to_avoid: day.forwarders.fails_to_avoid,
-                avoid_for: nanos(day.forwarders.avoid_s * 1e3),
-                first_wait: day.forwarders.first_wait,
-                redial: (nanos(day.forwarders.redial_ms.0), nanos(day.forwarders.redial_ms.1)),
-                keyed: day.keyed(),
-                unfenced: day.injected_fault == Some(InjectedFault::NoFence),
-                ignore_drains: day.injected_fault == Some(InjectedFault::ForwarderIgnoresDrains),
+                standing: scenario.forwarders.initial_table_size,
+                pick: scenario.forwarders.pick,
+                incremental: scenario.forwarders.incremental,
+                lines: scenario.forwarders.line_updates,
+                fails_to_avoid: scenario.forwarders.fails_to_avoid,
+                avoid_for: nanos_from_ms(scenario.forwarders.avoid_s * MS_PER_SECOND),
+                first_wait: scenario.forwarders.first_wait,
+                redial: (
+                    nanos_from_ms(scenario.forwarders.reconnect_ms.0),
+                    nanos_from_ms(scenario.forwarders.reconnect_ms.1),
+                ),
+                keyed: scenario.keyed_operation(),
+                unfenced: scenario.injected_fault == Some(InjectedFault::NoFencing),
+                ignore_drains: scenario.injected_fault == Some(InjectedFault::ForwarderIgnoresDrains),
                 forwarders: forwarders.clone(),
             },
         )?;
         let rates = forwarders.iter().map(|forwarder| forwarder.rate);
-        stage.cast(
+        deployment.start_stand_in(
             Role::Callers,
             &CallersPlan {
-                trace: stage.trace(Role::Callers),
-                seed: day.seed,
-                forwarders: told.addresses.into_iter().zip(rates).collect(),
-                operations: day.operation_plans(),
-                rate: day.demand.rate,
-                retries: day.demand.retries,
-                backoff: nanos(day.demand.backoff_ms),
+                trace: deployment.trace_path(Role::Callers),
+                seed: scenario.seed,
+                forwarders: ready.addresses.into_iter().zip(rates).collect(),
+                operations: scenario.operation_plans(),
+                rate: scenario.demand.rate,
+                retries: scenario.demand.retries,
+                backoff: nanos_from_ms(scenario.demand.backoff_ms),
             },
         )?;
-        Ok(stage)
+        Ok(deployment)
     }
 
-    fn server_plans(&self, chance: &mut Rand64) -> Vec<ServerPlan> {
-        let day = &self.day;
-        let total: f64 = day.kinds.iter().map(|kind| kind.share).sum();
-        let kind = |chance: &mut Rand64| {
-            let mut left = chance.rand_float() * total;
-            let found = day.kinds.iter().position(|kind| {
-                left -= kind.share;
-                left <= 0.0
+    /// Assigns ids, addresses, localities, cells and machine models to the servers.
+    fn server_plans(&self, random: &mut Rand64) -> Vec<ServerPlan> {
+        let scenario = &self.scenario;
+        let total: f64 = scenario.kinds.iter().map(|kind| kind.share).sum();
+        let kind = |random: &mut Rand64| {
+            let mut remaining = random.rand_float() * total;
+            let found = scenario.kinds.iter().position(|kind| {
+                remaining -= kind.share;
+                remaining <= 0.0
             });
             found.unwrap_or(0) as u16
         };
-        (0..day.fleet.servers)
-            .map(|at| {
-                let zones = day.localities.len() as u32;
-                let [_, _, high, low] = (at + 1).to_be_bytes();
+        (0..scenario.fleet.servers)
+            .map(|index| {
+                let zones = scenario.localities.len() as u32;
+                let [_, _, high, low] = (index + 1).to_be_bytes();
                 ServerPlan {
-                    server: 1000 + at,
-                    // An address of its own, so that its port stays free while it is down.
+                    server: FIRST_SERVER + index,
+                    // Each server has its own address, so that no other process takes its port while it is down.
                     address: SocketAddr::from(([127, 1, high, low], 0)),
-                    zone: day.localities[(at % zones) as usize].clone(),
-                    cell: (at / zones / day.fleet.cell_size.max(1)) as u16,
-                    kind: kind(chance),
+                    zone: scenario.localities[(index % zones) as usize].clone(),
+                    cell: (index / zones / scenario.fleet.cell_size.max(1)) as u16,
+                    kind: kind(random),
                 }
             })
             .collect()
     }
 
-    fn forwarder_plans(&self, chance: &mut Rand64) -> Vec<ForwarderPlan> {
-        let day = &self.day;
-        // Most carry little traffic, some far more.
-        let parts: Vec<f64> =
-            (0..day.forwarders.count).map(|_| 0.2 - (1.0 - chance.rand_float()).ln()).collect();
-        let total: f64 = parts.iter().sum();
-        let plan = |(at, part): (usize, f64)| ForwarderPlan {
-            forwarder: at as u32,
-            address: SocketAddr::from(([127, 2, (at / 250) as u8, (at % 250) as u8 + 1], 0)),
-            zone: day.localities[at % day.localities.len()].clone(),
-            rate: day.demand.rate * part / total,
-            sasp: (at as u32) < day.forwarders.balancers,
+    /// Assigns addresses, localities and rates to the forwarders.
+    fn forwarder_plans(&self, random: &mut Rand64) -> Vec<ForwarderPlan> {
+        let scenario = &self.scenario;
+        // Exponential above a minimum: most forwarders carry little traffic, some far more.
+        let shares: Vec<f64> =
+            (0..scenario.forwarders.count).map(|_| 0.2 - (1.0 - random.rand_float()).ln()).collect();
+        let total: f64 = shares.iter().sum();
+        let plan = |(index, share): (usize, f64)| ForwarderPlan {
+            forwarder: index as u32,
+            address: SocketAddr::from(([127, 2, (index / 250) as u8, (index % 250) as u8 + 1], 0)),
+            zone: scenario.localities[index % scenario.localities.len()].clone(),
+            rate: scenario.demand.rate * share / total,
+            sasp: (index as u32) < scenario.forwarders.balancers,
         };
-        parts.into_iter().enumerate().map(plan).collect()
+        shares.into_iter().enumerate().map(plan).collect()
     }
 
-    pub fn trace(&self, who: Role) -> PathBuf {
-        self.folder.join(format!("{who:?}.trace").to_lowercase())
+    /// Path of a stand-in's trace.
+    pub fn trace_path(&self, role: Role) -> PathBuf {
+        self.folder.join(format!("{role:?}.trace").to_lowercase())
     }
 
-    pub fn log(&self, supervisor: usize) -> PathBuf {
+    /// Path of a supervisor's log.
+    pub fn log_path(&self, supervisor: usize) -> PathBuf {
         self.folder.join(format!("supervisor-{supervisor}.log"))
     }
 
-    fn cast(&mut self, who: Role, plan: &impl Serialize) -> Result<Ready> {
-        let role = format!("{who:?}").to_lowercase();
-        let log = self.folder.join(format!("{role}.log"));
-        let mut actor = Actor::start(&self.program, &["stand-in", &role], &log)?;
-        actor.say(plan)?;
-        let ready = actor.ready().with_context(|| format!("stand-in {role}"))?;
-        self.actors.insert(who, actor);
+    /// Starts a stand-in with its plan and waits until it serves.
+    fn start_stand_in(&mut self, role: Role, plan: &impl Serialize) -> Result<Ready> {
+        let name = format!("{role:?}").to_lowercase();
+        let log = self.folder.join(format!("{name}.log"));
+        let mut process = ManagedProcess::start(&self.program, &["stand-in", &name], &log)?;
+        process.send(plan)?;
+        let ready = process.wait_until_ready().with_context(|| format!("stand-in {name}"))?;
+        self.stand_ins.insert(role, process);
         Ok(ready)
     }
 
-    pub fn tell(&mut self, who: Role, command: &Command) -> Result<()> {
-        let actor = self.actors.get_mut(&who).with_context(|| format!("{who:?} are gone"))?;
-        actor.say(command).with_context(|| format!("{who:?}: {command:?}"))
+    /// Sends a command to a stand-in.
+    ///
+    /// Errors: the process has been stopped, or its input cannot be written.
+    pub fn send_command(&mut self, role: Role, command: &Command) -> Result<()> {
+        let process = self.stand_ins.get_mut(&role).with_context(|| format!("{role:?} have been stopped"))?;
+        process.send(command).with_context(|| format!("{role:?}: {command:?}"))
     }
 
-    /// Tells the registry how these servers stand by now.
-    pub fn list_as(&mut self, servers: &[u32], state: ListedAs, start: Option<(u64, u64)>) -> Result<()> {
+    /// Sends the registry the new state of these servers, and incarnation and start time if `start` has them.
+    ///
+    /// Errors: see `send_command`.
+    pub fn update_list(&mut self, servers: &[u32], state: ListedAs, start: Option<(u64, u64)>) -> Result<()> {
         let mut rows = Vec::new();
         for server in servers {
             if let Some(row) = self.list.get_mut(server) {
@@ -284,46 +314,52 @@
                 rows.push(row.clone());
             }
         }
-        self.tell(Role::Registry, &Command::List { rows })
+        self.send_command(Role::Registry, &Command::List { rows })
     }
 
     fn start_supervisor(&mut self, number: usize) -> Result<()> {
         let name = format!("supervisor-{number}");
-        let state = self.folder.join(&name);
-        let file = self.folder.join(format!("{name}.toml"));
+        let state_folder = self.folder.join(&name);
+        let config = self.folder.join(format!("{name}.toml"));
         let [listen, sasp, admin] = self.supervisors[number].1.map(|address| address.to_string());
-        // Each reaches the others through doors of its own, and names itself by where it listens.
-        let count = self.supervisors.len().max(usize::from(self.day.supervisors.count));
-        let doors = self.doors.iter().skip(number * count).take(count).enumerate();
-        let members: Vec<String> =
-            doors.map(|(at, door)| if at == number { listen.clone() } else { door.to_string() }).collect();
-        let text = self.day.deployment(
+        // Each supervisor reaches the others through its own links, and lists itself by the address that it listens on.
+        let count = self.supervisors.len().max(usize::from(self.scenario.supervisors.count));
+        let links = self.links.iter().skip(number * count).take(count).enumerate();
+        let members: Vec<String> = links
+            .map(|(member, link)| if member == number { listen.clone() } else { link.to_string() })
+            .collect();
+        let text = self.scenario.deployment(
             number as u16,
             [&listen, &sasp, &admin],
             &self.registry.to_string(),
-            &state.to_string_lossy(),
+            &state_folder.to_string_lossy(),
             &members,
         );
-        fs::write(&file, text)?;
-        let mut actor =
-            Actor::start(&self.program, &["daemon", "--config", &file.to_string_lossy()], &self.log(number))?;
-        let ready = actor.ready().with_context(|| name)?;
-        let held = &mut self.supervisors[number];
-        held.0 = Some(actor);
-        let served = [true, self.day.forwarders.balancers > 0, true];
-        let fronts = held.1.iter_mut().zip(served).filter(|front| front.1);
-        fronts.zip(ready.addresses).for_each(|((old, _), address)| *old = address);
-        let address = held.1[0];
-        if self.day.group.is_some() {
-            self.tell(Role::Links, &Command::Member { member: number as u32, address })?;
+        fs::write(&config, text)?;
+        let mut process = ManagedProcess::start(
+            &self.program,
+            &["daemon", "--config", &config.to_string_lossy()],
+            &self.log_path(number),
+        )?;
+        let ready = process.wait_until_ready().with_context(|| name)?;
+        let supervisor = &mut self.supervisors[number];
+        supervisor.0 = Some(process);
+        let listens = [true, self.scenario.forwarders.balancers > 0, true];
+        let listeners = supervisor.1.iter_mut().zip(listens).filter(|listener| listener.1);
+        listeners.zip(ready.addresses).for_each(|((old, _), address)| *old = address);
+        let address = supervisor.1[0];
+        if self.scenario.group.is_some() {
+            self.send_command(Role::Links, &Command::Member { member: number as u32, address })?;
         }
         Ok(())
     }
 
-    /// What killed it is over: it starts again unless something else still keeps it down.
+    /// Ends one outage of a supervisor, and starts it unless another outage is active.
+    ///
+    /// Errors: the process cannot be started, or does not become ready.
     pub fn restart_supervisor(&mut self, number: usize) -> Result<()> {
-        self.down[number] = self.down[number].saturating_sub(1);
-        if self.down[number] > 0 {
+        self.outages[number] = self.outages[number].saturating_sub(1);
+        if self.outages[number] > 0 {
             return Ok(());
         }
         self.start_supervisor(number)
@@ -332,58 +368,59 @@
     /// Position of a server's locality.
     pub fn locality(&self, server: u32) -> u32 {
         let zone = self.list.get(&server).map(|row| row.zone.as_str());
-        self.day.localities.iter().position(|name| Some(name.as_str()) == zone).unwrap_or(0) as u32
+        self.scenario.localities.iter().position(|name| Some(name.as_str()) == zone).unwrap_or(0) as u32
     }
 
-    /// Where a supervisor serves.
+    /// Address of a supervisor for forwarders and for commands to the group.
     pub fn address(&self, number: usize) -> SocketAddr {
         self.supervisors[number].1[0]
     }
 
-    /// Where it answers operators about tables.
-    pub fn admin(&self, number: usize) -> SocketAddr {
+    /// Address of a supervisor for operators' queries of tables.
+    pub fn admin_address(&self, number: usize) -> SocketAddr {
         self.supervisors[number].1[2]
     }
 
+    /// Number of supervisors.
     pub fn supervisors(&self) -> usize {
         self.supervisors.len()
     }
 
-    /// Outright, as a machine that loses its power.
+    /// Kills a supervisor without a signal that it could handle, as a power loss does; begins one outage.
     pub fn kill_supervisor(&mut self, number: usize) {
-        self.down[number] += 1;
-        if let Some(mut actor) = self.supervisors[number].0.take() {
-            actor.kill();
+        self.outages[number] += 1;
+        if let Some(mut process) = self.supervisors[number].0.take() {
+            process.kill();
         }
     }
 
-    /// Stands still, or goes on.
-    pub fn stall_supervisor(&mut self, number: usize, on: bool) {
-        let Some(actor) = &self.supervisors[number].0 else { return };
-        let signal = if on { rustix::process::Signal::STOP } else { rustix::process::Signal::CONT };
-        if let Some(pid) = rustix::process::Pid::from_raw(actor.child.id() as i32) {
+    /// Pauses a supervisor, or resumes it.
+    pub fn pause_supervisor(&mut self, number: usize, paused: bool) {
+        let Some(process) = &self.supervisors[number].0 else { return };
+        let signal = if paused { rustix::process::Signal::STOP } else { rustix::process::Signal::CONT };
+        if let Some(pid) = rustix::process::Pid::from_raw(process.child.id() as i32) {
             let _ = rustix::process::kill_process(pid, signal);
         }
     }
 
-    /// Ends everything, callers first, so that all traces are whole.
+    /// Stops all processes, callers first, so that all traces are complete.
     pub fn stop(mut self) -> Result<()> {
-        for who in [Role::Callers, Role::Forwarders, Role::Servers] {
-            if let Some(mut actor) = self.actors.remove(&who) {
-                actor.end();
+        for role in [Role::Callers, Role::Forwarders, Role::Servers] {
+            if let Some(mut process) = self.stand_ins.remove(&role) {
+                process.stop();
             }
         }
         for number in 0..self.supervisors.len() {
-            self.stall_supervisor(number, false);
-            if let Some(actor) = &mut self.supervisors[number].0 {
-                let pid = rustix::process::Pid::from_raw(actor.child.id() as i32);
+            self.pause_supervisor(number, false);
+            if let Some(process) = &mut self.supervisors[number].0 {
+                let pid = rustix::process::Pid::from_raw(process.child.id() as i32);
                 pid.map(|pid| rustix::process::kill_process(pid, rustix::process::Signal::TERM));
-                actor.end();
+                process.stop();
             }
         }
-        for who in [Role::Registry, Role::Links] {
-            if let Some(mut actor) = self.actors.remove(&who) {
-                actor.end();
+        for role in [Role::Registry, Role::Links] {
+            if let Some(mut process) = self.stand_ins.remove(&role) {
+                process.stop();
             }
         }
         Ok(())
--- a/crates/fault-scenarios/src/report.rs
+++ b/crates/fault-scenarios/src/report.rs
@@ -1,8 +1,8 @@
-//! A verdict as a person reads it, and as JSON.
+//! Reports of a verdict: text for operators, and JSON.
 
 use crate::evaluation::{Rule, Verdict};
 
-fn name(rule: Rule) -> &'static str {
+fn rule_name(rule: Rule) -> &'static str {
     match rule {
         Rule::LineToPick => "a line to pick",
         Rule::NoEffectTwice => "no effect twice",
@@ -13,12 +13,13 @@
     }
 }
 
-/// Breaches and invocations shown of each; JSON has them all.
-const SHOWN: usize = 5;
+/// Violations of a rule, and invocations of a violation, that the text report lists; JSON has all of them.
+const MAX_LISTED: usize = 5;
 
+/// The report that `shalereel drill` prints.
 pub fn text_report(verdict: &Verdict) -> String {
-    let mut out = String::new();
-    let mut line = |text: String| out.extend([text.as_str(), "\n"]);
+    let mut report = String::new();
+    let mut line = |text: String| report.extend([text.as_str(), "\n"]);
     line(format!("{}: {} invocations, {} tries", verdict.title, verdict.invocations, verdict.attempts));
     line(format!("service {:.4}, expected {:.4}", verdict.service, verdict.expected));
     for (operation, service) in &verdict.operations {
@@ -29,38 +30,38 @@
         let parts = window.service.iter().map(|(name, service)| format!("{name} {service:.3}"));
         line(format!("{:>5} s  {}", window.from_s, parts.collect::<Vec<_>>().join("  ")));
     }
-    let told = &verdict.traffic;
+    let traffic = &verdict.traffic;
     line(format!(
         "tables: {} messages, {} lines, {:.2} MB; {} lost, late or doubled on the way, {} asked for anew",
-        told.messages,
-        told.lines,
-        told.bytes as f64 / 1e6,
-        told.disturbed,
-        told.repeated_requests
+        traffic.messages,
+        traffic.lines,
+        traffic.bytes as f64 / 1e6,
+        traffic.disturbed,
+        traffic.repeated_requests
     ));
     line("rules".into());
-    for measure in &verdict.rules {
-        let word = if measure.violations.is_empty() { "kept  " } else { "BROKEN" };
-        let part = 100.0 * measure.nearest;
+    for result in &verdict.rules {
+        let status = if result.violations.is_empty() { "kept  " } else { "BROKEN" };
+        let percent = 100.0 * result.nearest;
         line(format!(
-            "  {word} {:<28} came to {part:.0}% of its limit ({})",
-            name(measure.rule),
-            measure.limit
+            "  {status} {:<28} came to {percent:.0}% of its limit ({})",
+            rule_name(result.rule),
+            result.limit
         ));
-        for violation in measure.violations.iter().take(SHOWN) {
+        for violation in result.violations.iter().take(MAX_LISTED) {
             line(format!("         at {} s: {}", violation.at_s, violation.description));
             if !violation.invocations.is_empty() {
-                let some: Vec<String> =
-                    violation.invocations.iter().take(SHOWN).map(u64::to_string).collect();
+                let listed: Vec<String> =
+                    violation.invocations.iter().take(MAX_LISTED).map(u64::to_string).collect();
                 line(format!(
                     "           invocations {} ({} in all)",
-                    some.join(", "),
+                    listed.join(", "),
                     violation.invocations.len()
                 ));
             }
         }
-        if measure.violations.len() > SHOWN {
-            line(format!("         and {} more", measure.violations.len() - SHOWN));
+        if result.violations.len() > MAX_LISTED {
+            line(format!("         and {} more", result.violations.len() - MAX_LISTED));
         }
     }
     if !verdict.remarks.is_empty() {
@@ -74,10 +75,10 @@
         if verdict.passed() { "all rules kept, service as expected" } else { "the day does not stand" }
             .into(),
     );
-    out
+    report
 }
 
-/// The whole verdict, all breaches included.
+/// The whole verdict as JSON, with all violations.
 pub fn json_report(verdict: &Verdict) -> String {
     serde_json::to_string_pretty(verdict).unwrap_or_default()
 }
--- a/crates/fault-scenarios/src/runner.rs
+++ b/crates/fault-scenarios/src/runner.rs
@@ -1,4 +1,4 @@
-//! The script of a day becomes actions with times, and these are carried out as their times come.
+//! Turns the faults of a scenario into a schedule of actions, and runs the schedule on a local deployment.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -13,257 +13,316 @@
 
 use crate::admin_client::{release_order, start_rollback, submit_command};
 use crate::evaluation::{evaluate, Verdict};
-use crate::local_deployment::{LocalDeployment, Role};
-use crate::scenario::{nanos, Fault, FaultKind, Scenario};
+use crate::local_deployment::{LocalDeployment, Role, FIRST_SERVER};
+use crate::scenario::{nanos_from_ms, Fault, FaultKind, Scenario, MS_PER_SECOND};
 
+/// An action of the schedule. Numbers of supervisors are their positions.
 enum Action {
-    Say(String),
-    Tell(Role, Command),
-    Start(Vec<u32>),
-    ListAs(Vec<u32>, ListedAs),
-    /// As just started.
-    ListFresh(Vec<u32>),
+    /// Shows a fault in the progress.
+    ShowFault(String),
+    /// Sends a command to a stand-in.
+    SendCommand(Role, Command),
+    /// Starts servers that have crashed.
+    StartServers(Vec<u32>),
+    /// Changes the listed state of servers.
+    UpdateList(Vec<u32>, ListedAs),
+    /// Lists servers as ready, with their new incarnations and start times.
+    ListStarted(Vec<u32>),
     KillSupervisor(usize),
-    StartSupervisor(usize),
-    StallSupervisor(usize, bool),
-    Revive(Vec<u32>),
-    /// An operator goes back to what stood so long ago, for so long, at every supervisor.
-    WayBack {
+    RestartSupervisor(usize),
+    /// Pauses a supervisor, or resumes it.
+    PauseSupervisor(usize, bool),
+    RestartForwarders(Vec<u32>),
+    /// An operator rolls tables back by `age` at every supervisor, for `duration`.
+    StartRollback {
         age: Nanos,
-        span: Nanos,
+        duration: Nanos,
     },
-    /// An operator gives a key range to a server.
-    Move {
+    /// An operator moves a key range to a server.
+    MoveRange {
         number: usize,
         range: u32,
         to: u32,
     },
-    /// An operator's order about a server, or its end, at a supervisor.
+    /// An operator orders a supervisor to drain a server or to hold its weight, or releases that order.
     Order {
         number: usize,
         server: u32,
-        hold: Option<u32>,
-        off: bool,
+        weight_cap_millionths: Option<u32>,
+        release: bool,
     },
 }
 
-struct Script<'a> {
-    day: &'a Scenario,
-    chance: Rand64,
+/// The actions of a scenario, by time and then in the order in which they were added.
+struct Schedule<'a> {
+    scenario: &'a Scenario,
+    random: Rand64,
     actions: BTreeMap<(Nanos, usize), Action>,
 }
 
-fn at(seconds: f64) -> Nanos {
-    nanos(seconds * 1e3)
+fn nanos_from_seconds(seconds: f64) -> Nanos {
+    nanos_from_ms(seconds * MS_PER_SECOND)
 }
 
-impl Script<'_> {
-    fn put(&mut self, seconds: f64, action: Action) {
+/// Fraction of failed invocations of a `fast_errors` fault without a factor.
+const DEFAULT_FAILED_FRACTION: f64 = 0.6;
+/// Time after which a replaced server is stopped, in grace times.
+const STOP_AFTER_GRACES: f64 = 1.5;
+/// Time from the stop of a replaced server to its start, in seconds.
+const REPLACEMENT_DELAY_S: f64 = 0.5;
+/// Number of waves in which a deploy replaces the whole fleet.
+const DEPLOY_WAVES: usize = 6;
+/// Largest fraction of updates that `lossy_links` loses; as many are late, and half as many come twice.
+const MAX_LOST_FRACTION: f64 = 0.4;
+
+impl Schedule<'_> {
+    fn add(&mut self, seconds: f64, action: Action) {
         let number = self.actions.len();
-        self.actions.insert((at(seconds), number), action);
+        self.actions.insert((nanos_from_seconds(seconds), number), action);
     }
 
-    fn tell(&mut self, seconds: f64, who: Role, command: Command) {
-        self.put(seconds, Action::Tell(who, command));
+    fn add_command(&mut self, seconds: f64, role: Role, command: Command) {
+        self.add(seconds, Action::SendCommand(role, command));
     }
 
-    fn drawn(&mut self, trouble: &Fault, all: Vec<u32>) -> Vec<u32> {
-        let wanted = match trouble.count {
-            0 => (trouble.part * all.len() as f64).ceil() as usize,
+    /// A random choice of as many as a fault affects.
+    fn choose(&mut self, fault: &Fault, all: Vec<u32>) -> Vec<u32> {
+        let wanted = match fault.count {
+            0 => (fault.fraction * all.len() as f64).ceil() as usize,
             count => count as usize,
         };
         let mut all = all;
         while all.len() > wanted {
-            all.swap_remove(self.chance.rand_range(0..all.len() as u64) as usize);
+            all.swap_remove(self.random.rand_range(0..all.len() as u64) as usize);
         }
         all.sort_unstable();
         all
     }
 
-    fn servers(&mut self, trouble: &Fault) -> Vec<u32> {
-        let zones = &self.day.localities;
-        let near =
-            |at: &u32| trouble.locality.is_empty() || zones[*at as usize % zones.len()] == trouble.locality;
-        let all = (0..self.day.fleet.servers).filter(near).map(|at| 1000 + at).collect();
-        self.drawn(trouble, all)
+    /// The servers that a fault affects.
+    fn servers(&mut self, fault: &Fault) -> Vec<u32> {
+        let zones = &self.scenario.localities;
+        let in_locality =
+            |index: &u32| fault.locality.is_empty() || zones[*index as usize % zones.len()] == fault.locality;
+        let all =
+            (0..self.scenario.fleet.servers).filter(in_locality).map(|index| FIRST_SERVER + index).collect();
+        self.choose(fault, all)
     }
 
-    fn forwarders(&mut self, trouble: &Fault) -> Vec<u32> {
-        let zones = &self.day.localities;
-        let near =
-            |at: &u32| trouble.locality.is_empty() || zones[*at as usize % zones.len()] == trouble.locality;
-        let all = (0..self.day.forwarders.count).filter(near).collect();
-        self.drawn(trouble, all)
+    /// The forwarders that a fault affects.
+    fn forwarders(&mut self, fault: &Fault) -> Vec<u32> {
+        let zones = &self.scenario.localities;
+        let in_locality =
+            |index: &u32| fault.locality.is_empty() || zones[*index as usize % zones.len()] == fault.locality;
+        let all = (0..self.scenario.forwarders.count).filter(in_locality).collect();
+        self.choose(fault, all)
     }
 
-    /// Down at `from`, cold again at `to`; the list tells each later.
+    /// Crashes servers at `from` and starts them at `to`. The list shows both with a delay.
     fn crash(&mut self, servers: Vec<u32>, from: f64, to: f64) {
-        let (notice, add) = (self.day.fleet.notice_s, self.day.fleet.add_s);
-        self.tell(from, Role::Servers, Command::Crash { servers: servers.clone() });
-        // A short death is told only as a fresh start.
-        if notice < to - from {
-            self.put(from + notice, Action::ListAs(servers.clone(), ListedAs::Gone));
+        let fleet = &self.scenario.fleet;
+        let (removal_delay, addition_delay) = (fleet.removal_delay_s, fleet.addition_delay_s);
+        self.add_command(from, Role::Servers, Command::Crash { servers: servers.clone() });
+        // A crash that is shorter than the delay shows in the list only as a new start.
+        if removal_delay < to - from {
+            self.add(from + removal_delay, Action::UpdateList(servers.clone(), ListedAs::Gone));
         }
-        self.put(to, Action::Start(servers.clone()));
-        self.put(to + add, Action::ListFresh(servers));
+        self.add(to, Action::StartServers(servers.clone()));
+        self.add(to + addition_delay, Action::ListStarted(servers));
     }
 
-    /// Told to the list first, then gone, then back cold.
+    /// Replaces servers: lists them as draining, stops them after their grace time, and starts them again.
     fn replace(&mut self, servers: Vec<u32>, from: f64, grace: f64) {
-        self.put(from, Action::ListAs(servers.clone(), ListedAs::Draining));
-        let leave = nanos(grace * 1e3);
-        self.tell(from, Role::Servers, Command::Drain { servers: servers.clone(), grace: leave });
-        let gone = from + 1.5 * grace;
-        self.tell(gone, Role::Servers, Command::Crash { servers: servers.clone() });
-        self.put(gone, Action::ListAs(servers.clone(), ListedAs::Gone));
-        self.put(gone + 0.5, Action::Start(servers.clone()));
-        self.put(gone + 0.5 + self.day.fleet.add_s, Action::ListFresh(servers));
+        self.add(from, Action::UpdateList(servers.clone(), ListedAs::Draining));
+        let grace_nanos = nanos_from_ms(grace * MS_PER_SECOND);
+        self.add_command(
+            from,
+            Role::Servers,
+            Command::Drain { servers: servers.clone(), grace: grace_nanos },
+        );
+        let stopped = from + STOP_AFTER_GRACES * grace;
+        self.add_command(stopped, Role::Servers, Command::Crash { servers: servers.clone() });
+        self.add(stopped, Action::UpdateList(servers.clone(), ListedAs::Gone));
+        self.add(stopped + REPLACEMENT_DELAY_S, Action::StartServers(servers.clone()));
+        self.add(
+            stopped + REPLACEMENT_DELAY_S + self.scenario.fleet.addition_delay_s,
+            Action::ListStarted(servers),
+        );
     }
 
-    fn trouble(&mut self, trouble: &Fault) {
+    /// Adds the actions of a fault.
+    fn add_fault(&mut self, fault: &Fault) {
         use FaultKind::*;
-        let (from, to) = (trouble.at_s, trouble.at_s + trouble.for_s);
-        let grace = self.day.rules.drain_grace_s;
-        let place =
-            if trouble.locality.is_empty() { String::new() } else { format!(" in {}", trouble.locality) };
-        self.put(from, Action::Say(format!("{:?}{place}", trouble.kind)));
-        let both = |script: &mut Self, who, on: Command, off: Command| {
-            script.tell(from, who, on);
-            script.tell(to, who, off);
+        let (from, to) = (fault.at_s, fault.at_s + fault.for_s);
+        let grace = self.scenario.rules.drain_grace_s;
+        let location =
+            if fault.locality.is_empty() { String::new() } else { format!(" in {}", fault.locality) };
+        self.add(from, Action::ShowFault(format!("{:?}{location}", fault.kind)));
+        let add_both = |schedule: &mut Self, role, begin: Command, end: Command| {
+            schedule.add_command(from, role, begin);
+            schedule.add_command(to, role, end);
         };
-        match trouble.kind {
+        match fault.kind {
             Crash => {
-                let servers = self.servers(trouble);
+                let servers = self.servers(fault);
                 self.crash(servers, from, to);
             }
             MassRestart => {
-                let servers = self.servers(trouble);
+                let servers = self.servers(fault);
                 self.crash(servers, from, to);
             }
             Silence | Hang | FalseReports | Misreport => {
-                let servers = self.servers(trouble);
-                let command = |on| match trouble.kind {
+                let servers = self.servers(fault);
+                let command = |on| match fault.kind {
                     Silence => Command::Silence { servers: servers.clone(), on },
                     Hang => Command::Hang { servers: servers.clone(), on },
                     _ => Command::Misreport { servers: servers.clone(), on },
                 };
-                both(self, Role::Servers, command(true), command(false));
-                // One that says it has no load while it stalls.
-                if trouble.kind == Misreport {
+                add_both(self, Role::Servers, command(true), command(false));
+                // The server reports no load while it hangs.
+                if fault.kind == Misreport {
                     let command = |on| Command::Hang { servers: servers.clone(), on };
-                    both(self, Role::Servers, command(true), command(false));
+                    add_both(self, Role::Servers, command(true), command(false));
                 }
             }
             Slow | SharedSlow => {
-                let servers = if trouble.kind == Slow {
-                    self.servers(trouble)
+                let servers = if fault.kind == Slow {
+                    self.servers(fault)
                 } else {
-                    (0..self.day.fleet.servers).map(|at| 1000 + at).collect()
+                    (0..self.scenario.fleet.servers).map(|index| FIRST_SERVER + index).collect()
                 };
                 let command = |factor| Command::Slow { servers: servers.clone(), factor };
-                both(self, Role::Servers, command(trouble.factor.max(1.0)), command(1.0));
+                add_both(self, Role::Servers, command(fault.factor.max(1.0)), command(1.0));
             }
             Neighbour => {
-                let servers = self.servers(trouble);
+                let servers = self.servers(fault);
                 let mut time = from;
                 while time < to {
-                    let (on, off) = (trouble.factor.max(1.0), 1.0);
-                    self.tell(time, Role::Servers, Command::Slow { servers: servers.clone(), factor: on });
+                    let (slow, normal) = (fault.factor.max(1.0), 1.0);
+                    self.add_command(
+                        time,
+                        Role::Servers,
+                        Command::Slow { servers: servers.clone(), factor: slow },
+                    );
                     let end = (time + 2.0).min(to);
-                    self.tell(end, Role::Servers, Command::Slow { servers: servers.clone(), factor: off });
+                    self.add_command(
+                        end,
+                        Role::Servers,
+                        Command::Slow { servers: servers.clone(), factor: normal },
+                    );
                     time += 3.0;
                 }
             }
             FastErrors => {
-                let servers = self.servers(trouble);
-                let part = if trouble.factor > 0.0 { trouble.factor.min(1.0) } else { 0.6 };
+                let servers = self.servers(fault);
+                let fraction =
+                    if fault.factor > 0.0 { fault.factor.min(1.0) } else { DEFAULT_FAILED_FRACTION };
                 let command = |part| Command::Fail { servers: servers.clone(), part };
-                both(self, Role::Servers, command(part), command(0.0));
+                add_both(self, Role::Servers, command(fraction), command(0.0));
             }
             Drain => {
-                let servers = self.servers(trouble);
-                self.replace(servers, from, grace.max(trouble.for_s / 3.0));
+                let servers = self.servers(fault);
+                self.replace(servers, from, grace.max(fault.for_s / 3.0));
             }
             Deploy => {
-                let servers = self.servers(trouble);
-                let each = (self.day.fleet.servers as usize / 6).max(1);
-                let waves = servers.chunks(each).count();
-                for (wave, servers) in servers.chunks(each).enumerate() {
-                    let time = from + trouble.for_s * wave as f64 / waves as f64;
+                let servers = self.servers(fault);
+                let wave_size = (self.scenario.fleet.servers as usize / DEPLOY_WAVES).max(1);
+                let waves = servers.chunks(wave_size).count();
+                for (wave, servers) in servers.chunks(wave_size).enumerate() {
+                    let time = from + fault.for_s * wave as f64 / waves as f64;
                     self.replace(servers.to_vec(), time, grace);
                 }
             }
             Squeeze => {
-                let servers = self.servers(trouble);
+                let servers = self.servers(fault);
                 let command = |part| Command::Squeeze { servers: servers.clone(), part };
-                both(self, Role::Servers, command(trouble.factor), command(1.0));
+                add_both(self, Role::Servers, command(fault.factor), command(1.0));
             }
             Handshake => {
-                let servers = self.servers(trouble);
+                let servers = self.servers(fault);
                 let command = |delay| Command::Handshake { servers: servers.clone(), delay };
-                both(self, Role::Servers, command(nanos(trouble.delay_s * 1e3)), command(0));
+                add_both(
+                    self,
+                    Role::Servers,
+                    command(nanos_from_ms(fault.delay_s * MS_PER_SECOND)),
+                    command(0),
+                );
             }
             LateReports => {
                 let command = |delay| Command::LateReports { delay };
-                both(self, Role::Forwarders, command(nanos(trouble.delay_s * 1e3)), command(0));
+                add_both(
+                    self,
+                    Role::Forwarders,
+                    command(nanos_from_ms(fault.delay_s * MS_PER_SECOND)),
+                    command(0),
+                );
             }
             LossyLinks => {
-                let command = |part| Command::Lossy { part, delay: nanos(trouble.delay_s * 1e3) };
-                both(self, Role::Forwarders, command(trouble.part.min(0.4)), command(0.0));
+                let command =
+                    |part| Command::Lossy { part, delay: nanos_from_ms(fault.delay_s * MS_PER_SECOND) };
+                add_both(
+                    self,
+                    Role::Forwarders,
+                    command(fault.fraction.min(MAX_LOST_FRACTION)),
+                    command(0.0),
+                );
             }
             WayBack => {
-                let (age, span) = (nanos(trouble.delay_s * 1e3), nanos(trouble.for_s * 1e3));
-                self.put(from, Action::WayBack { age, span });
+                let (age, duration) = (
+                    nanos_from_ms(fault.delay_s * MS_PER_SECOND),
+                    nanos_from_ms(fault.for_s * MS_PER_SECOND),
+                );
+                self.add(from, Action::StartRollback { age, duration });
             }
             WrongList | EmptyList => {
-                let mut servers = self.servers(trouble);
-                if trouble.kind == EmptyList {
-                    servers = (0..self.day.fleet.servers).map(|at| 1000 + at).collect();
+                let mut servers = self.servers(fault);
+                if fault.kind == EmptyList {
+                    servers = (0..self.scenario.fleet.servers).map(|index| FIRST_SERVER + index).collect();
                 }
-                let off = Command::LeaveOut { servers: Vec::new() };
-                both(self, Role::Registry, Command::LeaveOut { servers }, off);
+                let end = Command::LeaveOut { servers: Vec::new() };
+                add_both(self, Role::Registry, Command::LeaveOut { servers }, end);
             }
             RegistryAway => {
-                both(self, Role::Registry, Command::Away { on: true }, Command::Away { on: false });
+                add_both(self, Role::Registry, Command::Away { on: true }, Command::Away { on: false });
             }
             RegistryMute => {
-                both(self, Role::Registry, Command::Mute { on: true }, Command::Mute { on: false });
+                add_both(self, Role::Registry, Command::Mute { on: true }, Command::Mute { on: false });
             }
             LocalityCut => {
-                let zones = vec![trouble.locality.clone()];
-                both(self, Role::Forwarders, Command::Cut { zones }, Command::Cut { zones: Vec::new() });
+                let zones = vec![fault.locality.clone()];
+                add_both(self, Role::Forwarders, Command::Cut { zones }, Command::Cut { zones: Vec::new() });
             }
             ForwarderCrash => {
-                let forwarders = self.forwarders(trouble);
-                self.tell(from, Role::Forwarders, Command::Die { forwarders: forwarders.clone() });
-                self.put(to, Action::Revive(forwarders));
+                let forwarders = self.forwarders(fault);
+                self.add_command(from, Role::Forwarders, Command::Die { forwarders: forwarders.clone() });
+                self.add(to, Action::RestartForwarders(forwarders));
             }
             ForwarderStall | ForwarderDeaf => {
-                let forwarders = self.forwarders(trouble);
-                let command = |on| match trouble.kind {
+                let forwarders = self.forwarders(fault);
+                let command = |on| match fault.kind {
                     ForwarderStall => Command::Stall { forwarders: forwarders.clone(), on },
                     _ => Command::Deaf { forwarders: forwarders.clone(), on },
                 };
-                both(self, Role::Forwarders, command(true), command(false));
+                add_both(self, Role::Forwarders, command(true), command(false));
             }
             SlowChannel => {
-                // Every second stands still for four fifths of it: what is sent travels late.
-                let forwarders: Vec<u32> = (0..self.day.forwarders.count).collect();
+                // Forwarders read nothing for four fifths of each second, so that updates arrive late.
+                let forwarders: Vec<u32> = (0..self.scenario.forwarders.count).collect();
                 let mut time = from;
                 while time < to {
                     let command = |on| Command::Deaf { forwarders: forwarders.clone(), on };
-                    self.tell(time, Role::Forwarders, command(true));
-                    self.tell((time + 0.8).min(to), Role::Forwarders, command(false));
+                    self.add_command(time, Role::Forwarders, command(true));
+                    self.add_command((time + 0.8).min(to), Role::Forwarders, command(false));
                     time += 1.0;
                 }
             }
             TurnDown => {
-                let forwarders = self.forwarders(trouble);
-                let count = trouble.factor.max(1.0) as u32;
-                self.tell(from, Role::Forwarders, Command::TurnDown { forwarders, count });
+                let forwarders = self.forwarders(fault);
+                let count = fault.factor.max(1.0) as u32;
+                self.add_command(from, Role::Forwarders, Command::TurnDown { forwarders, count });
             }
             GhostReports => {
-                both(
+                add_both(
                     self,
                     Role::Forwarders,
                     Command::ReportGhost { on: true },
@@ -272,199 +331,217 @@
             }
             OddBalancers => {
                 let command = |on| Command::OddBalancers { on };
-                both(self, Role::Forwarders, command(true), command(false));
+                add_both(self, Role::Forwarders, command(true), command(false));
             }
             LinksCut | LinksOneWay | LinksFlap => {
-                let all: Vec<u32> = (0..u32::from(self.day.supervisors.count)).collect();
-                let chosen = self.drawn(trouble, all.clone());
+                let all: Vec<u32> = (0..u32::from(self.scenario.supervisors.count)).collect();
+                let chosen = self.choose(fault, all.clone());
                 let mut pairs = Vec::new();
-                for &one in &chosen {
+                for &supervisor in &chosen {
                     for &other in all.iter().filter(|other| !chosen.contains(other)) {
-                        pairs.push((one, other));
-                        // One way: it hears all, and nobody hears it.
-                        if trouble.kind != LinksOneWay {
-                            pairs.push((other, one));
+                        pairs.push((supervisor, other));
+                        // With `LinksOneWay`, a chosen supervisor receives from all others but reaches none.
+                        if fault.kind != LinksOneWay {
+                            pairs.push((other, supervisor));
                         }
                     }
                 }
-                let off = Command::CutLinks { pairs: Vec::new() };
+                let restore = Command::CutLinks { pairs: Vec::new() };
                 let mut time = from;
-                while trouble.kind == LinksFlap && time + 2.0 < to {
-                    self.tell(time, Role::Links, Command::CutLinks { pairs: pairs.clone() });
-                    self.tell(time + 0.8, Role::Links, off.clone());
+                while fault.kind == LinksFlap && time + 2.0 < to {
+                    self.add_command(time, Role::Links, Command::CutLinks { pairs: pairs.clone() });
+                    self.add_command(time + 0.8, Role::Links, restore.clone());
                     time += 1.6;
                 }
-                self.tell(time, Role::Links, Command::CutLinks { pairs });
-                self.tell(to, Role::Links, off);
+                self.add_command(time, Role::Links, Command::CutLinks { pairs });
+                self.add_command(to, Role::Links, restore);
             }
             SupervisorPause => {
-                let all = (0..u32::from(self.day.supervisors.count)).collect();
-                for number in self.drawn(trouble, all) {
-                    self.put(from, Action::StallSupervisor(number as usize, true));
-                    self.put(to, Action::StallSupervisor(number as usize, false));
+                let all = (0..u32::from(self.scenario.supervisors.count)).collect();
+                for number in self.choose(fault, all) {
+                    self.add(from, Action::PauseSupervisor(number as usize, true));
+                    self.add(to, Action::PauseSupervisor(number as usize, false));
                 }
             }
             MoveRanges => {
-                // Said to every supervisor: those that are cut off refuse it.
-                let ranges = self.day.group.as_ref().map_or(0, |shared| shared.ranges);
+                // The command goes to every supervisor; those without a majority reject it.
+                let ranges = self.scenario.group.as_ref().map_or(0, |group| group.ranges);
                 for range in 0..ranges {
-                    let at = self.chance.rand_range(0..u64::from(self.day.fleet.servers)) as u32;
-                    for number in 0..usize::from(self.day.supervisors.count) {
-                        self.put(from, Action::Move { number, range, to: 1000 + at });
+                    let index = self.random.rand_range(0..u64::from(self.scenario.fleet.servers)) as u32;
+                    for number in 0..usize::from(self.scenario.supervisors.count) {
+                        self.add(from, Action::MoveRange { number, range, to: FIRST_SERVER + index });
                     }
                 }
             }
             Order => {
-                // Said to one supervisor, withdrawn at another one.
-                let servers = self.servers(trouble);
-                let number = self.chance.rand_range(0..u64::from(self.day.supervisors.count)) as usize;
+                // The order is given to one supervisor and released at the next one.
+                let servers = self.servers(fault);
+                let number = self.random.rand_range(0..u64::from(self.scenario.supervisors.count)) as usize;
                 for server in servers {
-                    let hold = (trouble.factor > 0.0).then_some((trouble.factor.min(1.0) * 1e6) as u32);
-                    self.put(from, Action::Order { number, server, hold, off: false });
-                    self.put(to, Action::Order { number: number + 1, server, hold, off: true });
+                    let weight_cap_millionths =
+                        (fault.factor > 0.0).then_some((fault.factor.min(1.0) * 1e6) as u32);
+                    self.add(from, Action::Order { number, server, weight_cap_millionths, release: false });
+                    self.add(
+                        to,
+                        Action::Order { number: number + 1, server, weight_cap_millionths, release: true },
+                    );
                 }
             }
             SupervisorCrash | SupervisorStall => {
-                let all = (0..u32::from(self.day.supervisors.count)).collect();
-                for number in self.drawn(trouble, all) {
+                let all = (0..u32::from(self.scenario.supervisors.count)).collect();
+                for number in self.choose(fault, all) {
                     let number = number as usize;
-                    if trouble.kind == SupervisorCrash {
-                        self.put(from, Action::KillSupervisor(number));
-                        self.put(to, Action::StartSupervisor(number));
+                    if fault.kind == SupervisorCrash {
+                        self.add(from, Action::KillSupervisor(number));
+                        self.add(to, Action::RestartSupervisor(number));
                         continue;
                     }
                     let mut time = from;
                     while time < to {
-                        self.put(time, Action::StallSupervisor(number, true));
-                        self.put((time + 1.5).min(to), Action::StallSupervisor(number, false));
+                        self.add(time, Action::PauseSupervisor(number, true));
+                        self.add((time + 1.5).min(to), Action::PauseSupervisor(number, false));
                         time += 2.5;
                     }
                 }
             }
             Surge => {
                 let command = |factor| Command::Rate { factor };
-                both(self, Role::Callers, command(trouble.factor), command(1.0));
+                add_both(self, Role::Callers, command(fault.factor), command(1.0));
             }
         }
     }
 }
 
-fn carry_out(
-    stage: &mut LocalDeployment,
+/// Executes an action. `incarnation` is the last one that was given to a server; `started` has incarnation and start
+/// time of each server that was started again.
+fn execute(
+    deployment: &mut LocalDeployment,
     action: Action,
     incarnation: &mut u64,
     started: &mut BTreeMap<u32, (u64, Nanos)>,
 ) -> Result<()> {
     match action {
-        Action::Say(_) => {}
-        Action::Tell(who, command) => stage.tell(who, &command)?,
-        Action::Start(servers) => {
+        Action::ShowFault(_) => {}
+        Action::SendCommand(role, command) => deployment.send_command(role, &command)?,
+        Action::StartServers(servers) => {
             *incarnation += 1;
             started.extend(servers.iter().map(|&server| (server, (*incarnation, now()))));
-            stage.tell(Role::Servers, &Command::Start { servers, incarnation: *incarnation })?;
+            deployment.send_command(Role::Servers, &Command::Start { servers, incarnation: *incarnation })?;
         }
-        Action::ListAs(servers, state) => stage.list_as(&servers, state, None)?,
-        Action::ListFresh(servers) => {
+        Action::UpdateList(servers, state) => deployment.update_list(&servers, state, None)?,
+        Action::ListStarted(servers) => {
             for server in servers {
-                stage.list_as(&[server], ListedAs::Ready, started.get(&server).copied())?;
+                deployment.update_list(&[server], ListedAs::Ready, started.get(&server).copied())?;
             }
         }
-        Action::KillSupervisor(number) => stage.kill_supervisor(number),
-        Action::StartSupervisor(number) => stage.restart_supervisor(number)?,
-        Action::StallSupervisor(number, on) => stage.stall_supervisor(number, on),
-        Action::WayBack { age, span } => {
-            for number in 0..stage.supervisors() {
-                let at = stage.admin(number);
-                std::thread::spawn(move || match start_rollback(at, age, span) {
-                    Ok(told) => eprintln!("a way back at {at}: {} servers take it", told["takes"]),
-                    Err(error) => eprintln!("a way back at {at}: {error:#}"),
+        Action::KillSupervisor(number) => deployment.kill_supervisor(number),
+        Action::RestartSupervisor(number) => deployment.restart_supervisor(number)?,
+        Action::PauseSupervisor(number, paused) => deployment.pause_supervisor(number, paused),
+        Action::StartRollback { age, duration } => {
+            for number in 0..deployment.supervisors() {
+                let at = deployment.admin_address(number);
+                std::thread::spawn(move || match start_rollback(at, age, duration) {
+                    Ok(rollback) => eprintln!("rollback at {at}: applies to {} servers", rollback["takes"]),
+                    Err(error) => eprintln!("rollback at {at}: {error:#}"),
                 });
             }
         }
-        Action::Move { number, range, to } => {
-            let at = stage.address(number);
+        Action::MoveRange { number, range, to } => {
+            let at = deployment.address(number);
             std::thread::spawn(move || {
                 if let Err(error) = submit_command(
                     at,
                     CommandPayload::MoveRange(MoveRange { range, to_server: to, epoch: 0 }),
                 ) {
-                    eprintln!("a move at {at}: {error:#}");
+                    eprintln!("range move at {at}: {error:#}");
                 }
             });
         }
-        Action::Order { number, server, hold, off } => {
-            let at = stage.address(number % stage.supervisors());
-            let locality = stage.locality(server);
-            // Refused or not, it is for the judge to see what became of it.
+        Action::Order { number, server, weight_cap_millionths, release } => {
+            let at = deployment.address(number % deployment.supervisors());
+            let locality = deployment.locality(server);
+            // A rejected order is no error here: the evaluation sees its effect.
             std::thread::spawn(move || {
-                let order = OperatorOrder { server, locality, weight_cap_millionths: hold };
-                let told = if off {
+                let order = OperatorOrder { server, locality, weight_cap_millionths };
+                let result = if release {
                     release_order(at, &order)
                 } else {
                     submit_command(at, CommandPayload::OperatorOrder(order))
                 };
-                if let Err(error) = told {
-                    eprintln!("an order at {at}: {error:#}");
+                if let Err(error) = result {
+                    eprintln!("order at {at}: {error:#}");
                 }
             });
         }
-        Action::Revive(forwarders) => {
-            let listed = stage.list.values().filter(|row| row.state == ListedAs::Ready);
+        Action::RestartForwarders(forwarders) => {
+            let listed = deployment.list.values().filter(|row| row.state == ListedAs::Ready);
             let standing = listed.map(|row| row.server).collect();
-            stage.tell(Role::Forwarders, &Command::Revive { forwarders, standing })?;
+            deployment.send_command(Role::Forwarders, &Command::Revive { forwarders, standing })?;
         }
     }
     Ok(())
 }
 
-/// Starts everything, plays the day, stops everything, and judges what was seen. `progress` gets a line a second.
+/// Starts a deployment, runs the scenario on it, stops it, and evaluates its traces. `program` is the executable of
+/// every process, `folder` takes traces and logs, and `progress` gets a line per second.
+///
+/// Errors: a process cannot be started or commanded, or a trace cannot be read.
 pub fn run_scenario(
     program: &Path,
     folder: &Path,
-    day: &Scenario,
+    scenario: &Scenario,
     progress: &mut dyn FnMut(&str),
 ) -> Result<Verdict> {
-    let mut script = Script { day, chance: Rand64::new(u128::from(day.seed) + 2), actions: BTreeMap::new() };
-    for trouble in &day.faults {
-        script.trouble(trouble);
+    let mut schedule =
+        Schedule { scenario, random: Rand64::new(u128::from(scenario.seed) + 2), actions: BTreeMap::new() };
+    for fault in &scenario.faults {
+        schedule.add_fault(fault);
     }
-    let mut stage = LocalDeployment::start(program, folder, day)?;
-    let (start, length) = (now(), at(day.length_s));
-    let (mut incarnation, mut started, mut told) = (1, BTreeMap::new(), 0);
-    let mut said = String::new();
+    let mut deployment = LocalDeployment::start(program, folder, scenario)?;
+    let (start, length) = (now(), nanos_from_seconds(scenario.length_s));
+    let (mut incarnation, mut started, mut next_progress_s) = (1, BTreeMap::new(), 0);
+    let mut current_fault = String::new();
     loop {
         let time = now() - start;
-        while let Some(entry) = script.actions.first_entry().filter(|entry| entry.key().0 <= time) {
+        while let Some(entry) = schedule.actions.first_entry().filter(|entry| entry.key().0 <= time) {
             let action = entry.remove();
-            if let Action::Say(text) = &action {
-                said.clone_from(text);
+            if let Action::ShowFault(text) = &action {
+                current_fault.clone_from(text);
             }
-            carry_out(&mut stage, action, &mut incarnation, &mut started)?;
+            execute(&mut deployment, action, &mut incarnation, &mut started)?;
         }
         if time >= length {
             break;
         }
-        if time / SECOND >= told {
-            progress(&format!("{:>4} s of {}: {said}", time / SECOND, day.length_s));
-            told = time / SECOND + 1;
+        if time / SECOND >= next_progress_s {
+            progress(&format!("{:>4} s of {}: {current_fault}", time / SECOND, scenario.length_s));
+            next_progress_s = time / SECOND + 1;
         }
-        let next = script.actions.keys().next().map_or(length, |key| key.0).min(told * SECOND).min(length);
+        let next = schedule
+            .actions
+            .keys()
+            .next()
+            .map_or(length, |key| key.0)
+            .min(next_progress_s * SECOND)
+            .min(length);
         std::thread::sleep(Duration::from_nanos(next.saturating_sub(now() - start).min(SECOND)));
     }
     let end = now();
-    stage.tell(Role::Callers, &Command::Quit)?;
-    // What was asked for last is still answered or timed out.
-    let longest = day.operations.iter().map(|operation| operation.integration_timeout_ms).fold(0.0, f64::max);
-    std::thread::sleep(Duration::from_nanos(nanos(longest) + SECOND / 5));
-    progress(&format!("{:>4} s of {}: over", day.length_s, day.length_s));
-    let traces = [Role::Servers, Role::Forwarders, Role::Callers, Role::Registry].map(|who| stage.trace(who));
-    let logs: Vec<_> = (0..stage.supervisors()).map(|number| stage.log(number)).collect();
-    stage.stop()?;
-    let mut seen: Vec<Seen> = Vec::new();
+    deployment.send_command(Role::Callers, &Command::Quit)?;
+    // Waits until the last invocations are answered or have timed out.
+    let longest_timeout_ms =
+        scenario.operations.iter().map(|operation| operation.integration_timeout_ms).fold(0.0, f64::max);
+    std::thread::sleep(Duration::from_nanos(nanos_from_ms(longest_timeout_ms) + SECOND / 5));
+    progress(&format!("{:>4} s of {}: over", scenario.length_s, scenario.length_s));
+    let traces = [Role::Servers, Role::Forwarders, Role::Callers, Role::Registry]
+        .map(|role| deployment.trace_path(role));
+    let logs: Vec<_> = (0..deployment.supervisors()).map(|number| deployment.log_path(number)).collect();
+    deployment.stop()?;
+    let mut trace_records: Vec<Seen> = Vec::new();
     for trace in traces {
-        seen.extend(read_trace(&trace)?);
+        trace_records.extend(read_trace(&trace)?);
     }
-    let mut verdict = evaluate(day, (start, end), &seen);
+    let mut verdict = evaluate(scenario, (start, end), &trace_records);
     for (number, log) in logs.iter().enumerate() {
         let text = std::fs::read_to_string(log).unwrap_or_default();
         let remarks = text.lines().filter_map(|line| line.split_once("remark=").map(|(_, remark)| remark));
