--- a/crates/fault-scenarios/src/local_deployment.rs
+++ b/crates/fault-scenarios/src/local_deployment.rs
@@ -240,14 +240,14 @@
         };
         (0..scenario.fleet.servers)
             .map(|index| {
-                let zones = scenario.localities.len() as u32;
+                let locality_count = scenario.localities.len() as u32;
                 let [_, _, high, low] = (index + 1).to_be_bytes();
                 ServerPlan {
                     server: FIRST_SERVER + index,
                     // Each server has its own address, so that no other process takes its port while it is down.
                     address: SocketAddr::from(([127, 1, high, low], 0)),
-                    zone: scenario.localities[(index % zones) as usize].clone(),
-                    cell: (index / zones / scenario.fleet.cell_size.max(1)) as u16,
+                    zone: scenario.localities[(index % locality_count) as usize].clone(),
+                    cell: (index / locality_count / scenario.fleet.cell_size.max(1)) as u16,
                     kind: kind(random),
                 }
             })
--- a/crates/fault-scenarios/src/runner.rs
+++ b/crates/fault-scenarios/src/runner.rs
@@ -101,9 +101,10 @@
 
     /// The servers that a fault affects.
     fn servers(&mut self, fault: &Fault) -> Vec<u32> {
-        let zones = &self.scenario.localities;
-        let in_locality =
-            |index: &u32| fault.locality.is_empty() || zones[*index as usize % zones.len()] == fault.locality;
+        let localities = &self.scenario.localities;
+        let in_locality = |index: &u32| {
+            fault.locality.is_empty() || localities[*index as usize % localities.len()] == fault.locality
+        };
         let all =
             (0..self.scenario.fleet.servers).filter(in_locality).map(|index| FIRST_SERVER + index).collect();
         self.choose(fault, all)
@@ -111,9 +112,10 @@
 
     /// The forwarders that a fault affects.
     fn forwarders(&mut self, fault: &Fault) -> Vec<u32> {
-        let zones = &self.scenario.localities;
-        let in_locality =
-            |index: &u32| fault.locality.is_empty() || zones[*index as usize % zones.len()] == fault.locality;
+        let localities = &self.scenario.localities;
+        let in_locality = |index: &u32| {
+            fault.locality.is_empty() || localities[*index as usize % localities.len()] == fault.locality
+        };
         let all = (0..self.scenario.forwarders.count).filter(in_locality).collect();
         self.choose(fault, all)
     }
