--- a/crates/rpc/src/connection/call.rs
+++ b/crates/rpc/src/connection/call.rs
@@ -48,7 +48,7 @@
     /// Set once the sending side is to end after the unsent bytes. A server then sends this status; a client only closes its
     /// side.
     finish: Option<Status>,
-    /// Server side: the handle that accepted the call; `None` on the client side.
+    /// Server side: the response handle of an accepted call, which also marks the call as a server's; `None` on the client side.
     respond: Option<SendResponse<Bytes>>,
 }
 
--- a/crates/sasp/src/weights.rs
+++ b/crates/sasp/src/weights.rs
@@ -23,7 +23,7 @@
 /// The greatest weight becomes 65,535, so that the rounding error is smallest. A warm member with a weight above 0 gets at
 /// least 1, since a healthy server must stay in use. The weight of a member that is warming up is rounded down, and lowered
 /// further as long as its share exceeds its share before rounding, since in a group of few members rounding could overload it.
-/// If all members are warming up, the greatest weight is not lowered, since shares then do not indicate load.
+/// If all members are warming up, no weight is lowered further, since shares then do not indicate load.
 pub fn round_to_u16(weights: &[TableWeight]) -> Vec<u16> {
     let usable = || weights.iter().filter(|weight| weight.is_usable());
     let greatest = usable().map(|weight| weight.weight).fold(0.0, f64::max);
--- a/crates/xds/src/client_stream.rs
+++ b/crates/xds/src/client_stream.rs
@@ -16,13 +16,13 @@
 enum Purpose {
     /// To subscribe to more names, or to all of them on a new stream.
     Subscribe,
-    /// To subscribe again to names that are subscription to already.
+    /// To subscribe again to names that the client subscribes to already.
     Resubscribe,
     /// To acknowledge or reject a response.
     Acknowledge,
 }
 
-/// The names that are subscription to of one type of resource, and the versions that the client has.
+/// The client's subscription to one type of resource, and the versions that it has.
 #[derive(Debug, Default)]
 struct Subscription {
     names: BTreeSet<String>,
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     ///
-    /// The message cannot be decoded, or its type was not subscription to.
+    /// The message cannot be decoded, or the client does not subscribe to its type.
     pub fn handle(&mut self, message: &[u8]) -> Result<Update, Status> {
         let update = match self.variant {
             Variant::StateOfTheWorld => {
--- a/crates/xds/tests/bytes.rs
+++ b/crates/xds/tests/bytes.rs
@@ -216,9 +216,9 @@
         rows in prop::collection::vec((1_u16..9999, 1e-6..1e7_f64, 0..3_u8), 0..20),
         admitted in 0.0..1.0_f64,
     ) {
-        let health = [Health::Ready, Health::Draining, Health::Unhealthy];
+        let healths = [Health::Ready, Health::Draining, Health::Unhealthy];
         let rows: Vec<AssignedEndpoint> =
-            rows.into_iter().map(|(port, weight, of)| assigned_endpoint(port, weight, health[usize::from(of)])).collect();
+            rows.into_iter().map(|(port, weight, health)| assigned_endpoint(port, weight, healths[usize::from(health)])).collect();
         let sum: f64 = rows.iter().map(|endpoint| endpoint.weight).sum();
         let table = Assignment { cluster: "x".into(), endpoints: rows, admitted };
         let decoded = Assignment::decode(&table.encode()).unwrap();
