--- a/crates/guard/src/guard.rs
+++ b/crates/guard/src/guard.rs
@@ -41,6 +41,7 @@
 #[derive(Clone, Debug)]
 pub struct Guard {
     limits: Limits,
+    /// Time since which lines of the table have been refused without a break, ns; `None` if none is refused.
     refusing_since: Option<Nanos>,
     /// When a refusal was last reported, ns; 0 if never.
     reported_at: Nanos,
@@ -222,7 +223,8 @@
     after
 }
 
-/// Whether the first table is worse than the second. The worst rule that one table breaks more often than the other decides.
+/// Whether the first table is worse than the second. The numbers of findings are compared rule by rule, the worst rule first;
+/// the first difference decides.
 fn is_worse(first: &[Finding], second: &[Finding]) -> bool {
     let count =
         |findings: &[Finding], rule: Rule| findings.iter().filter(|finding| finding.rule == rule).count();
--- a/crates/guard/src/inspect.rs
+++ b/crates/guard/src/inspect.rs
@@ -20,7 +20,7 @@
 /// The load ratio is not checked in smaller pools, where it is not meaningful.
 const MIN_SERVERS_FOR_LOAD_RATIO: usize = 4;
 
-/// The rules for tables, the one whose violation is worst first.
+/// The rules for tables, in order of severity: a violation of the first is the worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// No line is usable although a warm server is ready.
@@ -58,9 +58,10 @@
     pub rule: Rule,
     /// The server concerned, if the finding concerns a single one.
     pub server: Option<ServerId>,
-    /// Measured value; its unit depends on the rule.
+    /// Measured value: for `SlowStartOverload` and `TooConcentrated` a load as a multiple of capacity, for the other rules a
+    /// number of servers or lines.
     pub value: f64,
-    /// Limit that the value violates, in the same unit.
+    /// Limit that the value violates, in the same unit; for `NoUsableLine` the number of warm servers that are ready.
     pub limit: f64,
 }
 
@@ -184,8 +185,9 @@
 }
 
 fn too_concentrated(line: &UsableLine, load_ratio: f64, ready: &ReadyServers) -> Option<Finding> {
-    let at_max_traffic = MAX_TRAFFIC_FRACTION * ready.capacity / line.state.capacity.max(f64::MIN_POSITIVE);
-    let limit = at_max_traffic.clamp(ALWAYS_ALLOWED_LOAD_RATIO, MAX_LOAD_RATIO);
+    let load_ratio_at_max_traffic =
+        MAX_TRAFFIC_FRACTION * ready.capacity / line.state.capacity.max(f64::MIN_POSITIVE);
+    let limit = load_ratio_at_max_traffic.clamp(ALWAYS_ALLOWED_LOAD_RATIO, MAX_LOAD_RATIO);
     let finding =
         Finding { rule: Rule::TooConcentrated, server: Some(line.server), value: load_ratio, limit };
     (ready.count >= MIN_SERVERS_FOR_LOAD_RATIO && load_ratio > limit).then_some(finding)
--- a/crates/guard/src/tests.rs
+++ b/crates/guard/src/tests.rs
@@ -48,8 +48,8 @@
     lines
 }
 
-fn drained(mut lines: Lines, out: &[ServerId]) -> Lines {
-    for id in out {
+fn drained(mut lines: Lines, servers: &[ServerId]) -> Lines {
+    for id in servers {
         lines.entry(*id).and_modify(|line| line.draining = true);
     }
     lines
@@ -59,17 +59,17 @@
 fn published_and_refused(pool: &Pool, before: &Lines, after: &Lines) -> (Lines, Vec<Rule>) {
     let mut guard = Guard::new(limits());
     let decision = guard.judge(SECOND, pool, before, after);
-    let mut out = after.clone();
+    let mut published = after.clone();
     for server in &decision.reverted {
         match before.get(server) {
-            Some(&line) => out.insert(*server, line),
-            None => out.remove(server),
+            Some(&line) => published.insert(*server, line),
+            None => published.remove(server),
         };
     }
     for server in &decision.drained {
-        out.entry(*server).and_modify(|line| line.draining = true);
+        published.entry(*server).and_modify(|line| line.draining = true);
     }
-    (out, decision.refusals.iter().map(|refusal| refusal.finding.rule).collect())
+    (published, decision.refusals.iter().map(|refusal| refusal.finding.rule).collect())
 }
 
 /// Guards against the publication of wrong tables: each is refused by the rule that it breaks, and the published table has no
@@ -112,7 +112,7 @@
     #[case] after: Lines,
     #[case] rule: Rule,
 ) {
-    let (out, refused) = published_and_refused(&pool, &before, &after);
+    let (published, refused) = published_and_refused(&pool, &before, &after);
     assert!(refused.contains(&rule), "{refused:?}");
     let mandatory_findings = |lines| -> Vec<(Rule, Option<ServerId>)> {
         let found =
@@ -120,7 +120,10 @@
         found.map(|finding| (finding.rule, finding.server)).collect()
     };
     let findings_before = mandatory_findings(&before);
-    assert!(mandatory_findings(&out).iter().all(|finding| findings_before.contains(finding)), "{out:?}");
+    assert!(
+        mandatory_findings(&published).iter().all(|finding| findings_before.contains(finding)),
+        "{published:?}"
+    );
 }
 
 /// Guards against refusals of tables that a working controller makes.
@@ -134,21 +137,24 @@
 #[case::no_server_left_in_the_pool(pool(&[1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12], &[]), table(&[]))]
 #[case::small_table_with_a_tenth_of_the_requests(Pool { traffic_share: 0.1, ..pool(&[], &[]) }, table(&[(1, 1.0), (2, 1.0), (3, 1.0)]))]
 fn sound_table_is_published_unchanged(#[case] pool: Pool, #[case] after: Lines) {
-    let (out, refused) = published_and_refused(&pool, &all_servers(), &after);
-    assert_eq!((out, refused), (after, vec![]));
+    let (published, refused) = published_and_refused(&pool, &all_servers(), &after);
+    assert_eq!((published, refused), (after, vec![]));
 }
 
 #[test]
 fn removals_of_unavailable_servers_are_published_while_the_rest_is_refused() {
     // Server 1 drains; the new table also gives nearly all weight to server 5 and removes server 2.
     let pool = pool(&[1], &[]);
-    let (out, refused) =
+    let (published, refused) =
         published_and_refused(&pool, &all_servers(), &all_with(&[(1, 0.0), (2, 0.0), (5, 1e6)]));
-    assert!(!out.contains_key(&1) && !out.contains_key(&2) && out[&5].weight == 1.0, "{out:?}");
+    assert!(
+        !published.contains_key(&1) && !published.contains_key(&2) && published[&5].weight == 1.0,
+        "{published:?}"
+    );
     assert_eq!(refused, [Rule::TooConcentrated]);
     // The line of a draining server is published as draining, although the new table has it as usable.
-    let (out, refused) = published_and_refused(&pool, &all_servers(), &all_with(&[(2, 1.5)]));
-    assert!(out[&1].draining && out[&2].weight == 1.5 && refused.is_empty());
+    let (published, refused) = published_and_refused(&pool, &all_servers(), &all_with(&[(2, 1.5)]));
+    assert!(published[&1].draining && published[&2].weight == 1.5 && refused.is_empty());
 }
 
 #[test]
@@ -184,23 +190,24 @@
     let first = all_with(&[(1, 0.1), (2, 0.1), (3, 0.1)]);
     assert_eq!(published_and_refused(&pool, &all_servers(), &first), (first.clone(), vec![]));
     // Removing warm servers as well, or raising the weight of a restarted one, is refused.
-    let (out, refused) = published_and_refused(
+    let (published, refused) = published_and_refused(
         &pool,
         &all_servers(),
         &all_with(&[(1, 0.1), (2, 0.1), (3, 0.1), (11, 0.0), (12, 0.0)]),
     );
-    assert_eq!((out, refused.contains(&Rule::SlowStartOverload)), (first.clone(), true));
-    let (out, refused) = published_and_refused(&pool, &first, &all_with(&[(1, 5.0), (2, 0.1), (3, 0.1)]));
-    assert_eq!((out, refused.contains(&Rule::SlowStartOverload)), (first, true));
+    assert_eq!((published, refused.contains(&Rule::SlowStartOverload)), (first.clone(), true));
+    let (published, refused) =
+        published_and_refused(&pool, &first, &all_with(&[(1, 5.0), (2, 0.1), (3, 0.1)]));
+    assert_eq!((published, refused.contains(&Rule::SlowStartOverload)), (first, true));
 }
 
 #[test]
 fn wrong_table_is_published_if_the_table_before_is_worse() {
     // Servers 1 to 9 are draining or removed; the other three were not in the table before.
-    let out: Vec<ServerId> = (1..10).collect();
+    let unavailable: Vec<ServerId> = (1..10).collect();
     let (before, after) = (all_with(&[(10, 0.0), (11, 0.0), (12, 0.0)]), table(&[(12, 1.0)]));
-    let (out, refused) = published_and_refused(&pool(&out, &[]), &before, &after);
-    assert_eq!((out, refused), (after, vec![]));
+    let (published, refused) = published_and_refused(&pool(&unavailable, &[]), &before, &after);
+    assert_eq!((published, refused), (after, vec![]));
 }
 
 #[test]
