--- a/crates/store/src/constraints.rs
+++ b/crates/store/src/constraints.rs
@@ -10,8 +10,8 @@
 use crate::rollback::Rollback;
 use crate::version::{Provenance, VersionNumber};
 
-/// Where constraints lower the sum of the other weights, the weights of servers in slow start are lowered in steps of this
-/// size, so that not every change of the sum changes them.
+/// Step of the factor by which the weights of servers in slow start are multiplied while constraints lower the sum of the
+/// other weights. Without steps, each change of the sum would change these weights too.
 const SLOW_START_FACTOR_STEP: f64 = 0.1;
 
 /// Why an operator's constraint is rejected.
@@ -132,18 +132,20 @@
     }
 
     /// Factor by which the weights of servers in slow start are multiplied, so that their share does not grow where
-    /// constraints lower the sum of the other weights. `warm`: the other servers with their weights from the controller.
+    /// constraints lower the sum of the other weights. `warm`: all servers that are not in slow start, with the weights that
+    /// the controller gives them.
     pub fn slow_start_factor(&self, warm: impl Iterator<Item = (ServerId, f64)>) -> f64 {
         if !self.is_active() {
             return 1.0;
         }
-        let mut ordered = 0.0;
-        let mut constrained = 0.0;
+        let mut controller_sum = 0.0;
+        let mut constrained_sum = 0.0;
         for (server, weight) in warm {
-            ordered += weight;
-            constrained += weight * self.factor(server);
+            controller_sum += weight;
+            constrained_sum += weight * self.factor(server);
         }
-        let factor: f64 = if ordered > 0.0 { (constrained / ordered).min(1.0) } else { 1.0 };
+        let factor: f64 =
+            if controller_sum > 0.0 { (constrained_sum / controller_sum).min(1.0) } else { 1.0 };
         // Floating-point sums are not exact, so a factor slightly below 1 counts as 1.
         if factor > 1.0 - SLOW_START_FACTOR_STEP / 10.0 {
             return 1.0;
--- a/crates/store/src/delivery.rs
+++ b/crates/store/src/delivery.rs
@@ -22,7 +22,7 @@
     pub report_interval: Nanos,
     /// Mean time from the supervisor to a proxy, ns.
     pub mean_transit: Nanos,
-    /// Lines that may be queued in the channel.
+    /// Number of lines that the channel to the proxies can queue.
     pub channel_capacity: f64,
     /// Fixed cost of a message in the channel, in lines, in addition to its own lines.
     pub message_overhead: f64,
--- a/crates/store/src/replica.rs
+++ b/crates/store/src/replica.rs
@@ -38,7 +38,8 @@
     last_verified: VersionNumber,
     /// Newest version among the deltas received on this stream, applied or not.
     newest_seen: VersionNumber,
-    /// Whether no delta was applied on this stream yet: it may be another supervisor's, whose version numbers are lower.
+    /// Whether no delta was applied on this stream yet. The stream may lead to another supervisor, whose version numbers may be
+    /// lower.
     new_stream: bool,
     /// Servers that were removed or drained by a delta that could not be applied, with that delta's version.
     removed_or_draining: BTreeMap<ServerId, VersionNumber>,
--- a/crates/store/src/retention.rs
+++ b/crates/store/src/retention.rs
@@ -8,8 +8,8 @@
 const MAX_AGE_INTERVALS: Nanos = 2 * 24 * 3600;
 /// Estimated bytes that one line of a version takes in the file.
 const BYTES_PER_LINE: f64 = 50.0;
-/// Largest size of the history, as a multiple of the lines that fill the channel once.
-const CHANNEL_FILLS: f64 = 256.0;
+/// Largest number of lines in the history, as a multiple of the lines that the channel to the proxies can queue.
+const MAX_CHANNEL_FILLS: f64 = 256.0;
 
 /// Limits on the retained history: the oldest versions are dropped as soon as any limit is exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
     pub fn new(config: &ControllerConfig) -> Self {
         RetentionLimits {
             versions: MAX_VERSIONS,
-            bytes: (config.channel_capacity * BYTES_PER_LINE * CHANNEL_FILLS) as usize,
+            bytes: (config.channel_capacity * BYTES_PER_LINE * MAX_CHANNEL_FILLS) as usize,
             age: config.report_interval.saturating_mul(MAX_AGE_INTERVALS),
         }
     }
--- a/crates/store/src/rollback.rs
+++ b/crates/store/src/rollback.rs
@@ -154,6 +154,7 @@
     all.filter(|(_, factor)| (factor - 1.0).abs() > MIN_FACTOR_CHANGE).collect()
 }
 
+/// Whether the factors of a rollback are being applied or removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Applying,
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -66,7 +66,7 @@
 }
 
 impl Store {
-    /// Creates an empty store. `seed`: of the digests' salts.
+    /// Creates an empty store. `seed` determines the salts of the digests.
     pub fn new(limits: RetentionLimits, seed: u64) -> Self {
         Store {
             tables: BTreeMap::new(),
--- a/crates/store/tests/replica.rs
+++ b/crates/store/tests/replica.rs
@@ -28,12 +28,12 @@
     complete.check.digest = Digest::of(&lines, complete.check.salt);
     assert_eq!(replica.receive(0, &complete), DeltaOutcome::Applied);
     let offset = complete.check.digest.sum.wrapping_sub(store.check(TABLE).unwrap().digest.sum);
-    let first = complete.check.salt;
+    let first_salt = complete.check.salt;
     for weight in 100..1000 {
         let from = store.newest_version(TABLE);
         store.publish(TABLE, [(2, Some(line(weight)))], 1, &provenance);
         let mut delta = store.delta_from(TABLE, from).unwrap();
-        if delta.check.salt == first {
+        if delta.check.salt == first_salt {
             delta.check.digest.sum = delta.check.digest.sum.wrapping_add(offset);
             assert_eq!(replica.receive(0, &delta), DeltaOutcome::Applied);
             continue;
--- a/crates/store/tests/schedules.rs
+++ b/crates/store/tests/schedules.rs
@@ -13,6 +13,8 @@
 
 const TABLE: u16 = 0;
 const MILLI: u64 = 1_000_000;
+/// Largest number of messages after the faults end until a proxy has the newest version.
+const MAX_MESSAGES_AFTER_FAULTS: u64 = 12;
 
 /// A fault that is planted on purpose, to show that the checks detect it.
 #[derive(Clone, Copy, PartialEq)]
@@ -278,7 +280,7 @@
         }
     }
 
-    /// Ends the message faults. Then each proxy must get the newest version, verified, within 12 messages.
+    /// Ends the message faults. Then each proxy must get the newest version, verified, within `MAX_MESSAGES_AFTER_FAULTS`.
     fn settle(&mut self) -> Result<(), String> {
         self.lossy = false;
         let before: Vec<u64> = self.proxies.iter().map(|proxy| proxy.messages).collect();
@@ -297,7 +299,7 @@
             if proxy.replica.verified().map(|check| check.number) != Some(self.store.newest_version(TABLE)) {
                 return Err("the verified version is not the newest one".into());
             }
-            if proxy.messages - before > 12 {
+            if proxy.messages - before > MAX_MESSAGES_AFTER_FAULTS {
                 return Err(format!("{} messages after the faults ended", proxy.messages - before));
             }
         }
