--- a/crates/hooks/src/check.rs
+++ b/crates/hooks/src/check.rs
@@ -33,8 +33,9 @@
     pub(crate) tests: Vec<(String, usize)>,
 }
 
-/// Expressions that one compilation checks, counted anew for each compilation of a function. Without a limit, the number
-/// of a function's argument type lists could grow exponentially with the length of the source.
+/// Largest number of expressions that are checked for one source. Those of a function count once for each list of argument
+/// types that it is compiled for; without a limit, the number of these lists could grow exponentially with the length of
+/// the source.
 const MAX_CHECKED_EXPRESSIONS: usize = 200_000;
 
 /// The local slots of one chunk stay below this number.
--- a/crates/hooks/src/lex.rs
+++ b/crates/hooks/src/lex.rs
@@ -6,7 +6,7 @@
 /// The kinds of tokens.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum TokenKind {
-    /// The number as written, its unit, and the unit's suffix; empty for a number without a unit.
+    /// The number as written, its unit, and the unit's suffix, which is empty for a number without a unit.
     Number(f64, Unit, &'static str),
     /// A string literal, with its escapes replaced.
     String(String),
@@ -35,7 +35,7 @@
     "let", "if", "else", "match", "for", "in", "with", "fn", "hook", "test", "and", "or", "not", "true",
     "false", "_",
 ];
-/// Operators and punctuation; an entry stands before those that are a prefix of it.
+/// Operators and punctuation. The lexer takes the first match, so a symbol precedes those that are a prefix of it.
 const SYMBOLS: [&str; 24] = [
     "==", "!=", "<=", ">=", "=>", "(", ")", "[", "]", "{", "}", ",", ":", ".", "=", "<", ">", "+", "-", "*",
     "/", ";", "%", "|",
@@ -216,12 +216,12 @@
         let (position, rest) = (self.position, &self.rest[length..]);
         let spaces = rest.len() - rest.trim_start_matches(' ').len();
         let after = &rest[spaces..];
-        let ends_after = |suffix: &str| {
+        let is_whole_word = |suffix: &str| {
             let next = after[suffix.len()..].chars().next();
             suffix == "%"
                 || next.is_none_or(|character| !character.is_ascii_alphanumeric() && character != '_')
         };
-        let unit = UNITS.iter().filter(|(suffix, ..)| after.starts_with(suffix) && ends_after(suffix));
+        let unit = UNITS.iter().filter(|(suffix, ..)| after.starts_with(suffix) && is_whole_word(suffix));
         let unit = unit.max_by_key(|(suffix, ..)| suffix.len());
         if !value.is_finite() {
             self.diagnostics.push(diagnostic(position, "number too large", "write a smaller number"));
--- a/crates/hooks/src/machine.rs
+++ b/crates/hooks/src/machine.rs
@@ -54,7 +54,7 @@
 /// Resource limits of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Instructions, plus the items and string bytes that they process.
+    /// Fuel: each instruction costs 1, and more if it processes the items of a list or the bytes of a string.
     pub fuel: u64,
     /// Bytes of all lists, records and strings that the call creates; nothing is credited when they are dropped.
     pub memory_bytes: u64,
@@ -80,8 +80,8 @@
     OutOfFuel,
     /// The call exceeded [`Limits::memory_bytes`].
     OutOfMemory,
-    /// A result is infinite or NaN, for instance after a division by zero. `shalereel hooks test` prints
-    /// the name of the kind.
+    /// A result is infinite or NaN, for instance after a division by zero. `shalereel hooks test` prints the name of this
+    /// variant, so it must not change.
     NoNumber,
 }
 
--- a/crates/hooks/src/parse.rs
+++ b/crates/hooks/src/parse.rs
@@ -334,6 +334,7 @@
                 ExpressionKind::Fold { item, list, accumulator, initial, body }
             }
             _ => {
+                // Goes back to the unexpected token, so that the diagnostic names it.
                 self.index -= usize::from(self.index > 0 && self.current() != &TokenKind::EndOfSource);
                 return Err(self.unexpected_token(
                     "a value",
--- a/crates/hooks/src/points.rs
+++ b/crates/hooks/src/points.rs
@@ -1,5 +1,5 @@
-//! The hook points and the types of their inputs and outputs. A hook returns figures, never commands: the controller
-//! decides what to do with them where it would use its own.
+//! The hook points and the types of their inputs and outputs. A hook returns a value, never a command: the controller
+//! decides whether and how to use it in place of its own value.
 
 use crate::check::HookPoint;
 use crate::types::{Type, Unit};
--- a/crates/hooks/src/syntax.rs
+++ b/crates/hooks/src/syntax.rs
@@ -99,7 +99,7 @@
 /// The kinds of expressions, with their operands.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ExpressionKind {
-    /// The number as written, its unit, and the unit's suffix; empty for a number without a unit.
+    /// The number as written, its unit, and the unit's suffix, which is empty for a number without a unit.
     Number(f64, Unit, &'static str),
     String(String),
     Boolean(bool),
--- a/crates/hooks/src/tests.rs
+++ b/crates/hooks/src/tests.rs
@@ -265,7 +265,7 @@
     assert!((mean - 0.5).abs() < 0.03, "{mean}");
 }
 
-/// A reference evaluator of the syntax tree, with whose results the bytecode must agree.
+/// Evaluates the syntax tree directly; the bytecode machine must return the same results.
 struct TreeInterpreter<'a> {
     source: &'a SourceFile,
 }
@@ -448,7 +448,7 @@
         format!("n{}", self.last_variable)
     }
 
-    /// Generates text with inner_depth more variable in scope.
+    /// Generates text with one more variable in scope.
     fn with_variable(&mut self, name: &str, generate: impl FnOnce(&mut Self) -> String) -> String {
         self.variables.push(name.to_owned());
         let text = generate(self);
