--- a/crates/standins/src/callers.rs
+++ b/crates/standins/src/callers.rs
@@ -148,7 +148,7 @@
         -(1.0 - self.random.rand_float()).ln()
     }
 
-    /// Starts all invocations that are due. Arrivals that this process is late for are made up, not skipped.
+    /// Starts all invocations that are due. Those that this process is late for are started at once, not skipped.
     fn start_due_invocations(&mut self) {
         let time = now();
         while self.next_arrival <= time && !self.stopping {
--- a/crates/standins/src/forwarders.rs
+++ b/crates/standins/src/forwarders.rs
@@ -28,15 +28,17 @@
 
 /// Name of the route configuration that a supervisor serves.
 const ROUTE_CONFIGURATION: &str = "shalereel";
+/// Key range leases are requested this many times within the duration of one.
+const REQUESTS_PER_LEASE: Nanos = 4;
 /// Maximum size of a SASP message.
 const MAX_SASP_MESSAGE_BYTES: usize = 4 << 20;
 /// A zone with fewer servers than this gets a bootstrap table of servers of all zones.
 const MIN_LOCAL_BOOTSTRAP_SERVERS: usize = 3;
 /// Reason in the rejection of an update that a command has told a forwarder to reject.
 const REJECTION_REASON: &str = "told to turn it down";
-/// Shortest interval between load reports, whatever a supervisor asks for.
+/// Shortest interval between load reports, whatever a supervisor asks for, ns.
 const MIN_REPORT_INTERVAL: Nanos = SECOND / 100;
-/// Interval between two ticks of the faulty balancers.
+/// Interval between two ticks of the faulty balancers, ns.
 const FAULT_TICK: Nanos = SECOND / 1000;
 /// Number of ticks between attempts to open missing connections of faulty balancers.
 const FAULT_CONNECT_TICKS: u32 = 50;
@@ -368,8 +370,8 @@
     /// Handles one input; returns whether the process goes on.
     fn handle_input(&mut self, input: Input<u32, Timer>) -> Result<bool> {
         match input {
-            Input::Opened { conn, listener: at } => {
-                if let Some(forwarder) = self.forwarders.get_mut(&at) {
+            Input::Opened { conn, listener: id } => {
+                if let Some(forwarder) = self.forwarders.get_mut(&id) {
                     forwarder.caller_connections.insert(conn);
                     self.hub.set_paused(conn, forwarder.stalled);
                 }
@@ -623,7 +625,7 @@
         );
         forwarder.ranges_generation += 1;
         let delay = if forwarder.lease_duration > 0 {
-            forwarder.lease_duration / 4
+            forwarder.lease_duration / REQUESTS_PER_LEASE
         } else {
             self.plan.reconnect_delay.0
         };
@@ -747,6 +749,7 @@
             let response = forwarder.discovery.nack(update, REJECTION_REASON.into());
             return self.hub.send(conn, stream, &response);
         }
+        // Only a version with a slash carries an epoch.
         let (epoch, fenced) = (epoch_of_version(&update.version), update.version.contains('/'));
         let default_table = forwarder.collections.iter().flatten().next().copied();
         let decoded = decode_lines(update, default_table);
@@ -789,7 +792,7 @@
         self.use_replica(id, table);
     }
 
-    /// Sets a timer for a resync, if one is due.
+    /// Sets a timer for the next resync, if there is one.
     fn schedule_resync(&mut self, id: u32, resync_at: Option<Nanos>) {
         if let Some(resync_at) = resync_at {
             self.hub.set_timer(resync_at, Timer::Resync(id));
@@ -1617,8 +1620,8 @@
     }
 }
 
-/// Decodes an update with lines into its table and the change of it. An update that names no line is taken for
-/// `default_table`. An error is the status to send to the supervisor.
+/// Decodes an update with lines; returns their table and the delta to apply to it. If the update names no line, the table
+/// is `default_table`. An error is the status to send to the supervisor.
 fn decode_lines(update: &Update, default_table: Option<u16>) -> Result<(u16, Delta), Status> {
     let invalid = |message: &str| Status::new(Code::InvalidArgument, message.to_owned());
     let version = update.version.split_once('/').map_or(update.version.as_str(), |(_, version)| version);
--- a/crates/standins/src/links.rs
+++ b/crates/standins/src/links.rs
@@ -20,7 +20,7 @@
     hub: Hub<Pair, ()>,
     /// Address of each supervisor.
     member_addresses: BTreeMap<u32, SocketAddr>,
-    /// For each relayed connection the one that it is connected to, in both directions.
+    /// The other end of each relayed connection, and the pair of its link. Both ends have an entry.
     peers: BTreeMap<ConnId, (ConnId, Pair)>,
     blocked: BTreeSet<Pair>,
 }
--- a/crates/standins/src/plan.rs
+++ b/crates/standins/src/plan.rs
@@ -263,7 +263,8 @@
     pub state: RegistryState,
     /// Number of the server's current run; it grows with each start.
     pub incarnation: u64,
-    /// Start time of the server, in nanoseconds of the monotonic clock; 0 for a server that is long warm.
+    /// Start time of the server, in nanoseconds of the monotonic clock; 0 for a server that
+    /// started long ago and is warm.
     #[serde(rename = "started")]
     pub started_at: Nanos,
 }
@@ -288,8 +289,8 @@
     pub addresses: Vec<SocketAddr>,
 }
 
-/// A command to a stand-in, most of them faults to inject. A flag `on` starts or ends a fault; a factor of 1, a
-/// fraction or a delay of 0 ends one too.
+/// A command to a stand-in. Most commands inject a fault: the flag `on` starts or ends it; a factor of 1, a fraction of 0
+/// and a delay of 0 also end it, unless the command says otherwise.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "do", rename_all = "snake_case")]
 pub enum Command {
--- a/crates/standins/src/registry.rs
+++ b/crates/standins/src/registry.rs
@@ -95,6 +95,7 @@
                             eprintln!("a client rejected the entries: {reason}")
                         }
                         ClientRequest::Ack { nonce, .. } => {
+                            // The nonce of a response is the version of its entries.
                             let (at, to) = (now(), node_id.clone());
                             self.trace.write(&TraceEvent::EntriesAcknowledged { at, to, version: nonce });
                         }
--- a/crates/standins/src/servers.rs
+++ b/crates/standins/src/servers.rs
@@ -42,21 +42,22 @@
 /// One server.
 struct Server {
     plan: ServerPlan,
-    /// None while the server is down.
+    /// `None` while the server is down.
     listener: Option<Token>,
     connections: BTreeSet<ConnId>,
     /// Jobs on cores, by job id.
     running: BTreeMap<u64, (Job, TimerId)>,
     queue: VecDeque<Job>,
-    /// Start time; 0 for a server that is long warm.
+    /// Start time; 0 if the server started long ago and is warm.
     started_at: Nanos,
     incarnation: u64,
-    /// Reads from no connection and answers nothing.
+    /// Whether it reads from no connection and answers nothing.
     silent: bool,
-    /// Accepts invocations, but runs and answers none.
+    /// Whether it accepts invocations, but runs and answers none.
     hung: bool,
-    /// Rejects new invocations because it drains.
+    /// Whether it rejects new invocations because it drains.
     draining: bool,
+    /// Whether it reports next to no load.
     misreports: bool,
     /// Factor by which work takes longer.
     slowdown: f64,
@@ -397,8 +398,9 @@
         }
     }
 
-    /// Finishes all running jobs of servers for which a silence or a hang ends (`on` is false).
-    fn finish_overdue_jobs(&mut self, servers: &[u32], on: bool) {
+    /// Finishes all running jobs of servers whose silence or hang ends (`on` is false). Jobs that became due meanwhile have
+    /// no timer any more.
+    fn finish_running_jobs(&mut self, servers: &[u32], on: bool) {
         for id in servers.iter().filter(|_| !on) {
             let running = self.servers.get(id).map(|server| server.running.keys().copied().collect());
             let running: Vec<u64> = running.unwrap_or_default();
@@ -426,11 +428,11 @@
                     server.silent = on;
                     server.connections.iter().for_each(|&conn| self.hub.set_paused(conn, on));
                 }
-                self.finish_overdue_jobs(&servers, on);
+                self.finish_running_jobs(&servers, on);
             }
             Command::HangServers { servers, on } => {
                 self.change_servers(&servers, |server| server.hung = on);
-                self.finish_overdue_jobs(&servers, on);
+                self.finish_running_jobs(&servers, on);
             }
             Command::SlowServers { servers, factor } => {
                 self.change_servers(&servers, |server| server.slowdown = factor)
