--- a/crates/cli/tests/shared.rs
+++ b/crates/cli/tests/shared.rs
@@ -175,7 +175,11 @@
     };
     until(&stage, |_, told| (told["state"] == "leads" && has(told, 3, "votes")).then_some(()));
     seat(lost as u32, String::new(), true);
-    until(&stage, |_, told| (told["state"] == "leads" && has(told, lost, "none")).then_some(()));
+    // The status lists the newest configuration even before a majority has it; wait until the removal is committed.
+    let committed = |told: &Value| told["log"]["committed"] == told["log"]["last"];
+    until(&stage, |_, told| {
+        (told["state"] == "leads" && has(told, lost, "none") && committed(told)).then_some(())
+    });
     // Two of three are left once the first leader is gone too: the new one is needed, and is enough.
     stage.kill_supervisor(first);
     let other = 3 - first - lost;
