--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -1,4 +1,4 @@
-//! `shalereeld`: one supervisor.
+//! `shalereeld`: the supervisor daemon.
 
 use std::process::ExitCode;
 
@@ -7,7 +7,11 @@
 mod daemon_command;
 
 #[derive(Parser)]
-#[command(name = "shalereeld", version, about = "Supervisor: decides and publishes tables over gRPC")]
+#[command(
+    name = "shalereeld",
+    version,
+    about = "Supervisor: computes weighted tables and publishes them over gRPC"
+)]
 struct Arguments {
     #[command(flatten)]
     daemon: daemon_command::DaemonArguments,
--- a/crates/cli/src/daemon_command.rs
+++ b/crates/cli/src/daemon_command.rs
@@ -1,4 +1,4 @@
-//! Running a supervisor from a command line.
+//! `shalereel daemon` and `shalereeld`: run a supervisor.
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -12,18 +12,19 @@
 
 #[derive(Args)]
 pub struct DaemonArguments {
-    /// The deployment's file, as `docs/supervisor.md` describes it.
+    /// Deployment file, in the format of `docs/supervisor.md`.
     #[arg(long)]
     config: PathBuf,
-    /// Read and check the file, and go no further.
+    /// Validate the file and exit without starting the supervisor.
     #[arg(long)]
     check: bool,
-    /// Log as lines of JSON.
+    /// Log in JSON, one object per line.
     #[arg(long)]
     log_json: bool,
 }
 
-/// Exit 2 where the file is bad.
+/// Runs the supervisor until it is stopped, or only validates its deployment file. It prints its addresses to standard
+/// output when it is ready, and logs to standard error, filtered by `SHALEREEL_LOG`. An invalid file is an error.
 pub fn daemon(arguments: &DaemonArguments) -> Result<ExitCode> {
     let deployment = Deployment::read(&arguments.config)?;
     if arguments.check {
--- a/crates/cli/src/drill_command.rs
+++ b/crates/cli/src/drill_command.rs
@@ -1,4 +1,4 @@
-//! `shalereel drill`.
+//! `shalereel drill` and `shalereel drill-from`: run drills and convert bench scenarios to drills.
 
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
@@ -7,27 +7,27 @@
 use anyhow::{Context, Result};
 use shalereel_fault_scenarios::{as_json, as_text, from_bench, play, Day};
 
-/// Exit 0: the day stands; 1: it does not.
+/// Runs a drill and prints its results. Exit code 0: all its rules and expectations are met; 1: one is not.
 pub fn drill(file: &Path, json: bool, keep: Option<PathBuf>) -> Result<ExitCode> {
     let day = Day::read(file)?;
-    let kept = keep.is_some();
+    let keep_folder = keep.is_some();
     let folder =
         keep.unwrap_or_else(|| std::env::temp_dir().join(format!("shalereel-drill-{}", std::process::id())));
-    let program = std::env::current_exe().context("this program's own file")?;
-    // One line on a terminal, written over; elsewhere a line whenever the trouble changes.
+    let program = std::env::current_exe().context("path of the running executable")?;
+    // A terminal shows one line that is overwritten; other outputs get a line whenever the fault changes.
     let terminal = std::io::stderr().is_terminal();
-    let mut last = String::new();
+    let mut last_fault = String::new();
     let mut progress = |line: &str| {
-        let trouble = line.split(": ").last().unwrap_or_default();
+        let fault = line.split(": ").last().unwrap_or_default();
         if terminal {
-            eprint!("\r{line:<60}{}", if trouble == "over" { "\n" } else { "" });
-        } else if trouble != last {
+            eprint!("\r{line:<60}{}", if fault == "over" { "\n" } else { "" });
+        } else if fault != last_fault {
             eprintln!("{line}");
         }
-        last = trouble.to_owned();
+        last_fault = fault.to_owned();
     };
     let verdict = play(&program, &folder, &day, &mut progress);
-    if !kept {
+    if !keep_folder {
         let _ = std::fs::remove_dir_all(&folder);
     }
     let verdict = verdict?;
@@ -35,6 +35,7 @@
     Ok(if verdict.stands() { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
 
+/// Prints a drill with the faults of the bench scenario `day` and the fleet, demand and rules of the drill `fleet`.
 pub fn drill_from(day: &Path, fleet: &Path) -> Result<()> {
     let read = |file: &Path| std::fs::read_to_string(file).with_context(|| file.display().to_string());
     print!("{}", from_bench(&read(day)?, &read(fleet)?)?);
--- a/crates/cli/src/expect_command.rs
+++ b/crates/cli/src/expect_command.rs
@@ -1,4 +1,4 @@
-//! Expectations of routing, run without traffic.
+//! `shalereel expect`: checks routing expectations without traffic.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -10,22 +10,26 @@
 
 #[derive(Args)]
 pub struct ExpectArguments {
-    /// A folder with files of expectations, as `docs/expect.md` describes them.
+    /// Folder with expectation files, in the format of `docs/expect.md`.
     folder: PathBuf,
-    /// The deployment that they are run for.
+    /// Deployment file that the expectations are checked for.
     #[arg(long)]
     config: PathBuf,
-    /// Look at this table alone, as `shalereel tables ADDRESS --json show` printed it.
+    /// Check only this table, a file with the output of `shalereel tables ADDRESS --json show`.
     #[arg(long)]
     table: Option<PathBuf>,
 }
 
-fn files(folder: &Path) -> Result<Vec<PathBuf>> {
+/// Paths of the TOML files in `folder` with an `[[expect]]` section, in order of name.
+fn expectation_files(folder: &Path) -> Result<Vec<PathBuf>> {
     let entries = std::fs::read_dir(folder).with_context(|| format!("folder {}", folder.display()))?;
     let mut files = Vec::new();
     for entry in entries {
         let path = entry?.path();
-        let text = path.extension().is_some_and(|end| end == "toml").then(|| std::fs::read_to_string(&path));
+        let text = path
+            .extension()
+            .is_some_and(|extension| extension == "toml")
+            .then(|| std::fs::read_to_string(&path));
         if text.transpose()?.is_some_and(|text| text.lines().any(|line| line.trim() == "[[expect]]")) {
             files.push(path);
         }
@@ -34,7 +38,8 @@
     Ok(files)
 }
 
-/// Exit 1: an expectation is not met, or can't be.
+/// Checks the expectations in a folder and prints those that fail. Exit code 1: an expectation is not met, or
+/// contradicts a rule.
 pub fn expect(arguments: &ExpectArguments) -> Result<ExitCode> {
     let deployment = Deployment::read(&arguments.config)?;
     let table = match &arguments.table {
@@ -45,48 +50,58 @@
         }
         None => None,
     };
-    let (mut count, mut wrong) = (0, 0);
-    for file in files(&arguments.folder)? {
-        let told = read_expectations(&file, &deployment)?;
-        count += told.all.len();
+    let (mut count, mut failed) = (0, 0);
+    for file in expectation_files(&arguments.folder)? {
+        let expectations = read_expectations(&file, &deployment)?;
+        count += expectations.all.len();
         if let Some(view) = &table {
-            for one in &told.all {
-                if let Some((figure, server)) = one.broken(view) {
-                    wrong += 1;
-                    println!("FAILS {:?}: {figure:.4} in the captured table{}", one.name, of(server));
+            for expectation in &expectations.all {
+                if let Some((figure, server)) = expectation.broken(view) {
+                    failed += 1;
+                    println!(
+                        "FAILS {:?}: {figure:.4} in the captured table{}",
+                        expectation.name,
+                        server_suffix(server)
+                    );
                 }
             }
             continue;
         }
-        let found = run(&deployment, &told);
-        println!("{}: {} fleets, {} tables", file.display(), found.fleets, found.tables);
-        for one in &found.broken {
+        let outcome = run(&deployment, &expectations);
+        println!("{}: {} fleets, {} tables", file.display(), outcome.fleets, outcome.tables);
+        for failure in &outcome.broken {
             println!(
                 "FAILS {:?}: {:.4}, {} asked for{}; with {} servers {}, {} ms after",
-                one.name,
-                one.figure,
-                one.asked,
-                of(one.server),
-                one.servers,
-                one.shape,
-                one.at_ms
+                failure.name,
+                failure.figure,
+                failure.asked,
+                server_suffix(failure.server),
+                failure.servers,
+                failure.shape,
+                failure.at_ms
             );
         }
-        for one in &found.contradictions {
+        for contradiction in &outcome.contradictions {
             println!(
                 "AGAINST A RULE {:?}: {} asked for; with {} servers {} the rule {:?} allows {:.4}",
-                one.name, one.asked, one.servers, one.shape, one.rule, one.allows
+                contradiction.name,
+                contradiction.asked,
+                contradiction.servers,
+                contradiction.shape,
+                contradiction.rule,
+                contradiction.allows
             );
         }
-        wrong += found.broken.len() + found.contradictions.len();
+        failed += outcome.broken.len() + outcome.contradictions.len();
     }
     if count == 0 {
-        anyhow::bail!("{} holds no expectation", arguments.folder.display());
+        anyhow::bail!("{} contains no expectation", arguments.folder.display());
     }
-    println!("{count} expectations, {wrong} not met");
-    Ok(ExitCode::from(u8::from(wrong > 0)))
+    println!("{count} expectations, {failed} not met");
+    Ok(ExitCode::from(u8::from(failed > 0)))
 }
 
-fn of(server: Option<u32>) -> String {
+/// ", server N" for a line that concerns one server, else nothing.
+fn server_suffix(server: Option<u32>) -> String {
     server.map(|server| format!(", server {server}")).unwrap_or_default()
 }
--- a/crates/cli/src/group_command.rs
+++ b/crates/cli/src/group_command.rs
@@ -1,4 +1,5 @@
-//! Operators' words to a group, and rehearsals of groups on a simulated network.
+//! `shalereel members`, `duties`, `order` and `rehearse`: operators' commands to a group of supervisors, and groups run
+//! on a simulated network.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -14,53 +15,67 @@
     CommandPayload, MemberAddress, MembershipChange, MoveRange, OperatorOrder, ReleaseOrder,
 };
 
+/// Weight caps are sent as millionths of the computed weight.
+const MILLIONTHS_PER_UNIT: f64 = 1e6;
+
+/// Subcommands of `shalereel order`.
 #[derive(Subcommand)]
 pub enum OrderCommand {
-    /// Drain a server: nothing new goes to it. In its turn, at most a third of a locality at once.
+    /// Drain a server: no new work is sent to it. Drains take turns, at most a third of a locality at once.
     Drain { server: u32, locality: String },
-    /// Hold a server's weight at most at this part of what is decided, above 0 and up to 1.
-    Hold { server: u32, locality: String, part: f64 },
-    /// End an order, by its number in the list of duties.
+    /// Cap a server's weight at this fraction of the computed weight, above 0 and up to 1.
+    Hold {
+        server: u32,
+        locality: String,
+        #[arg(value_name = "PART")]
+        fraction: f64,
+    },
+    /// End an order, by its number in the output of `shalereel duties`.
     Release { order: u64 },
-    /// Give a key range to another server.
+    /// Move a key range to another server.
     Move { range: u32, server: u32 },
-    /// Take a controller in; it votes once it has what was agreed.
+    /// Add a controller to the group; it votes once it has the committed log.
     SeatIn { number: u32, address: SocketAddr },
-    /// Take a controller out.
+    /// Remove a controller from the group.
     SeatOut { number: u32 },
 }
 
 #[derive(Args)]
 pub struct RehearseArguments {
+    /// Number of schedules to run.
     #[arg(long, default_value_t = 1000)]
     schedules: u64,
-    /// Of the first schedule; the next ones follow.
+    /// Seed of the first schedule; each next one adds 1.
     #[arg(long, default_value_t = 0)]
     seed: u64,
+    /// Controllers in the group.
     #[arg(long, default_value_t = 3)]
     nodes: u32,
+    /// Threads that run schedules in parallel.
     #[arg(long, default_value_t = 3)]
     threads: u64,
-    /// Entries in one message at most.
+    /// Maximum number of log entries in one message.
     #[arg(long, default_value_t = 64)]
     batch: usize,
 }
 
-fn rows<'a>(told: &'a Value, key: &str) -> impl Iterator<Item = &'a Value> {
-    told[key].as_array().into_iter().flatten()
+/// Items of the array at `key`; none if there is no array.
+fn rows<'a>(status: &'a Value, key: &str) -> impl Iterator<Item = &'a Value> {
+    status[key].as_array().into_iter().flatten()
 }
 
-pub fn members(at: SocketAddr, json: bool) -> Result<()> {
-    let told = standing(at)?;
+/// Prints the members of a group, as the supervisor at `address` reports them.
+pub fn members(address: SocketAddr, json: bool) -> Result<()> {
+    let status = standing(address)?;
     if json {
-        println!("{told:#}");
+        println!("{status:#}");
         return Ok(());
     }
     println!(
         "controller {} {} in term {}; log: {} of {} carried out",
-        told["me"], told["state"], told["term"], told["log"]["carried_out"], told["log"]["last"]
+        status["me"], status["state"], status["term"], status["log"]["carried_out"], status["log"]["last"]
     );
-    for member in rows(&told, "members") {
+    for member in rows(&status, "members") {
         println!(
             "{:>3}  {:<22} {:<8} {:<7} since {:>6} s{}",
             member["number"],
@@ -74,55 +89,58 @@
     Ok(())
 }
 
-pub fn duties(at: SocketAddr, json: bool) -> Result<()> {
-    let told = standing(at)?;
+/// Prints the duties, key ranges and orders of a group, as the supervisor at `address` reports them.
+pub fn duties(address: SocketAddr, json: bool) -> Result<()> {
+    let status = standing(address)?;
     if json {
-        println!("{told:#}");
+        println!("{status:#}");
         return Ok(());
     }
-    for duty in rows(&told, "duties") {
+    for duty in rows(&status, "duties") {
         let name = duty["duty"].as_str().unwrap_or_default();
         println!("{name:<24} controller {:<3} epoch {}", duty["holder"], duty["epoch"]);
     }
-    for range in rows(&told, "ranges") {
-        let moves = match range["moves_to"].as_u64() {
+    for range in rows(&status, "ranges") {
+        let owner = match range["moves_to"].as_u64() {
             Some(to) => format!("moves to server {to}, cleared by {}", range["cleared_by"]),
             None => format!("server {}", range["owner"]),
         };
-        println!("key range {:<14} {moves}, epoch {}", range["range"], range["epoch"]);
+        println!("key range {:<14} {owner}, epoch {}", range["range"], range["epoch"]);
     }
-    for order in rows(&told, "orders") {
-        let does = order["does"].as_str().unwrap_or_default();
-        let part = order["at_most"].as_f64().map(|part| format!(" at most {part}")).unwrap_or_default();
-        let begun = if order["begun"] == true { "" } else { ", waits for its turn" };
-        println!("order {:<18} {does} server {}{part}{begun}", order["order"], order["server"]);
+    for order in rows(&status, "orders") {
+        let action = order["does"].as_str().unwrap_or_default();
+        let cap = order["at_most"].as_f64().map(|cap| format!(" at most {cap}")).unwrap_or_default();
+        let waiting = if order["begun"] == true { "" } else { ", waits for its turn" };
+        println!("order {:<18} {action} server {}{cap}{waiting}", order["order"], order["server"]);
     }
     Ok(())
 }
 
-fn locality(at: SocketAddr, name: &str) -> Result<u32> {
-    let told = standing(at)?;
-    let names: Vec<&str> = rows(&told, "localities").filter_map(Value::as_str).collect();
-    let found = names.iter().position(|one| *one == name);
-    found.map(|at| at as u32).with_context(|| format!("no locality {name:?}; there are {names:?}"))
+/// Index of the locality `name` in the deployment of the supervisor at `address`.
+fn locality_index(address: SocketAddr, name: &str) -> Result<u32> {
+    let status = standing(address)?;
+    let names: Vec<&str> = rows(&status, "localities").filter_map(Value::as_str).collect();
+    let position = names.iter().position(|candidate| *candidate == name);
+    position.map(|index| index as u32).with_context(|| format!("no locality {name:?}; there are {names:?}"))
 }
 
-pub fn order(at: SocketAddr, order: &OrderCommand) -> Result<()> {
-    let act = match order {
+/// Sends an order to a group through the supervisor at `address` and prints the response.
+pub fn order(address: SocketAddr, order: &OrderCommand) -> Result<()> {
+    let command = match order {
         OrderCommand::Drain { server, locality: name } => CommandPayload::OperatorOrder(OperatorOrder {
             server: *server,
-            locality: locality(at, name)?,
+            locality: locality_index(address, name)?,
             weight_cap_millionths: None,
         }),
-        OrderCommand::Hold { server, locality: name, part } => {
-            if !(*part > 0.0 && *part <= 1.0) {
-                bail!("{part} is no part; give a number above 0 and up to 1, or drain the server");
+        OrderCommand::Hold { server, locality: name, fraction } => {
+            if !(*fraction > 0.0 && *fraction <= 1.0) {
+                bail!("{fraction} is out of range; give a number above 0 and up to 1, or drain the server");
             }
-            let hold = Some((part * 1e6).ceil() as u32);
+            let cap = Some((fraction * MILLIONTHS_PER_UNIT).ceil() as u32);
             CommandPayload::OperatorOrder(OperatorOrder {
                 server: *server,
-                locality: locality(at, name)?,
-                weight_cap_millionths: hold,
+                locality: locality_index(address, name)?,
+                weight_cap_millionths: cap,
             })
         }
         OrderCommand::Release { order } => CommandPayload::ReleaseOrder(ReleaseOrder { order_index: *order }),
@@ -130,52 +148,53 @@
             CommandPayload::MoveRange(MoveRange { range: *range, to_server: *server, epoch: 0 })
         }
         OrderCommand::SeatIn { number, address } => {
-            let seat = Some(MemberAddress { id: *number, address: address.to_string() });
-            CommandPayload::ChangeMembership(MembershipChange { member: seat, removed: false })
+            let member = Some(MemberAddress { id: *number, address: address.to_string() });
+            CommandPayload::ChangeMembership(MembershipChange { member, removed: false })
         }
         OrderCommand::SeatOut { number } => {
-            let seat = Some(MemberAddress { id: *number, address: String::new() });
-            CommandPayload::ChangeMembership(MembershipChange { member: seat, removed: true })
+            let member = Some(MemberAddress { id: *number, address: String::new() });
+            CommandPayload::ChangeMembership(MembershipChange { member, removed: true })
         }
     };
-    println!("agreed: {}", order_at(at, act)?);
+    println!("agreed: {}", order_at(address, command)?);
     Ok(())
 }
 
-/// Exit 1 at the first schedule that breaks something; it is named by its seed.
+/// Runs simulated schedules on several threads. Exit code 1: a schedule violates an invariant; the first one found is
+/// printed with its seed.
 pub fn rehearse(arguments: &RehearseArguments) -> ExitCode {
-    let script = ScheduleSettings {
+    let settings = ScheduleSettings {
         members: arguments.nodes,
         max_batch_entries: arguments.batch,
         ..ScheduleSettings::default()
     };
     let next = AtomicU64::new(0);
-    let found: Mutex<Option<Violation>> = Mutex::new(None);
-    let sum: Mutex<ScheduleStats> = Mutex::new(ScheduleStats::default());
+    let first_violation: Mutex<Option<Violation>> = Mutex::new(None);
+    let totals: Mutex<ScheduleStats> = Mutex::new(ScheduleStats::default());
     std::thread::scope(|scope| {
         for _ in 0..arguments.threads.max(1) {
             scope.spawn(|| loop {
-                let at = next.fetch_add(1, Ordering::Relaxed);
-                let over = found.lock().map_or(true, |found| found.is_some());
-                if at >= arguments.schedules || over {
+                let index = next.fetch_add(1, Ordering::Relaxed);
+                let stopped = first_violation.lock().map_or(true, |violation| violation.is_some());
+                if index >= arguments.schedules || stopped {
                     return;
                 }
-                match run_schedule(arguments.seed + at, script) {
-                    Ok(tally) => {
-                        if let Ok(mut sum) = sum.lock() {
-                            sum.add(&tally);
+                match run_schedule(arguments.seed + index, settings) {
+                    Ok(stats) => {
+                        if let Ok(mut totals) = totals.lock() {
+                            totals.add(&stats);
                         }
                     }
                     Err(violation) => {
-                        if let Ok(mut found) = found.lock() {
-                            found.get_or_insert(violation);
+                        if let Ok(mut first) = first_violation.lock() {
+                            first.get_or_insert(violation);
                         }
                     }
                 }
             });
         }
     });
-    if let Some(violation) = found.into_inner().ok().flatten() {
+    if let Some(violation) = first_violation.into_inner().ok().flatten() {
         println!("{violation}");
         println!(
             "again: shalereel rehearse --schedules 1 --seed {} --nodes {} --batch {}",
@@ -183,19 +202,19 @@
         );
         return ExitCode::from(1);
     }
-    let sum = sum.into_inner().unwrap_or_default();
+    let totals = totals.into_inner().unwrap_or_default();
     println!(
         "{} schedules from seed {}, {} controllers: nothing broken in {} steps, {} elections, {} crashes, {} moves of \
          ranges, {} writes, {} orders",
         arguments.schedules,
         arguments.seed,
         arguments.nodes,
-        sum.steps,
-        sum.elections,
-        sum.crashes,
-        sum.moves,
-        sum.writes,
-        sum.orders
+        totals.steps,
+        totals.elections,
+        totals.crashes,
+        totals.moves,
+        totals.writes,
+        totals.orders
     );
     ExitCode::SUCCESS
 }
--- a/crates/cli/src/group_measure.rs
+++ b/crates/cli/src/group_measure.rs
@@ -1,4 +1,5 @@
-//! What a group of supervisors costs, and how long it is without a leader.
+//! `shalereel measure group`: traffic within a group of supervisors, time to replace its leader, and throughput of its
+//! log.
 
 use std::fs::{self, File};
 use std::io::Write;
@@ -14,176 +15,188 @@
 use shalereel_journal::frame;
 use shalereel_xds_supervisor::{FileWriter, WriteRequest, GROUP_LOG_FILE};
 
-/// A round that takes longer has failed.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Between looks.
-const LOOK: Duration = Duration::from_millis(4);
+/// Limit of each wait; a longer one fails the measurement.
+const TIMEOUT: Duration = Duration::from_secs(60);
+/// Time between two queries of the supervisors' status.
+const POLL_INTERVAL: Duration = Duration::from_millis(4);
+/// Time over which the traffic among the members is counted.
+const TRAFFIC_INTERVAL: Duration = Duration::from_secs(10);
+/// Log entries written at once, for the rate with shared syncs.
+const BATCHED_ENTRIES: u64 = 4000;
+/// Log entries written one by one, for the rate with a sync each.
+const SINGLE_ENTRIES: u64 = 200;
 
-/// Prints it all as a table.
+/// Prints the measurements of a group of each size, then those of the log.
 pub fn group(sizes: &[u16], rounds: u32, day: &Path) -> Result<()> {
     let day = Day::read(day)?;
     for &size in sizes {
-        traffic_and_take_over(&day, size, rounds)?;
+        measure_traffic_and_failover(&day, size, rounds)?;
     }
-    log(4000, 200)
+    measure_log(BATCHED_ENTRIES, SINGLE_ENTRIES)
 }
 
-/// Looks at all that are there until one of them satisfies.
-fn until<T>(
+/// Queries all supervisors except `excluded` until `matches` returns a value for the status of one of them.
+fn wait_for_status<T>(
     stage: &Stage,
-    but: Option<usize>,
-    mut found: impl FnMut(usize, &Value) -> Option<T>,
+    excluded: Option<usize>,
+    mut matches: impl FnMut(usize, &Value) -> Option<T>,
 ) -> Result<T> {
-    let begun = Instant::now();
-    while begun.elapsed() < PATIENCE {
-        for number in (0..stage.supervisors()).filter(|&number| Some(number) != but) {
-            let told = standing(stage.address(number));
-            if let Some(found) = told.ok().and_then(|told| found(number, &told)) {
-                return Ok(found);
+    let started = Instant::now();
+    while started.elapsed() < TIMEOUT {
+        for number in (0..stage.supervisors()).filter(|&number| Some(number) != excluded) {
+            let status = standing(stage.address(number));
+            if let Some(value) = status.ok().and_then(|status| matches(number, &status)) {
+                return Ok(value);
             }
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    bail!("waited {PATIENCE:?}")
+    bail!("no supervisor reached the expected status within {TIMEOUT:?}")
 }
 
-fn leads(number: usize, told: &Value) -> Option<u64> {
-    let all = told["duties"].as_array()?;
-    (told["state"] == "leads" && !all.is_empty()).then_some(number as u64)
+/// The number of the supervisor if it leads and has assigned duties.
+fn leader_with_duties(number: usize, status: &Value) -> Option<u64> {
+    let duties = status["duties"].as_array()?;
+    (status["state"] == "leads" && !duties.is_empty()).then_some(number as u64)
 }
 
-/// Everybody alive and every duty held by one of these.
-fn settled(told: &Value, size: u16) -> Option<()> {
-    let alive = told["members"].as_array()?.iter().filter(|member| member["standing"] == "alive").count();
-    (told["state"] == "leads" && alive == usize::from(size)).then_some(())
+/// Whether the status is the leader's and it sees all members alive.
+fn all_alive(status: &Value, size: u16) -> Option<()> {
+    let alive = status["members"].as_array()?.iter().filter(|member| member["standing"] == "alive").count();
+    (status["state"] == "leads" && alive == usize::from(size)).then_some(())
 }
 
-fn told_so_far(stage: &Stage) -> Result<(u64, u64)> {
-    let mut sum = (0, 0);
+/// Messages and bytes that all supervisors have sent to one another since their start.
+fn sent_totals(stage: &Stage) -> Result<(u64, u64)> {
+    let mut totals = (0, 0);
     for number in 0..stage.supervisors() {
-        let told = standing(stage.address(number))?;
-        sum.0 += told["told"]["messages"].as_u64().unwrap_or(0);
-        sum.1 += told["told"]["bytes"].as_u64().unwrap_or(0);
+        let status = standing(stage.address(number))?;
+        totals.0 += status["told"]["messages"].as_u64().unwrap_or(0);
+        totals.1 += status["told"]["bytes"].as_u64().unwrap_or(0);
     }
-    Ok(sum)
+    Ok(totals)
 }
 
-fn percentile(sorted: &[Duration], part: f64) -> Duration {
-    let at = (sorted.len() as f64 * part).ceil() as usize;
-    sorted.get(at.clamp(1, sorted.len().max(1)) - 1).copied().unwrap_or_default()
+fn percentile(sorted: &[Duration], quantile: f64) -> Duration {
+    let rank = (sorted.len() as f64 * quantile).ceil() as usize;
+    sorted.get(rank.clamp(1, sorted.len().max(1)) - 1).copied().unwrap_or_default()
 }
 
-fn traffic_and_take_over(day: &Day, size: u16, rounds: u32) -> Result<()> {
+/// Prints the traffic of a group in normal operation, and the times until its leader and the duties of a killed leader
+/// are replaced.
+fn measure_traffic_and_failover(day: &Day, size: u16, rounds: u32) -> Result<()> {
     let mut day = day.clone();
     day.supervisors.count = size;
-    let election = day.shared.as_ref().context("the day has no [shared]")?.election_ms;
+    let election_ms = day.shared.as_ref().context("the drill has no [shared]")?.election_ms;
     let folder = std::env::temp_dir().join(format!("shalereel-group-{}-{size}", std::process::id()));
     let program = std::env::current_exe()?;
     let mut stage = Stage::open(&program, &folder, &day)?;
-    until(&stage, None, |_, told| settled(told, size))?;
-    let (before, begun) = (told_so_far(&stage)?, Instant::now());
-    std::thread::sleep(Duration::from_secs(10));
-    let (after, span) = (told_so_far(&stage)?, begun.elapsed().as_secs_f64());
+    wait_for_status(&stage, None, |_, status| all_alive(status, size))?;
+    let (before, started) = (sent_totals(&stage)?, Instant::now());
+    std::thread::sleep(TRAFFIC_INTERVAL);
+    let (after, elapsed_s) = (sent_totals(&stage)?, started.elapsed().as_secs_f64());
     println!(
         "{size} controllers: {:.0} messages and {:.1} kB a second among them, with reports and leases",
-        (after.0 - before.0) as f64 / span,
-        (after.1 - before.1) as f64 / span / 1e3
+        (after.0 - before.0) as f64 / elapsed_s,
+        (after.1 - before.1) as f64 / elapsed_s / 1e3
     );
-    let (mut next, mut tables) = (Vec::new(), Vec::new());
+    let (mut election_times, mut failover_times) = (Vec::new(), Vec::new());
     for _ in 0..rounds {
-        let leader =
-            until(&stage, None, |number, told| settled(told, size).and(leads(number, told)))? as usize;
-        // Its duties too come back to it before they are counted.
-        let holds = |told: &Value| {
-            let duties = told["duties"].as_array().into_iter().flatten();
+        let leader = wait_for_status(&stage, None, |number, status| {
+            all_alive(status, size).and(leader_with_duties(number, status))
+        })? as usize;
+        // Number of duties that the killed leader still holds in the view of another supervisor. A restarted leader is
+        // expected to have its duties back before they are counted.
+        let held_duties = |status: &Value| {
+            let duties = status["duties"].as_array().into_iter().flatten();
             duties.filter(|duty| duty["holder"] == leader).count()
         };
         stage.kill_supervisor(leader);
         let killed = Instant::now();
-        until(&stage, Some(leader), leads)?;
-        next.push(killed.elapsed());
-        until(&stage, Some(leader), |number, told| leads(number, told).filter(|_| holds(told) == 0))?;
-        tables.push(killed.elapsed());
+        wait_for_status(&stage, Some(leader), leader_with_duties)?;
+        election_times.push(killed.elapsed());
+        wait_for_status(&stage, Some(leader), |number, status| {
+            leader_with_duties(number, status).filter(|_| held_duties(status) == 0)
+        })?;
+        failover_times.push(killed.elapsed());
         stage.revive_supervisor(leader)?;
     }
-    next.sort();
-    tables.sort();
+    election_times.sort();
+    failover_times.sort();
     println!(
-        "{size} controllers, {rounds} kills of the leader, election timeout {election} to {} ms: next leader after \
+        "{size} controllers, {rounds} kills of the leader, election timeout {election_ms} to {} ms: next leader after \
          {:.2} s (p50), {:.2} s (p99); all its duties with others, tables under their epochs, after {:.2} s, {:.2} s",
-        2.0 * election,
-        percentile(&next, 0.5).as_secs_f64(),
-        percentile(&next, 0.99).as_secs_f64(),
-        percentile(&tables, 0.5).as_secs_f64(),
-        percentile(&tables, 0.99).as_secs_f64(),
+        2.0 * election_ms,
+        percentile(&election_times, 0.5).as_secs_f64(),
+        percentile(&election_times, 0.99).as_secs_f64(),
+        percentile(&failover_times, 0.5).as_secs_f64(),
+        percentile(&failover_times, 0.99).as_secs_f64(),
     );
     stage.close()?;
     let _ = fs::remove_dir_all(folder);
     Ok(())
 }
 
-fn records(at: u64) -> Vec<StoredRecord> {
-    let act = Some(CommandPayload::ReleaseOrder(ReleaseOrder { order_index: at }));
-    let entry = Entry {
-        index: at,
-        term: 1,
-        command: Some(Command { request_id: at, payload: act }),
-        configuration: None,
-    };
+/// The records of one log entry.
+fn log_records(index: u64) -> Vec<StoredRecord> {
+    let payload = Some(CommandPayload::ReleaseOrder(ReleaseOrder { order_index: index }));
+    let entry =
+        Entry { index, term: 1, command: Some(Command { request_id: index, payload }), configuration: None };
     vec![StoredRecord { kind: Some(RecordKind::Entry(entry)) }]
 }
 
-/// Entries a second through the writer, which syncs what has come together, beside bare writes of the same bytes.
-fn log(many: u64, single: u64) -> Result<()> {
+/// Prints the entries per second through the log writer, which syncs queued entries together, in comparison with plain
+/// writes of the same bytes.
+fn measure_log(batched: u64, single: u64) -> Result<()> {
     let folder = std::env::temp_dir().join(format!("shalereel-log-{}", std::process::id()));
     fs::create_dir_all(&folder)?;
-    let (ours, theirs) = UnixStream::pair()?;
-    theirs.set_nonblocking(true)?;
-    let writer = FileWriter::open(&folder, GROUP_LOG_FILE, LOG_FILE_HEAD, None, theirs)?;
+    let (wake_reader, wake_writer) = UnixStream::pair()?;
+    wake_writer.set_nonblocking(true)?;
+    let writer = FileWriter::open(&folder, GROUP_LOG_FILE, LOG_FILE_HEAD, None, wake_writer)?;
     let request = |number| WriteRequest {
         sequence: number,
         replaces_file: false,
-        records: vec![encode(&records(number)).into()],
+        records: vec![encode(&log_records(number)).into()],
     };
-    let wait = |number: u64| -> Result<()> {
-        let begun = Instant::now();
-        while begun.elapsed() < PATIENCE {
+    let wait_until_synced = |number: u64| -> Result<()> {
+        let started = Instant::now();
+        while started.elapsed() < TIMEOUT {
             match writer.take_result() {
                 Some(Ok(done)) if done >= number => return Ok(()),
-                Some(Err(why)) => bail!("{why}"),
+                Some(Err(error)) => bail!("{error}"),
                 _ => std::thread::yield_now(),
             }
         }
-        bail!("waited {PATIENCE:?}")
+        bail!("the log was not synced within {TIMEOUT:?}")
     };
-    let begun = Instant::now();
-    for number in 1..=many {
+    let started = Instant::now();
+    for number in 1..=batched {
         writer.write(request(number));
     }
-    wait(many)?;
-    let together = begun.elapsed().as_secs_f64();
-    let begun = Instant::now();
-    for number in many + 1..=many + single {
+    wait_until_synced(batched)?;
+    let batched_s = started.elapsed().as_secs_f64();
+    let started = Instant::now();
+    for number in batched + 1..=batched + single {
         writer.write(request(number));
-        wait(number)?;
+        wait_until_synced(number)?;
     }
-    let alone = begun.elapsed().as_secs_f64();
-    let mut bare = File::create(folder.join("bare"))?;
-    let begun = Instant::now();
+    let single_s = started.elapsed().as_secs_f64();
+    let mut plain_file = File::create(folder.join("bare"))?;
+    let started = Instant::now();
     for number in 1..=single {
-        bare.write_all(&frame(&encode(&records(number))))?;
-        bare.sync_data()?;
+        plain_file.write_all(&frame(&encode(&log_records(number))))?;
+        plain_file.sync_data()?;
     }
-    let bare = begun.elapsed().as_secs_f64();
-    drop(ours);
+    let plain_s = started.elapsed().as_secs_f64();
+    drop(wake_reader);
     let _ = fs::remove_dir_all(folder);
     println!(
         "log: {:.0} entries a second as they come together, {:.0} one by one; bare write and sync of the same bytes \
          {:.0}, ratio one by one {:.2}",
-        many as f64 / together,
-        single as f64 / alone,
-        single as f64 / bare,
-        (single as f64 / bare) / (single as f64 / alone),
+        batched as f64 / batched_s,
+        single as f64 / single_s,
+        single as f64 / plain_s,
+        (single as f64 / plain_s) / (single as f64 / single_s),
     );
     Ok(())
 }
--- a/crates/cli/src/hooks_command.rs
+++ b/crates/cli/src/hooks_command.rs
@@ -1,4 +1,4 @@
-//! Tools for hooks: what is wrong with a source, one way to write it, its cases, and what it costs.
+//! `shalereel hooks`: checks, formats, tests and benchmarks the source files of operators' hooks.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -9,49 +9,54 @@
 use clap::Subcommand;
 use shalereel_hooks::{compile, format, parse, points, Bounds, Program, Trouble, Type, Value};
 
+/// Subcommands of `shalereel hooks`.
 #[derive(Subcommand)]
 pub enum HooksCommand {
-    /// Tell all that is wrong with a source, and which points it hooks into. Exit 1: something is.
+    /// Report all errors in a source file, and the hook points that it implements. Exit 1: it has errors.
     Check { file: PathBuf },
-    /// Write a source in the one way there is. Exit 1 with `--check`: it is written another way.
+    /// Format a source file in place. Exit 1 with `--check`: its format differs.
     Fmt {
         file: PathBuf,
-        /// Only say whether it would change.
+        /// Only report whether the file would change.
         #[arg(long)]
         check: bool,
     },
-    /// Run the cases that stand in a source. Exit 1: one does not come true.
+    /// Run the test cases in a source file. Exit 1: one fails.
     Test { file: PathBuf },
-    /// What each hook of a source costs a call.
+    /// Measure the time of a call of each hook in a source file.
     Bench {
         file: PathBuf,
+        /// Number of calls of each hook.
         #[arg(long, default_value_t = 100_000)]
         calls: u32,
     },
 }
 
-/// What a case may use; a daemon gives less.
-const BOUNDS: Bounds = Bounds { fuel: 1_000_000, memory: 1 << 22 };
+/// Limits of one call here; a daemon sets lower ones.
+const CALL_BOUNDS: Bounds = Bounds { fuel: 1_000_000, memory: 1 << 22 };
 
 fn read(file: &Path) -> Result<String> {
     std::fs::read_to_string(file).with_context(|| file.display().to_string())
 }
 
-fn tell(file: &Path, troubles: &[Trouble]) -> ExitCode {
-    troubles.iter().for_each(|trouble| eprintln!("{}:{trouble}", file.display()));
+/// Prints the errors of a source file; the exit code is 1.
+fn report_errors(file: &Path, errors: &[Trouble]) -> ExitCode {
+    errors.iter().for_each(|error| eprintln!("{}:{error}", file.display()));
     ExitCode::from(1)
 }
 
-fn program(file: &Path) -> Result<Result<Program, ExitCode>> {
+/// Compiles a source file; the inner error is the exit code after its errors have been printed.
+fn compile_file(file: &Path) -> Result<Result<Program, ExitCode>> {
     let text = read(file)?;
     let compiled = parse(&text).and_then(|source| compile(&source, &points()));
-    Ok(compiled.map_err(|troubles| tell(file, &troubles)))
+    Ok(compiled.map_err(|errors| report_errors(file, &errors)))
 }
 
+/// Runs a subcommand of `shalereel hooks`.
 pub fn hooks(command: &HooksCommand) -> Result<ExitCode> {
     match command {
         HooksCommand::Check { file } => {
-            let program = match program(file)? {
+            let program = match compile_file(file)? {
                 Ok(program) => program,
                 Err(code) => return Ok(code),
             };
@@ -62,63 +67,63 @@
             let text = read(file)?;
             let source = match parse(&text) {
                 Ok(source) => source,
-                Err(troubles) => return Ok(tell(file, &troubles)),
+                Err(errors) => return Ok(report_errors(file, &errors)),
             };
-            let written = format(&source);
-            if written == text {
+            let formatted = format(&source);
+            if formatted == text {
                 return Ok(ExitCode::SUCCESS);
             }
             if *check {
                 println!("{} is written another way", file.display());
                 return Ok(ExitCode::from(1));
             }
-            // Beside and renamed: a source is never half written.
-            let fresh = file.with_extension("new");
-            std::fs::write(&fresh, written).with_context(|| fresh.display().to_string())?;
-            std::fs::rename(&fresh, file).with_context(|| file.display().to_string())?;
+            // Written to another file and renamed, so that a crash never leaves a partly written source file.
+            let temporary = file.with_extension("new");
+            std::fs::write(&temporary, formatted).with_context(|| temporary.display().to_string())?;
+            std::fs::rename(&temporary, file).with_context(|| file.display().to_string())?;
             Ok(ExitCode::SUCCESS)
         }
         HooksCommand::Test { file } => {
-            let program = match program(file)? {
+            let program = match compile_file(file)? {
                 Ok(program) => program,
                 Err(code) => return Ok(code),
             };
-            let found = program.test(BOUNDS, 0);
-            let mut wrong = 0;
-            for (name, result) in &found {
-                let word = match result {
+            let results = program.test(CALL_BOUNDS, 0);
+            let mut failed = 0;
+            for (name, result) in &results {
+                let text = match result {
                     Ok(true) => "ok".to_owned(),
                     Ok(false) => "is not so".to_owned(),
                     Err(fault) => format!("{:?} at {}:{}", fault.kind, fault.place.line, fault.place.column),
                 };
-                wrong += usize::from(*result != Ok(true));
-                println!("{name}: {word}");
+                failed += usize::from(*result != Ok(true));
+                println!("{name}: {text}");
             }
-            println!("{} passed, {wrong} failed", found.len() - wrong);
-            Ok(ExitCode::from(u8::from(wrong > 0)))
+            println!("{} passed, {failed} failed", results.len() - failed);
+            Ok(ExitCode::from(u8::from(failed > 0)))
         }
         HooksCommand::Bench { file, calls } => {
-            let program = match program(file)? {
+            let program = match compile_file(file)? {
                 Ok(program) => program,
                 Err(code) => return Ok(code),
             };
             if *calls == 0 {
-                bail!("0 calls tell nothing; give --calls a number above 0");
+                bail!("--calls must be above 0");
             }
             for point in points().iter().filter(|point| program.hooks().any(|hook| hook == point.name)) {
                 let inputs: Vec<Value> = point.inputs.iter().map(|input| sample(&input.1)).collect();
-                let begun = Instant::now();
+                let started = Instant::now();
                 let mut fuel = 0;
                 for _ in 0..*calls {
-                    fuel += program.call(&point.name, &inputs, BOUNDS, 0).1.fuel;
+                    fuel += program.call(&point.name, &inputs, CALL_BOUNDS, 0).1.fuel;
                 }
-                let span = begun.elapsed().as_secs_f64();
+                let elapsed_s = started.elapsed().as_secs_f64();
                 println!(
                     "{}: {:.0} ns a call, {} instructions each, {:.1} million instructions a second",
                     point.name,
-                    span / f64::from(*calls) * 1e9,
+                    elapsed_s / f64::from(*calls) * 1e9,
                     fuel / u64::from(*calls),
-                    fuel as f64 / span / 1e6
+                    fuel as f64 / elapsed_s / 1e6
                 );
             }
             Ok(ExitCode::SUCCESS)
@@ -126,9 +131,9 @@
     }
 }
 
-/// Some value of a type.
-fn sample(of: &Type) -> Value {
-    match of {
+/// A sample input of a type.
+fn sample(value_type: &Type) -> Value {
+    match value_type {
         Type::Number(_) => Value::Number(1.5),
         Type::Text => Value::Text("hal-a".into()),
         Type::Truth => Value::Truth(true),
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `shalereel`: plays drills, measures, and runs any part of the program.
+//! `shalereel`: the command line for drills, measurements, operators' commands and each process of the service.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -18,7 +18,7 @@
 mod tables_measure;
 
 #[derive(Parser)]
-#[command(version, about = "Control service: tells plain forwarders by weighted tables where work goes")]
+#[command(version, about = "Control service that assigns weighted tables of servers to plain proxies")]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -26,147 +26,171 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a day from a script on real sockets, and judge its traffic. Exit 1: a rule broke or service was
-    /// missed; 2: the file is bad.
+    /// Run a drill with real processes and sockets, and check its traffic. Exit 1: a rule was broken or the expected
+    /// service was not reached; 2: the file is invalid.
     Drill {
-        /// The day, as `docs/drills.md` describes it.
+        /// Drill file, in the format of `docs/drills.md`.
         file: PathBuf,
-        /// Print the verdict as JSON.
+        /// Print the results as JSON.
         #[arg(long)]
         json: bool,
-        /// Keep traces and logs in this folder.
+        /// Folder in which traces and logs are kept; by default they are deleted.
         #[arg(long)]
         keep: Option<PathBuf>,
     },
-    /// Turn the troubles of a bench day into a drill, printed on the output.
+    /// Convert the faults of a bench scenario to a drill and print it to standard output.
     DrillFrom {
-        /// The day, as the bench's `draw` prints it.
+        /// Bench scenario, as the bench's `draw` prints it.
         day: PathBuf,
-        /// A drill whose fleet, demand and rules are taken.
+        /// Drill file that supplies the fleet, the demand and the rules.
         #[arg(long, default_value = "drills/bad-day.toml")]
         fleet: PathBuf,
     },
-    /// Measure what publishing and reports cost a supervisor.
+    /// Measure the cost of publishing, reports, group consensus and restarts.
     #[command(subcommand)]
     Measure(Measure),
-    /// Who is in a group, as one of its supervisors sees it.
+    /// Show the members of a group, as one of its supervisors sees them.
     Members {
-        /// A supervisor's address.
-        at: std::net::SocketAddr,
+        /// Address of a supervisor in the group.
+        #[arg(value_name = "AT")]
+        address: std::net::SocketAddr,
+        /// Print the status as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Who holds which duty, who owns which key range, and which orders stand.
+    /// Show the holders of the duties, the owners of the key ranges, and the operators' orders in force.
     Duties {
-        /// A supervisor's address.
-        at: std::net::SocketAddr,
+        /// Address of a supervisor in the group.
+        #[arg(value_name = "AT")]
+        address: std::net::SocketAddr,
+        /// Print the status as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Give a group an order, at any of its supervisors. Exit 2: refused, and why.
+    /// Send an order to a group through any of its supervisors. Exit 2: it is rejected; the error names the reason.
     Order {
-        /// A supervisor's address.
-        at: std::net::SocketAddr,
+        /// Address of a supervisor in the group.
+        #[arg(value_name = "AT")]
+        address: std::net::SocketAddr,
         #[command(subcommand)]
         order: group_command::OrderCommand,
     },
-    /// Run expectations of routing against fleets of many sizes and shapes, without traffic. Exit 1: one is not met.
+    /// Check routing expectations against generated fleets of many sizes and shapes, without traffic. Exit 1: one is
+    /// not met.
     Expect(expect_command::ExpectArguments),
-    /// Tools for operators' hooks, as `docs/hooks-language.md` describes their language.
+    /// Check, format, test and benchmark operators' hooks, in the language of `docs/hooks-language.md`.
     #[command(subcommand)]
     Hooks(hooks_command::HooksCommand),
-    /// What a supervisor told of its tables, in versions, and the way back. Exit 2: refused, and why.
+    /// Show the published versions of a supervisor's tables, roll them back, and cap servers' weights. Exit 2: the
+    /// request is rejected; the error names the reason.
     Tables {
-        /// A supervisor's address for operators, `admin.listen` in its file.
-        at: std::net::SocketAddr,
+        /// Address of the supervisor's operator interface, `admin.listen` in its deployment file.
+        #[arg(value_name = "AT")]
+        address: std::net::SocketAddr,
+        /// Print the response as JSON.
         #[arg(long)]
         json: bool,
         #[command(subcommand)]
         command: tables_command::TablesCommand,
     },
-    /// Play groups on a simulated network and check what must always hold. Exit 1: a schedule broke it.
+    /// Run groups on a simulated network and check their invariants. Exit 1: a schedule violates one.
     Rehearse(group_command::RehearseArguments),
-    /// Run a live supervisor on the platform's protocol, as `docs/node.md` describes it.
+    /// Run a supervisor on the platform's protocol, as `docs/node.md` describes it.
     Node(node_command::NodeArguments),
     /// Run a supervisor; the same as `shalereeld`.
     Daemon(daemon_command::DaemonArguments),
-    /// Play one stand-in, told by lines of JSON on the input.
+    /// Run one stand-in process, controlled by JSON lines on standard input.
     StandIn {
-        /// servers, forwarders, callers, registry or links
+        /// Role of the process: servers, forwarders, callers, registry or links.
         role: String,
     },
 }
 
 #[derive(Subcommand)]
 enum Measure {
-    /// From a drain heard to the last forwarder's ACK, and from a start to all tables held, beside bare sockets.
+    /// Measure the time from a drain in the registry to the last forwarder's ACK, and from a supervisor's start until
+    /// all forwarders have their tables, in comparison with plain sockets.
     Publish {
-        /// Servers x forwarders.
+        /// Numbers of servers x forwarders.
         #[arg(default_values = ["20x12", "120x40", "400x150"])]
         sizes: Vec<measure_command::Size>,
+        /// Drains at each size.
         #[arg(long, default_value_t = 20)]
         rounds: u32,
+        /// Print the results as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Weights by SASP, pushed and asked, beside xDS in the same run.
+    /// Measure weights by SASP, pushed and requested, in comparison with xDS in the same run.
     Advice {
-        /// Members of one balancer.
+        /// Numbers of members that one balancer registers.
         #[arg(default_values_t = [100, 1000, 5000])]
         members: Vec<u32>,
+        /// Drains at each size.
         #[arg(long, default_value_t = 10)]
         rounds: u32,
     },
-    /// A group of supervisors: from the death of its leader to the next one's tables, what members say to one
-    /// another, and the log beside bare writes.
+    /// Measure a group of supervisors: the time from the crash of the leader to the tables of its successor, the
+    /// traffic among the members, and the log in comparison with plain writes.
     Group {
-        /// Controllers.
+        /// Numbers of controllers.
         #[arg(default_values_t = [3, 5, 9])]
         sizes: Vec<u16>,
+        /// Kills of the leader at each size.
         #[arg(long, default_value_t = 20)]
         rounds: u32,
+        /// Drill file with a `[shared]` section.
         #[arg(long, default_value = "drills/shared.toml")]
         day: PathBuf,
     },
-    /// Assignments said whole beside line by line: a drain, a rejoin of all; and what versions cost.
+    /// Compare whole assignments with incremental ones, at a drain and when all forwarders rejoin, and measure the
+    /// cost of table versions.
     Tables {
-        /// Servers x forwarders.
+        /// Numbers of servers x forwarders.
         #[arg(default_values = ["120x40", "400x150"])]
         sizes: Vec<measure_command::Size>,
+        /// Drains and rejoins at each size.
         #[arg(long, default_value_t = 20)]
         rounds: u32,
     },
-    /// What a restart costs callers, with and without what was learned, beside the day without it.
+    /// Measure the service that callers lose by a restart of the supervisors, with and without their stored state, in
+    /// comparison with the same drill without a restart.
     Restart {
+        /// Drill file with a `supervisor_crash`.
         #[arg(default_value = "drills/restart.toml")]
         day: PathBuf,
+        /// Number of rounds; each one draws other arrivals and faults.
         #[arg(long, default_value_t = 3)]
         rounds: u32,
-        /// Of the first round: another one draws other arrivals and troubles.
+        /// Number of the first round, which is added to the drill's seed.
         #[arg(long, default_value_t = 0)]
         first: u32,
-        /// What ailed servers ends as the supervisors go down.
+        /// End all server faults when the supervisors go down.
         #[arg(long)]
         healed: bool,
     },
-    /// Load reports a second that one supervisor takes.
+    /// Measure the load reports per second that one supervisor processes.
     Reports {
+        /// Numbers of servers x forwarders.
         #[arg(default_value = "120x40")]
         size: measure_command::Size,
+        /// Duration of the measurement in seconds.
         #[arg(long, default_value_t = 5)]
         seconds: u32,
     },
 }
 
 fn main() -> ExitCode {
-    let failed = |error: anyhow::Error| {
+    let exit_with_error = |error: anyhow::Error| {
         eprintln!("shalereel: {error:#}");
         ExitCode::from(2)
     };
     match Arguments::parse().command {
-        Command::Drill { file, json, keep } => drill_command::drill(&file, json, keep).unwrap_or_else(failed),
+        Command::Drill { file, json, keep } => {
+            drill_command::drill(&file, json, keep).unwrap_or_else(exit_with_error)
+        }
         Command::DrillFrom { day, fleet } => {
-            drill_command::drill_from(&day, &fleet).map_or_else(failed, |()| ExitCode::SUCCESS)
+            drill_command::drill_from(&day, &fleet).map_or_else(exit_with_error, |()| ExitCode::SUCCESS)
         }
         Command::Measure(measure) => {
             let result = match measure {
@@ -179,30 +203,29 @@
                 }
                 Measure::Reports { size, seconds } => measure_command::reports(size, seconds),
             };
-            result.map_or_else(failed, |()| ExitCode::SUCCESS)
-        }
-        Command::Members { at, json } => {
-            group_command::members(at, json).map_or_else(failed, |()| ExitCode::SUCCESS)
+            result.map_or_else(exit_with_error, |()| ExitCode::SUCCESS)
         }
-        Command::Duties { at, json } => {
-            group_command::duties(at, json).map_or_else(failed, |()| ExitCode::SUCCESS)
+        Command::Members { address, json } => {
+            group_command::members(address, json).map_or_else(exit_with_error, |()| ExitCode::SUCCESS)
         }
-        Command::Order { at, order } => {
-            group_command::order(at, &order).map_or_else(failed, |()| ExitCode::SUCCESS)
+        Command::Duties { address, json } => {
+            group_command::duties(address, json).map_or_else(exit_with_error, |()| ExitCode::SUCCESS)
         }
-        Command::Tables { at, json, command } => {
-            tables_command::tables(at, &command, json).map_or_else(failed, |()| ExitCode::SUCCESS)
+        Command::Order { address, order } => {
+            group_command::order(address, &order).map_or_else(exit_with_error, |()| ExitCode::SUCCESS)
         }
-        Command::Expect(arguments) => expect_command::expect(&arguments).unwrap_or_else(failed),
-        Command::Hooks(command) => hooks_command::hooks(&command).unwrap_or_else(failed),
+        Command::Tables { address, json, command } => tables_command::tables(address, &command, json)
+            .map_or_else(exit_with_error, |()| ExitCode::SUCCESS),
+        Command::Expect(arguments) => expect_command::expect(&arguments).unwrap_or_else(exit_with_error),
+        Command::Hooks(command) => hooks_command::hooks(&command).unwrap_or_else(exit_with_error),
         Command::Rehearse(arguments) => group_command::rehearse(&arguments),
         Command::Node(arguments) => {
-            node_command::node(&arguments).map_or_else(failed, |()| ExitCode::SUCCESS)
+            node_command::node(&arguments).map_or_else(exit_with_error, |()| ExitCode::SUCCESS)
         }
-        Command::Daemon(arguments) => daemon_command::daemon(&arguments).unwrap_or_else(failed),
+        Command::Daemon(arguments) => daemon_command::daemon(&arguments).unwrap_or_else(exit_with_error),
         Command::StandIn { role } => match shalereel_standins::run(&role) {
             Ok(()) => ExitCode::SUCCESS,
-            Err(error) => failed(error),
+            Err(error) => exit_with_error(error),
         },
     }
 }
--- a/crates/cli/src/measure_command.rs
+++ b/crates/cli/src/measure_command.rs
@@ -1,4 +1,5 @@
-//! `shalereel measure`: what publishing costs, beside bare sockets that carry the same bytes in the same run.
+//! `shalereel measure publish`, `reports` and `advice`: latency and processor time of publishing, in comparison with
+//! plain sockets that carry the same bytes in the same run, and the parts that other measurements share.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -7,6 +8,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc;
 use std::thread;
+use std::time::Duration;
 
 use anyhow::{bail, Context, Result};
 use hdrhistogram::Histogram;
@@ -20,18 +22,32 @@
     Health, LoadReport, NodeInfo, Resource, Response, ServerInfo, ServerStream, Variant, ADS, DELTA_ADS, LRS,
 };
 
-const BOUNDS: ConnectionLimits = ConnectionLimits {
+/// Limits of the connections of the measurement's registry and forwarders.
+const CONNECTION_LIMITS: ConnectionLimits = ConnectionLimits {
     max_message_bytes: 16 << 20,
     max_concurrent_calls: 64,
     max_unsent_bytes: 64 << 20,
-    user_timeout: PATIENCE,
-    retry_delay: PATIENCE / 100,
+    user_timeout: TIMEOUT,
+    retry_delay: TIMEOUT / 100,
 };
+/// Operations of the measured deployment; each has a table of its own.
 const OPERATIONS: [&str; 3] = ["box-view", "box-add", "order-place"];
-/// Nothing takes so long unless it hangs.
-const PATIENCE: Nanos = 60 * SECOND;
-
-/// One size: so many servers and so many forwarders.
+/// Limit of each wait; only a measurement that hangs exceeds it.
+const TIMEOUT: Nanos = 60 * SECOND;
+/// Time for the forwarders' threads to begin a wait before a drain starts.
+pub(crate) const WAIT_SETUP_TIME: Nanos = 20 * MILLI;
+/// Time after which a forwarder that lost its connection dials again.
+const REDIAL_DELAY: Nanos = 2 * MILLI;
+/// Requests for weights by the balancer.
+const WEIGHT_REQUESTS: u32 = 60;
+/// Time between two requests for weights.
+const WEIGHT_REQUEST_INTERVAL: Duration = Duration::from_millis(25);
+/// Largest SASP message that the balancer reads.
+const MAX_SASP_MESSAGE_BYTES: usize = 8 << 20;
+/// Clock ticks per second in `/proc/PID/stat`.
+const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
+
+/// Size of a measured fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub servers: u32,
@@ -45,11 +61,13 @@
         let parsed = text.split_once('x').and_then(|(servers, forwarders)| {
             Some(Size { servers: servers.parse().ok()?, forwarders: forwarders.parse().ok()? })
         });
-        let fits = |size: &Size| (1..=5000).contains(&size.servers) && (1..=1000).contains(&size.forwarders);
-        parsed.filter(fits).ok_or_else(|| format!("{text:?}: give servers x forwarders, such as 120x40"))
+        let in_range =
+            |size: &Size| (1..=5000).contains(&size.servers) && (1..=1000).contains(&size.forwarders);
+        parsed.filter(in_range).ok_or_else(|| format!("{text:?}: give servers x forwarders, such as 120x40"))
     }
 }
 
+/// Text of the deployment file of a single supervisor.
 pub(crate) fn deployment(size: Size, listen: &str, registry: SocketAddr, folder: &Path) -> String {
     let mut text = format!(
         "listen = {listen:?}\nregistry = \"{registry}\"\nfolder = {folder:?}\nsupervisor = 0\nsupervisors = 1\n\
@@ -70,14 +88,16 @@
     text
 }
 
-/// A supervisor's process, ended with this value.
+/// A supervisor process, killed when this value is dropped.
 pub(crate) struct Supervisor(Child);
 
 impl Supervisor {
+    /// Starts a supervisor and returns its first listening address.
     pub(crate) fn start(file: &Path) -> Result<(Self, SocketAddr)> {
         Supervisor::start_all(file).map(|(supervisor, addresses)| (supervisor, addresses[0]))
     }
 
+    /// Starts a supervisor and returns all its listening addresses.
     fn start_all(file: &Path) -> Result<(Self, Vec<SocketAddr>)> {
         let mut child = Command::new(std::env::current_exe()?)
             .args(["daemon", "--config"])
@@ -86,20 +106,21 @@
             .stdout(Stdio::piped())
             .spawn()?;
         let mut line = String::new();
-        BufReader::new(child.stdout.take().context("no output")?).read_line(&mut line)?;
-        let ready: Ready = serde_json::from_str(&line).context("the supervisor did not come up")?;
+        BufReader::new(child.stdout.take().context("no standard output")?).read_line(&mut line)?;
+        let ready: Ready = serde_json::from_str(&line).context("the supervisor did not start")?;
         Ok((Supervisor(child), ready.addresses))
     }
 
-    /// Processor time so far, and the most memory that it ever had: seconds and MiB, as `/proc` tells.
-    pub(crate) fn cost(&self) -> Result<(f64, f64)> {
+    /// Processor time so far in seconds and peak resident memory in MiB, from `/proc`.
+    pub(crate) fn usage(&self) -> Result<(f64, f64)> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.0.id()))?;
-        let after = stat.rsplit(')').next().unwrap_or_default();
-        let ticks = |at: usize| after.split_whitespace().nth(at).and_then(|text| text.parse::<f64>().ok());
+        let fields = stat.rsplit(')').next().unwrap_or_default();
+        let ticks =
+            |index: usize| fields.split_whitespace().nth(index).and_then(|text| text.parse::<f64>().ok());
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.0.id()))?;
         let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap_or_default();
         let peak: f64 = peak.split_whitespace().next().and_then(|text| text.parse().ok()).unwrap_or(0.0);
-        Ok(((ticks(11).unwrap_or(0.0) + ticks(12).unwrap_or(0.0)) / 100.0, peak / 1024.0))
+        Ok(((ticks(11).unwrap_or(0.0) + ticks(12).unwrap_or(0.0)) / CLOCK_TICKS_PER_SECOND, peak / 1024.0))
     }
 }
 
@@ -110,47 +131,54 @@
     }
 }
 
-struct Client {
-    list: ClientStream,
-    link: Option<(ConnId, StreamId)>,
-    /// Of the first operation's table: how many lines are held, and whether the watched server is one of them.
-    held: usize,
-    watched: bool,
-    bytes: usize,
-    answer: usize,
-    /// All bytes of tables since the last wait began.
-    total: usize,
-    /// Line by line: the version that is held, as text, and the sum of all lines told.
-    check: String,
-    told: usize,
+/// A forwarder of the measurement.
+struct Forwarder {
+    stream: ClientStream,
+    connection: Option<(ConnId, StreamId)>,
+    /// Lines that the forwarder has of the first operation's table.
+    line_count: usize,
+    /// Whether the watched server is one of these lines.
+    has_watched: bool,
+    /// Size of the last update.
+    update_bytes: usize,
+    /// Size of the ACK of the last update.
+    ack_bytes: usize,
+    /// Bytes of all updates since the last wait began.
+    received_bytes: usize,
+    /// Incremental transfer: the check of the version that the forwarder has, as text.
+    version_check: String,
+    /// Incremental transfer: the number of all lines received, plus 1 for the subscription to the lines.
+    received_lines: usize,
 }
 
-/// The registry of a measurement.
+/// The registry of a measurement, which pushes the server list to the supervisor.
 pub(crate) struct Registry {
     hub: Hub<(), ()>,
     size: Size,
     streams: BTreeMap<(ConnId, StreamId), ServerStream>,
+    /// Server that the next list names as draining.
     pub(crate) draining: Option<u32>,
     version: u64,
 }
 
+/// Address of a server.
 pub(crate) fn address(server: u32) -> SocketAddr {
     SocketAddr::from(([127, 8, (server >> 8) as u8, server as u8], 7000))
 }
 
-fn plain(status: Status) -> anyhow::Error {
+fn status_error(status: Status) -> anyhow::Error {
     anyhow::anyhow!("{status}")
 }
 
 impl Registry {
     pub(crate) fn new(size: Size) -> Result<(Self, SocketAddr)> {
-        let mut hub = Hub::new(BOUNDS)?;
+        let mut hub = Hub::new(CONNECTION_LIMITS)?;
         let (_, address) = hub.listen("127.0.0.1:0".parse()?, ())?;
         Ok((Registry { hub, size, streams: BTreeMap::new(), draining: None, version: 0 }, address))
     }
 
-    /// Says the list; gives the time when its message stood ready.
-    pub(crate) fn say_list(&mut self) -> Nanos {
+    /// Pushes the server list on all streams; returns the time at which the last message was encoded.
+    pub(crate) fn push_list(&mut self) -> Nanos {
         self.version += 1;
         let rows = (0..self.size.servers).map(|server| AssignedEndpoint {
             address: address(server),
@@ -161,12 +189,12 @@
         });
         let any = Assignment { cluster: "fleet".into(), endpoints: rows.collect(), admitted: 1.0 }.encode();
         let version = self.version.to_string();
-        let mut begun = now();
-        for (&(conn, stream), serving) in &mut self.streams {
+        let mut encoded_at = now();
+        for (&(conn, stream), server_stream) in &mut self.streams {
             let resource = Resource { name: "fleet".into(), version: version.clone(), any: any.clone() };
             let (type_url, resources, removed) = (types::ASSIGNMENT, vec![resource], Vec::new());
-            let (nonce, stamp) = (self.version, begun);
-            let message = serving.encode_response(Response {
+            let (nonce, stamp) = (self.version, encoded_at);
+            let message = server_stream.encode_response(Response {
                 type_url,
                 version: &version,
                 resources,
@@ -174,13 +202,14 @@
                 nonce,
                 stamp,
             });
-            begun = now();
+            encoded_at = now();
             self.hub.send(conn, stream, &message);
         }
-        begun
+        encoded_at
     }
 
-    pub(crate) fn turn(&mut self, until: Nanos) -> Result<()> {
+    /// Serves the registry's connections until an event arrives or the time is reached.
+    pub(crate) fn serve(&mut self, until: Nanos) -> Result<()> {
         for input in self.hub.wait(Some(until))? {
             match input {
                 Input::Call { conn, stream, .. } => {
@@ -188,10 +217,10 @@
                         .insert((conn, stream), ServerStream::new(Variant::StateOfTheWorld, "registry"));
                 }
                 Input::Message { conn, stream, message } => {
-                    let Some(serving) = self.streams.get_mut(&(conn, stream)) else { continue };
-                    let asked = serving.handle(&message).map_err(plain)?;
-                    if asked.iter().any(|asked| matches!(asked, ClientRequest::Subscribe { .. })) {
-                        self.say_list();
+                    let Some(server_stream) = self.streams.get_mut(&(conn, stream)) else { continue };
+                    let requests = server_stream.handle(&message).map_err(status_error)?;
+                    if requests.iter().any(|request| matches!(request, ClientRequest::Subscribe { .. })) {
+                        self.push_list();
                     }
                 }
                 Input::Closed { conn, .. } => self.streams.retain(|(of, _), _| *of != conn),
@@ -201,128 +230,152 @@
         Ok(())
     }
 
-    /// Serves the list until all groups of forwarders have answered; the latest of their times.
-    pub(crate) fn until(&mut self, what: &str, groups: &[GroupHandle]) -> Result<(Nanos, usize, usize)> {
-        let (end, mut got) = (now() + PATIENCE, Vec::new());
-        while got.len() < groups.len() {
-            self.turn(now() + MILLI / 2)?;
+    /// Serves the list until all groups of forwarders have finished their wait. Returns the latest of their times, and
+    /// the mean sizes of an update and of its ACK.
+    pub(crate) fn serve_until_done(
+        &mut self,
+        what: &str,
+        groups: &[ForwarderGroup],
+    ) -> Result<(Nanos, usize, usize)> {
+        let (deadline, mut results) = (now() + TIMEOUT, Vec::new());
+        while results.len() < groups.len() {
+            self.serve(now() + MILLI / 2)?;
             for group in groups {
-                got.extend(group.answers.try_recv());
+                results.extend(group.results.try_recv());
             }
-            if now() > end {
-                bail!("{what}: not within {} s", PATIENCE / SECOND);
+            if now() > deadline {
+                bail!("{what}: not finished within {} s", TIMEOUT / SECOND);
             }
         }
-        let got: Vec<(Nanos, usize, usize)> = got.into_iter().collect::<Result<_>>()?;
-        let sum =
-            |of: fn(&(Nanos, usize, usize)) -> usize| got.iter().map(of).sum::<usize>() / got.len().max(1);
-        Ok((got.iter().map(|one| one.0).max().unwrap_or(0), sum(|one| one.1), sum(|one| one.2)))
+        let results: Vec<(Nanos, usize, usize)> = results.into_iter().collect::<Result<_>>()?;
+        let mean = |size: fn(&(Nanos, usize, usize)) -> usize| {
+            results.iter().map(size).sum::<usize>() / results.len().max(1)
+        };
+        let latest = results.iter().map(|result| result.0).max().unwrap_or(0);
+        Ok((latest, mean(|result| result.1), mean(|result| result.2)))
     }
 }
 
-/// What a group of forwarders is to wait for.
+/// The condition that a group of forwarders waits for.
 pub(crate) enum Wait {
-    /// All hold a table of so many lines from a supervisor at this address.
+    /// All have a table with this number of lines from the supervisor at this address.
     Tables(SocketAddr, usize),
-    /// None holds this server any more.
+    /// No table contains this server any more.
     Without(SocketAddr),
-    /// All break their streams and hold tables of so many lines again; they say what they hold, or nothing.
+    /// All reconnect and have tables with this number of lines again. With `resume` they announce the version that they
+    /// have.
     Rejoin { lines: usize, resume: bool },
 }
 
-/// A thread of forwarders: waits go in; the time of the last answer, and the bytes of an update and an answer,
-/// come out.
-pub(crate) struct GroupHandle {
+/// Handle of a thread of forwarders. Each wait that is sent yields one result: the time at which its condition was met,
+/// and the sizes of an update and of its ACK.
+pub(crate) struct ForwarderGroup {
     pub(crate) waits: mpsc::Sender<Wait>,
-    answers: mpsc::Receiver<Result<(Nanos, usize, usize)>>,
+    results: mpsc::Receiver<Result<(Nanos, usize, usize)>>,
 }
 
-/// Forwarders that share a thread: scripted, idle otherwise.
-pub(crate) struct Group {
-    /// Tables are taken line by line.
-    lines: bool,
+/// Forwarders that share a thread. They only receive tables and send no requests.
+pub(crate) struct Forwarders {
+    /// Whether tables are transferred incrementally, line by line.
+    incremental: bool,
+    /// Whether a forwarder that reconnects announces the version that it has.
     resume: bool,
+    /// Timers hold the index of a forwarder.
     hub: Hub<(), usize>,
     supervisor: SocketAddr,
-    clients: Vec<Client>,
-    links: BTreeMap<ConnId, usize>,
+    forwarders: Vec<Forwarder>,
+    /// Index of the forwarder of each connection.
+    connections: BTreeMap<ConnId, usize>,
+    /// Server whose removal is waited for.
     watched: Option<SocketAddr>,
 }
 
-impl Group {
-    fn new(first: u32, count: u32, supervisor: SocketAddr, lines: bool) -> Result<Self> {
-        let client = |at: u32| {
+impl Forwarders {
+    fn new(first: u32, count: u32, supervisor: SocketAddr, incremental: bool) -> Result<Self> {
+        let forwarder = |number: u32| {
             let node = NodeInfo {
-                id: format!("f-{at}"),
+                id: format!("f-{number}"),
                 zone: "a".into(),
                 rate: 10.0,
                 is_new: true,
-                supports_lines: lines,
+                supports_lines: incremental,
             };
-            let variant = if lines { Variant::Incremental } else { Variant::StateOfTheWorld };
-            let mut list = ClientStream::new(variant, node);
-            list.subscribe(types::ASSIGNMENT, OPERATIONS.map(str::to_owned));
-            Client {
-                list,
-                link: None,
-                held: 0,
-                watched: false,
-                bytes: 0,
-                answer: 0,
-                total: 0,
-                check: String::new(),
-                told: 0,
+            let variant = if incremental { Variant::Incremental } else { Variant::StateOfTheWorld };
+            let mut stream = ClientStream::new(variant, node);
+            stream.subscribe(types::ASSIGNMENT, OPERATIONS.map(str::to_owned));
+            Forwarder {
+                stream,
+                connection: None,
+                line_count: 0,
+                has_watched: false,
+                update_bytes: 0,
+                ack_bytes: 0,
+                received_bytes: 0,
+                version_check: String::new(),
+                received_lines: 0,
             }
         };
-        let clients = (first..first + count).map(client).collect();
-        let hub = Hub::new(BOUNDS)?;
-        Ok(Group { lines, resume: true, hub, supervisor, clients, links: BTreeMap::new(), watched: None })
+        let forwarders = (first..first + count).map(forwarder).collect();
+        let hub = Hub::new(CONNECTION_LIMITS)?;
+        Ok(Forwarders {
+            incremental,
+            resume: true,
+            hub,
+            supervisor,
+            forwarders,
+            connections: BTreeMap::new(),
+            watched: None,
+        })
     }
 
-    /// Two threads of forwarders: more would take the supervisor's core on a small machine.
-    pub(crate) fn spawn(size: Size, supervisor: SocketAddr, lines: bool) -> Vec<GroupHandle> {
+    /// Starts all forwarders of a fleet on two threads; more would take the supervisor's core on a small machine.
+    pub(crate) fn spawn(size: Size, supervisor: SocketAddr, incremental: bool) -> Vec<ForwarderGroup> {
         let half = size.forwarders.div_ceil(2);
-        let parts = [(0, half), (half, size.forwarders - half)].into_iter().filter(|part| part.1 > 0);
-        parts
+        let ranges = [(0, half), (half, size.forwarders - half)].into_iter().filter(|range| range.1 > 0);
+        ranges
             .map(|(first, count)| {
-                let (waits, orders) = mpsc::channel();
-                let (results, answers) = mpsc::channel();
+                let (waits, wait_receiver) = mpsc::channel();
+                let (result_sender, results) = mpsc::channel();
                 thread::spawn(move || {
-                    let mut group = match Group::new(first, count, supervisor, lines) {
-                        Ok(group) => group,
-                        Err(error) => return drop(results.send(Err(error))),
+                    let mut forwarders = match Forwarders::new(first, count, supervisor, incremental) {
+                        Ok(forwarders) => forwarders,
+                        Err(error) => return drop(result_sender.send(Err(error))),
                     };
-                    while let Ok(wait) = orders.recv() {
-                        if results.send(group.wait(&wait)).is_err() {
+                    while let Ok(wait) = wait_receiver.recv() {
+                        if result_sender.send(forwarders.wait(&wait)).is_err() {
                             return;
                         }
                     }
                 });
-                GroupHandle { waits, answers }
+                ForwarderGroup { waits, results }
             })
             .collect()
     }
 
-    fn dial(&mut self, at: usize) -> Result<()> {
+    /// Connects a forwarder to the supervisor and subscribes to the tables.
+    fn dial(&mut self, index: usize) -> Result<()> {
         let conn = self.hub.dial(self.supervisor)?;
         let stream = self
             .hub
-            .call(conn, if self.lines { DELTA_ADS } else { ADS }, None)
+            .call(conn, if self.incremental { DELTA_ADS } else { ADS }, None)
             .context("the connection is gone")?;
-        let client = &mut self.clients[at];
-        client.link = Some((conn, stream));
-        self.links.insert(conn, at);
-        let held = Some(client.check.clone()).filter(|check| self.resume && !check.is_empty());
-        client.list.set_resource_versions(
+        let forwarder = &mut self.forwarders[index];
+        forwarder.connection = Some((conn, stream));
+        self.connections.insert(conn, index);
+        let known_version =
+            Some(forwarder.version_check.clone()).filter(|version| self.resume && !version.is_empty());
+        forwarder.stream.set_resource_versions(
             types::LINE,
-            held.map(|check| (leds::collection(0), check)).into_iter().collect(),
+            known_version.map(|version| (leds::collection(0), version)).into_iter().collect(),
         );
-        for message in client.list.reopen() {
+        for message in forwarder.stream.reopen() {
             self.hub.send(conn, stream, &message);
         }
         Ok(())
     }
 
+    /// Starts what a wait asks for, then waits until its condition is met. Returns the time of that, and the mean sizes
+    /// of an update and of its ACK.
     fn wait(&mut self, wait: &Wait) -> Result<(Nanos, usize, usize)> {
         match wait {
             Wait::Tables(supervisor, _) => {
@@ -332,120 +385,132 @@
             Wait::Without(server) => self.watched = Some(*server),
             Wait::Rejoin { resume, .. } => {
                 (self.watched, self.resume) = (None, *resume);
-                for (conn, _) in self.clients.iter_mut().filter_map(|client| client.link.take()) {
-                    self.links.remove(&conn);
+                for (conn, _) in
+                    self.forwarders.iter_mut().filter_map(|forwarder| forwarder.connection.take())
+                {
+                    self.connections.remove(&conn);
                     self.hub.close(conn);
                 }
-                self.clients.iter_mut().for_each(|client| client.held = 0);
+                self.forwarders.iter_mut().for_each(|forwarder| forwarder.line_count = 0);
             }
         }
-        self.clients.iter_mut().for_each(|client| client.total = 0);
-        self.clients.iter_mut().for_each(|client| client.watched = true);
-        for at in 0..self.clients.len() {
-            if self.clients[at].link.is_none() {
-                self.dial(at)?;
+        self.forwarders.iter_mut().for_each(|forwarder| forwarder.received_bytes = 0);
+        self.forwarders.iter_mut().for_each(|forwarder| forwarder.has_watched = true);
+        for index in 0..self.forwarders.len() {
+            if self.forwarders[index].connection.is_none() {
+                self.dial(index)?;
             }
         }
-        let end = now() + PATIENCE;
-        while now() < end {
+        let deadline = now() + TIMEOUT;
+        while now() < deadline {
             for input in self.hub.wait(Some(now() + SECOND / 10))? {
-                self.take(input)?;
+                self.handle_input(input)?;
             }
             let done = match wait {
-                Wait::Tables(_, lines) | Wait::Rejoin { lines, .. } => {
-                    self.clients.iter().all(|client| client.link.is_some() && client.held == *lines)
-                }
-                Wait::Without(_) => self.clients.iter().all(|client| !client.watched),
+                Wait::Tables(_, lines) | Wait::Rejoin { lines, .. } => self
+                    .forwarders
+                    .iter()
+                    .all(|forwarder| forwarder.connection.is_some() && forwarder.line_count == *lines),
+                Wait::Without(_) => self.forwarders.iter().all(|forwarder| !forwarder.has_watched),
             };
             if done {
-                let at = now();
-                // The last answers leave before anything else is asked of this thread.
+                let done_at = now();
+                // The last ACKs are sent before this thread takes its next wait.
                 self.hub.wait(Some(now()))?;
-                let sum = |of: fn(&Client) -> usize| {
-                    self.clients.iter().map(of).sum::<usize>() / self.clients.len()
+                let mean = |size: fn(&Forwarder) -> usize| {
+                    self.forwarders.iter().map(size).sum::<usize>() / self.forwarders.len()
                 };
                 let bytes = match wait {
-                    Wait::Rejoin { .. } => sum(|client| client.total),
-                    _ => sum(|client| client.bytes),
+                    Wait::Rejoin { .. } => mean(|forwarder| forwarder.received_bytes),
+                    _ => mean(|forwarder| forwarder.update_bytes),
                 };
-                return Ok((at, bytes, sum(|client| client.answer)));
+                return Ok((done_at, bytes, mean(|forwarder| forwarder.ack_bytes)));
             }
         }
-        bail!("forwarders: not within {} s", PATIENCE / SECOND)
+        bail!("forwarders: condition not met within {} s", TIMEOUT / SECOND)
     }
 
-    fn take(&mut self, input: Input<(), usize>) -> Result<()> {
+    fn handle_input(&mut self, input: Input<(), usize>) -> Result<()> {
         match input {
             Input::Message { conn, stream, message } => {
-                let Some(&at) = self.links.get(&conn) else { return Ok(()) };
-                if self.clients[at].link == Some((conn, stream)) {
-                    self.update(at, conn, stream, &message)?;
+                let Some(&index) = self.connections.get(&conn) else { return Ok(()) };
+                if self.forwarders[index].connection == Some((conn, stream)) {
+                    self.handle_update(index, conn, stream, &message)?;
                 }
             }
             Input::Closed { conn, .. } => {
-                if let Some(at) = self.links.remove(&conn) {
-                    (self.clients[at].link, self.clients[at].held) = (None, 0);
-                    self.hub.set_timer(now() + 2 * MILLI, at);
+                if let Some(index) = self.connections.remove(&conn) {
+                    (self.forwarders[index].connection, self.forwarders[index].line_count) = (None, 0);
+                    self.hub.set_timer(now() + REDIAL_DELAY, index);
                 }
             }
-            Input::Timer(at) if self.clients[at].link.is_none() => self.dial(at)?,
+            Input::Timer(index) if self.forwarders[index].connection.is_none() => self.dial(index)?,
             _ => {}
         }
         Ok(())
     }
 
-    /// Answers first; all forwarders of a group are told the same, so one of them reads a drain for all.
-    fn update(&mut self, at: usize, conn: ConnId, stream: StreamId, message: &[u8]) -> Result<()> {
-        let client = &mut self.clients[at];
-        let update = client.list.handle(message).map_err(plain)?;
-        client.total += message.len();
-        if self.lines && update.type_url == types::ASSIGNMENT {
-            let answer = client.list.ack(&update);
-            self.hub.send(conn, stream, &answer);
-            if client.check.is_empty() && client.told == 0 {
-                client.told = 1;
-                let ask = client.list.resubscribe(types::LINE, [(leds::collection(0), None)].into());
-                self.hub.send(conn, stream, &ask);
+    /// Acknowledges an update before it decodes it. All forwarders receive the same whole tables, so that only the
+    /// first one decodes them while a drain is waited for.
+    fn handle_update(&mut self, index: usize, conn: ConnId, stream: StreamId, message: &[u8]) -> Result<()> {
+        let forwarder = &mut self.forwarders[index];
+        let update = forwarder.stream.handle(message).map_err(status_error)?;
+        forwarder.received_bytes += message.len();
+        if self.incremental && update.type_url == types::ASSIGNMENT {
+            let ack = forwarder.stream.ack(&update);
+            self.hub.send(conn, stream, &ack);
+            if forwarder.version_check.is_empty() && forwarder.received_lines == 0 {
+                forwarder.received_lines = 1;
+                let subscription =
+                    forwarder.stream.resubscribe(types::LINE, [(leds::collection(0), None)].into());
+                self.hub.send(conn, stream, &subscription);
             }
             return Ok(());
         }
-        if self.lines {
-            let answer = client.list.ack(&update);
-            (client.bytes, client.answer) = (message.len(), answer.len());
-            self.hub.send(conn, stream, &answer);
-            let told =
+        if self.incremental {
+            let ack = forwarder.stream.ack(&update);
+            (forwarder.update_bytes, forwarder.ack_bytes) = (message.len(), ack.len());
+            self.hub.send(conn, stream, &ack);
+            let parsed =
                 update.version.split_once('>').and_then(|(_, check)| Some((check, Check::parse(check)?)));
-            let (text, check) = told.context("a version without its check")?;
-            client.check = text.to_owned();
-            client.told += update.names.len() + update.removed.len();
-            client.held = check.digest.count as usize;
-            let server = |name: &String| leds::line_of(name).map(|line| address(line.1));
-            client.watched &= !update.removed.iter().any(|name| server(name) == self.watched);
+            let (text, check) = parsed.context("an incremental version has no check")?;
+            forwarder.version_check = text.to_owned();
+            forwarder.received_lines += update.names.len() + update.removed.len();
+            forwarder.line_count = check.digest.count as usize;
+            let server_address = |name: &String| leds::line_of(name).map(|line| address(line.1));
+            forwarder.has_watched &= !update.removed.iter().any(|name| server_address(name) == self.watched);
             return Ok(());
         }
-        let answer = client.list.ack(&update);
-        (client.bytes, client.answer) = (message.len(), answer.len());
-        self.hub.send(conn, stream, &answer);
-        let reads = self.watched.is_none() || at == 0;
-        for any in update.resources.iter().take(usize::from(reads)) {
-            let table = Assignment::decode(any).map_err(plain)?;
-            client.held = table.endpoints.len();
-            client.watched = table.endpoints.iter().any(|row| Some(row.address) == self.watched);
+        let ack = forwarder.stream.ack(&update);
+        (forwarder.update_bytes, forwarder.ack_bytes) = (message.len(), ack.len());
+        self.hub.send(conn, stream, &ack);
+        let decodes = self.watched.is_none() || index == 0;
+        for any in update.resources.iter().take(usize::from(decodes)) {
+            let table = Assignment::decode(any).map_err(status_error)?;
+            forwarder.line_count = table.endpoints.len();
+            forwarder.has_watched =
+                table.endpoints.iter().any(|endpoint| Some(endpoint.address) == self.watched);
         }
-        client.watched &= reads;
+        forwarder.has_watched &= decodes;
         Ok(())
     }
 }
 
-/// The same bytes to as many sockets, and as many short answers back: from the first write to the last answer.
-fn bare(size: Size, bytes: usize, answer: usize, rounds: u32) -> Result<Histogram<u64>> {
+/// Sends the same bytes over as many plain sockets, each with a reply as long as an ACK, and measures the time from the
+/// first write to the last reply.
+fn measure_plain_sockets(
+    size: Size,
+    bytes: usize,
+    reply_bytes: usize,
+    rounds: u32,
+) -> Result<Histogram<u64>> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     let count = size.forwarders as usize;
-    let far = thread::spawn(move || -> std::io::Result<()> {
+    let peer = thread::spawn(move || -> std::io::Result<()> {
         let mut sockets: Vec<TcpStream> =
             (0..count).map(|_| TcpStream::connect(address)).collect::<Result<_, _>>()?;
-        let (mut content, reply) = (vec![0; bytes], vec![1; answer]);
+        let (mut content, reply) = (vec![0; bytes], vec![1; reply_bytes]);
         for socket in &sockets {
             socket.set_nodelay(true)?;
         }
@@ -459,7 +524,7 @@
     });
     let mut sockets: Vec<TcpStream> =
         (0..count).map(|_| listener.accept().map(|accepted| accepted.0)).collect::<Result<_, _>>()?;
-    let (content, mut reply) = (vec![7; bytes], vec![0; answer]);
+    let (content, mut reply) = (vec![7; bytes], vec![0; reply_bytes]);
     let mut spans = Histogram::new(3)?;
     for socket in &sockets {
         socket.set_nodelay(true)?;
@@ -474,21 +539,22 @@
         }
         spans.record(now() - begun)?;
     }
-    far.join().map_err(|_| anyhow::anyhow!("the far side failed"))??;
+    peer.join().map_err(|_| anyhow::anyhow!("the peer thread panicked"))??;
     Ok(spans)
 }
 
+/// Nanoseconds as milliseconds.
 pub(crate) fn ms(nanos: u64) -> f64 {
     nanos as f64 / MILLI as f64
 }
 
-/// Drains one server after another, and restarts the supervisor some times, at each size.
+/// Measures drains of one server after another and restarts of the supervisor at each size, and prints the results.
 pub fn publish(sizes: &[Size], rounds: u32, json: bool) -> Result<()> {
     let mut rows = Vec::new();
     for &size in sizes {
         let folder = std::env::temp_dir().join(format!("shalereel-measure-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        let measured = publish_one(size, rounds, &folder);
+        let measured = measure_publish(size, rounds, &folder);
         let _ = std::fs::remove_dir_all(&folder);
         rows.push(measured?);
         if let (false, Some(row)) = (json, rows.last()) {
@@ -501,8 +567,9 @@
     Ok(())
 }
 
+/// Results at one size; pairs are the 50th and the 99th percentile.
 #[derive(serde::Serialize)]
-struct Published {
+struct PublishResult {
     servers: u32,
     forwarders: u32,
     update_bytes: usize,
@@ -514,7 +581,7 @@
     peak_mib: f64,
 }
 
-impl std::fmt::Display for Published {
+impl std::fmt::Display for PublishResult {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
@@ -536,85 +603,90 @@
     }
 }
 
-fn publish_one(size: Size, rounds: u32, folder: &Path) -> Result<Published> {
-    let (mut registry, list) = Registry::new(size)?;
+fn measure_publish(size: Size, rounds: u32, folder: &Path) -> Result<PublishResult> {
+    let (mut registry, registry_address) = Registry::new(size)?;
     let file: PathBuf = folder.join("supervisor.toml");
-    let all = size.servers as usize;
+    let server_count = size.servers as usize;
     let mut starts = Histogram::<u64>::new(3)?;
     let mut running = None;
     let mut listen = SocketAddr::from(([127, 0, 3, 1], 0));
-    let groups = Group::spawn(size, listen, false);
-    let tell = |wait: fn(SocketAddr, usize) -> Wait, address| {
-        groups.iter().try_for_each(|group| group.waits.send(wait(address, all)).context("a thread is gone"))
+    let groups = Forwarders::spawn(size, listen, false);
+    let start_wait = |wait: fn(SocketAddr, usize) -> Wait, address| {
+        groups.iter().try_for_each(|group| {
+            group.waits.send(wait(address, server_count)).context("a forwarder thread ended")
+        })
     };
     for round in 0..=rounds.div_ceil(4).max(3) {
         drop(running.take());
-        std::fs::write(&file, deployment(size, &listen.to_string(), list, folder))?;
-        let begun = now();
+        std::fs::write(&file, deployment(size, &listen.to_string(), registry_address, folder))?;
+        let started = now();
         let (supervisor, address) = Supervisor::start(&file)?;
         listen = address;
-        tell(Wait::Tables, address)?;
-        let held = registry.until("all tables held", &groups)?.0;
-        // The first start has no kept list, and nobody waits for it yet.
+        start_wait(Wait::Tables, address)?;
+        let received_at = registry.serve_until_done("all tables", &groups)?.0;
+        // The first start has no stored list to load, and no forwarder is waiting for it yet.
         if round > 0 {
-            starts.record(held - begun)?;
+            starts.record(received_at - started)?;
         }
         running = Some(supervisor);
     }
     let Some(supervisor) = running else { bail!("no supervisor") };
     let mut drains = Histogram::<u64>::new(3)?;
-    let (mut update_bytes, mut answer) = (0, 0);
-    let before = supervisor.cost()?.0;
+    let (mut update_bytes, mut ack_bytes) = (0, 0);
+    let before = supervisor.usage()?.0;
     for round in 0..rounds {
         let server = round % size.servers;
-        tell(|address, _| Wait::Without(address), address(server))?;
-        // The threads wait by now.
-        registry.turn(now() + 20 * MILLI)?;
+        start_wait(|address, _| Wait::Without(address), address(server))?;
+        // Gives the threads time to begin their wait.
+        registry.serve(now() + WAIT_SETUP_TIME)?;
         registry.draining = Some(server);
-        let begun = registry.say_list();
-        let (held, bytes, short) = registry.until("a drain", &groups)?;
-        drains.record(held - begun)?;
-        (update_bytes, answer) = (update_bytes + bytes, short);
+        let pushed_at = registry.push_list();
+        let (removed_at, bytes, ack) = registry.serve_until_done("a drain", &groups)?;
+        drains.record(removed_at - pushed_at)?;
+        (update_bytes, ack_bytes) = (update_bytes + bytes, ack);
         registry.draining = None;
-        registry.say_list();
-        tell(Wait::Tables, listen)?;
-        registry.until("a return", &groups)?;
+        registry.push_list();
+        start_wait(Wait::Tables, listen)?;
+        registry.serve_until_done("the end of a drain", &groups)?;
     }
     update_bytes /= rounds.max(1) as usize;
-    let (after, peak_mib) = supervisor.cost()?;
-    let bare = bare(size, update_bytes.max(1), answer.max(1), rounds)?;
-    let both = |spans: &Histogram<u64>| (ms(spans.value_at_quantile(0.5)), ms(spans.value_at_quantile(0.99)));
-    Ok(Published {
+    let (after, peak_mib) = supervisor.usage()?;
+    let plain = measure_plain_sockets(size, update_bytes.max(1), ack_bytes.max(1), rounds)?;
+    let percentiles =
+        |spans: &Histogram<u64>| (ms(spans.value_at_quantile(0.5)), ms(spans.value_at_quantile(0.99)));
+    Ok(PublishResult {
         servers: size.servers,
         forwarders: size.forwarders,
         update_bytes,
-        drain_ms: both(&drains),
-        bare_ms: both(&bare),
-        drain_ratio: drains.value_at_quantile(0.5) as f64 / bare.value_at_quantile(0.5) as f64,
-        start_ms: both(&starts),
+        drain_ms: percentiles(&drains),
+        bare_ms: percentiles(&plain),
+        drain_ratio: drains.value_at_quantile(0.5) as f64 / plain.value_at_quantile(0.5) as f64,
+        start_ms: percentiles(&starts),
         cpu_s_a_drain: (after - before) / f64::from(rounds),
         peak_mib,
     })
 }
 
-/// Reports as fast as one supervisor takes them: each of all servers, for three operations.
+/// Sends load reports as fast as one supervisor processes them and prints the rate. Each report covers all servers, for
+/// three operations.
 pub fn reports(size: Size, seconds: u32) -> Result<()> {
     let folder = std::env::temp_dir().join(format!("shalereel-measure-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
-    let (mut registry, list) = Registry::new(size)?;
+    let (mut registry, registry_address) = Registry::new(size)?;
     let file = folder.join("supervisor.toml");
-    std::fs::write(&file, deployment(size, "127.0.0.1:0", list, &folder))?;
-    let (supervisor, served) = Supervisor::start(&file)?;
-    let (mut group, all) = (Group::new(0, size.forwarders, served, false)?, size.servers as usize);
-    (0..size.forwarders as usize).try_for_each(|at| group.dial(at))?;
-    let end = now() + PATIENCE;
-    while group.clients.iter().any(|client| client.held != all) {
-        registry.turn(now() + MILLI)?;
+    std::fs::write(&file, deployment(size, "127.0.0.1:0", registry_address, &folder))?;
+    let (supervisor, supervisor_address) = Supervisor::start(&file)?;
+    let (mut group, server_count) =
+        (Forwarders::new(0, size.forwarders, supervisor_address, false)?, size.servers as usize);
+    (0..size.forwarders as usize).try_for_each(|index| group.dial(index))?;
+    let deadline = now() + TIMEOUT;
+    while group.forwarders.iter().any(|forwarder| forwarder.line_count != server_count) {
+        registry.serve(now() + MILLI)?;
         for input in group.hub.wait(Some(now() + MILLI))? {
-            group.take(input)?;
+            group.handle_input(input)?;
         }
-        if now() > end {
-            bail!("tables: not within {} s", PATIENCE / SECOND);
+        if now() > deadline {
+            bail!("tables: not received within {} s", TIMEOUT / SECOND);
         }
     }
     let clusters = OPERATIONS.map(|name| ClusterLoad {
@@ -635,83 +707,83 @@
             })
             .collect(),
     });
-    let message = LoadReport { node: None, clusters: clusters.to_vec() }.encode();
+    let report = LoadReport { node: None, clusters: clusters.to_vec() }.encode();
     let mut streams = Vec::new();
-    for client in &group.clients {
-        let Some((conn, _)) = client.link else { continue };
+    for forwarder in &group.forwarders {
+        let Some((conn, _)) = forwarder.connection else { continue };
         let Some(stream) = group.hub.call(conn, LRS, None) else { continue };
-        let opening = LoadReport { node: Some(client.list.node.clone()), clusters: Vec::new() };
+        let opening = LoadReport { node: Some(forwarder.stream.node.clone()), clusters: Vec::new() };
         group.hub.send(conn, stream, &opening.encode());
         streams.push((conn, stream));
     }
-    let (before, begun, mut sent) = (supervisor.cost()?.0, now(), 0_u64);
-    let end = begun + Nanos::from(seconds) * SECOND;
+    let (before, started, mut sent) = (supervisor.usage()?.0, now(), 0_u64);
+    let end = started + Nanos::from(seconds) * SECOND;
     while now() < end {
         for &(conn, stream) in &streams {
-            // Flow control holds back what the supervisor does not take.
+            // The next report is sent only once flow control has let the last one through.
             if group.hub.unsent_call_bytes(conn, stream) == 0 {
-                group.hub.send(conn, stream, &message);
+                group.hub.send(conn, stream, &report);
                 sent += 1;
             }
         }
         for input in group.hub.wait(Some(now() + MILLI))? {
-            group.take(input)?;
+            group.handle_input(input)?;
         }
     }
-    let span = (now() - begun) as f64 / SECOND as f64;
-    let (after, peak) = supervisor.cost()?;
+    let elapsed_s = (now() - started) as f64 / SECOND as f64;
+    let (after, peak_mib) = supervisor.usage()?;
     println!(
-        "{} x {}: {:.0} reports a second of {} bytes, {} rows each; {:.0}% of a core; peak {peak:.1} MiB",
+        "{} x {}: {:.0} reports a second of {} bytes, {} rows each; {:.0}% of a core; peak {peak_mib:.1} MiB",
         size.servers,
         size.forwarders,
-        sent as f64 / span,
-        message.len(),
+        sent as f64 / elapsed_s,
+        report.len(),
         3 * size.servers,
-        100.0 * (after - before) / span
+        100.0 * (after - before) / elapsed_s
     );
     drop(supervisor);
     let _ = std::fs::remove_dir_all(&folder);
     Ok(())
 }
 
-/// Weights by SASP: one balancer with so many members, asked again and again, and pushed drains beside the
-/// same drains at an xDS client in the same run.
+/// Measures weights by SASP at each number of members: requests of one balancer, and pushed drains in comparison with
+/// the same drains at an xDS client in the same run.
 pub fn advice(sizes: &[u32], rounds: u32) -> Result<()> {
     for &members in sizes {
         let folder = std::env::temp_dir().join(format!("shalereel-measure-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        let measured = advice_one(Size { servers: members, forwarders: 1 }, rounds, &folder);
+        let measured = measure_advice(Size { servers: members, forwarders: 1 }, rounds, &folder);
         let _ = std::fs::remove_dir_all(&folder);
         measured?;
     }
     Ok(())
 }
 
-/// A balancer of the measurement on a blocking socket.
+/// A balancer that speaks SASP on a blocking socket.
 struct Balancer {
     socket: TcpStream,
     frames: shalereel_sasp::Frames,
 }
 
 impl Balancer {
-    fn say(&mut self, body: Body) -> Result<()> {
+    fn send(&mut self, body: Body) -> Result<()> {
         Ok(self.socket.write_all(&Message { id: 1, body }.encode())?)
     }
 
-    /// The next message and the time when it was whole.
+    /// The next message, the time at which it was complete, and the number of bytes read for it.
     fn next(&mut self) -> Result<(Nanos, Body, usize)> {
-        let mut piece = vec![0; 1 << 16];
+        let mut buffer = vec![0; 1 << 16];
         let mut bytes = 0;
         loop {
             if let Some(message) = self.frames.take()? {
                 return Ok((now(), message.body, bytes));
             }
-            let count = self.socket.read(&mut piece)?;
+            let count = self.socket.read(&mut buffer)?;
             if count == 0 {
-                bail!("the supervisor ended the connection");
+                bail!("the supervisor closed the connection");
             }
             bytes += count;
-            self.frames.push(&piece[..count]);
+            self.frames.push(&buffer[..count]);
         }
     }
 }
@@ -720,45 +792,47 @@
     Member::tcp(address(server))
 }
 
-fn advice_one(size: Size, rounds: u32, folder: &Path) -> Result<()> {
-    let (mut registry, list) = Registry::new(size)?;
+/// Measures SASP and xDS with one balancer and one forwarder at one number of members, and prints the results.
+fn measure_advice(size: Size, rounds: u32, folder: &Path) -> Result<()> {
+    let (mut registry, registry_address) = Registry::new(size)?;
     let file = folder.join("supervisor.toml");
-    let text = deployment(size, "127.0.0.1:0", list, folder)
+    let text = deployment(size, "127.0.0.1:0", registry_address, folder)
         .replace("\n[list]", "\n[sasp]\nlisten = \"127.0.0.1:0\"\n\n[list]");
-    // One forwarder and one balancer.
+    // The count of 2 stands for one forwarder and one balancer.
     std::fs::write(&file, text.replace("count = 1\n", "count = 2\n"))?;
-    let (supervisor, served) = Supervisor::start_all(&file)?;
-    let groups = Group::spawn(size, served[0], false);
-    let idle = supervisor.cost()?.1;
-    let (results, pushed) = mpsc::channel();
+    let (supervisor, addresses) = Supervisor::start_all(&file)?;
+    let groups = Forwarders::spawn(size, addresses[0], false);
+    let idle_mib = supervisor.usage()?.1;
+    let (result_sender, pushed) = mpsc::channel();
     let (drains, drained) = mpsc::channel::<Member>();
-    let front = served[1];
+    let sasp_address = addresses[1];
     let balancer = thread::spawn(move || -> Result<(u64, usize)> {
         let group = SaspGroup { balancer: b"m".to_vec(), name: OPERATIONS[0].into() };
-        let socket = TcpStream::connect(front)?;
-        socket.set_read_timeout(Some(std::time::Duration::from_nanos(PATIENCE)))?;
-        let mut balancer = Balancer { socket, frames: shalereel_sasp::Frames::new(8 << 20) };
+        let socket = TcpStream::connect(sasp_address)?;
+        socket.set_read_timeout(Some(Duration::from_nanos(TIMEOUT)))?;
+        let mut balancer = Balancer { socket, frames: shalereel_sasp::Frames::new(MAX_SASP_MESSAGE_BYTES) };
         let flags = LbFlags { push: true, trust: false, no_change: true };
-        balancer.say(Body::SetLbState { balancer: b"m".to_vec(), health: 0, flags })?;
-        let all = (0..size.servers).map(member_at).collect();
-        balancer.say(Body::Register { from_balancer: true, groups: vec![(group.clone(), all)] })?;
+        balancer.send(Body::SetLbState { balancer: b"m".to_vec(), health: 0, flags })?;
+        let members = (0..size.servers).map(member_at).collect();
+        balancer.send(Body::Register { from_balancer: true, groups: vec![(group.clone(), members)] })?;
         while let Ok(member) = drained.recv() {
             loop {
                 let (at, body, bytes) = balancer.next()?;
                 let Body::SendWeights { groups } = body else { continue };
-                let out = |entry: &shalereel_sasp::WeightEntry| entry.member == member && entry.weight == 0;
-                if groups.iter().flat_map(|group| &group.1).any(out) {
-                    let _ = results.send((at, bytes));
+                let is_drained =
+                    |entry: &shalereel_sasp::WeightEntry| entry.member == member && entry.weight == 0;
+                if groups.iter().flat_map(|group| &group.1).any(is_drained) {
+                    let _ = result_sender.send((at, bytes));
                     break;
                 }
             }
         }
-        // Asked now and then: a supervisor answers some requests a cycle, and tells more to try later.
-        let mut answers = Histogram::<u64>::new(3)?;
-        let mut size = 0;
-        for _ in 0..60 {
-            let begun = now();
-            balancer.say(Body::GetWeights { groups: vec![group.clone()] })?;
+        // Requests are spaced out: a supervisor answers a limited number per cycle and rejects more with "try later".
+        let mut response_times = Histogram::<u64>::new(3)?;
+        let mut response_bytes = 0;
+        for _ in 0..WEIGHT_REQUESTS {
+            let requested_at = now();
+            balancer.send(Body::GetWeights { groups: vec![group.clone()] })?;
             let (at, body, bytes) = loop {
                 match balancer.next()? {
                     (_, Body::SendWeights { .. }, _) => {}
@@ -766,52 +840,55 @@
                 }
             };
             if let Body::Weights { code: ReturnCode::Successful, .. } = body {
-                answers.record(at - begun)?;
-                size = bytes;
+                response_times.record(at - requested_at)?;
+                response_bytes = bytes;
             }
-            thread::sleep(std::time::Duration::from_millis(25));
+            thread::sleep(WEIGHT_REQUEST_INTERVAL);
         }
-        Ok((answers.value_at_quantile(0.5), size))
+        Ok((response_times.value_at_quantile(0.5), response_bytes))
     });
-    let tell = |wait: fn(SocketAddr, usize) -> Wait, address| {
-        let all = size.servers as usize;
-        groups.iter().try_for_each(|group| group.waits.send(wait(address, all)).context("a thread is gone"))
+    let start_wait = |wait: fn(SocketAddr, usize) -> Wait, address| {
+        let server_count = size.servers as usize;
+        groups.iter().try_for_each(|group| {
+            group.waits.send(wait(address, server_count)).context("a forwarder thread ended")
+        })
     };
-    tell(Wait::Tables, served[0])?;
-    registry.until("all tables held", &groups)?;
+    start_wait(Wait::Tables, addresses[0])?;
+    registry.serve_until_done("all tables", &groups)?;
     let (mut by_xds, mut by_sasp) = (Histogram::<u64>::new(3)?, Histogram::<u64>::new(3)?);
-    let before = supervisor.cost()?.0;
+    let before = supervisor.usage()?.0;
     for round in 0..rounds {
         let server = round % size.servers;
-        tell(|address, _| Wait::Without(address), address(server))?;
+        start_wait(|address, _| Wait::Without(address), address(server))?;
         drains.send(member_at(server))?;
-        registry.turn(now() + 20 * MILLI)?;
+        registry.serve(now() + WAIT_SETUP_TIME)?;
         registry.draining = Some(server);
-        let begun = registry.say_list();
-        by_xds.record(registry.until("a drain", &groups)?.0 - begun)?;
-        let (at, _) = pushed.recv_timeout(std::time::Duration::from_nanos(PATIENCE))?;
-        by_sasp.record(at.saturating_sub(begun))?;
+        let pushed_at = registry.push_list();
+        by_xds.record(registry.serve_until_done("a drain", &groups)?.0 - pushed_at)?;
+        let (at, _) = pushed.recv_timeout(Duration::from_nanos(TIMEOUT))?;
+        by_sasp.record(at.saturating_sub(pushed_at))?;
         registry.draining = None;
-        registry.say_list();
-        tell(Wait::Tables, served[0])?;
-        registry.until("a return", &groups)?;
+        registry.push_list();
+        start_wait(Wait::Tables, addresses[0])?;
+        registry.serve_until_done("the end of a drain", &groups)?;
     }
-    let (after, peak) = supervisor.cost()?;
+    let (after, peak_mib) = supervisor.usage()?;
     drop(drains);
-    let (answer, bytes) = balancer.join().map_err(|_| anyhow::anyhow!("the balancer failed"))??;
+    let (response_time, bytes) =
+        balancer.join().map_err(|_| anyhow::anyhow!("the balancer thread panicked"))??;
     println!(
         "{} members: drain to weight 0 pushed by SASP {:.2} ms (p99 {:.2}), to the table by xDS {:.2} ms (p99 {:.2}); \
          an asked answer of {bytes} bytes in {:.2} ms, {:.0} weights a second; {:.1} us of processor a member and \
-         drain; {:.1} MiB with both connections, {idle:.1} without",
+         drain; {:.1} MiB with both connections, {idle_mib:.1} without",
         size.servers,
         ms(by_sasp.value_at_quantile(0.5)),
         ms(by_sasp.value_at_quantile(0.99)),
         ms(by_xds.value_at_quantile(0.5)),
         ms(by_xds.value_at_quantile(0.99)),
-        ms(answer),
-        f64::from(size.servers) / (answer as f64 / SECOND as f64),
+        ms(response_time),
+        f64::from(size.servers) / (response_time as f64 / SECOND as f64),
         1e6 * (after - before) / f64::from(rounds) / f64::from(size.servers),
-        peak,
+        peak_mib,
     );
     Ok(())
 }
--- a/crates/cli/src/restart_measure.rs
+++ b/crates/cli/src/restart_measure.rs
@@ -1,86 +1,96 @@
-//! `shalereel measure restart`: what a restart of supervisors costs callers, with and without what they had learned, beside
-//! the same day without a restart, all with the same arrivals.
+//! `shalereel measure restart`: the service that callers lose by a restart of the supervisors, with and without their
+//! stored state, in comparison with the same drill without a restart. All three runs have the same arrivals.
 
 use std::path::Path;
 
 use anyhow::{bail, Context, Result};
 use shalereel_fault_scenarios::{play, Day, TroubleKind, Verdict};
 
-/// Service is looked at for so long after the restart.
-const AFTER_S: f64 = 30.0;
-/// A loss of less is none.
-const LEAST: f64 = 1e-3;
+/// Length of the interval after the restart in which service is measured, in seconds.
+const MEASURED_S: f64 = 30.0;
+/// Smallest loss of service, as a share of requests, that counts as a loss.
+const MIN_LOSS: f64 = 1e-3;
 
+/// How a run of the drill differs from its file.
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
-    Calm,
-    Remembers,
-    Forgets,
+enum RunKind {
+    /// Without the restart.
+    NoRestart,
+    /// With the restart; the supervisors load their stored state.
+    KeepsState,
+    /// With the restart; the supervisors start without stored state.
+    LosesState,
 }
 
-/// `healed`: whatever ailed servers ends as the supervisors go down, so that what they knew is wrong.
+/// Runs the drill `rounds` times in each of the three ways and prints the service after the restart. With `healed`, all
+/// server faults end when the supervisors go down, so that their stored state is wrong.
 pub fn restart(file: &Path, first: u32, rounds: u32, healed: bool) -> Result<()> {
     let day = Day::read(file)?;
     let crash = day.troubles.iter().find(|trouble| trouble.kind == TroubleKind::SupervisorCrash);
-    let (from, back) = crash
+    let (crash_s, restart_s) = crash
         .map(|crash| (crash.at_s, crash.at_s + crash.for_s))
-        .context("the day has no supervisor_crash")?;
+        .context("the drill has no supervisor_crash")?;
     println!(
-        "service in the {AFTER_S} s after a restart at {from} s{}",
+        "service in the {MEASURED_S} s after a restart at {crash_s} s{}",
         if healed { ", servers healed" } else { "" }
     );
     println!("{:>5} {:>8} {:>11} {:>9} {:>9}", "round", "calm", "remembers", "forgets", "won back");
-    let mut sums = [0.0; 3];
+    let mut means = [0.0; 3];
     for round in first..first + rounds {
-        let mut found = [0.0; 3];
+        let mut services = [0.0; 3];
         std::thread::scope(|scope| -> Result<()> {
-            let threads = [Way::Calm, Way::Remembers, Way::Forgets].map(|way| {
+            let threads = [RunKind::NoRestart, RunKind::KeepsState, RunKind::LosesState].map(|run| {
                 let mut day = day.clone();
                 day.seed += u64::from(round);
-                day.supervisors.forget = way == Way::Forgets;
+                day.supervisors.forget = run == RunKind::LosesState;
                 if healed {
-                    let ill = [TroubleKind::Hang, TroubleKind::Slow, TroubleKind::FastErrors];
-                    for trouble in day.troubles.iter_mut().filter(|trouble| ill.contains(&trouble.kind)) {
-                        trouble.for_s = trouble.for_s.min((from - trouble.at_s).max(0.0));
+                    let server_faults = [TroubleKind::Hang, TroubleKind::Slow, TroubleKind::FastErrors];
+                    for trouble in
+                        day.troubles.iter_mut().filter(|trouble| server_faults.contains(&trouble.kind))
+                    {
+                        trouble.for_s = trouble.for_s.min((crash_s - trouble.at_s).max(0.0));
                     }
                 }
-                if way == Way::Calm {
+                if run == RunKind::NoRestart {
                     day.troubles.retain(|trouble| trouble.kind != TroubleKind::SupervisorCrash);
                 }
-                scope.spawn(move || one(&day, back))
+                scope.spawn(move || measure_service(&day, restart_s))
             });
-            for (found, thread) in found.iter_mut().zip(threads) {
-                *found = thread.join().map_err(|_| anyhow::anyhow!("a day failed"))??;
+            for (service, thread) in services.iter_mut().zip(threads) {
+                *service = thread.join().map_err(|_| anyhow::anyhow!("a run of the drill panicked"))??;
             }
             Ok(())
         })?;
-        line(&round.to_string(), found);
-        sums.iter_mut().zip(found).for_each(|(sum, found)| *sum += found / f64::from(rounds));
+        print_row(&round.to_string(), services);
+        means.iter_mut().zip(services).for_each(|(mean, service)| *mean += service / f64::from(rounds));
     }
-    line("mean", sums);
+    print_row("mean", means);
     Ok(())
 }
 
-fn line(name: &str, [calm, remembers, forgets]: [f64; 3]) {
-    // Where nothing was lost nothing can be won back.
-    let lost = calm - forgets;
-    let won = if lost > LEAST { format!("{:.2}", (remembers - forgets) / lost) } else { "-".into() };
-    println!("{name:>5} {calm:>8.4} {remembers:>11.4} {forgets:>9.4} {won:>9}");
+/// Prints the service of the three runs, and the share of the loss that the stored state avoids.
+fn print_row(name: &str, [no_restart, keeps_state, loses_state]: [f64; 3]) {
+    // Without a loss there is nothing to avoid.
+    let lost = no_restart - loses_state;
+    let avoided =
+        if lost > MIN_LOSS { format!("{:.2}", (keeps_state - loses_state) / lost) } else { "-".into() };
+    println!("{name:>5} {no_restart:>8.4} {keeps_state:>11.4} {loses_state:>9.4} {avoided:>9}");
 }
 
-fn one(day: &Day, back: f64) -> Result<f64> {
+/// Runs a drill and returns the share of requests that were answered in the measured interval after `restart_s`.
+fn measure_service(day: &Day, restart_s: f64) -> Result<f64> {
     let thread = std::thread::current().id();
     let folder = std::env::temp_dir().join(format!("shalereel-restart-{}-{thread:?}", std::process::id()));
     let verdict: Verdict = play(&std::env::current_exe()?, &folder, day, &mut |_| {})?;
     let _ = std::fs::remove_dir_all(&folder);
     if let Some(broken) = verdict.broken().next() {
-        bail!("a rule broke: {broken:?}");
+        bail!("the drill broke a rule: {broken:?}");
     }
-    let after = verdict
+    let measured = verdict
         .windows
         .iter()
-        .filter(|window| window.from_s >= back.floor() && window.from_s < back + AFTER_S);
+        .filter(|window| window.from_s >= restart_s.floor() && window.from_s < restart_s + MEASURED_S);
     let (asked, answered) =
-        after.fold((0.0, 0.0), |sum, window| (sum.0 + window.asked, sum.1 + window.answered));
+        measured.fold((0.0, 0.0), |sum, window| (sum.0 + window.asked, sum.1 + window.answered));
     Ok(answered / asked)
 }
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -1,4 +1,4 @@
-//! `shalereel-standin`: one stand-in, told by lines of JSON on its input.
+//! `shalereel-standin`: one stand-in process of a drill, controlled by JSON lines on standard input.
 
 use std::process::ExitCode;
 
@@ -8,10 +8,10 @@
 #[command(
     name = "shalereel-standin",
     version,
-    about = "Stands in for servers, forwarders, callers or the registry"
+    about = "Simulates the servers, forwarders, callers or registry of a drill"
 )]
 struct Arguments {
-    /// servers, forwarders, callers or registry
+    /// Role of the process: servers, forwarders, callers or registry.
     role: String,
 }
 
--- a/crates/cli/src/tables_command.rs
+++ b/crates/cli/src/tables_command.rs
@@ -1,4 +1,4 @@
-//! Operators' words about tables: what was told when and why, and the way back.
+//! `shalereel tables`: operators' queries about published table versions, rollbacks and weight caps.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
@@ -11,71 +11,78 @@
     AdminQuery, CapServer, DiffVersions, EndRollbacks, ListVersions, ShowVersion, StartRollback,
 };
 
+/// Subcommands of `shalereel tables`.
 #[derive(Subcommand)]
 pub enum TablesCommand {
-    /// The newest versions, and the ways back under way.
+    /// List the newest versions, the active rollbacks and the weight caps.
     List {
+        /// Number of versions.
         #[arg(long, default_value_t = 20)]
         last: u32,
     },
-    /// The lines of a version; of the newest one unless named.
+    /// Show the lines of a version.
     Show {
+        /// Number of the version; 0 means the newest.
         #[arg(default_value_t = 0)]
         version: u64,
     },
-    /// What differs between two versions of a table.
+    /// Show the differences between two versions of a table.
     Diff { from: u64, to: u64 },
-    /// Go back to a version's weights for a while. What has drained, left, gone red, restarted or is cold since stays
-    /// as it is decided now.
+    /// Roll a table back to the weights of a version for a limited time. A server that has since drained, left, become
+    /// unhealthy, restarted or become cold keeps its computed weight.
     Back {
         version: u64,
         #[command(flatten)]
-        given: Given,
-        /// Only say what it would do.
+        details: ChangeDetails,
+        /// Print the effect without rolling back.
         #[arg(long)]
         dry_run: bool,
     },
-    /// Hold a server at most at this part of its weight for a while, at this supervisor.
+    /// Cap a server's weight at this fraction of its computed weight for a limited time, at this supervisor only.
     Hold {
         server: u32,
-        part: f64,
+        #[arg(value_name = "PART")]
+        fraction: f64,
         #[command(flatten)]
-        given: Given,
+        details: ChangeDetails,
     },
-    /// End a hold of this supervisor.
+    /// End a server's weight cap at this supervisor.
     Release { server: u32 },
-    /// End the ways back now.
+    /// End all rollbacks now.
     Onward,
 }
 
-/// Who orders something, for how long, and why: all of it is kept with the versions that come of it.
+/// Duration, reason and author of a change, which are stored with the versions that result from it.
 #[derive(Args)]
-pub struct Given {
-    /// For how long, such as 90s, 10m or 2h.
-    #[arg(long = "for", value_parser = humantime::parse_duration)]
-    span: Duration,
-    #[arg(long)]
-    why: String,
-    #[arg(long, env = "USER", default_value = "operator")]
-    who: String,
+pub struct ChangeDetails {
+    /// Duration of the change, such as 90s, 10m or 2h.
+    #[arg(long = "for", value_name = "SPAN", value_parser = humantime::parse_duration)]
+    duration: Duration,
+    /// Reason for the change.
+    #[arg(long = "why", value_name = "WHY")]
+    reason: String,
+    /// Who makes the change.
+    #[arg(long = "who", value_name = "WHO", env = "USER", default_value = "operator")]
+    actor: String,
 }
 
-impl Given {
-    /// Milliseconds, at least one, who and why.
-    fn told(&self) -> Result<(u64, String, String)> {
-        match u64::try_from(self.span.as_millis()) {
-            Ok(0) => bail!("{:?} is no time; give a span such as 10m", self.span),
-            Ok(millis) => Ok((millis, self.who.clone(), self.why.clone())),
-            Err(_) => bail!("{:?} is too long", self.span),
+impl ChangeDetails {
+    /// The duration in milliseconds, which is at least 1, the actor and the reason.
+    fn to_request_fields(&self) -> Result<(u64, String, String)> {
+        match u64::try_from(self.duration.as_millis()) {
+            Ok(0) => bail!("duration {:?} is below 1 ms; give one such as 10m", self.duration),
+            Ok(millis) => Ok((millis, self.actor.clone(), self.reason.clone())),
+            Err(_) => bail!("duration {:?} is too long", self.duration),
         }
     }
 }
 
-fn rows<'a>(told: &'a Value, key: &str) -> impl Iterator<Item = &'a Value> {
-    told[key].as_array().into_iter().flatten()
+/// Items of the array at `key`; none if there is no array.
+fn rows<'a>(response: &'a Value, key: &str) -> impl Iterator<Item = &'a Value> {
+    response[key].as_array().into_iter().flatten()
 }
 
-/// A figure as text: JSON's own takes no width.
+/// A value as a string, since `Display` of a JSON value ignores the width of a format.
 fn cell(value: &Value) -> String {
     value.to_string()
 }
@@ -84,7 +91,8 @@
     value.as_str().unwrap_or_default()
 }
 
-fn weight(line: &Value) -> String {
+/// Weight of a table line; a line without a weight is not in the table.
+fn weight_text(line: &Value) -> String {
     match line["weight"].as_f64() {
         None => "out".into(),
         Some(weight) if line["draining"] == true => format!("{weight:.4} draining"),
@@ -92,13 +100,14 @@
     }
 }
 
-pub fn tables(at: SocketAddr, command: &TablesCommand, json: bool) -> Result<()> {
-    let question = match command {
+/// Sends a request about tables to the supervisor at `address` and prints the response.
+pub fn tables(address: SocketAddr, command: &TablesCommand, json: bool) -> Result<()> {
+    let query = match command {
         TablesCommand::List { last } => AdminQuery::List(ListVersions { last: *last }),
         TablesCommand::Show { version } => AdminQuery::Show(ShowVersion { version: *version }),
         TablesCommand::Diff { from, to } => AdminQuery::Diff(DiffVersions { from: *from, to: *to }),
-        TablesCommand::Back { version, given, dry_run } => {
-            let (duration_ms, actor, reason) = given.told()?;
+        TablesCommand::Back { version, details, dry_run } => {
+            let (duration_ms, actor, reason) = details.to_request_fields()?;
             AdminQuery::StartRollback(StartRollback {
                 version: *version,
                 duration_ms,
@@ -107,78 +116,84 @@
                 reason,
             })
         }
-        TablesCommand::Hold { server, part, given } => {
-            let (duration_ms, actor, reason) = given.told()?;
-            AdminQuery::CapServer(CapServer { server: *server, factor: *part, duration_ms, actor, reason })
+        TablesCommand::Hold { server, fraction, details } => {
+            let (duration_ms, actor, reason) = details.to_request_fields()?;
+            AdminQuery::CapServer(CapServer {
+                server: *server,
+                factor: *fraction,
+                duration_ms,
+                actor,
+                reason,
+            })
         }
         TablesCommand::Release { server } => {
             AdminQuery::CapServer(CapServer { server: *server, ..CapServer::default() })
         }
         TablesCommand::Onward => AdminQuery::EndRollbacks(EndRollbacks {}),
     };
-    let told = tables_at(at, question)?;
+    let response = tables_at(address, query)?;
     if json {
-        println!("{told:#}");
+        println!("{response:#}");
         return Ok(());
     }
     match command {
-        TablesCommand::List { .. } => list(&told),
-        TablesCommand::Show { .. } => show(&told),
+        TablesCommand::List { .. } => print_versions(&response),
+        TablesCommand::Show { .. } => print_version(&response),
         TablesCommand::Diff { .. } => {
-            for row in rows(&told, "lines") {
+            for row in rows(&response, "lines") {
                 println!(
                     "server {:<8} {:>16} -> {}",
                     cell(&row["server"]),
-                    weight(&row["from"]),
-                    weight(&row["to"])
+                    weight_text(&row["from"]),
+                    weight_text(&row["to"])
                 );
             }
         }
-        TablesCommand::Back { .. } => back(&told),
-        TablesCommand::Hold { server, part, .. } => {
-            println!("server {server} is held at most at {part} of its weight")
+        TablesCommand::Back { .. } => print_rollback(&response),
+        TablesCommand::Hold { server, fraction, .. } => {
+            println!("server {server} is held at most at {fraction} of its weight")
         }
         TablesCommand::Release { server } => println!("server {server} is held no longer"),
-        TablesCommand::Onward => println!("{} ways back end", told["ended"]),
+        TablesCommand::Onward => println!("{} ways back end", response["ended"]),
     }
     Ok(())
 }
 
-fn list(told: &Value) {
-    println!("{} versions kept, {} bytes", told["kept"], told["bytes"]);
-    for way in rows(told, "ways") {
-        let ends = if way["ending"] == true {
+fn print_versions(response: &Value) {
+    println!("{} versions kept, {} bytes", response["kept"], response["bytes"]);
+    for rollback in rows(response, "ways") {
+        let ends = if rollback["ending"] == true {
             "ending".to_owned()
         } else {
-            format!("ends in {} s", way["ends_in_s"])
+            format!("ends in {} s", rollback["ends_in_s"])
         };
         println!(
             "table {} goes by version {}, {ends}, {} lines to move: {} ({})",
-            way["table"],
-            way["to"],
-            way["lines_to_move"],
-            text(&way["why"]),
-            text(&way["who"])
+            rollback["table"],
+            rollback["to"],
+            rollback["lines_to_move"],
+            text(&rollback["why"]),
+            text(&rollback["who"])
         );
     }
-    for hold in rows(told, "holds") {
+    for cap in rows(response, "holds") {
         println!(
             "server {} held at most at {} of its weight, ends in {} s: {} ({})",
-            hold["server"],
-            hold["at_most"],
-            hold["ends_in_s"],
-            text(&hold["why"]),
-            text(&hold["who"])
+            cap["server"],
+            cap["at_most"],
+            cap["ends_in_s"],
+            text(&cap["why"]),
+            text(&cap["who"])
         );
     }
     println!("{:>8} {:>5} {:<20} {:>6} {:>7}  why", "version", "table", "at", "lines", "changed");
-    for version in rows(told, "versions") {
-        let at = Duration::from_millis(version["at_ms"].as_u64().unwrap_or(0));
+    for version in rows(response, "versions") {
+        let published_at = Duration::from_millis(version["at_ms"].as_u64().unwrap_or(0));
         println!(
             "{:>8} {:>5} {:<20} {:>6} {:>7}  {}: {}",
             cell(&version["version"]),
             cell(&version["table"]),
-            humantime::format_rfc3339_seconds(SystemTime::UNIX_EPOCH + at),
+            humantime::format_rfc3339_seconds(SystemTime::UNIX_EPOCH + published_at),
             cell(&version["lines"]),
             cell(&version["changed"]),
             text(&version["who"]),
@@ -187,32 +202,32 @@
     }
 }
 
-fn show(told: &Value) {
-    println!("version {} of table {}", told["version"], told["table"]);
-    if let Some(made) = told["made"].as_object() {
+fn print_version(response: &Value) {
+    println!("version {} of table {}", response["version"], response["table"]);
+    if let Some(made) = response["made"].as_object() {
         println!("made by {}: {}; check {}", text(&made["who"]), text(&made["why"]), text(&made["check"]));
     }
-    for row in rows(told, "lines") {
+    for row in rows(response, "lines") {
         println!(
             "server {:<8} {:<22} {}",
             cell(&row["server"]),
             text(&row["line"]["address"]),
-            weight(&row["line"])
+            weight_text(&row["line"])
         );
     }
 }
 
-fn back(told: &Value) {
-    let word = if told["dry_run"] == true { "would take" } else { "take" };
+fn print_rollback(response: &Value) {
+    let verb = if response["dry_run"] == true { "would take" } else { "take" };
     println!(
-        "{} servers of table {} {word} the weights of version {}",
-        told["takes"], told["table"], told["to"]
+        "{} servers of table {} {verb} the weights of version {}",
+        response["takes"], response["table"], response["to"]
     );
-    for row in rows(told, "moves") {
-        let (now, times) = (row["now"].as_f64().unwrap_or(0.0), row["times"].as_f64().unwrap_or(1.0));
-        println!("server {:<8} {now:.4} -> {:.4}", cell(&row["server"]), now * times);
+    for row in rows(response, "moves") {
+        let (current, factor) = (row["now"].as_f64().unwrap_or(0.0), row["times"].as_f64().unwrap_or(1.0));
+        println!("server {:<8} {current:.4} -> {:.4}", cell(&row["server"]), current * factor);
     }
-    for row in rows(told, "stays") {
+    for row in rows(response, "stays") {
         println!("server {:<8} stays: {}", cell(&row["server"]), text(&row["why"]));
     }
 }
--- a/crates/cli/src/tables_measure.rs
+++ b/crates/cli/src/tables_measure.rs
@@ -1,4 +1,5 @@
-//! `shalereel measure tables`: assignments said whole beside line by line, in one run; and what versions cost.
+//! `shalereel measure tables`: whole assignments in comparison with incremental ones in the same run, and the cost of
+//! table versions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,35 +9,50 @@
 use hdrhistogram::Histogram;
 use shalereel::interface::{ServerSnapshot, Snapshot};
 use shalereel_guard::{Availability, Guard, Limits, Line as GuardLine, Pool, Server};
-use shalereel_reactor::{now, MILLI};
+use shalereel_reactor::{now, Nanos, MILLI};
 use shalereel_snapshot::StoredSnapshot;
 use shalereel_store::{
     DeltaOutcome, Digest, Line, Lines, Provenance, Replica, ResyncBackoff, RetentionLimits, Store,
 };
 use shalereel_xds_supervisor::Deployment;
 
-use crate::measure_command::{address, deployment, ms, Group, Registry, Size, Supervisor, Wait};
+use crate::measure_command::{
+    address, deployment, ms, Forwarders, Registry, Size, Supervisor, Wait, WAIT_SETUP_TIME,
+};
+
+/// Tables of these numbers of lines are measured in versions.
+const VERSION_TABLE_LINES: [u32; 3] = [120, 400, 5000];
+/// Time between two rejoins. The controller admits joining forwarders in batches and is idle again after this time.
+const REJOIN_PAUSE: Nanos = 50 * MILLI;
+/// Lines that each measured version changes, at most.
+const CHANGED_LINES: u32 = 4;
+/// Versions that are published in a measurement.
+const VERSIONS: u32 = 1000;
 
-/// What one way costs at one size. Times in ns, bytes a forwarder.
+/// Costs of one kind of transfer at one size. Times in ns, bytes per forwarder.
 struct Cost {
+    /// From the list with a draining server to the last forwarder's ACK.
     drain: Histogram<u64>,
     drain_bytes: usize,
+    /// Until all forwarders have their tables again after they reconnect and announce their versions.
     rejoin: Histogram<u64>,
     rejoin_bytes: usize,
+    /// The same without announced versions.
     fresh: Histogram<u64>,
     fresh_bytes: usize,
-    cpu_ms_a_drain: f64,
+    cpu_ms_per_drain: f64,
 }
 
+/// Measures both kinds of transfer at each size, then versions, and prints the results.
 pub fn tables(sizes: &[Size], rounds: u32) -> Result<()> {
     for &size in sizes {
         let folder = std::env::temp_dir().join(format!("shalereel-tables-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        let measured = [false, true].map(|lines| one(size, rounds, &folder, lines));
+        let measured = [false, true].map(|incremental| measure_transfer(size, rounds, &folder, incremental));
         let _ = std::fs::remove_dir_all(&folder);
-        let [whole, lines] = measured;
-        let (whole, lines) = (whole?, lines?);
-        for (name, cost) in [("whole", &whole), ("lines", &lines)] {
+        let [whole, incremental] = measured;
+        let (whole, incremental) = (whole?, incremental?);
+        for (name, cost) in [("whole", &whole), ("lines", &incremental)] {
             println!(
                 "{} x {} {name}: drain to last ACK {:.2} ms (p99 {:.2}), {} bytes each, {:.1} ms of processor; rejoin of all \
                  {:.1} ms, {} bytes each; with nothing brought along {:.1} ms, {} bytes each",
@@ -45,7 +61,7 @@
                 ms(cost.drain.value_at_quantile(0.5)),
                 ms(cost.drain.value_at_quantile(0.99)),
                 cost.drain_bytes,
-                cost.cpu_ms_a_drain,
+                cost.cpu_ms_per_drain,
                 ms(cost.rejoin.value_at_quantile(0.5)),
                 cost.rejoin_bytes,
                 ms(cost.fresh.value_at_quantile(0.5)),
@@ -57,30 +73,31 @@
              brought along",
             size.servers,
             size.forwarders,
-            lines.drain_bytes as f64 / whole.drain_bytes as f64,
-            lines.rejoin_bytes as f64 / whole.rejoin_bytes as f64,
-            lines.fresh_bytes as f64 / whole.fresh_bytes as f64,
+            incremental.drain_bytes as f64 / whole.drain_bytes as f64,
+            incremental.rejoin_bytes as f64 / whole.rejoin_bytes as f64,
+            incremental.fresh_bytes as f64 / whole.fresh_bytes as f64,
         );
     }
-    for lines in [120, 400, 5000] {
-        versions(lines)?;
+    for lines in VERSION_TABLE_LINES {
+        measure_versions(lines)?;
     }
     Ok(())
 }
 
-fn one(size: Size, rounds: u32, folder: &Path, lines: bool) -> Result<Cost> {
-    let (mut registry, list) = Registry::new(size)?;
+/// Measures drains and rejoins with whole or incremental assignments.
+fn measure_transfer(size: Size, rounds: u32, folder: &Path, incremental: bool) -> Result<Cost> {
+    let (mut registry, registry_address) = Registry::new(size)?;
     let file = folder.join("supervisor.toml");
-    std::fs::write(&file, deployment(size, "127.0.0.1:0", list, folder))?;
-    let (supervisor, served) = Supervisor::start(&file)?;
-    let groups = Group::spawn(size, served, lines);
-    let all = size.servers as usize;
-    let tell = |wait: &dyn Fn() -> Wait| {
-        groups.iter().try_for_each(|group| group.waits.send(wait()).context("a thread is gone"))
+    std::fs::write(&file, deployment(size, "127.0.0.1:0", registry_address, folder))?;
+    let (supervisor, supervisor_address) = Supervisor::start(&file)?;
+    let groups = Forwarders::spawn(size, supervisor_address, incremental);
+    let server_count = size.servers as usize;
+    let start_wait = |wait: &dyn Fn() -> Wait| {
+        groups.iter().try_for_each(|group| group.waits.send(wait()).context("a forwarder thread ended"))
     };
-    let tables = |served: SocketAddr| move || Wait::Tables(served, all);
-    tell(&tables(served))?;
-    registry.until("all tables held", &groups)?;
+    let all_tables = |supervisor: SocketAddr| move || Wait::Tables(supervisor, server_count);
+    start_wait(&all_tables(supervisor_address))?;
+    registry.serve_until_done("all tables", &groups)?;
     let mut cost = Cost {
         drain: Histogram::new(3)?,
         drain_bytes: 0,
@@ -88,97 +105,98 @@
         rejoin_bytes: 0,
         fresh: Histogram::new(3)?,
         fresh_bytes: 0,
-        cpu_ms_a_drain: 0.0,
+        cpu_ms_per_drain: 0.0,
     };
-    let before = supervisor.cost()?.0;
+    let before = supervisor.usage()?.0;
     for round in 0..rounds {
         let server = round % size.servers;
-        tell(&|| Wait::Without(address(server)))?;
-        registry.turn(now() + 20 * MILLI)?;
+        start_wait(&|| Wait::Without(address(server)))?;
+        registry.serve(now() + WAIT_SETUP_TIME)?;
         registry.draining = Some(server);
-        let begun = registry.say_list();
-        let (held, bytes, _) = registry.until("a drain", &groups)?;
-        cost.drain.record(held - begun)?;
+        let pushed_at = registry.push_list();
+        let (removed_at, bytes, _) = registry.serve_until_done("a drain", &groups)?;
+        cost.drain.record(removed_at - pushed_at)?;
         cost.drain_bytes += bytes / rounds as usize;
         registry.draining = None;
-        registry.say_list();
-        tell(&tables(served))?;
-        registry.until("a return", &groups)?;
+        registry.push_list();
+        start_wait(&all_tables(supervisor_address))?;
+        registry.serve_until_done("the end of a drain", &groups)?;
     }
-    cost.cpu_ms_a_drain = 1e3 * (supervisor.cost()?.0 - before) / f64::from(rounds);
+    cost.cpu_ms_per_drain = 1e3 * (supervisor.usage()?.0 - before) / f64::from(rounds);
     for round in 0..rounds.max(4) {
-        // The module lets joiners in batch by batch: between two of them all is quiet.
-        registry.turn(now() + 50 * MILLI)?;
+        registry.serve(now() + REJOIN_PAUSE)?;
         let resume = round % 2 == 0;
-        let begun = now();
-        tell(&|| Wait::Rejoin { lines: all, resume })?;
-        let (held, bytes, _) = registry.until("a rejoin", &groups)?;
+        let started = now();
+        start_wait(&|| Wait::Rejoin { lines: server_count, resume })?;
+        let (received_at, bytes, _) = registry.serve_until_done("a rejoin", &groups)?;
         if resume {
-            cost.rejoin.record(held - begun)?;
+            cost.rejoin.record(received_at - started)?;
             cost.rejoin_bytes = bytes;
         } else {
-            cost.fresh.record(held - begun)?;
+            cost.fresh.record(received_at - started)?;
             cost.fresh_bytes = bytes;
         }
     }
     Ok(cost)
 }
 
-/// The digest, a version, and what a forwarder does with a delta, alone on one core.
-fn versions(count: u32) -> Result<()> {
+/// Measures the digest of a table, the publication of a version, and the application of a delta by a forwarder, all on
+/// one thread, and prints the results.
+fn measure_versions(count: u32) -> Result<()> {
     let line =
         |server: u32, weight: u32| Line { address: address(server), weight, draining: false, incarnation: 1 };
     let lines: Lines = (0..count).map(|server| (server, line(server, 10_000))).collect();
     let rounds = 2_000_000 / count;
-    let begun = now();
-    let mut sum = 0;
+    let started = now();
+    let mut checksum = 0;
     for salt in 0..rounds {
-        sum ^= Digest::of(&lines, salt.into()).sum;
+        checksum ^= Digest::of(&lines, salt.into()).sum;
     }
-    let digest = (now() - begun) as f64 / f64::from(rounds * count);
-    let guarded = guard_cost(count)?;
-    let (kept, said) = memory_cost(count);
-    let bounds = RetentionLimits { versions: 100_000, bytes: 1 << 30, age: u64::MAX };
-    let mut store = Store::new(bounds, 1);
-    let why = Provenance::new("module", "");
-    store.publish(0, lines.iter().map(|(&server, &line)| (server, Some(line))), 1, &why);
-    let mut follower = Replica::new(ResyncBackoff::new(MILLI, 1));
-    let whole = store.delta_from(0, 0);
-    let begun = now();
-    let held = whole.iter().all(|whole| follower.receive(0, whole) == DeltaOutcome::Applied);
-    let taken_whole = now() - begun;
-    let (mut made, mut taken, mut missed, before) = (0, 0, usize::from(!held), store.size().bytes);
-    let each = 4.min(count);
-    for at in 1..=1000 {
+    let digest_ns = (now() - started) as f64 / f64::from(rounds * count);
+    let guard_us = measure_guard(count)?;
+    let (snapshot_bytes, encode_us) = measure_snapshot(count);
+    let limits = RetentionLimits { versions: 100_000, bytes: 1 << 30, age: u64::MAX };
+    let mut store = Store::new(limits, 1);
+    let provenance = Provenance::new("module", "");
+    store.publish(0, lines.iter().map(|(&server, &line)| (server, Some(line))), 1, &provenance);
+    let mut replica = Replica::new(ResyncBackoff::new(MILLI, 1));
+    let whole_table = store.delta_from(0, 0);
+    let started = now();
+    let applied = whole_table.iter().all(|delta| replica.receive(0, delta) == DeltaOutcome::Applied);
+    let whole_time = now() - started;
+    let (mut publish_time, mut apply_time, mut missed, before) =
+        (0, 0, usize::from(!applied), store.size().bytes);
+    let changed = CHANGED_LINES.min(count);
+    for round in 1..=VERSIONS {
         let from = store.newest_version(0);
-        let begun = now();
-        let touched = (0..each).map(|server| (server, Some(line(server, 10_000 + at))));
-        store.publish(0, touched, at.into(), &why);
+        let started = now();
+        let changes = (0..changed).map(|server| (server, Some(line(server, 10_000 + round))));
+        store.publish(0, changes, round.into(), &provenance);
         let delta = store.delta_from(0, from);
-        made += now() - begun;
+        publish_time += now() - started;
         store.take_writes();
-        let begun = now();
-        missed += delta.iter().filter(|delta| follower.receive(0, delta) != DeltaOutcome::Applied).count();
-        taken += now() - begun;
+        let started = now();
+        missed += delta.iter().filter(|delta| replica.receive(0, delta) != DeltaOutcome::Applied).count();
+        apply_time += now() - started;
     }
-    assert_eq!(missed, 0, "deltas that did not add up");
-    let a_version = (store.size().bytes - before) as f64 / 1000.0;
+    assert_eq!(missed, 0, "deltas that were not applied");
+    let version_bytes = (store.size().bytes - before) as f64 / f64::from(VERSIONS);
     println!(
-        "{count} lines: digest {digest:.1} ns a line ({:x}); a version of {each} lines made in {:.1} us, taken by a forwarder in \
-         {:.1} us, {a_version:.0} bytes kept: {:.1} MB a day at one a second; a whole table taken in {:.1} us; \
-         looked at by the guard in {guarded:.1} us; {kept} bytes of what was learned, said in {said:.1} us",
-        sum as u8,
-        made as f64 / 1e6,
-        taken as f64 / 1e6,
-        a_version * 86_400.0 / 1e6,
-        taken_whole as f64 / 1e3,
+        "{count} lines: digest {digest_ns:.1} ns a line ({:x}); a version of {changed} lines made in {:.1} us, taken by a forwarder in \
+         {:.1} us, {version_bytes:.0} bytes kept: {:.1} MB a day at one a second; a whole table taken in {:.1} us; \
+         looked at by the guard in {guard_us:.1} us; {snapshot_bytes} bytes of what was learned, said in {encode_us:.1} us",
+        checksum as u8,
+        publish_time as f64 / 1e6,
+        apply_time as f64 / 1e6,
+        version_bytes * 86_400.0 / 1e6,
+        whole_time as f64 / 1e3,
     );
     Ok(())
 }
 
-/// What is kept of so many servers, and how long it takes to say it, in microseconds.
-fn memory_cost(count: u32) -> (usize, f64) {
-    let learned = |server| ServerSnapshot {
+/// Size of the stored snapshot of this number of servers, and the time to encode it in microseconds.
+fn measure_snapshot(count: u32) -> (usize, f64) {
+    let server_snapshot = |server| ServerSnapshot {
         server,
         attempts: 40.0 + f64::from(server),
         failures: 1.0,
@@ -188,20 +206,20 @@
         ejection_time: 5_000_000_000,
         ..ServerSnapshot::default()
     };
-    let servers = (0..count).map(learned).collect();
-    let memory = StoredSnapshot {
+    let servers = (0..count).map(server_snapshot).collect();
+    let snapshot = StoredSnapshot {
         taken_at: 1_800_000_000_000_000_000,
         learned: Snapshot { servers, attempts: 1e4, failures: 10.0, ..Snapshot::default() },
         incarnations: (0..count).map(|server| (server, 3)).collect(),
         proxy_rates: (0..count / 3).map(|proxy| (format!("forwarder-{proxy}"), 12.5)).collect(),
     };
-    let (rounds, begun) = (100, now());
-    let bytes: usize = (0..rounds).map(|_| memory.encode_record().len()).sum();
-    (bytes / rounds, (now() - begun) as f64 / rounds as f64 / 1e3)
+    let (rounds, started) = (100, now());
+    let bytes: usize = (0..rounds).map(|_| snapshot.encode_record().len()).sum();
+    (bytes / rounds, (now() - started) as f64 / rounds as f64 / 1e3)
 }
 
-/// What the guard takes for one table that differs in one line, in microseconds.
-fn guard_cost(count: u32) -> Result<f64> {
+/// Time that the guard needs to check a table that differs in one line, in microseconds.
+fn measure_guard(count: u32) -> Result<f64> {
     let servers = (0..count)
         .map(|id| (id, Server { availability: Availability::Ready, capacity: 1.0, age: None }))
         .collect();
@@ -212,11 +230,11 @@
     after.remove(&0);
     let size = Size { servers: count, forwarders: 1 };
     let text = deployment(size, "127.0.0.1:0", "127.0.0.1:1".parse()?, Path::new("."));
-    let facts = Deployment::parse(Path::new("measure"), &text)?.config;
-    let mut guard = Guard::new(Limits::new(&facts));
-    let (rounds, begun) = (200_000 / count, now());
-    let held: usize =
-        (0..rounds).map(|at| guard.judge(at.into(), &pool, &before, &after).reverted.len()).sum();
-    assert_eq!(held, 0, "a sound table is held back");
-    Ok((now() - begun) as f64 / f64::from(rounds) / 1e3)
+    let config = Deployment::parse(Path::new("measure"), &text)?.config;
+    let mut guard = Guard::new(Limits::new(&config));
+    let (rounds, started) = (200_000 / count, now());
+    let reverted: usize =
+        (0..rounds).map(|round| guard.judge(round.into(), &pool, &before, &after).reverted.len()).sum();
+    assert_eq!(reverted, 0, "the guard reverted lines of a valid table");
+    Ok((now() - started) as f64 / f64::from(rounds) / 1e3)
 }
