--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -1,4 +1,5 @@
-//! Days on real sockets and processes: the hard cases stand, and each planted fault is found and named.
+//! Short drills with real processes and sockets: fault scenarios pass, and each planted fault breaks the rule that it
+//! should.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -6,27 +7,29 @@
 use rstest::rstest;
 use shalereel_fault_scenarios::{play, Day, Rule, Verdict};
 
-const SHORT: &str = include_str!("days/short.toml");
+const SHORT_DRILL: &str = include_str!("days/short.toml");
 
-fn folder() -> PathBuf {
+/// A path for the folder of a test; each call returns another one.
+fn new_folder() -> PathBuf {
     static LAST: AtomicU32 = AtomicU32::new(0);
     let number = LAST.fetch_add(1, Ordering::Relaxed);
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("day-{}-{number}", std::process::id()))
 }
 
-/// Plays the short day with other figures, more troubles, and a planted fault if one is named.
-fn day(planted: &str, changes: &[(&str, &str)], troubles: &[&str]) -> Verdict {
+/// Runs the short drill with replaced settings, added troubles, and a planted fault if `planted` is not empty. Keeps
+/// its folder if it fails.
+fn run_drill(planted: &str, changes: &[(&str, &str)], troubles: &[&str]) -> Verdict {
     let mut text = if planted.is_empty() { String::new() } else { format!("planted = \"{planted}\"\n") };
-    text += SHORT;
+    text += SHORT_DRILL;
     for (from, to) in changes {
-        assert!(text.contains(from), "the short day has no {from:?}");
+        assert!(text.contains(from), "the short drill has no {from:?}");
         text = text.replace(from, to);
     }
     for trouble in troubles {
         text += &format!("\n[[trouble]]\n{}\n", trouble.replace(", ", "\n"));
     }
     let day = Day::parse(Path::new("short.toml"), &text).unwrap();
-    let folder = folder();
+    let folder = new_folder();
     let verdict = play(Path::new(env!("CARGO_BIN_EXE_shalereel")), &folder, &day, &mut |_| {}).unwrap();
     if verdict.stands() {
         let _ = std::fs::remove_dir_all(folder);
@@ -34,7 +37,7 @@
     verdict
 }
 
-fn assert_stands(verdict: &Verdict) {
+fn assert_passes(verdict: &Verdict) {
     assert!(verdict.stands(), "{}", shalereel_fault_scenarios::as_text(verdict));
 }
 
@@ -44,44 +47,49 @@
 #[case::supervisor_drops_suspensions("supervisor_drops_suspensions", Rule::DrainsKept, &[], DRAIN)]
 #[case::supervisor_repeats_all("supervisor_repeats_all", Rule::NoEffectTwice, &[], SLOW)]
 #[case::supervisor_cold_in_full("supervisor_cold_in_full", Rule::NoColdServerPushedOver, &[], RESTART)]
-#[case::supervisor_floods("supervisor_floods", Rule::ShortQueue, NARROW, "")]
+#[case::supervisor_floods("supervisor_floods", Rule::ShortQueue, LOW_CAPACITY, "")]
 #[case::supervisor_empties_tables("supervisor_empties_tables", Rule::LineToPick, &[], "")]
-fn a_planted_fault_is_found(
+fn a_planted_fault_breaks_its_rule(
     #[case] planted: &str,
     #[case] rule: Rule,
     #[case] changes: &[(&str, &str)],
     #[case] trouble: &str,
 ) {
     let troubles: Vec<&str> = Some(trouble).filter(|trouble| !trouble.is_empty()).into_iter().collect();
-    let verdict = day(planted, changes, &troubles);
-    let broken: Vec<Rule> = verdict.broken().map(|measure| measure.rule).collect();
-    assert!(broken.contains(&rule), "{broken:?}\n{}", shalereel_fault_scenarios::as_text(&verdict));
-    // Without the fault the same day stands.
-    assert_stands(&day("", changes, &troubles));
+    let verdict = run_drill(planted, changes, &troubles);
+    let broken_rules: Vec<Rule> = verdict.broken().map(|measure| measure.rule).collect();
+    assert!(
+        broken_rules.contains(&rule),
+        "{broken_rules:?}\n{}",
+        shalereel_fault_scenarios::as_text(&verdict)
+    );
+    // The same drill passes without the fault.
+    assert_passes(&run_drill("", changes, &troubles));
 }
 
-/// The same faults of a supervisor, with the guard before them.
+/// The same planted faults of a supervisor have no effect when the guard checks its tables.
 #[rstest]
 #[case::drops_suspensions("supervisor_drops_suspensions", DRAIN)]
 #[case::cold_in_full("supervisor_cold_in_full", RESTART)]
 #[case::empties_tables("supervisor_empties_tables", "")]
-fn the_guard_stands_before_a_planted_fault(#[case] planted: &str, #[case] trouble: &str) {
+fn the_guard_contains_a_planted_fault(#[case] planted: &str, #[case] trouble: &str) {
     let troubles: Vec<&str> = Some(trouble).filter(|trouble| !trouble.is_empty()).into_iter().collect();
     let guarded = format!("{planted}\"\nguarded = true\n# \"");
-    assert_stands(&day(&guarded, &[], &troubles));
+    assert_passes(&run_drill(&guarded, &[], &troubles));
 }
 
-/// A channel that is soon full.
-const NARROW: &[(&str, &str)] =
+/// Settings for a channel with little capacity and a small queue.
+const LOW_CAPACITY: &[(&str, &str)] =
     &[("lines_per_s = 3000.0", "lines_per_s = 300.0"), ("backlog = 4400.0", "backlog = 600.0")];
 const DRAIN: &str = "at_s = 3.0, for_s = 6.0, kind = \"drain\", count = 2, locality = \"hal-a\"";
 const SLOW: &str = "at_s = 3.0, for_s = 5.0, kind = \"slow\", count = 3, factor = 40.0";
 const RESTART: &str = "at_s = 3.0, for_s = 1.5, kind = \"crash\", count = 2";
 
-/// Load of a server that never was, a stand-in that says it has none while it stalls, refused updates.
+/// Forwarders report load of a server that does not exist, a stalled server reports no load, and forwarders reject
+/// updates.
 #[test]
-fn false_reports_and_refused_tables_are_borne() {
-    let verdict = day(
+fn false_reports_and_rejected_tables_do_not_break_a_rule() {
+    let verdict = run_drill(
         "",
         &[],
         &[
@@ -91,50 +99,53 @@
             DRAIN,
         ],
     );
-    assert_stands(&verdict);
+    assert_passes(&verdict);
     assert!(verdict.remarks.iter().any(|remark| remark.contains("ejected")), "{:?}", verdict.remarks);
 }
 
-/// A supervisor is killed while a slow channel still holds half of a drain; all forwarders rejoin on the other.
+/// A supervisor is killed while half of a drain is still queued on a slow channel; all its forwarders rejoin at the
+/// other.
 #[test]
-fn a_drain_half_sent_is_kept_by_who_is_left() {
-    let verdict = day(
+fn a_partly_sent_drain_is_completed_by_the_remaining_supervisor() {
+    let verdict = run_drill(
         "",
-        NARROW,
+        LOW_CAPACITY,
         &[
             "at_s = 3.0, for_s = 6.0, kind = \"drain\", count = 2",
             "at_s = 3.05, for_s = 8.0, kind = \"supervisor_crash\", count = 1",
         ],
     );
-    assert_stands(&verdict);
+    assert_passes(&verdict);
 }
 
-/// A list that loses all servers while they answer, on a deployment where being gone does not bind.
+/// The registry's list loses all servers while they still respond, in a deployment where absence from the list is not
+/// binding.
 #[test]
-fn a_list_that_empties_wrongly_empties_no_table() {
-    let verdict = day(
+fn a_wrongly_emptied_list_empties_no_table() {
+    let verdict = run_drill(
         "",
         &[("tip_after_s = 2.0", "tip_after_s = 2.0\ngone_does_not_bind = true")],
         &["at_s = 4.0, for_s = 4.0, kind = \"empty_list\""],
     );
-    assert_stands(&verdict);
+    assert_passes(&verdict);
 }
 
-/// Forwarders that read nothing for longer than a supervisor's patience, while another drains.
+/// Two forwarders read nothing for longer than the supervisor's timeout while servers drain.
 #[test]
-fn a_forwarder_that_reads_nothing_holds_up_nobody() {
-    let verdict = day(
+fn a_forwarder_that_reads_nothing_delays_no_other() {
+    let verdict = run_drill(
         "",
         &[("worst_transit_ms = 400.0", "worst_transit_ms = 50.0")],
         &["at_s = 2.0, for_s = 9.0, kind = \"forwarder_deaf\", count = 2", DRAIN],
     );
-    assert_stands(&verdict);
+    assert_passes(&verdict);
 }
 
-/// The incremental variant, a registry that goes away, and a restart from the kept list alone.
+/// With the incremental protocol, all supervisors restart while the registry is unreachable, so that they have only
+/// their stored list.
 #[test]
-fn a_restarted_supervisor_lives_by_its_last_list() {
-    let verdict = day(
+fn a_restarted_supervisor_uses_its_stored_list() {
+    let verdict = run_drill(
         "",
         &[("admission = \"ignored\"", "admission = \"ratio\"\nincremental = true")],
         &[
@@ -142,14 +153,18 @@
             "at_s = 4.0, for_s = 1.0, kind = \"supervisor_crash\", part = 1.0",
         ],
     );
-    assert_stands(&verdict);
+    assert_passes(&verdict);
 }
 
 #[rstest]
 #[case::unknown_key("length_s = 12.0", "length_s = 12.0\nlenght = 3", "unknown field `lenght`")]
 #[case::out_of_range("service = 0.7", "service = 7.0", "short.toml:")]
 #[case::missing("rate = 60.0\n", "", "missing field `rate`")]
-fn a_bad_file_is_refused_with_its_place(#[case] from: &str, #[case] to: &str, #[case] said: &str) {
-    let error = Day::parse(Path::new("short.toml"), &SHORT.replace(from, to)).unwrap_err().to_string();
-    assert!(error.contains(said), "{error}");
+fn an_invalid_file_is_rejected_with_its_position(
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] message: &str,
+) {
+    let error = Day::parse(Path::new("short.toml"), &SHORT_DRILL.replace(from, to)).unwrap_err().to_string();
+    assert!(error.contains(message), "{error}");
 }
--- a/crates/cli/tests/memory.rs
+++ b/crates/cli/tests/memory.rs
@@ -1,4 +1,5 @@
-//! What a supervisor keeps in its folder, with the process killed at any moment and the folder in any state.
+//! The stored state of a supervisor when the process is killed at any moment, and when its files are damaged, links or
+//! not writable.
 
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
@@ -11,10 +12,11 @@
 use shalereel_xds_supervisor::{EndpointList, SNAPSHOT_FILE, TABLE_HISTORY_FILE};
 
 const DEPLOYMENT: &str = include_str!("../../../expect/deployment.toml");
-const BOUND: Duration = Duration::from_secs(20);
+/// Limit of each wait.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A folder with a kept list of many servers, and a file that names it.
-fn folder() -> (PathBuf, PathBuf) {
+/// A state folder with a stored list of 300 servers, and the deployment file that names it.
+fn prepare_folder() -> (PathBuf, PathBuf) {
     static LAST: AtomicU32 = AtomicU32::new(0);
     let number = LAST.fetch_add(1, Ordering::Relaxed);
     let folder =
@@ -33,7 +35,7 @@
     endpoints.apply_list(1, &list);
     std::fs::write(folder.join("last-list.json"), endpoints.to_json()).unwrap();
     let file = folder.join("deployment.toml");
-    // Written every 20 ms, so that many kills meet a write.
+    // The snapshot is written every 20 ms, so that many kills interrupt a write.
     let text = DEPLOYMENT
         .replace("/nonexistent", &folder.to_string_lossy())
         .replace("report_cycle_ms = 1000.0", "report_cycle_ms = 10.0");
@@ -41,13 +43,13 @@
     (folder, file)
 }
 
-/// A process's log, of its last start.
-fn log(file: &Path) -> PathBuf {
+/// The log of the last start with this deployment file.
+fn log_file(file: &Path) -> PathBuf {
     file.with_extension("log")
 }
 
-fn said(file: &Path, text: &str) -> bool {
-    std::fs::read_to_string(log(file)).unwrap().contains(text)
+fn log_contains(file: &Path, text: &str) -> bool {
+    std::fs::read_to_string(log_file(file)).unwrap().contains(text)
 }
 
 fn start(file: &Path) -> Child {
@@ -55,90 +57,91 @@
         .args(["daemon", "--config"])
         .arg(file)
         .stdout(Stdio::piped())
-        .stderr(std::fs::File::create(log(file)).unwrap())
+        .stderr(std::fs::File::create(log_file(file)).unwrap())
         .spawn()
         .unwrap();
-    // It says its address once it serves, or ends.
+    // The process prints its addresses once it is ready; if it exits first, the read ends without a line.
     let mut line = String::new();
     BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
     child
 }
 
-fn end(mut child: Child) {
+fn kill(mut child: Child) {
     let _ = child.kill();
     child.wait().unwrap();
 }
 
-fn wait(what: &str, mut done: impl FnMut() -> bool) {
+/// Waits until `done` returns true.
+fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !done() {
-        assert!(begun.elapsed() < BOUND, "{what}: not in time");
+        assert!(begun.elapsed() < TIMEOUT, "{what}: not in time");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-fn read(folder: &Path) -> Result<StoredSnapshot, SnapshotError> {
+fn read_snapshot(folder: &Path) -> Result<StoredSnapshot, SnapshotError> {
     StoredSnapshot::decode_file(&std::fs::read(folder.join(SNAPSHOT_FILE)).unwrap_or_default())
 }
 
 #[test]
-fn killed_at_any_moment_what_it_kept_is_whole() {
-    let (folder, file) = folder();
-    let mut chance = oorandom::Rand64::new(14);
-    let mut written = 0;
+fn a_kill_at_any_moment_leaves_complete_files() {
+    let (folder, file) = prepare_folder();
+    let mut random = oorandom::Rand64::new(14);
+    let mut snapshots_read = 0;
     for round in 0..24 {
         let child = start(&file);
         let before = std::fs::metadata(folder.join(SNAPSHOT_FILE)).and_then(|file| file.modified()).ok();
         let changed =
             || std::fs::metadata(folder.join(SNAPSHOT_FILE)).and_then(|file| file.modified()).ok() != before;
         if round % 3 == 0 {
-            wait("a memory", changed);
+            wait_until("a snapshot", changed);
         }
-        // Anywhere in a write and its sync, or between two.
-        std::thread::sleep(Duration::from_micros(chance.rand_range(0..30_000)));
-        end(child);
-        match read(&folder) {
-            Ok(memory) => {
-                assert_eq!(memory.learned.servers.len(), 300, "round {round}");
-                written += 1;
+        // The kill falls into a write, its sync, or the time between two writes.
+        std::thread::sleep(Duration::from_micros(random.rand_range(0..30_000)));
+        kill(child);
+        match read_snapshot(&folder) {
+            Ok(snapshot) => {
+                assert_eq!(snapshot.learned.servers.len(), 300, "round {round}");
+                snapshots_read += 1;
             }
-            Err(error) => assert!(error == SnapshotError::Empty && written == 0, "{error}"),
+            Err(error) => assert!(error == SnapshotError::Empty && snapshots_read == 0, "{error}"),
         }
-        let bounds = shalereel_store::RetentionLimits { versions: 10_000, bytes: 1 << 24, age: u64::MAX };
+        let limits = shalereel_store::RetentionLimits { versions: 10_000, bytes: 1 << 24, age: u64::MAX };
         let tables = std::fs::read(folder.join(TABLE_HISTORY_FILE)).unwrap();
-        shalereel_store::Store::new(bounds, 0).load(&tables).unwrap();
+        shalereel_store::Store::new(limits, 0).load(&tables).unwrap();
     }
-    assert!(written > 8, "{written}");
+    assert!(snapshots_read > 8, "{snapshots_read}");
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn a_folder_is_one_supervisors() {
-    let (folder, file) = folder();
+fn a_state_folder_admits_one_supervisor_at_a_time() {
+    let (folder, file) = prepare_folder();
     let first = start(&file);
-    // Its log is the next one's to write.
+    // The second process writes the log file anew.
     let mut second = start(&file);
-    wait("the end of the second", || second.try_wait().unwrap().is_some());
+    wait_until("the exit of the second supervisor", || second.try_wait().unwrap().is_some());
     assert_eq!(second.wait().unwrap().code(), Some(2));
-    assert!(said(&file, "belongs to another supervisor that runs"));
-    // However the first one ends, the folder is free.
-    end(first);
+    assert!(log_contains(&file, "belongs to another supervisor that runs"));
+    // The lock is released however the first process ends.
+    kill(first);
     let mut third = start(&file);
     assert!(third.try_wait().unwrap().is_none());
-    end(third);
+    kill(third);
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn links_damage_and_a_disk_that_takes_nothing_cost_no_service() {
-    let (folder, file) = folder();
+fn links_damaged_files_and_failed_writes_do_not_stop_the_service() {
+    let (folder, file) = prepare_folder();
     let elsewhere = folder.join("elsewhere");
     std::fs::write(&elsewhere, "not ours").unwrap();
     std::os::unix::fs::symlink(&elsewhere, folder.join(SNAPSHOT_FILE)).unwrap();
     let mut child = start(&file);
     assert!(child.try_wait().unwrap().is_none());
-    end(child);
-    assert!(said(&file, "snapshot unreadable and not persisted"));
+    kill(child);
+    assert!(log_contains(&file, "snapshot unreadable and not persisted"));
     assert_eq!(std::fs::read_to_string(&elsewhere).unwrap(), "not ours");
     std::fs::remove_file(folder.join(SNAPSHOT_FILE)).unwrap();
     for content in
@@ -146,17 +149,17 @@
     {
         std::fs::write(folder.join(SNAPSHOT_FILE), content).unwrap();
         let child = start(&file);
-        wait("a memory", || read(&folder).is_ok());
-        end(child);
+        wait_until("a snapshot", || read_snapshot(&folder).is_ok());
+        kill(child);
         std::fs::remove_file(folder.join(SNAPSHOT_FILE)).unwrap();
     }
-    let fresh = folder.join(format!("{SNAPSHOT_FILE}.new"));
-    std::fs::create_dir(&fresh).unwrap();
+    let temporary = folder.join(format!("{SNAPSHOT_FILE}.new"));
+    std::fs::create_dir(&temporary).unwrap();
     let child = start(&file);
-    wait("word of a failed write", || said(&file, "snapshot write failed"));
-    std::fs::remove_dir(&fresh).unwrap();
-    wait("a memory after the disk is back", || read(&folder).is_ok());
-    wait("word of it", || said(&file, "snapshot writes recovered"));
-    end(child);
+    wait_until("the log line of a failed write", || log_contains(&file, "snapshot write failed"));
+    std::fs::remove_dir(&temporary).unwrap();
+    wait_until("a snapshot after the disk works again", || read_snapshot(&folder).is_ok());
+    wait_until("the log line of the recovery", || log_contains(&file, "snapshot writes recovered"));
+    kill(child);
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/cli/tests/sasp.rs
+++ b/crates/cli/tests/sasp.rs
@@ -1,4 +1,5 @@
-//! Balancers on real sockets: what an odd one does costs it alone, while a sound one is still told of drains.
+//! SASP balancers on real sockets: a misbehaving balancer is limited or disconnected, while drains still reach the
+//! others.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,7 +11,10 @@
 use shalereel_standins::{Listed, ListedAs, Ready, RegistryPlan};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_shalereel");
+/// Limit of each wait for a message.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
+/// A process, killed when this value is dropped.
 struct Process(Child);
 
 impl Drop for Process {
@@ -20,6 +24,7 @@
     }
 }
 
+/// Starts a command, writes `plan` to its input, and reads the addresses from its output.
 fn start(arguments: &[&str], plan: Option<&str>) -> (Process, Ready, ChildStdin) {
     let mut child = Command::new(PROGRAM)
         .args(arguments)
@@ -35,40 +40,41 @@
     (Process(child), serde_json::from_str(&line).unwrap(), input)
 }
 
+/// A balancer that speaks SASP on a socket with a read timeout.
 struct Balancer {
     socket: TcpStream,
     frames: Frames,
 }
 
 impl Balancer {
-    fn dial(address: SocketAddr) -> Self {
+    fn connect(address: SocketAddr) -> Self {
         let socket = TcpStream::connect(address).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
         Balancer { socket, frames: Frames::new(4 << 20) }
     }
 
-    fn say(&mut self, body: Body) {
+    fn send(&mut self, body: Body) {
         self.socket.write_all(&Message { id: 1, body }.encode()).unwrap();
     }
 
-    /// The first message that `wanted` takes, within ten seconds; nothing where the connection ended.
-    fn until<T>(&mut self, mut wanted: impl FnMut(Body) -> Option<T>) -> Option<T> {
-        let end = Instant::now() + Duration::from_secs(10);
-        let mut piece = [0; 65536];
-        while Instant::now() < end {
+    /// The value that `matches` returns for the first message that it accepts; `None` if the connection ended.
+    fn receive_matching<T>(&mut self, mut matches: impl FnMut(Body) -> Option<T>) -> Option<T> {
+        let deadline = Instant::now() + TIMEOUT;
+        let mut buffer = [0; 65536];
+        while Instant::now() < deadline {
             while let Some(message) = self.frames.take().unwrap() {
-                if let Some(found) = wanted(message.body) {
-                    return Some(found);
+                if let Some(value) = matches(message.body) {
+                    return Some(value);
                 }
             }
-            match self.socket.read(&mut piece) {
+            match self.socket.read(&mut buffer) {
                 Ok(0) => return None,
-                Ok(count) => self.frames.push(&piece[..count]),
+                Ok(count) => self.frames.push(&buffer[..count]),
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
                 Err(_) => return None,
             }
         }
-        panic!("not within 10 s")
+        panic!("no matching message within {TIMEOUT:?}")
     }
 }
 
@@ -81,7 +87,8 @@
     Body::Register { from_balancer: true, groups: vec![(group, servers.map(member).collect())] }
 }
 
-fn lb_state(balancer: &str) -> Body {
+/// Asks for pushed weights.
+fn set_lb_state(balancer: &str) -> Body {
     let flags = LbFlags { push: true, trust: false, no_change: true };
     Body::SetLbState { balancer: balancer.into(), health: 0, flags }
 }
@@ -93,7 +100,7 @@
 }
 
 #[test]
-fn an_odd_balancer_costs_itself_alone() {
+fn a_misbehaving_balancer_does_not_affect_the_others() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("sasp-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let plan = RegistryPlan {
@@ -101,62 +108,71 @@
         address: "127.0.0.1:0".parse().unwrap(),
         list: (1..9).map(|server| listed(server, ListedAs::Ready)).collect(),
     };
-    let (_registry, at, mut list) =
+    let (_registry, registry_ready, mut registry_input) =
         start(&["stand-in", "registry"], Some(&serde_json::to_string(&plan).unwrap()));
     let file: PathBuf = folder.join("supervisor.toml");
     let text = include_str!("days/sasp-supervisor.toml")
-        .replace("REGISTRY", &at.addresses[0].to_string())
+        .replace("REGISTRY", &registry_ready.addresses[0].to_string())
         .replace("FOLDER", &folder.join("state").to_string_lossy());
     std::fs::write(&file, text).unwrap();
-    let (_supervisor, at, _input) = start(&["daemon", "--config", &file.to_string_lossy()], None);
-    let front = at.addresses[1];
-
-    let mut sound = Balancer::dial(front);
-    sound.say(lb_state("sound"));
-    sound.say(register("sound", 1..9));
-    let all = |body| match body {
+    let (_supervisor, supervisor_ready, _input) =
+        start(&["daemon", "--config", &file.to_string_lossy()], None);
+    let sasp_address = supervisor_ready.addresses[1];
+
+    let mut healthy = Balancer::connect(sasp_address);
+    healthy.send(set_lb_state("healthy"));
+    healthy.send(register("healthy", 1..9));
+    let all_weights = |body| match body {
         Body::SendWeights { groups } => (groups[0].1.len() == 8).then_some(()),
         _ => None,
     };
-    sound.until(all).unwrap();
+    healthy.receive_matching(all_weights).unwrap();
 
-    // Registers ten thousand, and is served all of them.
-    let mut large = Balancer::dial(front);
-    large.say(lb_state("large"));
-    large.say(register("large", 1..10_001));
+    // Registers 10,000 members; the registration is accepted.
+    let mut large = Balancer::connect(sasp_address);
+    large.send(set_lb_state("large"));
+    large.send(register("large", 1..10_001));
     let registered = |body| if let Body::Registered(code) = body { Some(code) } else { None };
-    assert_eq!(large.until(registered), Some(ReturnCode::Successful));
-    // Registers more than anyone may.
-    let mut larger = Balancer::dial(front);
-    larger.say(register("larger", 1..20_002));
-    assert_eq!(larger.until(registered), Some(ReturnCode::TryLater));
-    // Takes away another's group.
-    let mut thief = Balancer::dial(front);
-    let group = Group { balancer: b"sound".to_vec(), name: b"view".to_vec() };
-    thief.say(Body::Deregister { from_balancer: true, reason: 0, groups: vec![(group, vec![])] });
-    let code = thief.until(|body| if let Body::Deregistered(code) = body { Some(code) } else { None });
+    assert_eq!(large.receive_matching(registered), Some(ReturnCode::Successful));
+    // Registers more members than a balancer may.
+    let mut over_limit = Balancer::connect(sasp_address);
+    over_limit.send(register("over-limit", 1..20_002));
+    assert_eq!(over_limit.receive_matching(registered), Some(ReturnCode::TryLater));
+    // Deregisters the group of another balancer.
+    let mut foreign = Balancer::connect(sasp_address);
+    let group = Group { balancer: b"healthy".to_vec(), name: b"view".to_vec() };
+    foreign.send(Body::Deregister { from_balancer: true, reason: 0, groups: vec![(group, vec![])] });
+    let code =
+        foreign.receive_matching(|body| if let Body::Deregistered(code) = body { Some(code) } else { None });
     assert_eq!(code, Some(ReturnCode::WillNotAccept));
-    // Asks without end: told to try later.
-    let mut asker = Balancer::dial(front);
-    asker.say(register("asker", 1..9));
-    let group = Group { balancer: b"asker".to_vec(), name: b"view".to_vec() };
-    (0..2000).for_each(|_| asker.say(Body::GetWeights { groups: vec![group.clone()] }));
-    let later = |body| matches!(body, Body::Weights { code: ReturnCode::TryLater, .. }).then_some(());
-    asker.until(later).unwrap();
-    // Speaks no SASP, dies inside a message, sends what only a manager may.
-    let mut stranger = Balancer::dial(front);
-    stranger.socket.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
-    assert_eq!(stranger.until(|_| Some(())), None);
-    let mut dying = Balancer::dial(front);
-    dying.socket.write_all(&Message { id: 1, body: register("dying", 1..9) }.encode()[..40]).unwrap();
-    drop(dying);
-    let mut liar = Balancer::dial(front);
-    liar.say(Body::SendWeights { groups: vec![] });
-    assert_eq!(liar.until(|_| Some(())), None);
-    // Never reads its pushes: `large` from here on. A drain still reaches the sound one.
-    let rows = vec![listed(3, ListedAs::Draining)];
-    writeln!(list, "{}", serde_json::to_string(&shalereel_standins::Command::List { rows }).unwrap())
+    // Sends requests without pause and is told to try later.
+    let mut flooding = Balancer::connect(sasp_address);
+    flooding.send(register("flooding", 1..9));
+    let group = Group { balancer: b"flooding".to_vec(), name: b"view".to_vec() };
+    (0..2000).for_each(|_| flooding.send(Body::GetWeights { groups: vec![group.clone()] }));
+    let try_later = |body| matches!(body, Body::Weights { code: ReturnCode::TryLater, .. }).then_some(());
+    flooding.receive_matching(try_later).unwrap();
+    // Speaks another protocol; disconnects within a message; sends a message that only a workload manager may send.
+    let mut http_client = Balancer::connect(sasp_address);
+    http_client.socket.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
+    assert_eq!(http_client.receive_matching(|_| Some(())), None);
+    let mut disconnecting = Balancer::connect(sasp_address);
+    disconnecting
+        .socket
+        .write_all(&Message { id: 1, body: register("disconnecting", 1..9) }.encode()[..40])
         .unwrap();
+    drop(disconnecting);
+    let mut impostor = Balancer::connect(sasp_address);
+    impostor.send(Body::SendWeights { groups: vec![] });
+    assert_eq!(impostor.receive_matching(|_| Some(())), None);
+    // `large` reads none of its pushes from here on. A drain still reaches the healthy balancer.
+    let rows = vec![listed(3, ListedAs::Draining)];
+    writeln!(
+        registry_input,
+        "{}",
+        serde_json::to_string(&shalereel_standins::Command::List { rows }).unwrap()
+    )
+    .unwrap();
     let drained = |body| match body {
         Body::SendWeights { groups } => {
             let entry = groups[0].1.iter().find(|entry| entry.member == member(3))?;
@@ -164,6 +180,6 @@
         }
         _ => None,
     };
-    sound.until(drained).unwrap();
+    healthy.receive_matching(drained).unwrap();
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/cli/tests/shared.rs
+++ b/crates/cli/tests/shared.rs
@@ -1,4 +1,5 @@
-//! Groups of real supervisors: splits, kills and pauses, planted faults, refusals without a majority, torn logs.
+//! Groups of supervisor processes: network partitions, crashes and pauses, planted faults, orders rejected without a
+//! majority, truncated logs, and replaced members.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -10,19 +11,24 @@
 use shalereel_group::wire::{CommandPayload, MemberAddress, MembershipChange, OperatorOrder, ReleaseOrder};
 use shalereel_xds_supervisor::GROUP_LOG_FILE;
 
-const SHARED: &str = "[shared]\nelection_ms = 400.0\ndrift = 0.01\nranges = 6\ntenure_ms = 800.0\n\
+/// Limit of each wait.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// Section of the drill for a group, put before its `[rules]`.
+const SHARED_SECTION: &str = "[shared]\nelection_ms = 400.0\ndrift = 0.01\nranges = 6\ntenure_ms = 800.0\n\
                       in_flight_ms = 4500.0\nkeyed = \"order-place\"\n\n[rules]";
 
-fn folder() -> PathBuf {
+/// A path for the folder of a test; each call returns another one.
+fn new_folder() -> PathBuf {
     static LAST: AtomicU32 = AtomicU32::new(0);
     let number = LAST.fetch_add(1, Ordering::Relaxed);
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("shared-{}-{number}", std::process::id()))
 }
 
-fn day(planted: &str, length: &str, troubles: &[&str]) -> Day {
+/// The short drill with three supervisors in a group, a planted fault if `planted` is not empty, and troubles.
+fn group_drill(planted: &str, length: &str, troubles: &[&str]) -> Day {
     let mut text = if planted.is_empty() { String::new() } else { format!("planted = {planted:?}\n") };
     let short = include_str!("days/short.toml");
-    text += &short.replace("[rules]", SHARED).replace("count = 2\ntick_ms", "count = 3\ntick_ms");
+    text += &short.replace("[rules]", SHARED_SECTION).replace("count = 2\ntick_ms", "count = 3\ntick_ms");
     text = text.replace("length_s = 12.0", length).replace("service = 0.7", "service = 0.5");
     for trouble in troubles {
         text += &format!("\n[[trouble]]\n{}\n", trouble.replace(", ", "\n"));
@@ -30,8 +36,9 @@
     Day::parse(Path::new("shared.toml"), &text).unwrap()
 }
 
-fn played(day: &Day) -> Verdict {
-    let folder = folder();
+/// Runs a drill; keeps its folder if it fails.
+fn run_drill(day: &Day) -> Verdict {
+    let folder = new_folder();
     let verdict = play(Path::new(env!("CARGO_BIN_EXE_shalereel")), &folder, day, &mut |_| {}).unwrap();
     if verdict.stands() {
         let _ = std::fs::remove_dir_all(folder);
@@ -39,10 +46,10 @@
     verdict
 }
 
-/// Killed, split, paused and heard one way, while servers are replaced and orders given.
+/// The group has crashes, partitions, pauses and one-way links while servers are replaced and an order is in force.
 #[test]
-fn a_group_in_trouble_keeps_all_rules() {
-    let verdict = played(&day(
+fn a_group_with_faults_keeps_all_rules() {
+    let verdict = run_drill(&group_drill(
         "",
         "length_s = 16.0",
         &[
@@ -59,138 +66,153 @@
 }
 
 #[test]
-fn a_group_that_nothing_binds_is_found() {
-    // One that is cut off hears of no move: nothing but its lease keeps its forwarders from the former owners.
-    let moves = [
+fn a_group_without_fencing_breaks_the_fencing_rule() {
+    // A member that is cut off does not learn that ranges move: only the expiry of its lease stops its forwarders from
+    // sending to the former owners.
+    let troubles = [
         "at_s = 3.0, for_s = 9.0, kind = \"links_cut\", count = 1",
         "at_s = 4.5, for_s = 0.0, kind = \"move_ranges\"",
     ];
-    // What most ask for goes by key, so that something is in flight whenever a range moves.
+    // The most frequent operation is routed by key, so that requests are in flight whenever a range moves.
     let keyed = |mut day: Day| {
         day.shared.as_mut().unwrap().keyed = "box-view".into();
         day
     };
-    let verdict = played(&keyed(day("no_fence", "length_s = 14.0", &moves)));
-    let broken: Vec<Rule> = verdict.broken().map(|measure| measure.rule).collect();
-    assert!(broken.contains(&Rule::Fenced), "{}", shalereel_fault_scenarios::as_text(&verdict));
-    let verdict = played(&keyed(day("", "length_s = 14.0", &moves)));
+    let verdict = run_drill(&keyed(group_drill("no_fence", "length_s = 14.0", &troubles)));
+    let broken_rules: Vec<Rule> = verdict.broken().map(|measure| measure.rule).collect();
+    assert!(broken_rules.contains(&Rule::Fenced), "{}", shalereel_fault_scenarios::as_text(&verdict));
+    let verdict = run_drill(&keyed(group_drill("", "length_s = 14.0", &troubles)));
     assert!(verdict.stands(), "{}", shalereel_fault_scenarios::as_text(&verdict));
 }
 
-/// Waits for some supervisor of whom this holds.
-fn until<T>(stage: &Stage, mut found: impl FnMut(usize, &Value) -> Option<T>) -> T {
-    let begun = Instant::now();
+/// Queries all supervisors until `matches` returns a value for the status of one of them.
+fn wait_for_status<T>(stage: &Stage, mut matches: impl FnMut(usize, &Value) -> Option<T>) -> T {
+    let started = Instant::now();
     loop {
         for number in 0..stage.supervisors() {
-            let told = standing(stage.address(number));
-            if let Some(found) = told.ok().and_then(|told| found(number, &told)) {
-                return found;
+            let status = standing(stage.address(number));
+            if let Some(value) = status.ok().and_then(|status| matches(number, &status)) {
+                return value;
             }
         }
-        assert!(begun.elapsed() < Duration::from_secs(30), "waited half a minute");
+        assert!(started.elapsed() < TIMEOUT, "no supervisor reached the expected status within {TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-fn leader(stage: &Stage) -> usize {
-    until(stage, |number, told| (told["state"] == "leads" && told["duties"][0].is_object()).then_some(number))
+/// Waits for a leader that has assigned duties; returns its number.
+fn wait_for_leader(stage: &Stage) -> usize {
+    wait_for_status(stage, |number, status| {
+        (status["state"] == "leads" && status["duties"][0].is_object()).then_some(number)
+    })
 }
 
-fn drain(server: u32) -> CommandPayload {
+fn drain_order(server: u32) -> CommandPayload {
     CommandPayload::OperatorOrder(OperatorOrder { server, locality: 0, weight_cap_millionths: None })
 }
 
 #[test]
-fn orders_need_a_majority_and_outlive_their_leader() {
-    let folder = folder();
+fn an_order_needs_a_majority_and_survives_the_loss_of_leaders() {
+    let folder = new_folder();
     let program = Path::new(env!("CARGO_BIN_EXE_shalereel"));
-    let mut stage = Stage::open(program, &folder, &day("", "length_s = 12.0", &[])).unwrap();
-    let first = leader(&stage);
-    // Given at one that only follows, twice: it stands once.
-    let other = stage.address((first + 1) % 3);
-    let order = order_at(other, drain(1000)).unwrap()["order"].as_u64().unwrap();
-    assert!(order_at(other, drain(1000)).unwrap_err().to_string().contains("stands already"));
+    let mut stage = Stage::open(program, &folder, &group_drill("", "length_s = 12.0", &[])).unwrap();
+    let first = wait_for_leader(&stage);
+    // Sent twice to a follower: the second order is rejected as a duplicate.
+    let follower = stage.address((first + 1) % 3);
+    let order = order_at(follower, drain_order(1000)).unwrap()["order"].as_u64().unwrap();
+    assert!(order_at(follower, drain_order(1000)).unwrap_err().to_string().contains("stands already"));
     stage.kill_supervisor(first);
-    let second =
-        until(&stage, |number, told| (told["state"] == "leads" && number != first).then_some(number));
-    let stands = |told: &Value| told["orders"][0]["order"] == order && told["orders"][0]["begun"] == true;
-    until(&stage, |_, told| stands(told).then_some(()));
+    let second = wait_for_status(&stage, |number, status| {
+        (status["state"] == "leads" && number != first).then_some(number)
+    });
+    let is_in_force =
+        |status: &Value| status["orders"][0]["order"] == order && status["orders"][0]["begun"] == true;
+    wait_for_status(&stage, |_, status| is_in_force(status).then_some(()));
     stage.kill_supervisor(second);
     let last = 3 - first - second;
-    until(&stage, |_, told| (told["state"] == "alone").then_some(()));
-    let refused = order_at(stage.address(last), drain(1003)).unwrap_err().to_string();
-    assert!(refused.contains("2 are needed; nothing was ordered"), "{refused}");
-    // The first is back, its log torn by its death: with the last one it is a majority, and knows the order.
+    wait_for_status(&stage, |_, status| (status["state"] == "alone").then_some(()));
+    let rejection = order_at(stage.address(last), drain_order(1003)).unwrap_err().to_string();
+    assert!(rejection.contains("2 are needed; nothing was ordered"), "{rejection}");
+    // The first leader restarts with a partly written record at the end of its log, as a crash leaves it. With the last
+    // supervisor it forms a majority, which still has the order.
     let log = folder.join(format!("supervisor-{first}")).join(GROUP_LOG_FILE);
     let mut bytes = std::fs::read(&log).unwrap();
     bytes.extend([9, 0, 0, 0, 1, 2, 3]);
     std::fs::write(&log, bytes).unwrap();
     stage.revive_supervisor(first).unwrap();
-    leader(&stage);
+    wait_for_leader(&stage);
     assert!(
-        stands(&standing(stage.address(first)).unwrap()) || stands(&standing(stage.address(last)).unwrap())
+        is_in_force(&standing(stage.address(first)).unwrap())
+            || is_in_force(&standing(stage.address(last)).unwrap())
     );
     order_at(stage.address(last), CommandPayload::ReleaseOrder(ReleaseOrder { order_index: order })).unwrap();
-    until(&stage, |_, told| told["orders"].as_array().is_some_and(Vec::is_empty).then_some(()));
+    wait_for_status(&stage, |_, status| status["orders"].as_array().is_some_and(Vec::is_empty).then_some(()));
     stage.close().unwrap();
     let _ = std::fs::remove_dir_all(folder);
 }
 
-/// One that is lost for good is replaced under a new number, and its successor counts towards the majority.
+/// A controller that is lost for good is replaced by one with a new number, which counts towards the majority.
 #[test]
 fn a_controller_is_replaced_by_one_with_a_new_number() {
-    let folder = folder();
+    let folder = new_folder();
     let program = Path::new(env!("CARGO_BIN_EXE_shalereel"));
-    let day = day("", "length_s = 12.0", &[]);
+    let day = group_drill("", "length_s = 12.0", &[]);
     let mut stage = Stage::open(program, &folder, &day).unwrap();
-    let first = leader(&stage);
+    let first = wait_for_leader(&stage);
     let lost = (first + 1) % 3;
     stage.kill_supervisor(lost);
-    let free = std::net::TcpListener::bind("127.0.3.9:0").unwrap().local_addr().unwrap();
+    let new_address = std::net::TcpListener::bind("127.0.3.9:0").unwrap().local_addr().unwrap();
     let members: Vec<String> = (0..3).map(|number| stage.address(number).to_string()).collect();
     let state = folder.join("new").to_string_lossy().into_owned();
-    let text =
-        day.deployment(3, [&free.to_string(), "127.0.4.9:0", "127.0.5.9:0"], "127.0.0.9:9", &state, &members);
+    let text = day.deployment(
+        3,
+        [&new_address.to_string(), "127.0.4.9:0", "127.0.5.9:0"],
+        "127.0.0.9:9",
+        &state,
+        &members,
+    );
     let text =
         text.replace("supervisors = 3", "supervisors = 4").replace("[shared]", "[shared]\njoining = true");
     let file = folder.join("new.toml");
     std::fs::write(&file, text).unwrap();
-    let mut new = std::process::Command::new(program)
+    let mut new_controller = std::process::Command::new(program)
         .args(["daemon", "--config", &file.to_string_lossy()])
         .stdout(std::process::Stdio::null())
         .spawn()
         .unwrap();
-    let seat = |number, address: String, out| {
-        let seat = Some(MemberAddress { id: number, address });
+    let change_membership = |number, address: String, removed| {
+        let member = Some(MemberAddress { id: number, address });
         order_at(
             stage.address(first),
-            CommandPayload::ChangeMembership(MembershipChange { member: seat, removed: out }),
+            CommandPayload::ChangeMembership(MembershipChange { member, removed }),
         )
         .unwrap();
     };
-    seat(3, free.to_string(), false);
-    let has = |told: &Value, number: usize, seat: &str| {
-        let members = told["members"].as_array().into_iter().flatten();
+    change_membership(3, new_address.to_string(), false);
+    let has_seat = |status: &Value, number: usize, seat: &str| {
+        let members = status["members"].as_array().into_iter().flatten();
         members.filter(|member| member["number"] == number && member["seat"] == seat).count() == 1
     };
-    until(&stage, |_, told| (told["state"] == "leads" && has(told, 3, "votes")).then_some(()));
-    seat(lost as u32, String::new(), true);
+    wait_for_status(&stage, |_, status| {
+        (status["state"] == "leads" && has_seat(status, 3, "votes")).then_some(())
+    });
+    change_membership(lost as u32, String::new(), true);
     // The status lists the newest configuration even before a majority has it; wait until the removal is committed.
-    let committed = |told: &Value| told["log"]["committed"] == told["log"]["last"];
-    until(&stage, |_, told| {
-        (told["state"] == "leads" && has(told, lost, "none") && committed(told)).then_some(())
+    let committed = |status: &Value| status["log"]["committed"] == status["log"]["last"];
+    wait_for_status(&stage, |_, status| {
+        (status["state"] == "leads" && has_seat(status, lost, "none") && committed(status)).then_some(())
     });
-    // Two of three are left once the first leader is gone too: the new one is needed, and is enough.
+    // Without the first leader two of the three members remain, so that the majority needs the new controller.
     stage.kill_supervisor(first);
-    let other = 3 - first - lost;
-    let begun = Instant::now();
-    while order_at(stage.address(other), drain(1000)).is_err() {
-        assert!(begun.elapsed() < Duration::from_secs(30), "no order is taken");
+    let remaining = 3 - first - lost;
+    let started = Instant::now();
+    while order_at(stage.address(remaining), drain_order(1000)).is_err() {
+        assert!(started.elapsed() < TIMEOUT, "no order was accepted within {TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(100));
     }
-    assert_eq!(standing(free).unwrap()["me"], 3);
-    new.kill().unwrap();
-    new.wait().unwrap();
+    assert_eq!(standing(new_address).unwrap()["me"], 3);
+    new_controller.kill().unwrap();
+    new_controller.wait().unwrap();
     stage.close().unwrap();
     let _ = std::fs::remove_dir_all(folder);
 }
@@ -198,8 +220,12 @@
 #[rstest]
 #[case::too_fast("election_ms = 400.0", "election_ms = 1.0", "election_ms")]
 #[case::drifting("drift = 0.01", "drift = 3.0", "drift")]
-fn a_bad_group_is_refused_with_its_place(#[case] from: &str, #[case] to: &str, #[case] key: &str) {
-    let day = day("", "length_s = 12.0", &[]);
+fn an_invalid_group_setting_is_rejected_with_its_position(
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] key: &str,
+) {
+    let day = group_drill("", "length_s = 12.0", &[]);
     let members: Vec<String> = (1..4).map(|at| format!("127.0.3.{at}:4000")).collect();
     let addresses = ["127.0.3.1:4000", "127.0.4.1:4001", "127.0.5.1:4002"];
     let text = day.deployment(0, addresses, "127.0.0.1:5000", "/nowhere", &members).replace(from, to);
--- a/crates/cli/tests/tables.rs
+++ b/crates/cli/tests/tables.rs
@@ -1,23 +1,25 @@
-//! Tables in versions on real sockets: lines lost on the way, a way back that crosses a deploy, and planted faults.
+//! Table versions in drills: lost increments, a rollback that overlaps a drain, and a planted fault.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use shalereel_fault_scenarios::{play, Day, Rule, Verdict};
 
-const SHORT: &str = include_str!("days/short.toml");
+const SHORT_DRILL: &str = include_str!("days/short.toml");
 
-fn play_day(planted: &str, troubles: &[&str]) -> (Verdict, PathBuf) {
+/// Runs the short drill with incremental tables, a planted fault if `planted` is not empty, and troubles. Returns the
+/// verdict and the folder with the logs and stored state.
+fn run_drill(planted: &str, troubles: &[&str]) -> (Verdict, PathBuf) {
     static LAST: AtomicU32 = AtomicU32::new(0);
     let number = LAST.fetch_add(1, Ordering::Relaxed);
     let folder =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("tables-{}-{number}", std::process::id()));
     let mut text = if planted.is_empty() { String::new() } else { format!("planted = {planted:?}\n") };
-    text += &SHORT.replace("[forwarders]\n", "[forwarders]\nlines = true\n");
+    text += &SHORT_DRILL.replace("[forwarders]\n", "[forwarders]\nlines = true\n");
     for trouble in troubles {
         text += &format!("\n[[trouble]]\n{}\n", trouble.replace(", ", "\n"));
     }
-    // The second supervisor's disk takes no history: where the fresh file should be stands a folder.
+    // The second supervisor can't write its table history, because a folder has the name of its temporary file.
     std::fs::create_dir_all(folder.join("supervisor-1").join("tables.log.new")).unwrap();
     let day = Day::parse(Path::new("short.toml"), &text).unwrap();
     let verdict = play(Path::new(env!("CARGO_BIN_EXE_shalereel")), &folder, &day, &mut |_| {}).unwrap();
@@ -26,31 +28,33 @@
 
 const LOSSY: &str = "at_s = 1.0, for_s = 10.0, kind = \"lossy_links\", part = 0.25, delay_s = 0.3";
 const DRAIN: &str = "at_s = 4.0, for_s = 4.0, kind = \"drain\", count = 2, locality = \"hal-a\"";
-const BACK: &str = "at_s = 5.0, for_s = 5.0, kind = \"way_back\", delay_s = 2.5";
+const ROLLBACK: &str = "at_s = 5.0, for_s = 5.0, kind = \"way_back\", delay_s = 2.5";
 
 #[test]
-fn lost_lines_are_noticed_and_a_way_back_crosses_a_drain() {
-    let (verdict, folder) = play_day("", &[LOSSY, DRAIN, BACK]);
+fn lost_increments_are_detected_and_a_rollback_keeps_a_drain() {
+    let (verdict, folder) = run_drill("", &[LOSSY, DRAIN, ROLLBACK]);
     assert!(verdict.stands(), "{}", shalereel_fault_scenarios::as_text(&verdict));
     assert!(verdict.traffic.disturbed > 20, "{:?}", verdict.traffic);
-    // What was told is on the disk, whole, with the reasons.
+    // The published versions are stored completely, with their provenance.
     let file = std::fs::read(folder.join("supervisor-0").join(shalereel_xds_supervisor::TABLE_HISTORY_FILE))
         .unwrap();
-    let bounds = shalereel_store::RetentionLimits { versions: 10_000, bytes: 1 << 24, age: u64::MAX };
-    let mut store = shalereel_store::Store::new(bounds, 0);
+    let limits = shalereel_store::RetentionLimits { versions: 10_000, bytes: 1 << 24, age: u64::MAX };
+    let mut store = shalereel_store::Store::new(limits, 0);
     assert_eq!(store.load(&file).unwrap(), file.len());
-    let whys: Vec<&str> = store.versions().iter().map(|version| version.provenance.actor.as_str()).collect();
+    let actors: Vec<&str> =
+        store.versions().iter().map(|version| version.provenance.actor.as_str()).collect();
     let log = std::fs::read_to_string(folder.join("supervisor-1.log")).unwrap();
     assert!(log.contains("table history write failed"), "{log}");
-    // Whether the way back had a weight to move hangs on when the module moved one.
-    assert!(whys.contains(&"module"), "{whys:?}");
+    // Only the controller's versions are certain: the rollback publishes one only if the controller has changed a
+    // weight since.
+    assert!(actors.contains(&"module"), "{actors:?}");
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn a_way_back_that_outranks_the_module_is_found() {
-    let (verdict, folder) = play_day("supervisor_way_outranks", &[DRAIN, BACK]);
-    let broken: Vec<Rule> = verdict.broken().map(|measure| measure.rule).collect();
-    assert!(broken.contains(&Rule::DrainsKept), "{}", shalereel_fault_scenarios::as_text(&verdict));
+fn a_rollback_that_overrides_a_drain_breaks_the_drain_rule() {
+    let (verdict, folder) = run_drill("supervisor_way_outranks", &[DRAIN, ROLLBACK]);
+    let broken_rules: Vec<Rule> = verdict.broken().map(|measure| measure.rule).collect();
+    assert!(broken_rules.contains(&Rule::DrainsKept), "{}", shalereel_fault_scenarios::as_text(&verdict));
     let _ = std::fs::remove_dir_all(folder);
 }
