--- a/crates/cli/src/group_command.rs
+++ b/crates/cli/src/group_command.rs
@@ -22,22 +22,46 @@
 #[derive(Subcommand)]
 pub enum OrderCommand {
     /// Drain a server: no new work is sent to it. Drains take turns, at most a third of a locality at once.
-    Drain { server: u32, locality: String },
+    Drain {
+        /// Number of the server.
+        server: u32,
+        /// Name of the server's locality.
+        locality: String,
+    },
     /// Cap a server's weight at this fraction of the computed weight, above 0 and up to 1.
     Hold {
+        /// Number of the server.
         server: u32,
+        /// Name of the server's locality.
         locality: String,
+        /// Largest fraction of the computed weight.
         #[arg(value_name = "PART")]
         fraction: f64,
     },
     /// End an order, by its number in the output of `shalereel duties`.
-    Release { order: u64 },
+    Release {
+        /// Number of the order.
+        order: u64,
+    },
     /// Move a key range to another server.
-    Move { range: u32, server: u32 },
+    Move {
+        /// Number of the key range.
+        range: u32,
+        /// Number of the server that gets the range.
+        server: u32,
+    },
     /// Add a controller to the group; it votes once it has the committed log.
-    SeatIn { number: u32, address: SocketAddr },
+    SeatIn {
+        /// Number of the controller.
+        number: u32,
+        /// Address of the controller.
+        address: SocketAddr,
+    },
     /// Remove a controller from the group.
-    SeatOut { number: u32 },
+    SeatOut {
+        /// Number of the controller.
+        number: u32,
+    },
 }
 
 #[derive(Args)]
--- a/crates/cli/src/hooks_command.rs
+++ b/crates/cli/src/hooks_command.rs
@@ -13,18 +13,26 @@
 #[derive(Subcommand)]
 pub enum HooksCommand {
     /// Report all errors in a source file, and the hook points that it implements. Exit 1: it has errors.
-    Check { file: PathBuf },
+    Check {
+        /// Source file.
+        file: PathBuf,
+    },
     /// Format a source file in place. Exit 1 with `--check`: its format differs.
     Fmt {
+        /// Source file.
         file: PathBuf,
         /// Only report whether the file would change.
         #[arg(long)]
         check: bool,
     },
     /// Run the test cases in a source file. Exit 1: one fails.
-    Test { file: PathBuf },
+    Test {
+        /// Source file.
+        file: PathBuf,
+    },
     /// Measure the time of a call of each hook in a source file.
     Bench {
+        /// Source file.
         file: PathBuf,
         /// Number of calls of each hook.
         #[arg(long, default_value_t = 100_000)]
--- a/crates/cli/src/measure_command.rs
+++ b/crates/cli/src/measure_command.rs
@@ -358,7 +358,7 @@
         let stream = self
             .hub
             .call(conn, if self.incremental { DELTA_ADS } else { ADS }, None)
-            .context("the connection is gone")?;
+            .context("the connection was closed")?;
         let forwarder = &mut self.forwarders[index];
         forwarder.connection = Some((conn, stream));
         self.connections.insert(conn, index);
@@ -374,7 +374,7 @@
         Ok(())
     }
 
-    /// Starts what a wait asks for, then waits until its condition is met. Returns the time of that, and the mean sizes
+    /// Reconnects where a wait requires it, then waits until its condition is met. Returns the time of that, and the mean sizes
     /// of an update and of its ACK.
     fn wait(&mut self, wait: &Wait) -> Result<(Nanos, usize, usize)> {
         match wait {
@@ -525,22 +525,22 @@
     let mut sockets: Vec<TcpStream> =
         (0..count).map(|_| listener.accept().map(|accepted| accepted.0)).collect::<Result<_, _>>()?;
     let (content, mut reply) = (vec![7; bytes], vec![0; reply_bytes]);
-    let mut spans = Histogram::new(3)?;
+    let mut round_trips = Histogram::new(3)?;
     for socket in &sockets {
         socket.set_nodelay(true)?;
     }
     for _ in 0..rounds {
-        let begun = now();
+        let started = now();
         for socket in &mut sockets {
             socket.write_all(&content)?;
         }
         for socket in &mut sockets {
             socket.read_exact(&mut reply)?;
         }
-        spans.record(now() - begun)?;
+        round_trips.record(now() - started)?;
     }
     peer.join().map_err(|_| anyhow::anyhow!("the peer thread panicked"))??;
-    Ok(spans)
+    Ok(round_trips)
 }
 
 /// Nanoseconds as milliseconds.
--- a/crates/cli/src/tables_command.rs
+++ b/crates/cli/src/tables_command.rs
@@ -27,10 +27,16 @@
         version: u64,
     },
     /// Show the differences between two versions of a table.
-    Diff { from: u64, to: u64 },
+    Diff {
+        /// Number of the first version.
+        from: u64,
+        /// Number of the second version.
+        to: u64,
+    },
     /// Roll a table back to the weights of a version for a limited time. A server that has since drained, left, become
     /// unhealthy, restarted or become cold keeps its computed weight.
     Back {
+        /// Number of the version whose weights are restored.
         version: u64,
         #[command(flatten)]
         details: ChangeDetails,
@@ -40,14 +46,19 @@
     },
     /// Cap a server's weight at this fraction of its computed weight for a limited time, at this supervisor only.
     Hold {
+        /// Number of the server.
         server: u32,
+        /// Largest fraction of the computed weight.
         #[arg(value_name = "PART")]
         fraction: f64,
         #[command(flatten)]
         details: ChangeDetails,
     },
     /// End a server's weight cap at this supervisor.
-    Release { server: u32 },
+    Release {
+        /// Number of the server.
+        server: u32,
+    },
     /// End all rollbacks now.
     Onward,
 }
--- a/crates/cli/tests/memory.rs
+++ b/crates/cli/tests/memory.rs
@@ -73,9 +73,9 @@
 
 /// Waits until `done` returns true.
 fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
-    let begun = Instant::now();
+    let started = Instant::now();
     while !done() {
-        assert!(begun.elapsed() < TIMEOUT, "{what}: not in time");
+        assert!(started.elapsed() < TIMEOUT, "{what}: not within {TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
