--- a/crates/cli/src/group_command.rs
+++ b/crates/cli/src/group_command.rs
@@ -236,7 +236,7 @@
         totals.steps,
         totals.elections,
         totals.crashes,
-        totals.moves,
+        totals.range_assignments,
         totals.writes,
         totals.orders
     );
--- a/crates/cli/src/group_measure.rs
+++ b/crates/cli/src/group_measure.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 use shalereel_fault_scenarios::{standing, Day, Stage};
 use shalereel_group::wire::{Command, CommandPayload, Entry, RecordKind, ReleaseOrder, StoredRecord};
-use shalereel_group::{encode, LOG_FILE_HEAD};
+use shalereel_group::{encode_records, LOG_FILE_MAGIC};
 use shalereel_journal::frame;
 use shalereel_xds_supervisor::{FileWriter, WriteRequest, GROUP_LOG_FILE};
 
@@ -152,11 +152,11 @@
     fs::create_dir_all(&folder)?;
     let (wake_reader, wake_writer) = UnixStream::pair()?;
     wake_writer.set_nonblocking(true)?;
-    let writer = FileWriter::open(&folder, GROUP_LOG_FILE, LOG_FILE_HEAD, None, wake_writer)?;
+    let writer = FileWriter::open(&folder, GROUP_LOG_FILE, LOG_FILE_MAGIC, None, wake_writer)?;
     let request = |number| WriteRequest {
         sequence: number,
         replaces_file: false,
-        records: vec![encode(&log_records(number)).into()],
+        records: vec![encode_records(&log_records(number)).into()],
     };
     let wait_until_synced = |number: u64| -> Result<()> {
         let started = Instant::now();
@@ -184,7 +184,7 @@
     let mut plain_file = File::create(folder.join("bare"))?;
     let started = Instant::now();
     for number in 1..=single {
-        plain_file.write_all(&frame(&encode(&log_records(number))))?;
+        plain_file.write_all(&frame(&encode_records(&log_records(number))))?;
         plain_file.sync_data()?;
     }
     let plain_s = started.elapsed().as_secs_f64();
--- a/crates/group/src/state_machine/apply.rs
+++ b/crates/group/src/state_machine/apply.rs
@@ -9,13 +9,13 @@
     MoveRange, OperatorOrder, RangeCleared, ReleaseOrder,
 };
 
-/// Requests remembered, so that a duplicate has no second effect.
+/// How many applied request ids are remembered to detect duplicates.
 const REMEMBERED_REQUESTS: usize = 4096;
 
 type Applied = Result<AppliedChange, Rejection>;
 
 impl StateMachine {
-    /// Applies one committed command. `index` and `term` are of its entry.
+    /// Applies one committed command. `index` and `term` are those of the command's entry.
     pub fn apply(
         &mut self,
         index: LogIndex,
@@ -26,7 +26,7 @@
         if command.request_id != 0 && !self.remember_request(index, command.request_id) {
             return AppliedChange::Duplicate;
         }
-        let fenced = injected_fault != Some(InjectedFault::NoFence);
+        let fenced = injected_fault != Some(InjectedFault::NoFencing);
         let applied = match &command.payload {
             Some(CommandPayload::AssignDuty(assign)) => self.assign_duty(index, assign),
             Some(CommandPayload::OperatorOrder(order)) => self.add_order(index, order),
@@ -41,7 +41,7 @@
         applied.unwrap_or_else(AppliedChange::Rejected)
     }
 
-    /// False where the request was applied before.
+    /// Returns false if the request was applied before.
     fn remember_request(&mut self, index: LogIndex, request_id: u64) -> bool {
         if !self.known_request_ids.insert(request_id) {
             return false;
@@ -64,7 +64,7 @@
     }
 
     fn add_order(&mut self, index: LogIndex, order: &OperatorOrder) -> Applied {
-        if self.orders.values().any(|standing| standing.order == *order) {
+        if self.orders.values().any(|standing_order| standing_order.order == *order) {
             return Err(Rejection::OrderExists);
         }
         let active = order.weight_cap_millionths.is_some();
@@ -79,21 +79,21 @@
 
     fn release_order(&mut self, release: &ReleaseOrder) -> Applied {
         let order_index = release.order_index;
-        let standing = self.orders.remove(&order_index).ok_or(Rejection::NoSuchOrder)?;
-        Ok(AppliedChange::OrderReleased { order_index, order: standing.order })
+        let standing_order = self.orders.remove(&order_index).ok_or(Rejection::NoSuchOrder)?;
+        Ok(AppliedChange::OrderReleased { order_index, order: standing_order.order })
     }
 
     fn begin_drain(&mut self, begin: &BeginDrain, fenced: bool) -> Applied {
         let order_index = begin.order_index;
-        let locality = self.orders.get(&order_index).map(|standing| standing.order.locality);
+        let locality = self.orders.get(&order_index).map(|standing_order| standing_order.order.locality);
         let held = locality.and_then(|locality| self.assignment(Duty::RunDrains(locality)));
         if fenced && held.is_none_or(|held| held.epoch != begin.epoch) {
-            return Err(Rejection::DrainByFormerHolder);
+            return Err(Rejection::StaleDrainEpoch);
         }
-        let queued = self.orders.get_mut(&order_index).filter(|standing| !standing.active);
-        let standing = queued.ok_or(Rejection::DrainNotQueued)?;
-        standing.active = true;
-        Ok(AppliedChange::OrderActivated { order_index, order: standing.order.clone() })
+        let queued = self.orders.get_mut(&order_index).filter(|standing_order| !standing_order.active);
+        let standing_order = queued.ok_or(Rejection::DrainNotQueued)?;
+        standing_order.active = true;
+        Ok(AppliedChange::OrderActivated { order_index, order: standing_order.order.clone() })
     }
 
     fn begin_move(&mut self, index: LogIndex, move_range: &MoveRange, fenced: bool) -> Applied {
@@ -101,16 +101,16 @@
         let held = self.assignment(Duty::PlaceRange(range));
         let by_operator = move_range.epoch == 0;
         if fenced && !by_operator && held.is_none_or(|held| held.epoch != move_range.epoch) {
-            return Err(Rejection::MoveByFormerHolder);
+            return Err(Rejection::StaleMoveEpoch);
         }
         let ownership: &mut RangeOwnership = self.ranges.entry(range).or_default();
         if ownership.pending_move.is_none() && ownership.owner == Some(to_server) {
             return Err(Rejection::AlreadyOwner);
         }
-        // A move under way is redirected, and members that have cleared it need not do so again.
+        // A pending move is redirected to the new server; members that have cleared it need not clear it again.
         let new_move = PendingMove { to_server, move_index: index, cleared_by: Vec::new() };
         let pending_move = match ownership.pending_move.take() {
-            Some(under_way) => PendingMove { to_server, ..under_way },
+            Some(redirected) => PendingMove { to_server, ..redirected },
             None => new_move,
         };
         let move_index = pending_move.move_index;
@@ -126,25 +126,25 @@
         let uncleared = pending_move.filter(|pending_move| {
             pending_move.move_index == cleared.move_index && !pending_move.cleared_by.contains(&by_member)
         });
-        uncleared.ok_or(Rejection::ClearedMoveOver)?.cleared_by.push(by_member);
+        uncleared.ok_or(Rejection::StaleClearance)?.cleared_by.push(by_member);
         Ok(AppliedChange::RangeCleared { range, by_member })
     }
 
     fn assign_range(&mut self, index: LogIndex, term: u64, assign: &AssignRange, fenced: bool) -> Applied {
-        // A deposed leader decided by a lease table that its successors do not have.
+        // The former leader decided by its own lease table, which its successor does not have.
         if fenced && assign.term != term {
-            return Err(Rejection::AssignedInEarlierTerm);
+            return Err(Rejection::StaleTerm);
         }
         let ownership = self.ranges.get_mut(&assign.range).ok_or(Rejection::NoSuchRange)?;
         let completed = ownership.pending_move.take_if(|pending| pending.move_index == assign.move_index);
-        let completed = completed.ok_or(Rejection::AssignedMoveOver)?;
+        let completed = completed.ok_or(Rejection::StaleAssignment)?;
         ownership.owner = Some(completed.to_server);
         ownership.epoch = index;
         Ok(AppliedChange::RangeAssigned { range: assign.range, owner: completed.to_server, epoch: index })
     }
 
     fn change_membership(&mut self, change: &MembershipChange) -> Applied {
-        let member = change.member.clone().ok_or(Rejection::NoMember)?;
+        let member = change.member.clone().ok_or(Rejection::MissingMember)?;
         self.membership_changes.insert(member.id, change.clone());
         Ok(AppliedChange::MembershipChanged { member, removed: change.removed })
     }
--- a/crates/platform-supervisor/tests/supervisor.rs
+++ b/crates/platform-supervisor/tests/supervisor.rs
@@ -1,4 +1,5 @@
-//! Tests of the supervisor's state machine without sockets: each test builds a state and checks the resulting commands.
+//! Tests of the supervisor's state machine without sockets: each test builds a state and checks the resulting
+//! commands.
 
 mod common;
 
@@ -158,7 +159,7 @@
 
 #[rstest]
 #[case::silent("", 1_100)]
-#[case::half_a_message("{\"t\":\"hel", 1_100)]
+#[case::incomplete_message("{\"t\":\"hel", 1_100)]
 #[case::liveness_probe("{\"t\":\"probe\"}\n", 1_100)]
 fn client_that_has_not_joined_is_closed_after_the_join_timeout(#[case] text: &str, #[case] within_ms: u64) {
     let mut harness = Harness::new(3);
@@ -215,7 +216,7 @@
 }
 
 #[test]
-fn repeated_malformed_lines_close_the_connection() {
+fn malformed_line_that_does_not_start_with_a_brace_closes_the_connection() {
     let mut harness = Harness::new(3);
     harness.join(1, 1);
     assert!(closes(&harness.send(1, "\u{fd}\u{d9}\r\n"), 1));
@@ -307,7 +308,8 @@
     assert!(harness.has_logged("controller failed, restarting: panic: planted"), "{:?}", harness.log);
 }
 
-/// Guards against the disconnection of a proxy whose acknowledgement was lost although a later one was received.
+/// Guards against the disconnection of a proxy whose acknowledgement was lost although a later one was
+/// received.
 #[test]
 fn acknowledgement_covers_earlier_ack_requests() {
     let mut harness = Harness::new(3);
@@ -318,7 +320,8 @@
     assert_ne!(serial(&first), serial(&second));
     let ack = |serial| ack_line(1, serial, 3.0);
     harness.send(1, &ack(serial(&second)));
-    // From here on the proxy acknowledges each update and sends nothing else, so no ack request stays pending.
+    // From here on the proxy acknowledges each update and sends nothing else, so no ack request stays
+    // pending.
     for _ in 0..60 {
         let commands = harness.run_for(1_000);
         assert!(!closes(&commands, 1), "{:?}", harness.log);
