--- a/crates/group/src/group/commands.rs
+++ b/crates/group/src/group/commands.rs
@@ -81,12 +81,12 @@
     fn take_due_commands(&mut self, now: Nanos, leader: Option<MemberId>) -> Vec<Command> {
         let term = self.raft.term();
         let retransmit_interval = self.timing.retransmit_interval();
-        let by_message = leader != Some(self.config.id);
+        let leader_is_remote = leader != Some(self.config.id);
         let mut due = Vec::new();
         for pending in self.pending.values_mut() {
             let retransmission_due =
                 pending.sent_at.is_none_or(|sent_at| now >= sent_at + retransmit_interval);
-            if pending.sent_in_term != term || (by_message && retransmission_due) {
+            if pending.sent_in_term != term || (leader_is_remote && retransmission_due) {
                 pending.sent_at = Some(now);
                 pending.sent_in_term = if leader.is_some() { term } else { 0 };
                 due.push(pending.command.clone());
--- a/crates/group/src/group/review.rs
+++ b/crates/group/src/group/review.rs
@@ -85,7 +85,7 @@
             }
             None => {
                 let mut changes = self.state_machine.membership_changes().values();
-                changes.find_map(|change| with_change(&configuration, change))
+                changes.find_map(|change| configuration_after(&configuration, change))
             }
         };
         if let Some(next) = next {
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Assigns moving ranges whose former owner no forwarder can use any more. Does so only while this member leads.
+    /// Submits the assignment of each moving range whose former owner no forwarder can use any more. Only a leader does
+    /// so: its lease table is created when it first does and dropped when it no longer leads.
     pub(super) fn assign_cleared_ranges(&mut self, now: Nanos) {
         let Some(elected_at) = self.raft.elected_at().filter(|_| self.raft.is_leader()) else {
             self.lease_table = None;
@@ -123,7 +124,7 @@
 }
 
 /// The configuration after a requested change; `None` if the change is already in force or would leave no voter.
-fn with_change(configuration: &Configuration, change: &MembershipChange) -> Option<Configuration> {
+fn configuration_after(configuration: &Configuration, change: &MembershipChange) -> Option<Configuration> {
     let member = change.member.as_ref()?;
     let votes = configuration.is_voter(member.id);
     let learns = configuration.is_learner(member.id);
--- a/crates/group/src/leases/grantor.rs
+++ b/crates/group/src/leases/grantor.rs
@@ -36,7 +36,7 @@
     ownership.is_some_and(|ownership| ownership.epoch == epoch && ownership.owner.is_some())
 }
 
-fn standing_route((&range, ownership): (&u32, &RangeOwnership)) -> Option<RangeRoute> {
+fn current_route_of((&range, ownership): (&u32, &RangeOwnership)) -> Option<RangeRoute> {
     ownership.owner.map(|owner| RangeRoute { range, owner, epoch: ownership.epoch })
 }
 
@@ -67,7 +67,7 @@
         if !lease_is_valid {
             return RouteResponse { sequence: self.responses, routes: None };
         }
-        let routes: Vec<RangeRoute> = state_machine.ranges().iter().filter_map(standing_route).collect();
+        let routes: Vec<RangeRoute> = state_machine.ranges().iter().filter_map(current_route_of).collect();
         for route in &routes {
             let grants = self.granted.entry((route.range, route.epoch)).or_default();
             grants.insert(stream, Grant { granted_at: now, response: self.responses });
@@ -98,7 +98,7 @@
     /// The current routes, to be pushed to forwarders when a range is withdrawn; this extends no grant.
     pub fn current_routes(&mut self, state_machine: &StateMachine) -> RouteResponse {
         self.responses += 1;
-        let routes = state_machine.ranges().iter().filter_map(standing_route).collect();
+        let routes = state_machine.ranges().iter().filter_map(current_route_of).collect();
         RouteResponse { sequence: self.responses, routes: Some(routes) }
     }
 
--- a/crates/group/src/leases/member_lease.rs
+++ b/crates/group/src/leases/member_lease.rs
@@ -10,21 +10,21 @@
 pub struct MemberLease {
     expires_at: Nanos,
     /// The lease is valid only once this member has applied the log up to this index.
-    commit_index: LogIndex,
+    required_index: LogIndex,
 }
 
 impl MemberLease {
-    /// Extends the lease after the leader granted a request that was sent at `requested_at`. `commit_index` is the
-    /// index up to which the leader requires the log to be applied.
-    pub fn renew(&mut self, timing: &Timing, requested_at: Nanos, commit_index: LogIndex) {
+    /// Extends the lease after the leader granted a request that was sent at `requested_at`. `required_index`
+    /// is the index up to which the leader requires the log to be applied.
+    pub fn renew(&mut self, timing: &Timing, requested_at: Nanos, required_index: LogIndex) {
         let expires_at = requested_at + timing.member_lease_duration();
         if expires_at > self.expires_at {
-            *self = MemberLease { expires_at, commit_index: self.commit_index.max(commit_index) };
+            *self = MemberLease { expires_at, required_index: self.required_index.max(required_index) };
         }
     }
 
     /// Whether the lease is valid for a member that has applied the log up to `last_applied`.
     pub fn is_valid(&self, now: Nanos, last_applied: LogIndex) -> bool {
-        now < self.expires_at && last_applied >= self.commit_index
+        now < self.expires_at && last_applied >= self.required_index
     }
 }
--- a/crates/group/src/leases/table.rs
+++ b/crates/group/src/leases/table.rs
@@ -18,9 +18,9 @@
 }
 
 impl MoveWait {
-    /// When the wait for the move ends. Members that have cleared the move are not waited for; unknown members are,
-    /// once after each change of leader.
-    fn over_at(&self, pending_move: &PendingMove) -> Nanos {
+    /// When the wait for the move ends. It skips the limits of members that have cleared the move, and always includes
+    /// the limit of unknown members, which is set once for each leader, by the time of its election.
+    fn ends_at(&self, pending_move: &PendingMove) -> Nanos {
         let uncleared = self.members.iter().filter(|(member, _)| !pending_move.cleared_by.contains(member));
         uncleared.map(|(_, &until)| until).fold(self.unknown_members, Nanos::max)
     }
@@ -69,7 +69,7 @@
             let key = (range, pending_move.move_index);
             open.insert(key);
             let never_owned = ownership.epoch == 0;
-            if never_owned || now >= self.wait(key, timing, members).over_at(pending_move) {
+            if never_owned || now >= self.wait(key, timing, members).ends_at(pending_move) {
                 assignable.push(key);
             }
         }
--- a/crates/group/src/membership/probing.rs
+++ b/crates/group/src/membership/probing.rs
@@ -9,7 +9,8 @@
 
 /// How many members are asked for an indirect probe: more than one, so that a lost message does not cause a suspicion.
 const INDIRECT_PROBES: usize = 3;
-/// A dead member is probed once in this many periods: after a network partition each side considers the other dead.
+/// Every this many periods, one randomly chosen dead member is probed as well: after a network partition each side
+/// considers the other dead.
 const DEAD_PROBE_PERIODS: u64 = 2;
 
 impl Membership {
--- a/crates/group/src/report_merge.rs
+++ b/crates/group/src/report_merge.rs
@@ -10,7 +10,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Maximum number of rows in one message: twice the servers and localities of a large fleet, in some tens of kilobytes.
+/// Maximum number of rows in one message: twice as many as a large fleet needs for its servers and localities. They
+/// take some tens of kilobytes.
 pub const MAX_ROWS: usize = 4096;
 const MICROSECOND: Nanos = 1_000;
 const MILLISECOND: Nanos = 1_000_000;
--- a/crates/group/src/sim/faults.rs
+++ b/crates/group/src/sim/faults.rs
@@ -6,7 +6,7 @@
 
 use super::event::Event;
 use super::schedule::{MILLISECOND, SECOND};
-use super::simulation::{Simulation, SERVERS};
+use super::simulation::{Simulation, SERVER_COUNT};
 use super::violation::Violation;
 use crate::wire::MemberId;
 
@@ -105,10 +105,10 @@
 
     /// Makes a server drain, or return if it drains already. At most one more than half of the servers drain at once.
     fn drain_or_return_server(&mut self) {
-        let server = self.draw(SERVERS.into()) as u32;
+        let server = self.draw(SERVER_COUNT.into()) as u32;
         let draining = self.servers.values().filter(|server| !server.accepts_ranges).count();
         if let Some(server) = self.servers.get_mut(&server) {
-            let available = !server.accepts_ranges || draining > SERVERS as usize / 2;
+            let available = !server.accepts_ranges || draining > SERVER_COUNT as usize / 2;
             server.accepts_ranges = available;
             server.listed = available;
         }
--- a/crates/group/src/sim/operators.rs
+++ b/crates/group/src/sim/operators.rs
@@ -4,7 +4,7 @@
 
 use super::event::Event;
 use super::schedule::{MILLISECOND, SECOND};
-use super::simulation::{Simulation, SERVERS};
+use super::simulation::{Simulation, SERVER_COUNT};
 use crate::wire::{CommandPayload, MoveRange, OperatorOrder, ReleaseOrder};
 
 const ORDER_GAP_MIN: Nanos = 300 * MILLISECOND;
@@ -12,7 +12,8 @@
 const HALF_WEIGHT_MILLIONTHS: u32 = 500_000;
 
 impl Simulation {
-    pub fn give_order(&mut self) {
+    /// Submits a random order once or twice, each time to a random member, and schedules the next order.
+    pub fn submit_random_order(&mut self) {
         if self.faults_over {
             return;
         }
@@ -26,7 +27,7 @@
     }
 
     fn draw_order(&mut self) -> Option<CommandPayload> {
-        let server = self.draw(SERVERS.into()) as u32;
+        let server = self.draw(SERVER_COUNT.into()) as u32;
         let order = |weight_cap_millionths| {
             let locality = server % 2;
             CommandPayload::OperatorOrder(OperatorOrder { server, locality, weight_cap_millionths })
--- a/crates/group/src/sim/simulation.rs
+++ b/crates/group/src/sim/simulation.rs
@@ -17,7 +17,7 @@
 use crate::timing::TimingSettings;
 use crate::wire::{Duty, Epoch, LogIndex, MemberAddress, MemberId};
 
-pub(super) const SERVERS: u32 = 6;
+pub(super) const SERVER_COUNT: u32 = 6;
 const MAX_CLOCK_DRIFT: f64 = 0.05;
 /// Only members with lower numbers are initial voters.
 const MAX_INITIAL_VOTERS: MemberId = 5;
@@ -87,7 +87,7 @@
             events_scheduled: 0,
             cut_links: BTreeSet::new(),
             loss: 0.0,
-            servers: (0..SERVERS).map(|server| (server, available(server))).collect(),
+            servers: (0..SERVER_COUNT).map(|server| (server, available(server))).collect(),
             stats: ScheduleStats::default(),
             leaders: BTreeMap::new(),
             histories: BTreeMap::new(),
@@ -248,7 +248,7 @@
             Event::Response(response) => self.handle_response(response)?,
             Event::Write(forwarder) => self.write(forwarder),
             Event::WriteTakesEffect(route) => self.check_write(route)?,
-            Event::Order => self.give_order(),
+            Event::Order => self.submit_random_order(),
         }
         Ok(())
     }
--- a/crates/group/tests/handover.rs
+++ b/crates/group/tests/handover.rs
@@ -114,9 +114,13 @@
 /// A guard that a search leaves out, to show that it finds a violation without that guard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum OmittedGuard {
+    /// All guards are in place.
     None,
+    /// The member grants routes without a valid lease.
     Lease,
+    /// The leader assigns the range without waiting for its lease table.
     LeaseTable,
+    /// The member treats each response as read by the forwarder, whatever sequence number the request names.
     Sequence,
 }
 
