--- a/crates/group/src/placement.rs
+++ b/crates/group/src/placement.rs
@@ -11,8 +11,8 @@
 #[cfg(test)]
 mod tests;
 
-/// At most one in this many of a locality's listed servers is drained by operators' orders at once; one server may always
-/// be drained.
+/// At most one in this many of a locality's listed servers is drained by operators' orders at once; one server may
+/// always be drained.
 const DRAINED_AT_ONCE_DIVISOR: usize = 3;
 
 /// Availability of a server for key ranges, as one member observes it.
--- a/crates/group/src/timing.rs
+++ b/crates/group/src/timing.rs
@@ -33,8 +33,8 @@
 const RENEWALS_PER_LEASE: Nanos = 4;
 /// SWIM probe periods per election timeout.
 const PROBES_PER_ELECTION_TIMEOUT: Nanos = 2;
-/// A direct acknowledgement is awaited for the probe period divided by this; the rest of the period is left for indirect
-/// probes.
+/// A direct acknowledgement is awaited for the probe period divided by this; the rest of the period is left for
+/// indirect probes.
 const DIRECT_ACK_DIVISOR: Nanos = 3;
 /// Probe periods in which a suspect can refute the suspicion, per binary logarithm of the group's size.
 const SUSPICION_PERIODS: f64 = 3.0;
--- a/crates/xds-supervisor/src/channel.rs
+++ b/crates/xds-supervisor/src/channel.rs
@@ -24,6 +24,7 @@
     /// Cost in lines, including the overhead.
     lines: f64,
     queued_at: Nanos,
+    /// Serial number that the proxy has to acknowledge, if the controller has requested one.
     mark: Option<u16>,
     origin: Origin,
 }
@@ -35,7 +36,7 @@
     pub proxy: ProxyId,
     /// Time when the message was queued, ns.
     pub queued_at: Nanos,
-    /// Serial of the mark that the message carries.
+    /// Serial number that the proxy has to acknowledge, if the controller has requested one with the message.
     pub mark: Option<u16>,
 }
 
--- a/crates/xds-supervisor/src/client_limits.rs
+++ b/crates/xds-supervisor/src/client_limits.rs
@@ -21,8 +21,8 @@
 
 /// Number of consecutive rejected messages after which a stream is terminated.
 const MAX_REJECTED_MESSAGES: u32 = 3;
-/// Acknowledgement timeout, as a multiple of a round trip with a report interval plus the time in which a full channel
-/// empties.
+/// Acknowledgement timeout, as a multiple of the sum of a round trip, a report interval, and the time in which a full
+/// channel empties.
 const ACK_TIMEOUT_FACTOR: Nanos = 4;
 /// Delay before reads and writes that the kernel temporarily refuses are retried, ns.
 const KERNEL_RETRY_DELAY: Nanos = 50_000_000;
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Reaction to a proxy's `count`th consecutive rejection. Each resend waits one round trip with report longer, as
-    /// the same message is likely to be rejected again.
+    /// Reaction to a proxy's `count`th consecutive rejection. Each resend waits `round_trip_and_report` longer
+    /// than the previous one, as the same message is likely to be rejected again.
     pub fn on_nack(&self, now: Nanos, count: u32) -> NackResponse {
         if count >= MAX_REJECTED_MESSAGES {
             return NackResponse::Terminate;
--- a/crates/xds-supervisor/src/core.rs
+++ b/crates/xds-supervisor/src/core.rs
@@ -77,6 +77,7 @@
     /// Updates that no action of the controller caused; they wait for spare capacity of the channel.
     supervisor_updates: VecDeque<SupervisorUpdate>,
     cache: ResponseCache,
+    /// Last number that was given to a response's nonce or a timer's key.
     last_nonce: u64,
     /// Identifier of this control plane in responses.
     identity: String,
@@ -231,7 +232,7 @@
         self.poll_group(now);
         self.decide(now);
         self.store_snapshot(now);
-        // Versions from lines that the guard inspects again carry this reason too.
+        // A version that is published because the guard inspects lines again has this reason too.
         self.publish(now, &Provenance::new("list", "servers are met at other addresses"));
         self.poll_supervisor_updates(now);
         while let Some(departure) = self.channel.depart(now) {
--- a/crates/xds-supervisor/src/core/actions.rs
+++ b/crates/xds-supervisor/src/core/actions.rs
@@ -72,7 +72,7 @@
             }
             Action::WatchEndpoints { on } => self.commands.push(ShellCommand::WatchEndpoints(on)),
             Action::FetchEndpoints => self.commands.push(ShellCommand::FetchEndpoints),
-            // These supervisors exchange only messages of the group.
+            // Controllers send each other no messages here: supervisors exchange only the messages of their group.
             Action::SendToPeer { .. } => {}
             Action::RequestAck { serial, everyone } => {
                 batch.mark = Some(RequestedMark { serial, from_everyone: everyone });
--- a/crates/xds-supervisor/src/core/delivery.rs
+++ b/crates/xds-supervisor/src/core/delivery.rs
@@ -40,8 +40,8 @@
         self.queue_supervisor_update(id, lines);
     }
 
-    /// Queues updates with the lines that the guard drained. No action of the controller affects the tables' users, and
-    /// the next one that does may come after the drain grace.
+    /// Queues updates with the lines that the guard drained. Without them, the tables' users would receive these lines
+    /// only with the next action of the controller that affects them, which may come after the drain grace.
     fn queue_guard_corrections(&mut self) {
         for (table, lines) in self.tables.take_drained_by_guard() {
             for id in self.users(table) {
--- a/crates/xds-supervisor/src/core/faults.rs
+++ b/crates/xds-supervisor/src/core/faults.rs
@@ -5,7 +5,7 @@
 use super::Core;
 use crate::deployment::InjectedFault;
 
-/// Weight of a server in slow start: many times any regular weight.
+/// Weight that `NoSlowStart` gives to a server in slow start: many times any regular weight.
 const SLOW_START_WEIGHT: f64 = 1e4;
 /// With every batch of actions, each line of a table alternates between this weight and `HIGH_FLOOD_WEIGHT`.
 const LOW_FLOOD_WEIGHT: f64 = 1.0;
--- a/crates/xds-supervisor/src/core/requests.rs
+++ b/crates/xds-supervisor/src/core/requests.rs
@@ -95,8 +95,8 @@
             for name in &known {
                 reset_sent_version(stream, proxy, type_url, name);
             }
-            // Tables that the proxy already uses are sent with the next update without passing the channel again: it
-            // has already carried their lines.
+            // Tables that the proxy already uses are sent with the next update without passing the channel again, since
+            // the channel has already carried their lines.
             if !known.is_empty() && (!proxy.tables.is_empty() || !proxy.unacknowledged.is_empty()) {
                 proxy.request_write(now);
             }
--- a/crates/xds-supervisor/src/core/sasp.rs
+++ b/crates/xds-supervisor/src/core/sasp.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The published ones of a proxy's tables, by operation.
+    /// A proxy's tables without those that the guard withholds, by operation.
     fn published_tables(&self, tables: &BTreeMap<u16, TableId>) -> BTreeMap<u16, TableId> {
         let published = tables.iter().filter(|(_, &table)| !self.tables.is_withheld(table));
         published.map(|(&operation, &table)| (operation, table)).collect()
--- a/crates/xds-supervisor/src/deployment/group.rs
+++ b/crates/xds-supervisor/src/deployment/group.rs
@@ -74,7 +74,7 @@
     Err(section.reject("members", problem, remedy))
 }
 
-/// All duties that members of the group hold leases of.
+/// All duties that the group's leader assigns to members.
 fn duties(settings: &DeploymentFile, range_count: u32) -> Vec<Duty> {
     let tables = (0..settings.operations.len() as u32).map(Duty::FenceTable);
     let drains = (0..settings.localities.len() as u32).map(Duty::RunDrains);
--- a/crates/xds-supervisor/src/group_member.rs
+++ b/crates/xds-supervisor/src/group_member.rs
@@ -178,7 +178,8 @@
             match action {
                 Action::Send { to, address, envelope } => self.send(to, address, envelope.encode_to_vec()),
                 Action::Store(write) => self.commands.push(GroupCommand::StoreLog(write)),
-                Action::AnswerOrder { correlation_id, result } => self.answer_order(correlation_id, result),
+                // Orders are submitted with the operator's stream as their id.
+                Action::AnswerOrder { correlation_id: peer, result } => self.answer_order(peer, result),
                 Action::Applied(change) => {
                     routes_changed |= matches!(change, AppliedChange::RangeWithdrawn { .. });
                     self.on_change_applied(&change, &mut changes);
@@ -208,15 +209,15 @@
         self.commands.push(GroupCommand::SendToMember { to, address, message });
     }
 
-    fn answer_order(&mut self, ticket: u64, result: Result<u64, OrderError>) {
-        if !self.pending_orders.remove(&ticket) {
+    fn answer_order(&mut self, peer: Peer, result: Result<u64, OrderError>) {
+        if !self.pending_orders.remove(&peer) {
             return;
         }
         let result = match result {
             Ok(order) => Ok(json!({ "order": order }).to_string()),
             Err(error) => Err(Status::new(Code::FailedPrecondition, error.to_string())),
         };
-        self.answer_operator(ticket, result);
+        self.answer_operator(peer, result);
     }
 
     fn on_change_applied(&self, change: &AppliedChange, changes: &mut AppliedChanges) {
--- a/crates/xds-supervisor/src/tables.rs
+++ b/crates/xds-supervisor/src/tables.rs
@@ -1,4 +1,5 @@
-//! The tables of one supervisor: the controller's weights, operators' constraints on them, and published versions.
+//! The tables of one supervisor: the controller's weights, operators' constraints on them, and published versions, each
+//! of which the guard (`shalereel_guard`) inspects first unless it is disabled.
 //! [`Core`](crate::Core) applies actions and publishes versions; proxies are sent the newest version in the store.
 
 mod actions;
--- a/crates/xds-supervisor/tests/core/channel.rs
+++ b/crates/xds-supervisor/tests/core/channel.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn channel_keeps_its_rate_and_a_newer_state_is_sent_once() {
+fn messages_leave_the_channel_at_the_configured_rate() {
     let mut harness = Harness::new(None);
     harness.list_draining(&[]);
     let mut clients: Vec<ClientStream> =
--- a/crates/xds-supervisor/tests/core/deployment_file.rs
+++ b/crates/xds-supervisor/tests/core/deployment_file.rs
@@ -17,7 +17,7 @@
     "file:33: rules.cold_from: 25 is out of range; give a number"
 )]
 #[case::no_such_locality("locality = \"a\"", "locality = \"c\"", "file:8: locality:")]
-#[case::history(
+#[case::history_too_short(
     "[list]",
     "[tables]\nhours = 0.0\n\n[list]",
     "file:13: tables.hours: 0 is out of range; give a number from 0.01"
@@ -27,8 +27,8 @@
     "[admin]\nlisten = \"10.0.0.1:1\"\n\n[list]",
     "file:13: admin.listen: 10.0.0.1:1 is not a loopback"
 )]
-#[case::missing("paced = true", "", "missing field `paced`")]
-#[case::rate("admission = \"ignored\"", "admission = \"rate\"", "unknown variant `rate`")]
+#[case::missing_key("paced = true", "", "missing field `paced`")]
+#[case::unknown_admission_mode("admission = \"ignored\"", "admission = \"rate\"", "unknown variant `rate`")]
 #[case::timeout_before_objective(
     "integration_timeout_ms = 3000.0",
     "integration_timeout_ms = 3.0",
--- a/crates/xds-supervisor/tests/core/discovery.rs
+++ b/crates/xds-supervisor/tests/core/discovery.rs
@@ -36,8 +36,8 @@
     assert!(harness.closed.is_empty());
 }
 
-/// Guards against a correction of the guard that waits for the controller's next change: there is none. The grace is 2
-/// s.
+/// Guards against a correction by the guard that is sent only with the controller's next action: the injected fault
+/// drops the actions for the drain, so there is none. The drain grace is 2 s.
 #[test]
 fn drain_that_the_guard_enforces_is_sent_within_the_grace() {
     let mut harness =
--- a/crates/xds-supervisor/tests/core/sasp.rs
+++ b/crates/xds-supervisor/tests/core/sasp.rs
@@ -61,7 +61,7 @@
     Some(entries.iter().map(weight).collect())
 }
 
-/// The weights of each version differ only by rounding.
+/// The weights that a balancer and an xDS client receive for the same version differ only by rounding.
 #[test]
 fn xds_and_sasp_give_the_same_weights() {
     let mut harness = Harness::new(None);
