--- a/crates/group/src/group/review.rs
+++ b/crates/group/src/group/review.rs
@@ -46,8 +46,8 @@
     }
 
     fn begin_drains(&mut self, now: Nanos, locality: u32, epoch: Epoch) {
-        let listed = self.servers.values().filter(|server| server.locality == locality && server.listed);
-        for order_index in drains_to_begin(&self.state_machine, locality, listed.count()) {
+        let ready = self.servers.values().filter(|server| server.locality == locality && server.ready);
+        for order_index in drains_to_begin(&self.state_machine, locality, ready.count()) {
             self.request_command(now, CommandPayload::BeginDrain(BeginDrain { order_index, epoch }));
         }
     }
--- a/crates/group/src/placement.rs
+++ b/crates/group/src/placement.rs
@@ -11,7 +11,7 @@
 #[cfg(test)]
 mod tests;
 
-/// At most one in this many of a locality's listed servers is drained by operators' orders at once; one server may
+/// At most one in this many of a locality's ready servers is drained by operators' orders at once; one server may
 /// always be drained.
 const DRAINED_AT_ONCE_DIVISOR: usize = 3;
 
@@ -24,8 +24,8 @@
     pub locality: u32,
     /// Past its slow start, and neither draining nor ejected: a range may be assigned to it.
     pub accepts_ranges: bool,
-    /// Listed as ready: it may keep ranges that it owns.
-    pub listed: bool,
+    /// Listed as ready, and neither draining nor ejected: it may keep ranges that it owns.
+    pub ready: bool,
 }
 
 /// The member that should hold a duty, by rendezvous hashing: when a member leaves, only its duties are reassigned.
@@ -52,14 +52,14 @@
     next.collect()
 }
 
-/// Order indexes of the locality's queued drains that may start now, the oldest first. `listed` is the number of the
-/// locality's listed servers.
-pub fn drains_to_begin(state_machine: &StateMachine, locality: u32, listed: usize) -> Vec<LogIndex> {
+/// Order indexes of the locality's queued drains that may start now, the oldest first. `ready` is the number of the
+/// locality's ready servers.
+pub fn drains_to_begin(state_machine: &StateMachine, locality: u32, ready: usize) -> Vec<LogIndex> {
     let drains = state_machine.orders().iter().filter(|(_, standing_order)| {
         standing_order.order.weight_cap_millionths.is_none() && standing_order.order.locality == locality
     });
     let (active, queued): (Vec<_>, Vec<_>) = drains.partition(|(_, standing_order)| standing_order.active);
-    let limit = (listed / DRAINED_AT_ONCE_DIVISOR).max(1);
+    let limit = (ready / DRAINED_AT_ONCE_DIVISOR).max(1);
     let capacity = limit.saturating_sub(active.len());
     queued.into_iter().take(capacity).map(|(&order_index, _)| order_index).collect()
 }
@@ -78,10 +78,10 @@
     HrwNodes::new(candidates).sorted(&range).next().copied()
 }
 
-/// Whether the range's owner is listed, or the server that it is moving to still accepts ranges.
+/// Whether the range's owner is ready, or the server that it is moving to still accepts ranges.
 fn is_placed(ownership: &RangeOwnership, servers: &BTreeMap<u32, ServerAvailability>) -> bool {
     match (ownership.owner, &ownership.pending_move) {
-        (Some(owner), _) => servers.get(&owner).is_some_and(|server| server.listed),
+        (Some(owner), _) => servers.get(&owner).is_some_and(|server| server.ready),
         (None, Some(pending)) => servers.get(&pending.to_server).is_some_and(|server| server.accepts_ranges),
         (None, None) => false,
     }
--- a/crates/group/src/placement/tests.rs
+++ b/crates/group/src/placement/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn drains_begin_for_at_most_a_third_of_the_listed_servers() {
+fn drains_begin_for_at_most_a_third_of_the_ready_servers() {
     let mut state_machine = StateMachine::default();
     for server in 0..4 {
         let drain = OperatorOrder { server, locality: 1, weight_cap_millionths: None };
@@ -43,9 +43,9 @@
 }
 
 #[test]
-fn range_moves_only_when_its_owner_is_not_listed() {
-    let server = |server, accepts_ranges, listed| {
-        (server, ServerAvailability { server, locality: 0, accepts_ranges, listed })
+fn range_moves_only_when_its_owner_is_not_ready() {
+    let server = |server, accepts_ranges, ready| {
+        (server, ServerAvailability { server, locality: 0, accepts_ranges, ready })
     };
     let mut state_machine = StateMachine::default();
     let servers: BTreeMap<u32, ServerAvailability> =
--- a/crates/group/src/sim/faults.rs
+++ b/crates/group/src/sim/faults.rs
@@ -110,7 +110,7 @@
         if let Some(server) = self.servers.get_mut(&server) {
             let available = !server.accepts_ranges || draining > SERVER_COUNT as usize / 2;
             server.accepts_ranges = available;
-            server.listed = available;
+            server.ready = available;
         }
         for group in self.members.values_mut().filter_map(|member| member.group.as_mut()) {
             group.update_servers(self.servers.clone());
--- a/crates/group/src/sim/simulation.rs
+++ b/crates/group/src/sim/simulation.rs
@@ -265,5 +265,5 @@
 }
 
 fn available(server: u32) -> ServerAvailability {
-    ServerAvailability { server, locality: server % 2, accepts_ranges: true, listed: true }
+    ServerAvailability { server, locality: server % 2, accepts_ranges: true, ready: true }
 }
--- a/crates/xds-supervisor/src/core/group.rs
+++ b/crates/xds-supervisor/src/core/group.rs
@@ -48,14 +48,14 @@
         }
     }
 
-    /// Availability of each listed server. A server accepts key ranges when it is ready, past its slow start, and not
-    /// excluded by the controller.
+    /// Availability of each listed server. A server is ready if the endpoint list has it as ready and the controller has
+    /// not excluded it; it accepts key ranges if it is also past its slow start.
     fn server_availability(&self, now: Nanos) -> BTreeMap<u32, ServerAvailability> {
         let slow_start = self.config.slow_start_duration;
         let availability = |ServerSummary { server, locality, ready }| {
-            let listed = ready && !self.tables.is_excluded(server);
-            let accepts_ranges = listed && !self.endpoints.started_within(server, now, slow_start);
-            (server, ServerAvailability { server, locality: locality.into(), accepts_ranges, listed })
+            let ready = ready && !self.tables.is_excluded(server);
+            let accepts_ranges = ready && !self.endpoints.started_within(server, now, slow_start);
+            (server, ServerAvailability { server, locality: locality.into(), accepts_ranges, ready })
         };
         self.endpoints.servers().into_iter().map(availability).collect()
     }
--- a/crates/xds-supervisor/src/group_member/forwarders.rs
+++ b/crates/xds-supervisor/src/group_member/forwarders.rs
@@ -42,7 +42,7 @@
     /// forwarders are sent routes at once.
     pub fn update_servers(&mut self, servers: BTreeMap<u32, ServerAvailability>, endpoints: &EndpointList) {
         let owners = self.group.state_machine().ranges().values().filter_map(|owned| owned.owner);
-        let available = |owner: &u32| servers.get(owner).is_some_and(|server| server.listed);
+        let available = |owner: &u32| servers.get(owner).is_some_and(|server| server.ready);
         let unavailable = owners.filter(|owner| !available(owner)).collect::<BTreeSet<_>>();
         self.group.update_servers(servers);
         if !unavailable.is_subset(&self.unavailable_owners) {
