--- a/crates/platform-supervisor/src/config.rs
+++ b/crates/platform-supervisor/src/config.rs
@@ -11,6 +11,10 @@
 
 use crate::protocol::EndpointList;
 
+const NANOS_PER_MS: f64 = 1e6;
+/// Maximum of the configured time between two batches, ms; a longer one is reduced to it.
+const MAX_BATCH_INTERVAL_MS: f64 = 1e6;
+
 /// Why a configuration file cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
@@ -68,9 +72,9 @@
     settings: serde_json::Value,
 }
 
-/// The settings that only the supervisor needs; the others are decoded into the controller's configuration.
+/// The settings that the supervisor itself needs; the others are decoded into the controller's configuration.
 #[derive(Deserialize)]
-struct SettingsNames {
+struct SupervisorSettings {
     #[serde(rename = "classes")]
     operations: Vec<NamedOperation>,
     kinds: Vec<String>,
@@ -139,7 +143,7 @@
         let settings = file.settings.to_string();
         let controller = decode_settings(seed, settings.as_bytes())
             .map_err(|cause| ConfigError::InvalidSettings { path: path.into(), cause })?;
-        let names: SettingsNames = serde_json::from_value(file.settings).map_err(malformed)?;
+        let own: SupervisorSettings = serde_json::from_value(file.settings).map_err(malformed)?;
         Ok(Config {
             name: file.name,
             listen: file.listen,
@@ -147,11 +151,11 @@
             resources: file.limits,
             known_list: file.known,
             controller,
-            operations: names.operations.into_iter().map(|operation| operation.name).collect(),
-            kinds: names.kinds,
-            localities: names.localities,
-            load_columns: names.load_info.columns,
-            batch_interval: (names.resolution_ms.clamp(0.0, 1e6) * 1e6) as Nanos,
+            operations: own.operations.into_iter().map(|operation| operation.name).collect(),
+            kinds: own.kinds,
+            localities: own.localities,
+            load_columns: own.load_info.columns,
+            batch_interval: (own.resolution_ms.clamp(0.0, MAX_BATCH_INTERVAL_MS) * NANOS_PER_MS) as Nanos,
         })
     }
 }
--- a/crates/platform-supervisor/src/discovery_watch.rs
+++ b/crates/platform-supervisor/src/discovery_watch.rs
@@ -54,8 +54,8 @@
 }
 
 impl DiscoveryWatch {
-    /// Reads received bytes. Lists after a malformed one are discarded: the next watch requests only the
-    /// changes after the last returned list, so the changes of the malformed one would be lost for good.
+    /// Reads received bytes. Lists after a malformed one are discarded. If they were returned, the next
+    /// watch would request only the changes after them, and those of the malformed list would be lost for good.
     pub fn push(&mut self, bytes: &[u8], max_line_bytes: usize) -> WatchProgress {
         let http_error = self.response.push(bytes, &mut self.body).err();
         if let Some(status) = self.response.status().filter(|&status| status != 200) {
--- a/crates/platform-supervisor/src/http_response.rs
+++ b/crates/platform-supervisor/src/http_response.rs
@@ -90,7 +90,7 @@
                     &[]
                 }
                 ReadState::ChunkSize | ReadState::ChunkEnd | ReadState::Trailer => {
-                    self.push_chunk_line(bytes)?
+                    self.push_chunk_line_byte(bytes)?
                 }
                 ReadState::Complete => &[],
             };
@@ -129,7 +129,7 @@
 
     /// Reads one byte of a chunk-size line, of the line end after a chunk, or of a trailer line. Returns the
     /// bytes after it.
-    fn push_chunk_line<'a>(&mut self, bytes: &'a [u8]) -> Result<&'a [u8], HttpError> {
+    fn push_chunk_line_byte<'a>(&mut self, bytes: &'a [u8]) -> Result<&'a [u8], HttpError> {
         let byte = bytes[0];
         self.buffered.push(byte);
         if byte == b'\n' {
--- a/crates/platform-supervisor/src/lib.rs
+++ b/crates/platform-supervisor/src/lib.rs
@@ -1,5 +1,6 @@
-//! The supervisor that `shalereel node` runs on the operators' platform. It speaks JSON lines over TCP with
-//! proxies and collectors, and follows discovery's endpoint list over HTTP/1.1.
+//! The supervisor that `shalereel node` runs on the operators' platform. It exchanges JSON lines over TCP with
+//! proxies and with collectors, which report on behalf of the proxies of a locality. Over HTTP/1.1 it watches
+//! the endpoint list of discovery, the platform's service that lists the servers.
 //!
 //! Data flows one way: received bytes are decoded into events, the controller answers events with actions,
 //! and actions are encoded into bytes to send. Only [`run`] and [`Config::read`] do I/O or read clocks.
--- a/crates/platform-supervisor/src/limits.rs
+++ b/crates/platform-supervisor/src/limits.rs
@@ -24,8 +24,8 @@
 /// fewer than the minimum.
 const RESERVED_SOCKETS_DIVISOR: u64 = 16;
 const MIN_RESERVED_SOCKETS: u64 = 48;
-/// Time without data after which the watch is closed. Discovery sends an empty line every 2 s, and may notify
-/// of a change up to 6 s late: after two missed lines there is still time to open another watch.
+/// Time without data after which the discovery watch is closed. Discovery sends an empty line every 2 s, and
+/// may notify of a change up to 6 s late: after two missed lines there is still time to open another watch.
 const WATCH_SILENCE_TIMEOUT: Nanos = 4 * SECOND + SECOND / 4;
 /// Exponential backoff between attempts to dial discovery.
 const DIAL_BACKOFF_MIN: Nanos = SECOND / 20;
@@ -42,17 +42,17 @@
 /// `max_ack_delay` and `channel_drain_time`.
 const PROXY_SILENCE_FACTOR: Nanos = 4;
 /// Number of consecutive malformed lines at which a joined connection is closed.
-const MAX_MALFORMED_LINES: u32 = 2;
-/// A reported time is invalid if it exceeds this multiple of the report interval or, for response times, of
-/// the longest timeout of an operation.
+const MALFORMED_LINE_LIMIT: u32 = 2;
+/// A reported time is invalid if it exceeds this multiple of the report interval, or of 1 s if that is longer.
+/// For response times it is a multiple of the longest timeout of an operation instead.
 const MAX_REPORTED_TIME_FACTOR: f64 = 64.0;
 /// A removed server is forgotten after this multiple of the time in which operations may still use it: the
 /// longest timeout of an operation plus the drain grace.
 const FORGET_REMOVED_FACTOR: Nanos = 4;
-/// A failed controller is restarted after this part of the time in which a full channel drains, since the new
-/// controller does not know which messages are still queued there. The delay doubles with each consecutive
-/// failure.
-const RESTART_DELAY_CHANNEL_PART: f64 = 0.4;
+/// A failed controller is restarted after this fraction of the time in which a full channel drains, since the
+/// new controller does not know which messages are still queued in the channel. The delay doubles with each
+/// consecutive failure.
+const RESTART_DELAY_DRAIN_TIME_FRACTION: f64 = 0.4;
 const RESTART_DELAY_MAX_DOUBLINGS: u32 = 3;
 /// Maximum number of log lines in a window of [`LOG_WINDOW`].
 const MAX_LOG_LINES_PER_WINDOW: u32 = 40;
@@ -77,9 +77,10 @@
     resources: ResourceLimits,
     report_interval: Nanos,
     /// Maximum time from sending an ack request to receiving its acknowledgement, without the time spent in
-    /// the channel's queue: twice the worst transit time plus a report interval.
+    /// the channel's queue: a report interval plus twice the worst transit time.
     max_ack_delay: Nanos,
-    /// Time in which a full channel drains.
+    /// Time in which a full channel drains. The channel is the platform's queue of limited rate through
+    /// which all updates reach the proxies.
     channel_drain_time: Nanos,
     /// Longest timeout of the configured operations.
     longest_timeout: Nanos,
@@ -157,14 +158,15 @@
         now + (backoff as f64 * (0.5 + 0.5 * random)) as Nanos
     }
 
-    /// When the configuration file is read again after `attempts` failed attempts; `None` if it is given up.
+    /// When the configuration file is read again after `attempts` failed attempts; `None` if no attempt
+    /// is left.
     pub fn config_retry_at(&self, now: Nanos, attempts: u32) -> Option<Nanos> {
         (attempts < MAX_CONFIG_RETRIES).then_some(now + CONFIG_RETRY_DELAY)
     }
 
     /// Whether a joined connection is closed after this number of consecutive malformed lines.
-    pub fn exceeds_malformed_lines(&self, lines: u32) -> bool {
-        lines >= MAX_MALFORMED_LINES
+    pub fn reaches_malformed_line_limit(&self, lines: u32) -> bool {
+        lines >= MALFORMED_LINE_LIMIT
     }
 
     /// Deadline for the response to a health check that was sent at `sent_at`.
@@ -188,7 +190,7 @@
     }
 
     /// Whether a time is plausible as the window of a report or as the delay of an acknowledgement.
-    pub fn is_valid_window(&self, ms: f64) -> bool {
+    pub fn is_valid_window_or_ack_delay(&self, ms: f64) -> bool {
         ms > 0.0 && ms * 1e6 <= MAX_REPORTED_TIME_FACTOR * (self.report_interval as f64).max(SECOND as f64)
     }
 
@@ -204,7 +206,7 @@
 
     /// When a controller is restarted after `failures` consecutive failures.
     pub fn controller_restart_at(&self, now: Nanos, failures: u32) -> Nanos {
-        let delay = (RESTART_DELAY_CHANNEL_PART * self.channel_drain_time as f64) as Nanos;
+        let delay = (RESTART_DELAY_DRAIN_TIME_FRACTION * self.channel_drain_time as f64) as Nanos;
         now + (delay << failures.saturating_sub(1).min(RESTART_DELAY_MAX_DOUBLINGS))
     }
 }
--- a/crates/platform-supervisor/src/protocol.rs
+++ b/crates/platform-supervisor/src/protocol.rs
@@ -159,7 +159,7 @@
     /// It did not join before the deadline.
     JoinTimeout,
     /// Its message exceeds the length limit, or the incomplete messages of all connections together exceed
-    /// theirs.
+    /// their common limit.
     MessageTooLong,
 }
 
@@ -211,7 +211,9 @@
     /// Names of servers and their weights; a weight of 0 removes the server from the table.
     #[serde(rename = "lines", skip_serializing_if = "Option::is_none")]
     pub weights: Option<Vec<(&'a str, f32)>>,
-    /// Limit on admitted requests.
+    /// Limit on admitted requests, in the unit of the configured [`AdmissionMode`].
+    ///
+    /// [`AdmissionMode`]: shalereel::interface::AdmissionMode
     #[serde(rename = "level", skip_serializing_if = "Option::is_none")]
     pub admission_limit: Option<f32>,
     /// Code of the policy by which requests are retried: 0 never, 1 if not executed, 2 once, 3 twice.
--- a/crates/platform-supervisor/src/proxy_tables/encoding.rs
+++ b/crates/platform-supervisor/src/proxy_tables/encoding.rs
@@ -56,7 +56,7 @@
                 }
             }
         }
-        self.push_exclusions(&mut parts, content);
+        self.push_exclusions_and_ack_request(&mut parts, content);
         write_parts(parts)
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// Adds the exclusions, inclusions and the ack request to the last part.
-    fn push_exclusions(&self, parts: &mut Vec<TableUpdate<'a>>, content: &UpdateContent) {
+    fn push_exclusions_and_ack_request(&self, parts: &mut Vec<TableUpdate<'a>>, content: &UpdateContent) {
         let mut last = parts.pop().unwrap_or_default();
         last.exclude = self.server_names(&content.exclude);
         last.include = self.server_names(&content.include);
--- a/crates/platform-supervisor/src/proxy_tables/updates.rs
+++ b/crates/platform-supervisor/src/proxy_tables/updates.rs
@@ -45,7 +45,7 @@
     excluded: &'a BTreeSet<ServerId>,
     /// Tables whose weights or admission limits changed.
     changed_tables: BTreeSet<TableId>,
-    /// Servers that have started or become ready again, so that proxies may still exclude them.
+    /// Servers that have started or become ready again. Proxies may still exclude them.
     returned: Vec<ServerId>,
 }
 
@@ -187,8 +187,8 @@
         include
     }
 
-    /// Adds the returned servers that the proxy may still exclude because of an earlier connection, if a
-    /// table that it was sent contains them.
+    /// Adds the returned servers that the proxy may still exclude because of an earlier connection, if one of
+    /// its tables may contain them.
     fn include_returned(&self, state: &ProxyState, include: &mut Vec<ServerId>) {
         for &server in &self.returned {
             let is_up_to_date = self.excluded.contains(&server) || state.exclusion_sent.contains(&server);
--- a/crates/platform-supervisor/src/runtime.rs
+++ b/crates/platform-supervisor/src/runtime.rs
@@ -160,7 +160,8 @@
     );
 }
 
-/// Reads the configuration file again. The file may be incomplete, empty or missing while it is replaced, so
+/// Reads the configuration file again and applies a change of discovery's address; other changes take effect
+/// only at the next start. The file may be incomplete, empty or missing while it is replaced, so
 /// a failed read is retried for a while.
 fn reload_config(
     config_path: &Path,
--- a/crates/platform-supervisor/src/server_age.rs
+++ b/crates/platform-supervisor/src/server_age.rs
@@ -1,5 +1,5 @@
-//! Estimates a server's age from its listed start time, also after the wall clock was stepped. The server
-//! registry uses it.
+//! Estimates a server's age from its listed start time. The estimate stays bounded if the wall clock is
+//! stepped. The server registry uses it.
 
 use shalereel::interface::Nanos;
 
@@ -21,8 +21,8 @@
 ///
 /// After a step of the wall clock, either Unix time in `listed_at` may be the right one, so the smaller age
 /// is used. A server whose age is underestimated gets less load for a while; one whose age is overestimated
-/// would be overloaded. No server is older than the time since discovery last sent anything plus the
-/// notification delay, since it would have been listed then.
+/// would be overloaded. The age is at most the time since discovery last sent anything plus the notification
+/// delay: discovery would already have listed a server that started earlier.
 pub fn server_age(started_ms: f64, listed_at: &ListingTime) -> Option<Nanos> {
     if started_ms <= 0.0 {
         return None;
--- a/crates/platform-supervisor/src/supervisor/controller_runs.rs
+++ b/crates/platform-supervisor/src/supervisor/controller_runs.rs
@@ -123,8 +123,8 @@
             }
             Action::CheckHealth { server } => self.start_health_check(server),
             Action::FetchEndpoints => self.request_full_list(now),
-            // `ProxyTables::apply` has handled the actions on tables. The watch is always open, and the
-            // platform has no messages between supervisors.
+            // `ProxyTables::apply` has handled the actions on tables. `WatchEndpoints` changes nothing, since
+            // the supervisor always watches the list. The platform has no messages between supervisors.
             _ => {}
         }
     }
--- a/crates/platform-supervisor/src/supervisor/messages.rs
+++ b/crates/platform-supervisor/src/supervisor/messages.rs
@@ -27,6 +27,7 @@
                 self.message_received(connection, message, now);
             }
             Err(error) if client.is_joined() => {
+                // Blank lines are ignored.
                 if !line.trim_ascii().is_empty() {
                     self.invalid_line_received(connection, line, &error, now);
                 }
@@ -38,9 +39,9 @@
         }
     }
 
-    /// Handles a line from a joined client that is not a message. Only the message itself is dropped if it is
-    /// JSON. Malformed JSON may mean that line ends were lost, so the connection is closed if it recurs or if
-    /// the line does not start with an opening brace.
+    /// Handles a line from a joined client that is not a message. If the line is a JSON object, it is dropped
+    /// and the connection stays open. Malformed JSON may mean that line ends were lost, so the connection is
+    /// closed if it recurs or if the line does not start with an opening brace.
     fn invalid_line_received(&mut self, connection: C, line: &[u8], error: &DecodeError, now: Nanos) {
         if matches!(error, DecodeError::InvalidMessage(_)) {
             return self.count_fault(Fault::InvalidMessage);
@@ -48,7 +49,7 @@
         self.count_fault(Fault::MalformedLine);
         let Some(client) = self.connections.get_mut(&connection) else { return };
         client.malformed_lines += 1;
-        if self.limits.exceeds_malformed_lines(client.malformed_lines) || line.first() != Some(&b'{') {
+        if self.limits.reaches_malformed_line_limit(client.malformed_lines) || line.first() != Some(&b'{') {
             self.close(connection, CloseMode::Reset, &CloseReason::MalformedLines, now);
         }
     }
@@ -98,7 +99,9 @@
             Role::Proxy(proxy) if ack.proxy == u32::from(proxy) => proxy,
             _ => return self.count_fault(Fault::UnexpectedAcknowledgement),
         };
-        if !self.limits.is_valid_window(ack.elapsed_ms) || !self.tables.acknowledge(proxy, ack.serial) {
+        if !self.limits.is_valid_window_or_ack_delay(ack.elapsed_ms)
+            || !self.tables.acknowledge(proxy, ack.serial)
+        {
             return self.count_fault(Fault::UnexpectedAcknowledgement);
         }
         client.acks_pending_since = self.tables.has_pending_acks(proxy).then_some(now);
@@ -118,7 +121,7 @@
         let EndpointReportMessage { attempts, failures, window_ms, .. } = report;
         let response_time_ms = if attempts == failures { Some(0.0) } else { report.response_time_ms };
         let response_time_ms = response_time_ms.filter(|&ms| self.limits.is_valid_response_time(ms))?;
-        if failures > attempts || !self.limits.is_valid_window(window_ms) {
+        if failures > attempts || !self.limits.is_valid_window_or_ack_delay(window_ms) {
             return None;
         }
         Some(EndpointReport {
@@ -140,7 +143,8 @@
         let proxy = ProxyId::try_from(report.proxy).ok();
         match proxy.filter(|proxy| self.proxy_connections.contains_key(proxy)) {
             Some(proxy)
-                if report.failures <= report.total && self.limits.is_valid_window(report.window_ms) =>
+                if report.failures <= report.total
+                    && self.limits.is_valid_window_or_ack_delay(report.window_ms) =>
             {
                 self.controller.push(Event::DemandReport {
                     proxy,
--- a/crates/platform-supervisor/tests/deadlines/main.rs
+++ b/crates/platform-supervisor/tests/deadlines/main.rs
@@ -11,7 +11,7 @@
 mod schedules;
 
 use common::{server_name, MS};
-use platform::{Measurements, Platform, Scenario, SECOND};
+use platform::{Measurements, Platform, Scenario, SECOND, STEP};
 use rstest::rstest;
 
 fn full_table(servers: u32) -> Vec<String> {
@@ -36,14 +36,14 @@
 /// Lets the other proxies join within this time, each with a table of all servers.
 fn join_remaining_proxies(platform: &mut Platform, scenario: &Scenario, within: u64) {
     let others = scenario.proxies / 5..scenario.proxies;
-    let step = within / u64::from(others.end - others.start);
-    let mut due = 0;
+    let time_per_join = within / u64::from(others.end - others.start);
+    let mut elapsed = 0;
     for id in others {
         platform.join(id, full_table(scenario.servers), false);
-        due += step;
-        if due >= 20 * MS {
-            platform.run_for(20 * MS);
-            due -= 20 * MS;
+        elapsed += time_per_join;
+        if elapsed >= STEP {
+            platform.run_for(STEP);
+            elapsed -= STEP;
         }
     }
 }
--- a/crates/platform-supervisor/tests/deadlines/platform.rs
+++ b/crates/platform-supervisor/tests/deadlines/platform.rs
@@ -14,7 +14,11 @@
 };
 
 pub const SECOND: u64 = 1_000 * MS;
+/// Time between two checks of the simulated platform.
+pub const STEP: u64 = 20 * MS;
+/// Time on the monotonic clock at which the simulation starts.
 const START: u64 = 10 * SECOND;
+/// Unix time at which the simulation starts, ms.
 const UNIX_MS: f64 = 1e12;
 /// The connection of the watch.
 const WATCH: u32 = u32::MAX;
@@ -85,7 +89,7 @@
     list_entry(index, state, CELLS, started_ms)
 }
 
-/// The state of a simulated proxy that applies updates.
+/// A simulated proxy, which applies the updates that it receives.
 #[derive(Debug, Default)]
 struct Proxy {
     connection: Option<u32>,
@@ -142,7 +146,7 @@
     updates: Vec<Value>,
     lines: f64,
     /// When its last line leaves the channel.
-    left_at: u64,
+    leaves_at: u64,
     /// When the proxy receives it.
     arrives_at: u64,
 }
@@ -264,11 +268,11 @@
         let lines_per_s = self.scenario.lines_per_s * self.scenario.rate_factor;
         self.channel_busy_until =
             self.channel_busy_until.max(self.now) + (lines / lines_per_s * SECOND as f64) as u64;
-        let (left_at, transit) = (self.channel_busy_until, self.transit());
+        let (leaves_at, transit) = (self.channel_busy_until, self.transit());
         let earlier = self.channel.iter().filter(|message| message.connection == connection);
-        let arrives_at = earlier.map(|message| message.arrives_at).fold(left_at + transit, u64::max);
-        self.channel.push_back(Message { proxy, connection, updates, lines, left_at, arrives_at });
-        let queued = self.channel.iter().filter(|message| message.left_at > self.now);
+        let arrives_at = earlier.map(|message| message.arrives_at).fold(leaves_at + transit, u64::max);
+        self.channel.push_back(Message { proxy, connection, updates, lines, leaves_at, arrives_at });
+        let queued = self.channel.iter().filter(|message| message.leaves_at > self.now);
         let queued_lines: f64 = queued.map(|message| message.lines).sum();
         self.measurements.max_queued_lines = self.measurements.max_queued_lines.max(queued_lines);
     }
@@ -332,7 +336,7 @@
     pub fn run_for(&mut self, span: u64) {
         let until = self.now + span;
         while self.now < until {
-            self.now += 20 * MS;
+            self.now += STEP;
             if self.now.is_multiple_of(2 * SECOND) {
                 self.supervisor.received(WATCH, EMPTY_LINE_CHUNK.as_bytes(), self.clocks());
             }
--- a/crates/platform-supervisor/tests/deadlines/schedules.rs
+++ b/crates/platform-supervisor/tests/deadlines/schedules.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 use crate::common::{server_name, MS};
-use crate::platform::{Platform, Scenario, SECOND};
+use crate::platform::{Platform, Scenario, SECOND, STEP};
 use oorandom::Rand64;
 
 const DEFAULT_SEEDS: u64 = 4;
@@ -17,7 +17,6 @@
 const PLAN_RATE_FRACTION: f64 = 0.5;
 /// Number of lines of a message with a small table, without the overhead.
 const SMALL_TABLE_LINES: f64 = 12.0;
-const STEP: u64 = 20 * MS;
 
 /// Lines that must leave the channel between two times.
 #[derive(Clone, Copy, Debug)]
@@ -34,10 +33,10 @@
 fn is_feasible(mut due: Vec<DueLines>, lines_per_s: f64) -> bool {
     let mut now = due.iter().map(|item| item.from).min().unwrap_or_default();
     due.sort_by_key(|item| item.deadline);
-    let mut first_open = 0;
-    while first_open < due.len() {
+    let mut first_unsent = 0;
+    while first_unsent < due.len() {
         let mut capacity = lines_per_s * STEP as f64 / SECOND as f64;
-        for item in due[first_open..].iter_mut().filter(|item| item.from <= now && item.lines > 0.0) {
+        for item in due[first_unsent..].iter_mut().filter(|item| item.from <= now && item.lines > 0.0) {
             let sent = capacity.min(item.lines);
             item.lines -= sent;
             capacity -= sent;
@@ -46,11 +45,11 @@
             }
         }
         now += STEP;
-        if due[first_open..].iter().any(|item| item.lines > 0.0 && item.deadline < now) {
+        if due[first_unsent..].iter().any(|item| item.lines > 0.0 && item.deadline < now) {
             return false;
         }
-        while first_open < due.len() && due[first_open].lines <= 0.0 {
-            first_open += 1;
+        while first_unsent < due.len() && due[first_unsent].lines <= 0.0 {
+            first_unsent += 1;
         }
     }
     true
--- a/crates/platform-supervisor/tests/proxy_tables.rs
+++ b/crates/platform-supervisor/tests/proxy_tables.rs
@@ -15,7 +15,7 @@
 const SERVERS: u32 = 5;
 const PROXIES: u16 = 3;
 
-/// The state of a simulated proxy that applies updates.
+/// A simulated proxy, which applies the updates that it is sent.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Proxy {
     tables: BTreeMap<String, BTreeMap<String, f64>>,
@@ -175,6 +175,7 @@
 proptest! {
     #[test]
     fn updates_bring_each_proxy_to_the_state_that_the_actions_describe(steps in proptest::collection::vec(step(), 1..40)) {
+        // All servers have a listed start, so a reconnected proxy may still exclude them.
         let (registry, operations) = (registry_with_servers(SERVERS, |_| 5.0), OPERATIONS.map(String::from));
         let mut tables = ProxyTables::new(OPERATIONS.len());
         let mut model = Model::default();
@@ -197,7 +198,7 @@
                     actions.iter().for_each(|action| model.apply(action));
                     let mut updated = BTreeSet::new();
                     for update in tables.apply(&actions, &registry, &operations).unwrap() {
-                        prop_assert!(updated.insert(update.proxy), "a proxy gets index most one update per batch");
+                        prop_assert!(updated.insert(update.proxy), "a proxy gets at most one update per batch");
                         proxies.get_mut(&update.proxy).unwrap().apply(&update.bytes);
                     }
                     model.assigned.keys().for_each(|proxy| model.check(*proxy, &proxies[proxy]));
--- a/crates/platform-supervisor/tests/supervisor.rs
+++ b/crates/platform-supervisor/tests/supervisor.rs
@@ -15,6 +15,7 @@
 
 /// The connection of the first watch.
 const WATCH: u32 = 1000;
+/// Unix time of the simulated wall clock, ms. It stands still.
 const UNIX_MS: f64 = 1e12;
 
 fn entry(index: u32, state: &str) -> Value {
@@ -183,7 +184,7 @@
     "{\"t\":\"demand\",\"id\":1,\"lane\":\"look\",\"count\":\"nan\",\"fail\":0,\"over\":1000.0}\n",
     "invalid message"
 )]
-#[case::more_failures_than_attempts(
+#[case::more_failures_than_requests(
     "{\"t\":\"demand\",\"id\":1,\"lane\":\"look\",\"count\":1,\"fail\":2,\"over\":1000.0}\n",
     "invalid report"
 )]
@@ -348,7 +349,7 @@
     "report before joining"
 )]
 #[case::silent("", "not joined in time")]
-fn exact_bytes_of_each_error_line(#[case] text: &str, #[case] why: &str) {
+fn each_error_line_has_its_exact_bytes(#[case] text: &str, #[case] why: &str) {
     let mut harness = Harness::new(3);
     let mut commands = harness.connect(1, text);
     commands.extend(harness.run_for(1_100));
@@ -356,14 +357,14 @@
 }
 
 #[test]
-fn exact_bytes_of_the_error_line_for_a_message_beyond_the_limit() {
+fn error_line_for_a_message_beyond_the_limit_has_its_exact_bytes() {
     let mut harness = Harness::new(3);
     let commands = harness.connect(1, &"x".repeat(8 << 10));
     assert_eq!(written(&commands, 1), "{\"t\":\"error\",\"why\":\"message without end\"}\n");
 }
 
 #[test]
-fn exact_bytes_of_requests_to_discovery_and_servers() {
+fn requests_to_discovery_and_servers_have_their_exact_bytes() {
     let mut harness = Harness::new(3);
     let after =
         "GET /api/targets?watch=1&after=3 HTTP/1.1\r\nHost: 127.0.0.1:1\r\nAccept: application/json\r\n\r\n";
--- a/crates/platform-supervisor/tests/wire_bytes.rs
+++ b/crates/platform-supervisor/tests/wire_bytes.rs
@@ -39,14 +39,14 @@
     let operations = ["look", "buy"].map(String::from);
     let mut tables = ProxyTables::new(operations.len());
     tables.join(PROXY, kind);
-    let mut read = |actions: &Vec<Action>| {
+    let mut apply = |actions: &Vec<Action>| {
         let updates = tables.apply(actions, &registry, &operations).unwrap();
         updates
             .into_iter()
             .map(|update| String::from_utf8(update.bytes.to_vec()).unwrap())
             .collect::<String>()
     };
-    batches.iter().map(&mut read).collect()
+    batches.iter().map(&mut apply).collect()
 }
 
 #[test]
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn tables_of_single_operations_are_sent_as_linked_parts() {
+fn tables_of_single_operations_are_sent_as_continued_parts() {
     let actions = vec![weight(0, 1, 1.0), weight(1, 2, 0.5), assign(0, 1), assign(1, 2), ack(65535, true)];
     let expected = concat!(
         "{\"t\":\"push\",\"classes\":[\"look\"],\"whole\":true,\"lines\":[[\"s1\",1.0]],\"more\":true}\n",
@@ -154,7 +154,7 @@
 fn table_longer_than_one_part_is_split() {
     let mut actions: Vec<Action> = (1..=4097).map(|server| weight(0, server, 1.0)).collect();
     actions.extend([assign(0, 0), ack(1, false), exclude(5, true), admit(None, 0, 1.0, RetryPolicy::Once)]);
-    let lines: Vec<String> = (1..=4096).map(|at| format!("[\"s{at}\",1.0]")).collect();
+    let lines: Vec<String> = (1..=4096).map(|server| format!("[\"s{server}\",1.0]")).collect();
     let first = format!("{{\"t\":\"push\",\"whole\":true,\"lines\":[{}],\"more\":true}}\n", lines.join(","));
     let last = "{\"t\":\"push\",\"lines\":[[\"s4097\",1.0]],\"level\":1.0,\"retry\":2,\"out\":[\"s5\"],\"ticket\":1}\n";
     assert_eq!(updates(JoinKind::New, 4097, &[actions]), [first + last]);
