--- a/crates/simulator-codec/src/decode.rs
+++ b/crates/simulator-codec/src/decode.rs
@@ -43,14 +43,14 @@
         event: Event,
     },
     /// A record of valid length with an invalid value: a time that is negative, not finite or out of range,
-    /// or an unknown code of a field. It is to be ignored.
+    /// or an unknown code of a field. The receiver ignores it.
     InvalidValue {
         /// Number of the instance.
         instance: InstanceId,
     },
 }
 
-/// Why a batch is rejected. Offsets are in bytes and start after the length of the frame.
+/// Why a batch is rejected. Offsets are in bytes from the start of the frame's content.
 #[derive(Debug, Error, PartialEq)]
 pub enum DecodeError {
     /// The time in the header is negative, not finite or out of range.
--- a/crates/simulator-codec/src/encode.rs
+++ b/crates/simulator-codec/src/encode.rs
@@ -1,5 +1,5 @@
-//! Encodes replies. A reply consists of a header with the number of records and their total length, and one
-//! record for each action.
+//! Encodes replies. A reply consists of a header with the number of records and their total length in bytes,
+//! and one record for each action.
 
 use bytes::BufMut;
 use shalereel::interface::{Action, RetryPolicy};
@@ -11,6 +11,8 @@
 const ALL_TABLES: u16 = u16::MAX;
 /// The peer number that stands for all peers.
 const ALL_PEERS: u16 = u16::MAX;
+/// Length of a reply's header: the number of records and their total length, four bytes each.
+const REPLY_HEADER_BYTES: usize = 8;
 
 /// A reply under construction.
 #[derive(Debug, Default)]
@@ -31,7 +33,8 @@
     }
 }
 
-/// Appends a record to the reply that the controller of an instance has panicked with this message.
+/// Appends the record of a failure to the reply: the controller of an instance panicked with the message
+/// `text`.
 pub fn encode_failure(reply: &mut Reply, instance: InstanceId, text: &str) {
     put_text(reply.begin_record(outgoing::FAILURE, instance), text);
 }
@@ -120,7 +123,7 @@
 
 /// Encodes the complete frame of a reply.
 pub fn encode_reply(reply: Reply) -> Vec<u8> {
-    let mut frame = Vec::with_capacity(reply.records.len() + 8);
+    let mut frame = Vec::with_capacity(reply.records.len() + REPLY_HEADER_BYTES);
     frame.put_u32(reply.count);
     frame.put_u32(reply.records.len() as u32);
     frame.extend(reply.records);
--- a/crates/simulator-codec/src/settings.rs
+++ b/crates/simulator-codec/src/settings.rs
@@ -54,7 +54,7 @@
 #[derive(Deserialize)]
 struct FamilyInfo {
     #[serde(rename = "admit")]
-    admission: Admission,
+    admission_mode: Admission,
     #[serde(rename = "backlog")]
     channel_capacity: f64,
     #[serde(rename = "cycle_ms", deserialize_with = "millis")]
@@ -71,7 +71,7 @@
     #[serde(default, rename = "in_flight_max_ms", deserialize_with = "millis")]
     in_flight_max: Nanos,
     #[serde(default, rename = "key_ranges")]
-    slices: u16,
+    key_range_count: u16,
     lines_per_s: f64,
     #[serde(default, rename = "messages_over_ms", deserialize_with = "millis")]
     message_limit_window: Nanos,
@@ -245,7 +245,8 @@
     }
 }
 
-/// Converts an operation. If a list of flags is too short for its position, the flag is not set.
+/// Converts the operation at this position. If a list of flags is too short for the position, the flag counts
+/// as not set.
 fn operation(position: usize, class: Class, family: &FamilyInfo) -> Operation {
     let is_set = |flags: &[bool]| flags.get(position).copied().unwrap_or(false);
     Operation {
@@ -260,7 +261,8 @@
     }
 }
 
-/// Decodes the settings of an instance. Keys that the controller does not need are ignored.
+/// Decodes the settings of an instance into the configuration of its controller, whose random number
+/// generator gets this seed. Keys that the controller does not need are ignored.
 ///
 /// # Errors
 ///
@@ -278,7 +280,7 @@
         locality_count: profile.localities.len() as u16,
         operations: classes.map(|(position, class)| operation(position, class, &family)).collect(),
         polls_endpoints: matches!(profile.endpoint_delivery, EndpointDelivery::OnRequest),
-        admission_mode: family.admission.into(),
+        admission_mode: family.admission_mode.into(),
         load_source: profile.load_info.delivery.into(),
         load_columns: profile.load_info.columns.iter().map(|name| load_column(name)).collect(),
         health_checks_allowed: profile.permissions.health_checks,
@@ -291,7 +293,7 @@
         max_unserved_time: family.max_unserved_time,
         first_wait: family.first_wait,
         failures_to_avoid: family.failures_to_avoid,
-        key_range_count: family.slices,
+        key_range_count: family.key_range_count,
         sole_owner: family.sole_owner,
         lease_duration: family.lease_duration,
         in_flight_max: family.in_flight_max,
--- a/crates/simulator-codec/tests/codec.rs
+++ b/crates/simulator-codec/tests/codec.rs
@@ -74,7 +74,7 @@
 #[case::infinite("0e 00000003 0029 000000000000000c 7ff0000000000000")]
 #[case::negative("02 00000003 00000009 0000 0029 00000000 c09f400000000000")]
 #[case::unknown_watch_event("0c 00000003 09 0000000000000029 00000000")]
-fn record_with_an_invalid_value_is_decoded_as_such(#[case] record: &str) {
+fn record_with_an_invalid_value_is_marked_as_invalid(#[case] record: &str) {
     assert_eq!(decode(record), Ok(vec![Record::InvalidValue { instance: 3 }]));
 }
 
@@ -124,6 +124,7 @@
     let mut reply = Reply::default();
     encode_failure(&mut reply, 3, "index out of range");
     assert_eq!(encode_reply(reply)[8..], bytes("45 00000003 0012 696e646578206f7574206f662072616e6765"));
+    // 65,534 is the length of the longest text of two-byte characters that a 16-bit length allows.
     let mut reply = Reply::default();
     encode_failure(&mut reply, 3, &"é".repeat(40_000));
     assert_eq!(encode_reply(reply).len(), 8 + 7 + 65_534);
--- a/crates/simulator-codec/tests/settings.rs
+++ b/crates/simulator-codec/tests/settings.rs
@@ -28,6 +28,8 @@
 
 const MS: u64 = 1_000_000;
 
+/// An operation. `figures` are the latency objective, the timeout and the deduplication window in milliseconds,
+/// and the priority weight; `flags` are `local_only` and `writes`.
 fn operation(
     idempotency: Idempotency,
     deduplication_scope: DeduplicationScope,
