--- a/crates/simulator-adapter/tests/hostile.rs
+++ b/crates/simulator-adapter/tests/hostile.rs
@@ -14,6 +14,8 @@
 const SETTINGS: &str = include_str!("profile.json");
 const SERVERS: u32 = 12;
 const PROXIES: u32 = 5;
+/// Masks of operations are below this number, since the settings have two operations.
+const OPERATION_MASK_LIMIT: u16 = 4;
 
 fn pick<T: Copy>(random: &mut Rand32, values: &[T]) -> T {
     values[random.rand_range(0..values.len() as u32) as usize]
@@ -109,10 +111,10 @@
                 }
                 Action::Exclude { server, .. } | Action::CheckHealth { server } => listed.contains(server),
                 Action::AssignTable { proxy, table, operations } => {
-                    joined.contains(proxy) && *table < u16::MAX && *operations < 4
+                    joined.contains(proxy) && *table < u16::MAX && *operations < OPERATION_MASK_LIMIT
                 }
                 Action::LimitAdmission { operations, limit, .. } => {
-                    *operations < 4 && (0.0..=1.0).contains(limit)
+                    *operations < OPERATION_MASK_LIMIT && (0.0..=1.0).contains(limit)
                 }
                 Action::SetTimer { delay, .. } => *delay < 71 * 60_000_000_000,
                 Action::SendToPeer { .. } => false,
--- a/crates/simulator-adapter/tests/pipe.rs
+++ b/crates/simulator-adapter/tests/pipe.rs
@@ -9,12 +9,17 @@
 const SETTINGS: &str = include_str!("profile.json");
 /// The header of a batch: its time in milliseconds.
 const BATCH_TIME: [u8; 8] = 1_000.0_f64.to_be_bytes();
+/// The record that stops instance 1.
+const STOP: [u8; 5] = [11, 0, 0, 0, 1];
+/// The record by which instance 1 starts to watch endpoints.
+const WATCH_ENDPOINTS: [u8; 6] = [70, 0, 0, 0, 1, 1];
 
 fn frame(records: &[u8]) -> Vec<u8> {
     let length = (BATCH_TIME.len() + records.len()) as u32;
     [&length.to_be_bytes(), &BATCH_TIME[..], records].concat()
 }
 
+/// A record that starts instance 1 with seed 9.
 fn start(settings: &str) -> Vec<u8> {
     let length = (settings.len() as u32).to_be_bytes();
     [&[7, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 9][..], &length, settings.as_bytes()].concat()
@@ -62,8 +67,8 @@
 #[rstest]
 fn instance_that_restarts_within_a_batch_watches_endpoints_once() {
     let record = start(SETTINGS);
-    let output = run(&frame(&[&record[..], &[11, 0, 0, 0, 1], &record].concat()));
+    let output = run(&frame(&[&record[..], &STOP, &record].concat()));
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let watches = output.stdout.windows(6).filter(|record| record == &[70, 0, 0, 0, 1, 1]).count();
+    let watches = output.stdout.windows(6).filter(|record| record == &WATCH_ENDPOINTS).count();
     assert_eq!(watches, 1);
 }
