--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,6 +1,6 @@
-//! Readiness on `epoll`, timers and non-blocking sockets, without an async runtime. `crates/rpc` and the
-//! tools of `crates/cli` use it. Addresses outside loopback are rejected, except by the functions with
-//! `any_address` in their name.
+//! Readiness notification by `epoll`, timers, signals and non-blocking sockets, without an async runtime. The
+//! supervisors, `crates/rpc` and the tools of `crates/cli` use it. Addresses outside loopback are rejected,
+//! except by the functions with `any_address` in their name.
 //!
 //! A [`Reactor`] reports which tokens are ready. The owner of a token is polled when its socket is ready or
 //! its waker was called, so a socket stores no waker of its own.
--- a/crates/reactor/tests/reactor.rs
+++ b/crates/reactor/tests/reactor.rs
@@ -1,4 +1,4 @@
-//! Tests of readiness, timers and sockets with real descriptors.
+//! Tests of the reactor and of sockets with real descriptors, and of timers.
 
 use std::io::{self, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 #[test]
-fn wait_ends_at_its_time_and_on_a_waker_or_hang_up() {
+fn wait_ends_at_its_deadline_or_when_a_waker_is_called_or_the_peer_hangs_up() {
     let mut reactor = Reactor::new().unwrap();
     let (ours, theirs) = UnixStream::pair().unwrap();
     let token = reactor.add(&ours).unwrap();
