--- a/crates/platform-supervisor/src/proxy_tables/mod.rs
+++ b/crates/platform-supervisor/src/proxy_tables/mod.rs
@@ -77,7 +77,7 @@
     /// Table of each operation; `None` until it is sent on this connection.
     assigned: Vec<Option<TableId>>,
     /// Whether the proxy may have exclusions that were not sent on this connection.
-    has_earlier_state: bool,
+    may_have_earlier_exclusions: bool,
     /// Servers that the proxy excludes because of an update on this connection.
     excluded: BTreeSet<ServerId>,
     /// Servers whose exclusion or inclusion was sent on this connection, which overrides any earlier state.
@@ -146,7 +146,7 @@
     pub fn join(&mut self, proxy: ProxyId, kind: JoinKind) {
         let state = ProxyState {
             assigned: vec![None; self.operation_count],
-            has_earlier_state: kind == JoinKind::Reconnected,
+            may_have_earlier_exclusions: kind == JoinKind::Reconnected,
             excluded: BTreeSet::new(),
             exclusion_sent: BTreeSet::new(),
             pending_acks: VecDeque::new(),
@@ -213,7 +213,7 @@
     pub fn forget(&mut self, server: ServerId) {
         self.excluded.remove(&server);
         for state in self.proxies.values_mut() {
-            state.has_earlier_state |= state.excluded.remove(&server);
+            state.may_have_earlier_exclusions |= state.excluded.remove(&server);
             state.exclusion_sent.remove(&server);
         }
     }
@@ -226,7 +226,7 @@
         self.excluded.clear();
         for state in self.proxies.values_mut() {
             state.assigned.fill(None);
-            state.has_earlier_state = true;
+            state.may_have_earlier_exclusions = true;
             state.exclusion_sent.clear();
         }
     }
--- a/crates/platform-supervisor/src/proxy_tables/updates.rs
+++ b/crates/platform-supervisor/src/proxy_tables/updates.rs
@@ -174,14 +174,14 @@
         } else {
             Vec::new()
         };
-        let may_have_earlier_exclusions = has_unassigned(state) && state.has_earlier_state;
+        let sends_all_inclusions = has_unassigned(state) && state.may_have_earlier_exclusions;
         for server in self.changes.included.iter().copied().chain(outdated) {
             let was_excluded = state.excluded.remove(&server);
-            if was_excluded || (may_have_earlier_exclusions && !include.contains(&server)) {
+            if was_excluded || (sends_all_inclusions && !include.contains(&server)) {
                 include.push(server);
             }
         }
-        if tables_change && state.has_earlier_state {
+        if tables_change && state.may_have_earlier_exclusions {
             self.include_returned(state, &mut include);
         }
         include
--- a/crates/platform-supervisor/src/runtime.rs
+++ b/crates/platform-supervisor/src/runtime.rs
@@ -111,7 +111,7 @@
     Ok(hub)
 }
 
-/// Waits for inputs until a time at the latest, handles them, and carries out the resulting commands.
+/// Waits for inputs, but no longer than `until`. Handles them and carries out the resulting commands.
 fn process_inputs(
     config_path: &Path,
     until: Option<Nanos>,
--- a/crates/platform-supervisor/tests/deadlines/platform.rs
+++ b/crates/platform-supervisor/tests/deadlines/platform.rs
@@ -28,7 +28,8 @@
 /// The tolerance that the protocol grants on its time limits.
 const TOLERANCE: u64 = 300 * MS;
 
-/// The parameters of one run.
+/// The parameters of one run. Durations are in nanoseconds; the capacity of the channel and the overhead of a
+/// message are in lines.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub servers: u32,
@@ -300,7 +301,7 @@
         self.supervisor.controller_failed(&ControllerFailure::Panic("planted".into()), self.now);
     }
 
-    /// Sends an acknowledgement from a proxy that was not requested.
+    /// Sends an acknowledgement from this proxy that the supervisor has not requested.
     pub fn send_unrequested_ack(&mut self, id: u32) {
         let connection = self.proxies[&id].connection.unwrap();
         self.supervisor.received(connection, ack_line(id, 60_000, 1.0).as_bytes(), self.clocks());
