--- a/crates/platform-supervisor/tests/supervisor.rs
+++ b/crates/platform-supervisor/tests/supervisor.rs
@@ -282,7 +282,8 @@
         let removed = version.max(12) - 2;
         let entries = vec![entry(version, "Ready"), entry(draining, "Terminating"), entry(removed, "Gone")];
         harness.send_list(&delta(version.into(), entries));
-        // A joining proxy is told to exclude removed servers, including forgotten ones.
+        // A join makes the controller repeat its exclusions of removed servers, including forgotten ones. The
+        // proxy is not sent those of forgotten servers.
         harness.join(version, 2 + version % 5);
         harness.run_for(1_000);
         harness.send(WATCH, EMPTY_LINE_CHUNK);
