--- a/crates/fault-scenarios/src/local_deployment.rs
+++ b/crates/fault-scenarios/src/local_deployment.rs
@@ -197,9 +197,9 @@
                 load_balancing: scenario.forwarders.pick,
                 incremental: scenario.forwarders.incremental,
                 supports_lines: scenario.forwarders.line_updates,
-                ejection_failure_threshold: scenario.forwarders.fails_to_avoid,
-                ejection_duration: nanos_from_ms(scenario.forwarders.avoid_s * MS_PER_SECOND),
-                attempt_timeout_factor: scenario.forwarders.first_wait,
+                ejection_failure_threshold: scenario.forwarders.ejection_failure_threshold,
+                ejection_duration: nanos_from_ms(scenario.forwarders.ejection_duration_s * MS_PER_SECOND),
+                attempt_timeout_factor: scenario.forwarders.attempt_timeout_factor,
                 reconnect_delay: (
                     nanos_from_ms(scenario.forwarders.reconnect_ms.0),
                     nanos_from_ms(scenario.forwarders.reconnect_ms.1),
--- a/crates/fault-scenarios/src/scenario.rs
+++ b/crates/fault-scenarios/src/scenario.rs
@@ -8,12 +8,20 @@
 };
 use shalereel_xds_supervisor::FileError;
 
+/// Shortest run of a scenario, in seconds.
+const MIN_LENGTH_S: f64 = 1.0;
 /// Longest run of a scenario, in seconds.
 const MAX_LENGTH_S: f64 = 86_400.0;
+/// Largest number of servers of a fleet.
 const MAX_SERVERS: f64 = 5_000.0;
+/// Lowest rate of invocations, in invocations per second.
+const MIN_RATE: f64 = 0.01;
 /// Highest rate of invocations, in invocations per second.
 const MAX_RATE: f64 = 1e6;
+/// Largest multiple of a capacity that counts as overload.
 const MAX_OVERLOAD_RATIO: f64 = 1e6;
+/// Interval at which a supervisor polls the registry, if the list is not pushed, in milliseconds.
+const LIST_POLL_INTERVAL_MS: f64 = 10_000.0;
 pub(crate) const MS_PER_SECOND: f64 = 1e3;
 const NANOS_PER_MS: f64 = 1e6;
 
@@ -71,7 +79,7 @@
     pub servers: u32,
     /// Servers of a locality that form one cell.
     pub cell_size: u32,
-    /// How supervisors get the list: `pushed` or `asked`.
+    /// How supervisors get the list: `pushed` by the registry, or `asked` for at an interval.
     pub membership: String,
     /// How the list's capacities are understood: `untold`, `rough` or `nominal`.
     pub sizes: String,
@@ -113,12 +121,12 @@
     pub name: String,
     /// Whether a second execution has an effect.
     pub effect: EffectKind,
-    /// Which servers drop a retry of a fingerprinted invocation.
+    /// The servers that share their record of fingerprints, so that any of them drops a retry.
     #[serde(rename = "repeats", default)]
-    pub retry_scope: DeduplicationScope,
-    /// Time in milliseconds for which servers know a fingerprint.
+    pub deduplication_scope: DeduplicationScope,
+    /// How long servers remember a fingerprint, in milliseconds.
     #[serde(rename = "repeat_window_ms", default)]
-    pub retry_window_ms: f64,
+    pub deduplication_window_ms: f64,
     /// Invocations that take longer than this many milliseconds count as not served.
     pub latency_objective_ms: f64,
     /// Time in milliseconds after which an invocation times out.
@@ -139,7 +147,7 @@
     pub rate: f64,
     /// Number of retries of a failed invocation.
     pub retries: u32,
-    /// Delay of a retry, in milliseconds.
+    /// Delay of a retry after a failure, in milliseconds.
     pub backoff_ms: f64,
 }
 
@@ -154,13 +162,16 @@
     /// Number of servers of the initial table that a forwarder uses until its supervisor sends one.
     #[serde(rename = "standing")]
     pub initial_table_size: usize,
-    /// Number of consecutive failures after which a forwarder avoids a server; 0 disables that.
-    pub fails_to_avoid: u32,
-    /// Time in seconds for which a forwarder avoids a server.
-    pub avoid_s: f64,
+    /// Number of consecutive failures after which a forwarder ejects a server from its choice; 0 disables ejection.
+    #[serde(rename = "fails_to_avoid")]
+    pub ejection_failure_threshold: u32,
+    /// How long a forwarder ejects a server, in seconds.
+    #[serde(rename = "avoid_s")]
+    pub ejection_duration_s: f64,
     /// Timeout of an attempt that a retry may follow, as a multiple of the latency objective.
-    pub first_wait: f64,
-    /// Smallest and largest delay of a reconnection, in milliseconds.
+    #[serde(rename = "first_wait")]
+    pub attempt_timeout_factor: f64,
+    /// Smallest and largest delay before a forwarder reconnects to a supervisor, in milliseconds.
     #[serde(rename = "redial_ms")]
     pub reconnect_ms: (f64, f64),
     /// Interval of load reports, in milliseconds.
@@ -202,7 +213,7 @@
     /// Window of `messages_max`, in milliseconds.
     #[serde(default)]
     pub messages_over_ms: f64,
-    /// No learned state survives a restart.
+    /// Supervisors neither read nor write snapshots, so that no learned state survives a restart.
     #[serde(default)]
     pub forget: bool,
 }
@@ -213,7 +224,7 @@
 pub struct GroupSettings {
     /// Election timeout, in milliseconds.
     pub election_ms: f64,
-    /// Largest rate error of a clock, as a fraction.
+    /// Largest error of a clock's rate, as a fraction.
     pub drift: f64,
     /// Number of key ranges.
     #[serde(default)]
@@ -412,7 +423,7 @@
     }
 }
 
-/// Converts milliseconds to nanoseconds; negative times become 0.
+/// Converts milliseconds to nanoseconds, rounded; negative times become 0.
 pub fn nanos_from_ms(ms: f64) -> u64 {
     (ms * NANOS_PER_MS).round().max(0.0) as u64
 }
@@ -435,9 +446,9 @@
             text.lines().position(sets_key).map_or(1, |index| index + 1)
         };
         let ranges = [
-            ("length_s", scenario.length_s, 1.0, MAX_LENGTH_S),
+            ("length_s", scenario.length_s, MIN_LENGTH_S, MAX_LENGTH_S),
             ("servers", scenario.fleet.servers.into(), 1.0, MAX_SERVERS),
-            ("rate", scenario.demand.rate, 0.01, MAX_RATE),
+            ("rate", scenario.demand.rate, MIN_RATE, MAX_RATE),
             ("service", scenario.expect.service, 0.0, 1.0),
             ("tip_multiple", scenario.rules.overload_ratio, 1.0, MAX_OVERLOAD_RATIO),
         ];
@@ -530,8 +541,8 @@
         let plan = |operation: &Operation| OperationPlan {
             name: operation.name.clone(),
             effect: operation.effect,
-            deduplication_scope: operation.retry_scope,
-            deduplication_window: nanos_from_ms(operation.retry_window_ms),
+            deduplication_scope: operation.deduplication_scope,
+            deduplication_window: nanos_from_ms(operation.deduplication_window_ms),
             latency_objective: nanos_from_ms(operation.latency_objective_ms),
             integration_timeout: nanos_from_ms(operation.integration_timeout_ms),
             billed_value: operation.billed_value,
@@ -582,15 +593,15 @@
             DeduplicationScope::Cell => "cell",
         };
         text += &format!(
-            "\n[list]\nmembership = {:?}\nsizes = {:?}\nask_every_ms = 10000.0\n\n[forwarders]\ncount = {}\n\
+            "\n[list]\nmembership = {:?}\nsizes = {:?}\nask_every_ms = {LIST_POLL_INTERVAL_MS:?}\n\n[forwarders]\ncount = {}\n\
              admission = {:?}\nreport_cycle_ms = {:?}\nfails_to_avoid = {}\nfirst_wait = {:?}\n",
             fleet.membership,
             fleet.sizes,
             forwarders.count,
             forwarders.admission,
             forwarders.report_cycle_ms,
-            forwarders.fails_to_avoid,
-            forwarders.first_wait,
+            forwarders.ejection_failure_threshold,
+            forwarders.attempt_timeout_factor,
         );
         text += &format!(
             "\n[channel]\nlines_per_s = {:?}\nbacklog = {:?}\nmessage_overhead = {:?}\nmean_transit_ms = {:?}\n\
@@ -619,8 +630,8 @@
                  latency_objective_ms = {:?}\nintegration_timeout_ms = {:?}\nbilled_value = {:?}\n",
                 operation.name,
                 effect_name(operation.effect),
-                scope_name(operation.retry_scope),
-                operation.retry_window_ms,
+                scope_name(operation.deduplication_scope),
+                operation.deduplication_window_ms,
                 operation.latency_objective_ms,
                 operation.integration_timeout_ms,
                 operation.billed_value,
