--- a/crates/fault-scenarios/src/evaluation.rs
+++ b/crates/fault-scenarios/src/evaluation.rs
@@ -1,8 +1,8 @@
 //! Evaluates the traces of a run by rules.
 //!
-//! The traces have traffic and times at forwarders, servers, callers and the registry; nothing that a supervisor says
-//! of itself is used. The only exception is the time at which a table was ordered, which its messages carry: without it
-//! the queue of a channel could not be observed from outside.
+//! The traces have the traffic at forwarders, servers, callers and the registry, with its times. Nothing that a
+//! supervisor reports of itself is used, except the time at which it ordered an update, which the update carries: without
+//! that time the queue of a channel could not be observed from outside.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -43,12 +43,12 @@
     pub invocations: Vec<u64>,
 }
 
-/// The result of a rule.
+/// The result of checking one rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct RuleResult {
     /// The rule.
     pub rule: Rule,
-    /// The limit, in words.
+    /// The limit of the rule, in words.
     pub limit: String,
     /// The largest observed value as a fraction of the limit: above 1 the rule is violated.
     pub nearest: f64,
@@ -57,7 +57,7 @@
     pub violations: Vec<Violation>,
 }
 
-/// Service in a window of some seconds.
+/// Service of the invocations that started in one window of the run.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServiceWindow {
     /// Start of the window, in seconds since the start of the run.
@@ -72,21 +72,21 @@
     pub service: BTreeMap<String, f64>,
 }
 
-/// The verdict on a run.
+/// The verdict on a run: its service, the results of the rules, and its traffic.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
     /// Title of the scenario.
     pub title: String,
     /// Ratio of the billed value that was answered in time to the billed value that was requested.
     pub service: f64,
-    /// The smallest service that is expected.
+    /// The smallest expected value of `service`.
     pub expected: f64,
     /// Service by operation; operations without invocations are left out.
     pub operations: BTreeMap<String, f64>,
     /// Descriptions of the expectations that were not met.
     #[serde(rename = "missed")]
     pub missed_expectations: Vec<String>,
-    /// Service over time.
+    /// Service by window, in the order of time.
     pub windows: Vec<ServiceWindow>,
     /// Results of all rules.
     pub rules: Vec<RuleResult>,
@@ -121,11 +121,11 @@
 impl TableTraffic {
     fn of(trace: &[TraceEvent]) -> Self {
         let mut sum = TableTraffic::default();
-        for record in trace {
-            match record {
-                TraceEvent::UpdateReceived { changed_lines: lines, bytes, .. } => {
+        for event in trace {
+            match event {
+                TraceEvent::UpdateReceived { changed_lines, bytes, .. } => {
                     sum.messages += 1;
-                    sum.lines += u64::from(*lines);
+                    sum.lines += u64::from(*changed_lines);
                     sum.bytes += u64::from(*bytes);
                 }
                 TraceEvent::UpdateDisturbed { .. } => sum.disturbed += 1,
@@ -149,29 +149,31 @@
     }
 }
 
+/// Cost of the mark that a message carries, in lines.
+const MARK_LINES: f64 = 1.0;
 /// Width of the windows of service, in seconds.
 const WINDOW_WIDTH_S: f64 = 5.0;
-/// `nearest` of a violated rule whose limit is not a quantity.
+/// Value of `nearest` for a violated rule whose limit is not a quantity.
 const VIOLATED: f64 = 2.0;
-/// In place of an epoch: the forwarder was restarted.
+/// Stands in place of an epoch where a forwarder was restarted.
 const RESTARTED: u64 = u64::MAX;
 
 /// An interval of time, from its start up to but excluding its end.
 type Interval = (Nanos, Nanos);
 
-/// A version of the server list that a supervisor knew.
+/// A version of the server list that the registry sent and a supervisor acknowledged.
 struct KnownList<'a> {
     /// When the registry sent it.
     sent: Nanos,
     /// When the supervisor acknowledged it, which is shortly after its first actions.
     from: Nanos,
-    /// Id, incarnation and start time.
+    /// Id, incarnation and start time of each ready server.
     ready: &'a [(u32, u64, Nanos)],
     draining: &'a [u32],
     gone: &'a [u32],
 }
 
-/// The trace records of a run that several rules need.
+/// The parts of a run's trace that several rules need.
 struct TraceIndex<'a> {
     scenario: &'a Scenario,
     start: Nanos,
@@ -184,7 +186,7 @@
     known_lists: BTreeMap<u32, Vec<KnownList<'a>>>,
 }
 
-/// Intervals between on and off events; an open interval ends at `end`.
+/// Intervals between events that begin a state (`true`) and end it; an interval that is still open ends at `end`.
 fn intervals(mut events: Vec<(Nanos, bool)>, end: Nanos) -> Vec<Interval> {
     events.sort_by_key(|event| event.0);
     let (mut found, mut since) = (Vec::new(), None);
@@ -210,8 +212,8 @@
         let mut unreachable: BTreeMap<u32, Vec<(Nanos, bool)>> = BTreeMap::new();
         let mut known_lists: BTreeMap<u32, Vec<KnownList>> = BTreeMap::new();
         let mut sent_lists: BTreeMap<(&str, u64), &TraceEvent> = BTreeMap::new();
-        for record in trace {
-            match record {
+        for event in trace {
+            match event {
                 TraceEvent::SupervisorConnected { at, forwarder, supervisor } => {
                     connections.entry(*forwarder).or_default().push((*supervisor, (*at, far_future)));
                 }
@@ -226,7 +228,7 @@
                     unreachable.entry(*forwarder).or_default().push((*at, !on))
                 }
                 TraceEvent::EntriesSent { to, version, .. } => {
-                    sent_lists.insert((to, *version), record);
+                    sent_lists.insert((to, *version), event);
                 }
                 TraceEvent::EntriesAcknowledged { at, to, version } => {
                     let number = to.rsplit('-').next().and_then(|number| number.parse().ok());
@@ -259,7 +261,7 @@
         (at.saturating_sub(self.start) as f64 / SECOND as f64 * 100.0).round() / 100.0
     }
 
-    /// The supervisor that a forwarder was connected to, and when.
+    /// The supervisor that a forwarder was connected to at a time, and the interval of that connection.
     fn connection_at(&self, forwarder: u32, at: Nanos) -> Option<(u32, Interval)> {
         let connections = self.connections.get(&forwarder)?;
         connections.iter().rev().find(|(_, interval)| interval.0 <= at && at < interval.1).copied()
@@ -276,7 +278,7 @@
             .unwrap_or(0)
     }
 
-    /// The list that a supervisor knew.
+    /// The newest list that a supervisor knew at a time.
     fn list_at(&self, supervisor: u32, at: Nanos) -> Option<&KnownList<'a>> {
         self.known_lists.get(&supervisor)?.iter().rev().find(|known| known.from <= at)
     }
@@ -292,12 +294,12 @@
     fn line_to_pick(&self, trace: &[TraceEvent]) -> RuleResult {
         let limit = nanos_from_ms(self.scenario.rules.max_empty_s * MS_PER_SECOND);
         let mut without_line: BTreeMap<(u32, u16), Vec<(Nanos, bool)>> = BTreeMap::new();
-        for record in trace {
-            match record {
+        for event in trace {
+            match event {
                 TraceEvent::LacksLine { at, forwarder, operation, on } => {
                     without_line.entry((*forwarder, *operation)).or_default().push((*at, *on));
                 }
-                // A restarted forwarder has its initial table.
+                // A restarted forwarder has its initial table, so that it lacks no line.
                 TraceEvent::ForwarderCrashed { at, forwarder } => {
                     for (_, events) in without_line.range_mut((*forwarder, 0)..=(*forwarder, u16::MAX)) {
                         events.push((*at, false));
@@ -340,28 +342,32 @@
 
     /// Checks that retries by forwarders, that is within one attempt of a caller, take effect once.
     fn no_effect_twice(&self, trace: &[TraceEvent]) -> RuleResult {
-        // Time, server, and number of the forwarder's attempt.
-        type EffectRecord = (Nanos, u32, u32);
-        let mut effects: BTreeMap<(u64, u32), Vec<EffectRecord>> = BTreeMap::new();
-        for record in trace {
+        /// Time, server, and number of the forwarder's attempt.
+        type Effect = (Nanos, u32, u32);
+        let mut effects: BTreeMap<(u64, u32), Vec<Effect>> = BTreeMap::new();
+        for event in trace {
             if let TraceEvent::EffectApplied {
                 at,
                 server,
                 operation,
-                invocation: inv,
-                caller_attempt: attempt,
-                forwarder_attempt: further,
+                invocation,
+                caller_attempt,
+                forwarder_attempt,
                 ..
-            } = record
+            } = event
             {
                 if self.scenario.operations[usize::from(*operation)].effect != EffectKind::Idempotent {
-                    effects.entry((*inv, *attempt)).or_default().push((*at, *server, *further));
+                    effects.entry((*invocation, *caller_attempt)).or_default().push((
+                        *at,
+                        *server,
+                        *forwarder_attempt,
+                    ));
                 }
             }
         }
         let twice = effects.into_iter().filter(|(_, effects)| effects.len() > 1);
         let violations: Vec<Violation> = twice
-            .map(|((inv, _), effects)| Violation {
+            .map(|((invocation, _), effects)| Violation {
                 at_s: self.seconds(effects[1].0),
                 description: format!(
                     "took effect {} times: at {}",
@@ -372,7 +378,7 @@
                         .collect::<Vec<_>>()
                         .join(", ")
                 ),
-                invocations: vec![inv],
+                invocations: vec![invocation],
             })
             .collect();
         let nearest = if violations.is_empty() { 0.0 } else { VIOLATED };
@@ -413,8 +419,8 @@
         let mut nearest = 0.0_f64;
         // By supervisor, forwarder and server: time of the first late attempt, and all invocations.
         let mut late: BTreeMap<_, (Nanos, Vec<u64>)> = BTreeMap::new();
-        for record in trace {
-            let TraceEvent::AttemptStarted { at, forwarder, server, invocation: inv, .. } = record else {
+        for event in trace {
+            let TraceEvent::AttemptStarted { at, forwarder, server, invocation, .. } = event else {
                 continue;
             };
             let Some((supervisor, connected)) = self.connection_at(*forwarder, *at) else { continue };
@@ -429,7 +435,7 @@
             nearest = nearest.max(fraction);
             if fraction > 1.0 {
                 let entry = late.entry((supervisor, *forwarder, *server)).or_insert((*at, Vec::new()));
-                entry.1.push(*inv);
+                entry.1.push(*invocation);
             }
         }
         let violations = late.into_iter().map(|((supervisor, forwarder, server), (at, invocations))| Violation {
@@ -443,11 +449,12 @@
         RuleResult { rule: Rule::DrainsKept, limit, nearest, violations: violations.collect() }
     }
 
-    /// Whether a forwarder's supervisor knew of a server's start, and either has sent the forwarder a table since or had
-    /// the grace time to do so. `start` is id and incarnation of the server; `ordered` has the times of tables.
+    /// Whether a forwarder's supervisor knew of a server's start, and has sent the forwarder a table since then or
+    /// has had the grace time to do so. `start` is id and incarnation of the server;
+    /// `update_times` has the times at which the updates to each forwarder were ordered.
     fn is_accountable(
         &self,
-        ordered: &BTreeMap<u32, Vec<Nanos>>,
+        update_times: &BTreeMap<u32, Vec<Nanos>>,
         forwarder: u32,
         at: Nanos,
         start: (u32, u64),
@@ -457,32 +464,32 @@
         let Some(known) = self.known_lists.get(&supervisor).and_then(|known| known.iter().find(lists)) else {
             return false;
         };
-        let sent_since = ordered
+        let sent_since = update_times
             .get(&forwarder)
             .is_some_and(|times| times.iter().any(|&time| known.sent <= time && time <= at));
         sent_since || known.from + nanos_from_ms(self.scenario.rules.drain_grace_s * MS_PER_SECOND) <= at
     }
 
-    /// Checks that no server in slow start gets more than a multiple of its capacity over the window.
+    /// Checks that no server in slow start gets more work within the window than a multiple of its capacity.
     fn no_cold_server_pushed_over(&self, trace: &[TraceEvent]) -> RuleResult {
         let (window, multiple) = (
             nanos_from_ms(self.scenario.rules.overload_after_s * MS_PER_SECOND),
             self.scenario.rules.overload_ratio,
         );
-        let mut ordered_times: BTreeMap<u32, Vec<Nanos>> = BTreeMap::new();
+        let mut update_times: BTreeMap<u32, Vec<Nanos>> = BTreeMap::new();
         // Time, work, forwarder, invocation, and the server's capacity at that time.
         type Arrival = (Nanos, f64, u32, u64, f64);
         let mut arrivals_by_start: BTreeMap<(u32, u64), Vec<Arrival>> = BTreeMap::new();
-        for record in trace {
-            match record {
-                TraceEvent::UpdateReceived { forwarder, ordered_at: ordered, .. } => {
-                    ordered_times.entry(*forwarder).or_default().push(*ordered)
+        for event in trace {
+            match event {
+                TraceEvent::UpdateReceived { forwarder, ordered_at, .. } => {
+                    update_times.entry(*forwarder).or_default().push(*ordered_at)
                 }
                 TraceEvent::InvocationArrived {
                     at,
                     server,
                     incarnation,
-                    invocation: inv,
+                    invocation,
                     forwarder,
                     work,
                     capacity,
@@ -490,7 +497,7 @@
                     ..
                 } => {
                     let arrivals = arrivals_by_start.entry((*server, *incarnation)).or_default();
-                    arrivals.push((*at, *work as f64, *forwarder, *inv, *capacity));
+                    arrivals.push((*at, *work as f64, *forwarder, *invocation, *capacity));
                 }
                 _ => {}
             }
@@ -512,10 +519,10 @@
                 let within = &arrivals[first..=last];
                 let accountable = within
                     .iter()
-                    .filter(|arrival| self.is_accountable(&ordered_times, arrival.2, arrival.0, start));
+                    .filter(|arrival| self.is_accountable(&update_times, arrival.2, arrival.0, start));
                 let accountable_work: f64 = accountable.map(|arrival| arrival.1).sum();
-                // Work from forwarders that could not know of the start does not result from a supervisor's decision;
-                // at least two thirds must come from the others.
+                // Work from forwarders that could not know of the start does not result from a supervisor's decision:
+                // an overload violates the rule only if accountable forwarders sent at least two thirds of its work.
                 if fraction <= 1.0 || accountable_work >= sum * 2.0 / 3.0 {
                     nearest = nearest.max(fraction);
                 }
@@ -541,18 +548,12 @@
     fn short_queue(&self, trace: &[TraceEvent]) -> RuleResult {
         let channel = &self.scenario.supervisors;
         let mut messages: BTreeMap<u32, Vec<(Nanos, u32, f64)>> = BTreeMap::new();
-        for record in trace {
-            if let TraceEvent::UpdateReceived {
-                supervisor,
-                forwarder,
-                changed_lines: lines,
-                ordered_at: ordered,
-                ..
-            } = record
+        for event in trace {
+            if let TraceEvent::UpdateReceived { supervisor, forwarder, changed_lines, ordered_at, .. } = event
             {
-                // A message costs its overhead, one line for its mark, and its changed lines.
-                let lines = channel.message_overhead + 1.0 + f64::from(*lines);
-                messages.entry(*supervisor).or_default().push((*ordered, *forwarder, lines));
+                // A message costs its overhead, the mark that asks for an acknowledgement, and its changed lines.
+                let lines = channel.message_overhead + MARK_LINES + f64::from(*changed_lines);
+                messages.entry(*supervisor).or_default().push((*ordered_at, *forwarder, lines));
             }
         }
         let (mut nearest, mut violations) = (0.0_f64, Vec::new());
@@ -560,15 +561,15 @@
             sent.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.cmp(&b.1)));
             let (mut queued, mut last, mut over_limit) = (0.0_f64, 0, false);
             let mut sent_times: BTreeMap<u32, Vec<Nanos>> = BTreeMap::new();
-            for (ordered, forwarder, lines) in sent {
-                let drained = ordered.saturating_sub(last) as f64 / SECOND as f64 * channel.lines_per_s;
+            for (ordered_at, forwarder, lines) in sent {
+                let drained = ordered_at.saturating_sub(last) as f64 / SECOND as f64 * channel.lines_per_s;
                 queued = (queued - drained).max(0.0) + lines;
-                last = ordered;
+                last = ordered_at;
                 let fraction = queued / channel.backlog;
                 nearest = nearest.max(fraction);
                 if fraction > 1.0 && !over_limit {
                     violations.push(Violation {
-                        at_s: self.seconds(ordered),
+                        at_s: self.seconds(ordered_at),
                         description: format!(
                             "{queued:.0} lines wait in the channel of supervisor {supervisor}"
                         ),
@@ -578,14 +579,14 @@
                 over_limit = fraction > 1.0;
                 if channel.messages_max > 0 {
                     let times = sent_times.entry(forwarder).or_default();
-                    times.push(ordered);
-                    let since = ordered.saturating_sub(nanos_from_ms(channel.messages_over_ms));
+                    times.push(ordered_at);
+                    let since = ordered_at.saturating_sub(nanos_from_ms(channel.messages_over_ms));
                     times.retain(|&at| at > since);
                     let fraction = times.len() as f64 / f64::from(channel.messages_max);
                     nearest = nearest.max(fraction);
                     if fraction > 1.0 {
                         violations.push(Violation {
-                            at_s: self.seconds(ordered),
+                            at_s: self.seconds(ordered_at),
                             description: format!("{} messages to forwarder {forwarder}", times.len()),
                             invocations: Vec::new(),
                         });
@@ -604,8 +605,8 @@
         let mut violations = Vec::new();
         let mut epochs: BTreeMap<u32, Vec<(Nanos, u64)>> = BTreeMap::new();
         let mut writes: BTreeMap<u32, Vec<(Nanos, u64, u32, u64)>> = BTreeMap::new();
-        for record in trace {
-            match record {
+        for event in trace {
+            match event {
                 TraceEvent::UpdateReceived { at, forwarder, epoch, .. } => {
                     epochs.entry(*forwarder).or_default().push((*at, *epoch))
                 }
@@ -613,8 +614,8 @@
                 TraceEvent::ForwarderCrashed { at, forwarder } => {
                     epochs.entry(*forwarder).or_default().push((*at, RESTARTED))
                 }
-                TraceEvent::EffectApplied { at, server, invocation: inv, range, epoch, .. } if *epoch > 0 => {
-                    writes.entry(*range).or_default().push((*at, *epoch, *server, *inv));
+                TraceEvent::EffectApplied { at, server, invocation, range, epoch, .. } if *epoch > 0 => {
+                    writes.entry(*range).or_default().push((*at, *epoch, *server, *invocation));
                 }
                 _ => {}
             }
@@ -641,7 +642,7 @@
         for (range, mut writes) in writes {
             writes.sort_by_key(|write| write.0);
             let (mut epoch, mut owner) = (0, 0);
-            for (at, write_epoch, server, inv) in writes {
+            for (at, write_epoch, server, invocation) in writes {
                 if write_epoch < epoch || (write_epoch == epoch && server != owner) {
                     let description = format!(
                         "range {range}: server {server} (epoch {write_epoch}) took a write after {owner} ({epoch})"
@@ -649,7 +650,7 @@
                     violations.push(Violation {
                         at_s: self.seconds(at),
                         description,
-                        invocations: vec![inv],
+                        invocations: vec![invocation],
                     });
                 } else {
                     (epoch, owner) = (write_epoch, server);
@@ -675,15 +676,15 @@
     let mut by_operation = vec![(0.0, 0.0); scenario.operations.len()];
     let mut by_window: BTreeMap<u64, Vec<(f64, f64)>> = BTreeMap::new();
     let mut invocations = 0;
-    for record in trace {
-        let TraceEvent::InvocationFinished { started_at: asked, at, operation, outcome, .. } = record else {
+    for event in trace {
+        let TraceEvent::InvocationFinished { started_at, at, operation, outcome, .. } = event else {
             continue;
         };
         let settings = &scenario.operations[usize::from(*operation)];
         invocations += 1;
         let in_time =
-            *outcome == Outcome::Succeeded && at - asked <= nanos_from_ms(settings.latency_objective_ms);
-        let window = (index.seconds(*asked) / WINDOW_WIDTH_S) as u64;
+            *outcome == Outcome::Succeeded && at - started_at <= nanos_from_ms(settings.latency_objective_ms);
+        let window = (index.seconds(*started_at) / WINDOW_WIDTH_S) as u64;
         let windows = by_window.entry(window).or_insert_with(|| vec![(0.0, 0.0); scenario.operations.len()]);
         for sum in [&mut by_operation[usize::from(*operation)], &mut windows[usize::from(*operation)]] {
             sum.0 += settings.billed_value * f64::from(u8::from(in_time));
@@ -727,7 +728,7 @@
         rules,
         invocations,
         traffic: TableTraffic::of(trace),
-        attempts: trace.iter().filter(|record| matches!(record, TraceEvent::AttemptStarted { .. })).count(),
+        attempts: trace.iter().filter(|event| matches!(event, TraceEvent::AttemptStarted { .. })).count(),
         remarks: Vec::new(),
     }
 }
--- a/crates/fault-scenarios/src/runner.rs
+++ b/crates/fault-scenarios/src/runner.rs
@@ -16,41 +16,33 @@
 use crate::local_deployment::{LocalDeployment, Role, FIRST_SERVER};
 use crate::scenario::{nanos_from_ms, Fault, FaultKind, Scenario, MS_PER_SECOND};
 
-/// An action of the schedule. Numbers of supervisors are their positions.
+/// An action of the schedule. Supervisors are named by their positions, servers and forwarders by their ids.
 enum Action {
-    /// Shows a fault in the progress.
+    /// Names a fault in the progress lines from now on.
     ShowFault(String),
     /// Sends a command to a stand-in.
     SendCommand(Role, Command),
     /// Starts servers that have crashed.
     StartServers(Vec<u32>),
-    /// Changes the listed state of servers.
+    /// Changes the state of servers in the registry's list.
     UpdateList(Vec<u32>, RegistryState),
-    /// Lists servers as ready, with their new incarnations and start times.
+    /// Changes servers to ready in the registry's list, with their new incarnations and start times.
     ListStarted(Vec<u32>),
+    /// Kills a supervisor, without a signal that it could handle.
     KillSupervisor(usize),
+    /// Starts a supervisor that was killed.
     RestartSupervisor(usize),
     /// Pauses a supervisor, or resumes it.
     PauseSupervisor(usize, bool),
+    /// Starts forwarders that have crashed, with an initial table of ready servers.
     RestartForwarders(Vec<u32>),
     /// An operator rolls tables back by `age` at every supervisor, for `duration`.
-    StartRollback {
-        age: Nanos,
-        duration: Nanos,
-    },
+    StartRollback { age: Nanos, duration: Nanos },
     /// An operator moves a key range to a server.
-    MoveRange {
-        number: usize,
-        range: u32,
-        to: u32,
-    },
-    /// An operator orders a supervisor to drain a server or to hold its weight, or releases that order.
-    Order {
-        number: usize,
-        server: u32,
-        weight_cap_millionths: Option<u32>,
-        release: bool,
-    },
+    MoveRange { supervisor: usize, range: u32, to: u32 },
+    /// An operator orders a supervisor to drain a server or to hold its weight, or releases that order. Positions above the
+    /// last supervisor continue at the first one.
+    Order { supervisor: usize, server: u32, weight_cap_millionths: Option<u32>, release: bool },
 }
 
 /// The actions of a scenario, by time and then in the order in which they were added.
@@ -66,10 +58,28 @@
 
 /// Fraction of failed invocations of a `fast_errors` fault without a factor.
 const DEFAULT_FAILED_FRACTION: f64 = 0.6;
-/// Time after which a replaced server is stopped, in grace times.
+/// Time from the drain of a replaced server to its stop, as a multiple of the grace time.
 const STOP_AFTER_GRACES: f64 = 1.5;
 /// Time from the stop of a replaced server to its start, in seconds.
 const REPLACEMENT_DELAY_S: f64 = 0.5;
+/// Duration of one slow phase of a `neighbour` fault, and the interval at which they start, in seconds.
+const NEIGHBOUR_SLOW_S: f64 = 2.0;
+const NEIGHBOUR_PERIOD_S: f64 = 3.0;
+/// Duration of one pause of a `slow_channel` fault, and the interval at which they start, in seconds.
+const SLOW_CHANNEL_PAUSE_S: f64 = 0.8;
+const SLOW_CHANNEL_PERIOD_S: f64 = 1.0;
+/// Duration of one cut of a `links_flap` fault, and the interval at which they start, in seconds.
+const LINKS_FLAP_CUT_S: f64 = 0.8;
+const LINKS_FLAP_PERIOD_S: f64 = 1.6;
+/// Longest last cut of a `links_flap` fault, which lasts until the fault ends, in seconds.
+const LINKS_FLAP_LAST_CUT_S: f64 = 2.0;
+/// Duration of one pause of a `supervisor_stall` fault, and the interval at which they start, in seconds.
+const SUPERVISOR_STALL_PAUSE_S: f64 = 1.5;
+const SUPERVISOR_STALL_PERIOD_S: f64 = 2.5;
+/// Weight cap of an operator's order that equals the whole weight.
+const FULL_WEIGHT_MILLIONTHS: f64 = 1e6;
+/// Time after the longest timeout until the last invocations have ended, in nanoseconds.
+const LAST_ANSWER_MARGIN: Nanos = SECOND / 5;
 /// Number of waves in which a deploy replaces the whole fleet.
 const DEPLOY_WAVES: usize = 6;
 /// Largest fraction of updates that `lossy_links` loses; as many are late, and half as many come twice.
@@ -85,7 +95,7 @@
         self.add(seconds, Action::SendCommand(role, command));
     }
 
-    /// A random choice of as many as a fault affects.
+    /// Picks as many of `all` at random as the fault affects: its count, or else its fraction of them.
     fn choose(&mut self, fault: &Fault, all: Vec<u32>) -> Vec<u32> {
         let wanted = match fault.count {
             0 => (fault.fraction * all.len() as f64).ceil() as usize,
@@ -152,7 +162,7 @@
         );
     }
 
-    /// Adds the actions of a fault.
+    /// Adds the actions that begin and end a fault.
     fn add_fault(&mut self, fault: &Fault) {
         use FaultKind::*;
         let (from, to) = (fault.at_s, fault.at_s + fault.for_s);
@@ -181,7 +191,7 @@
                     _ => Command::MisreportLoad { servers: servers.clone(), on },
                 };
                 add_both(self, Role::Servers, command(true), command(false));
-                // The server reports no load while it hangs.
+                // A misreport is a hang together with a false report.
                 if fault.kind == Misreport {
                     let command = |on| Command::HangServers { servers: servers.clone(), on };
                     add_both(self, Role::Servers, command(true), command(false));
@@ -206,24 +216,25 @@
                         Role::Servers,
                         Command::SlowServers { servers: servers.clone(), factor: slow },
                     );
-                    let end = (time + 2.0).min(to);
+                    let end = (time + NEIGHBOUR_SLOW_S).min(to);
                     self.add_command(
                         end,
                         Role::Servers,
                         Command::SlowServers { servers: servers.clone(), factor: normal },
                     );
-                    time += 3.0;
+                    time += NEIGHBOUR_PERIOD_S;
                 }
             }
             FastErrors => {
                 let servers = self.servers(fault);
                 let fraction =
                     if fault.factor > 0.0 { fault.factor.min(1.0) } else { DEFAULT_FAILED_FRACTION };
-                let command = |part| Command::FailInvocations { servers: servers.clone(), fraction: part };
+                let command = |fraction| Command::FailInvocations { servers: servers.clone(), fraction };
                 add_both(self, Role::Servers, command(fraction), command(0.0));
             }
             Drain => {
                 let servers = self.servers(fault);
+                // The servers stop when half of the fault is over, or later if the grace time of the rules is longer.
                 self.replace(servers, from, grace.max(fault.for_s / 3.0));
             }
             Deploy => {
@@ -237,7 +248,7 @@
             }
             Squeeze => {
                 let servers = self.servers(fault);
-                let command = |part| Command::LimitConnections { servers: servers.clone(), fraction: part };
+                let command = |fraction| Command::LimitConnections { servers: servers.clone(), fraction };
                 add_both(self, Role::Servers, command(fault.factor), command(1.0));
             }
             Handshake => {
@@ -260,8 +271,8 @@
                 );
             }
             LossyLinks => {
-                let command = |part| Command::DisturbUpdates {
-                    fraction: part,
+                let command = |fraction| Command::DisturbUpdates {
+                    fraction,
                     delay: nanos_from_ms(fault.delay_s * MS_PER_SECOND),
                 };
                 add_both(
@@ -336,8 +347,8 @@
                     let command =
                         |on| Command::PauseSupervisorConnection { forwarders: forwarders.clone(), on };
                     self.add_command(time, Role::Forwarders, command(true));
-                    self.add_command((time + 0.8).min(to), Role::Forwarders, command(false));
-                    time += 1.0;
+                    self.add_command((time + SLOW_CHANNEL_PAUSE_S).min(to), Role::Forwarders, command(false));
+                    time += SLOW_CHANNEL_PERIOD_S;
                 }
             }
             TurnDown => {
@@ -372,10 +383,10 @@
                 }
                 let restore = Command::BlockLinks { pairs: Vec::new() };
                 let mut time = from;
-                while fault.kind == LinksFlap && time + 2.0 < to {
+                while fault.kind == LinksFlap && time + LINKS_FLAP_LAST_CUT_S < to {
                     self.add_command(time, Role::Links, Command::BlockLinks { pairs: pairs.clone() });
-                    self.add_command(time + 0.8, Role::Links, restore.clone());
-                    time += 1.6;
+                    self.add_command(time + LINKS_FLAP_CUT_S, Role::Links, restore.clone());
+                    time += LINKS_FLAP_PERIOD_S;
                 }
                 self.add_command(time, Role::Links, Command::BlockLinks { pairs });
                 self.add_command(to, Role::Links, restore);
@@ -392,22 +403,31 @@
                 let ranges = self.scenario.group.as_ref().map_or(0, |group| group.ranges);
                 for range in 0..ranges {
                     let index = self.random.rand_range(0..u64::from(self.scenario.fleet.servers)) as u32;
-                    for number in 0..usize::from(self.scenario.supervisors.count) {
-                        self.add(from, Action::MoveRange { number, range, to: FIRST_SERVER + index });
+                    for supervisor in 0..usize::from(self.scenario.supervisors.count) {
+                        self.add(from, Action::MoveRange { supervisor, range, to: FIRST_SERVER + index });
                     }
                 }
             }
             Order => {
                 // The order is given to one supervisor and released at the next one.
                 let servers = self.servers(fault);
-                let number = self.random.rand_range(0..u64::from(self.scenario.supervisors.count)) as usize;
+                let supervisor =
+                    self.random.rand_range(0..u64::from(self.scenario.supervisors.count)) as usize;
                 for server in servers {
-                    let weight_cap_millionths =
-                        (fault.factor > 0.0).then_some((fault.factor.min(1.0) * 1e6) as u32);
-                    self.add(from, Action::Order { number, server, weight_cap_millionths, release: false });
+                    let weight_cap_millionths = (fault.factor > 0.0)
+                        .then_some((fault.factor.min(1.0) * FULL_WEIGHT_MILLIONTHS) as u32);
+                    self.add(
+                        from,
+                        Action::Order { supervisor, server, weight_cap_millionths, release: false },
+                    );
                     self.add(
                         to,
-                        Action::Order { number: number + 1, server, weight_cap_millionths, release: true },
+                        Action::Order {
+                            supervisor: supervisor + 1,
+                            server,
+                            weight_cap_millionths,
+                            release: true,
+                        },
                     );
                 }
             }
@@ -423,8 +443,11 @@
                     let mut time = from;
                     while time < to {
                         self.add(time, Action::PauseSupervisor(number, true));
-                        self.add((time + 1.5).min(to), Action::PauseSupervisor(number, false));
-                        time += 2.5;
+                        self.add(
+                            (time + SUPERVISOR_STALL_PAUSE_S).min(to),
+                            Action::PauseSupervisor(number, false),
+                        );
+                        time += SUPERVISOR_STALL_PERIOD_S;
                     }
                 }
             }
@@ -436,8 +459,8 @@
     }
 }
 
-/// Executes an action. `incarnation` is the last one that was given to a server; `started` has incarnation and start
-/// time of each server that was started again.
+/// Executes an action. `incarnation` is the last one that any server was started with; `started` has the incarnation and
+/// the start time of each server that was started again.
 fn execute(
     deployment: &mut LocalDeployment,
     action: Action,
@@ -471,8 +494,8 @@
                 });
             }
         }
-        Action::MoveRange { number, range, to } => {
-            let at = deployment.address(number);
+        Action::MoveRange { supervisor, range, to } => {
+            let at = deployment.address(supervisor);
             std::thread::spawn(move || {
                 if let Err(error) = submit_command(
                     at,
@@ -482,10 +505,10 @@
                 }
             });
         }
-        Action::Order { number, server, weight_cap_millionths, release } => {
-            let at = deployment.address(number % deployment.supervisors());
+        Action::Order { supervisor, server, weight_cap_millionths, release } => {
+            let at = deployment.address(supervisor % deployment.supervisors());
             let locality = deployment.locality(server);
-            // A rejected order is no error here: the evaluation sees its effect.
+            // A rejected order does not fail the run: the evaluation checks what the order leads to.
             std::thread::spawn(move || {
                 let order = OperatorOrder { server, locality, weight_cap_millionths };
                 let result = if release {
@@ -499,11 +522,11 @@
             });
         }
         Action::RestartForwarders(forwarders) => {
-            let listed = deployment.list.values().filter(|row| row.state == RegistryState::Ready);
-            let standing = listed.map(|row| row.server).collect();
+            let listed = deployment.list.values().filter(|entry| entry.state == RegistryState::Ready);
+            let ready_servers = listed.map(|entry| entry.server).collect();
             deployment.send_command(
                 Role::Forwarders,
-                &Command::RestartForwarders { forwarders, bootstrap_servers: standing },
+                &Command::RestartForwarders { forwarders, bootstrap_servers: ready_servers },
             )?;
         }
     }
@@ -511,7 +534,7 @@
 }
 
 /// Starts a deployment, runs the scenario on it, stops it, and evaluates its traces. `program` is the executable of
-/// every process, `folder` takes traces and logs, and `progress` gets a line per second.
+/// every process, traces and logs are written to `folder`, and `progress` is called with a line per second.
 ///
 /// Errors: a process cannot be started or commanded, or a trace cannot be read.
 pub fn run_scenario(
@@ -520,6 +543,7 @@
     scenario: &Scenario,
     progress: &mut dyn FnMut(&str),
 ) -> Result<Verdict> {
+    // The deployment uses another seed, so that the two draw different sequences.
     let mut schedule =
         Schedule { scenario, random: Rand64::new(u128::from(scenario.seed) + 2), actions: BTreeMap::new() };
     for fault in &scenario.faults {
@@ -559,17 +583,17 @@
     // Waits until the last invocations are answered or have timed out.
     let longest_timeout_ms =
         scenario.operations.iter().map(|operation| operation.integration_timeout_ms).fold(0.0, f64::max);
-    std::thread::sleep(Duration::from_nanos(nanos_from_ms(longest_timeout_ms) + SECOND / 5));
+    std::thread::sleep(Duration::from_nanos(nanos_from_ms(longest_timeout_ms) + LAST_ANSWER_MARGIN));
     progress(&format!("{:>4} s of {}: over", scenario.length_s, scenario.length_s));
     let traces = [Role::Servers, Role::Forwarders, Role::Callers, Role::Registry]
         .map(|role| deployment.trace_path(role));
     let logs: Vec<_> = (0..deployment.supervisors()).map(|number| deployment.log_path(number)).collect();
     deployment.stop()?;
-    let mut trace_records: Vec<TraceEvent> = Vec::new();
+    let mut events: Vec<TraceEvent> = Vec::new();
     for trace in traces {
-        trace_records.extend(read_trace(&trace)?);
+        events.extend(read_trace(&trace)?);
     }
-    let mut verdict = evaluate(scenario, (start, end), &trace_records);
+    let mut verdict = evaluate(scenario, (start, end), &events);
     for (number, log) in logs.iter().enumerate() {
         let text = std::fs::read_to_string(log).unwrap_or_default();
         let remarks = text.lines().filter_map(|line| line.split_once("remark=").map(|(_, remark)| remark));
