--- a/crates/fault-scenarios/src/admin_client.rs
+++ b/crates/fault-scenarios/src/admin_client.rs
@@ -14,9 +14,11 @@
     AdminQuery, AdminRequest, AdminResponse, ListVersions, StartRollback, ADMIN_PATH,
 };
 
-/// Time limit of a request. A supervisor gives up a command that the group does not commit before this.
+/// Time limit of a request. A supervisor gives up a command that the group has not committed before this limit ends.
 const REQUEST_TIMEOUT: Nanos = 60 * SECOND;
+/// Largest size of a message.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
+/// Largest amount of data that waits to be sent on the connection.
 const MAX_UNSENT_BYTES: usize = 1 << 20;
 const NANOS_PER_MS: Nanos = 1_000_000;
 
@@ -69,10 +71,10 @@
     let newest = versions.iter().filter_map(|version| version["at_ms"].as_u64()).max().unwrap_or(0);
     let target_ms = newest.saturating_sub(age / NANOS_PER_MS);
     // The newest versions come first.
-    let found =
+    let version_at_target =
         versions.iter().find(|version| version["at_ms"].as_u64().is_some_and(|at_ms| at_ms <= target_ms));
-    let found = found.or(versions.last());
-    let version = found.and_then(|version| version["version"].as_u64()).context("no version is kept")?;
+    let chosen = version_at_target.or(versions.last());
+    let version = chosen.and_then(|version| version["version"].as_u64()).context("no version is kept")?;
     let (actor, reason) = ("drill".to_owned(), "a day's script".to_owned());
     let duration_ms = duration / NANOS_PER_MS;
     query_tables(
@@ -97,7 +99,7 @@
     };
     let mut hub: Hub<(), ()> = Hub::new(limits)?;
     let connection = hub.dial(at).with_context(|| at.to_string())?;
-    let stream = hub.call(connection, path, None).context("the connection takes no stream")?;
+    let stream = hub.call(connection, path, None).context("the connection accepts no new call")?;
     hub.send(connection, stream, request);
     hub.finish(connection, stream, Status::OK);
     let deadline = now() + REQUEST_TIMEOUT;
--- a/crates/fault-scenarios/src/bench_import.rs
+++ b/crates/fault-scenarios/src/bench_import.rs
@@ -5,7 +5,7 @@
 use anyhow::{bail, Context, Result};
 use serde::Deserialize;
 
-/// The fields of a bench scenario that are read; its times are microseconds.
+/// The fields of a bench scenario that are read. Its times are in microseconds.
 #[derive(Deserialize)]
 struct BenchScenario {
     length: u64,
@@ -41,7 +41,7 @@
     steps: Vec<Step>,
 }
 
-/// A step of a fault that stops its targets in turn.
+/// A step of a fault that stops its targets one group after the other.
 #[derive(Deserialize)]
 struct Step {
     #[serde(rename = "stop", default)]
@@ -62,7 +62,7 @@
 }
 
 impl BenchFault {
-    /// Fraction of the servers that are affected.
+    /// Fraction of the servers that are affected, rounded to thousandths.
     fn fraction(&self, bench: &BenchScenario) -> f64 {
         let affected = if self.steps.is_empty() {
             self.targets.len()
@@ -79,13 +79,14 @@
         let one = |kind, settings| vec![FaultSection { at_s, for_s, kind, settings }];
         let factor = |factor: f64| ("factor", format!("{:?}", (factor * 1000.0).round() / 1000.0));
         let controllers = bench.family.controllers.len() as u64;
-        // A fault of the control path names either supervisors or proxies by number.
+        // A fault of the control path targets either supervisors or proxies, and has only their numbers. It is taken to
+        // target supervisors if all of these are numbers of supervisors.
         let targets_supervisors = self.targets.len() as u64 <= controllers
             && self.targets.iter().all(|&number| number < controllers);
-        let all = if targets_supervisors { controllers } else { bench.balancers.len() as u64 };
-        let path_fraction = (
+        let candidates = if targets_supervisors { controllers } else { bench.balancers.len() as u64 };
+        let control_path_fraction = (
             "part",
-            format!("{:?}", (self.targets.len() as f64 / all.max(1) as f64 * 1000.0).round() / 1000.0),
+            format!("{:?}", (self.targets.len() as f64 / candidates.max(1) as f64 * 1000.0).round() / 1000.0),
         );
         match self.kind.as_str() {
             "crash" => one("crash", vec![fraction]),
@@ -101,10 +102,12 @@
             "mass_restart" => one("mass_restart", vec![fraction]),
             "false_reports" => one("false_reports", vec![fraction]),
             "report_late" => {
+                // The size is a delay in seconds.
                 one("late_reports", vec![("delay_s", format!("{:?}", (self.size * 100.0).round() / 100.0))])
             }
             "conn_squeeze" => one("squeeze", vec![fraction, factor(1.0 / self.size.max(1.0))]),
             "handshake_slow" => {
+                // The size is a delay in milliseconds.
                 one("handshake", vec![fraction, ("delay_s", format!("{:?}", self.size.round() / 1000.0))])
             }
             "wrong_list" => one("wrong_list", vec![("part", format!("{:?}", self.extra.min(1.0)))]),
@@ -112,10 +115,10 @@
                 let locality = &localities[self.locality % localities.len()];
                 one("locality_cut", vec![("locality", format!("{locality:?}"))])
             }
-            "balancer_crash" if targets_supervisors => one("supervisor_crash", vec![path_fraction]),
-            "balancer_crash" => one("forwarder_crash", vec![path_fraction]),
-            "balancer_stall" if targets_supervisors => one("supervisor_stall", vec![path_fraction]),
-            "balancer_stall" => one("forwarder_stall", vec![path_fraction]),
+            "balancer_crash" if targets_supervisors => one("supervisor_crash", vec![control_path_fraction]),
+            "balancer_crash" => one("forwarder_crash", vec![control_path_fraction]),
+            "balancer_stall" if targets_supervisors => one("supervisor_stall", vec![control_path_fraction]),
+            "balancer_stall" => one("forwarder_stall", vec![control_path_fraction]),
             "flapping" => {
                 // Silent for a fraction of each period.
                 let (period_s, silent_s) = (self.size.max(1.0), (self.size * self.extra).max(0.2));
@@ -133,7 +136,7 @@
     }
 }
 
-/// Time that a scenario runs on after the end of the bench scenario, in seconds.
+/// Time that a scenario continues after the end of the bench scenario, in seconds.
 const TRAILING_TIME_S: f64 = 5.0;
 
 /// Returns the text of a scenario file with the fleet of `template`, itself such a text, and the faults of a bench
@@ -148,9 +151,9 @@
         bail!("the bench scenario has no servers");
     }
     let length_s = seconds(bench.length) + TRAILING_TIME_S;
-    let old_length =
+    let length_line =
         fleet.lines().find(|line| line.starts_with("length_s")).context("the template has no length_s")?;
-    let mut out = fleet.replacen(old_length, &format!("length_s = {length_s:?}"), 1);
+    let mut out = fleet.replacen(length_line, &format!("length_s = {length_s:?}"), 1);
     out.push('\n');
     for fault in &bench.faults {
         let sections = fault.sections(&bench, &parsed.localities);
--- a/crates/fault-scenarios/src/local_deployment.rs
+++ b/crates/fault-scenarios/src/local_deployment.rs
@@ -17,14 +17,23 @@
 
 use crate::scenario::{nanos_from_ms, InjectedFault, Scenario, MS_PER_SECOND};
 
-/// Number of checks whether a process has exited before it is killed.
+/// Number of checks whether a process has exited; after the last one it is killed.
 const STOP_POLLS: u32 = 200;
+/// Interval of these checks.
 const STOP_POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(10);
 
+/// Positions of a supervisor's listeners among its addresses.
+const FORWARDER_LISTENER: usize = 0;
+const BALANCER_LISTENER: usize = 1;
+const OPERATOR_LISTENER: usize = 2;
+/// Number of forwarders whose loopback addresses differ only in the last byte, which is from 1 to this number.
+const FORWARDERS_PER_SUBNET: usize = 250;
+/// Smallest share of the callers' rate that a forwarder gets, relative to the mean of the random part, which is 1.
+const MIN_RELATIVE_RATE: f64 = 0.2;
 /// Id of the first server; the others follow in turn.
 pub(crate) const FIRST_SERVER: u32 = 1000;
 
-/// A child process that takes lines of JSON on its input. It is killed when this is dropped.
+/// A child process that reads lines of JSON from its input. It is killed when this is dropped.
 struct ManagedProcess {
     child: Child,
 }
@@ -42,7 +51,7 @@
         Ok(ManagedProcess { child })
     }
 
-    /// Sends one line of JSON.
+    /// Writes a message to the process as one line of JSON.
     fn send(&mut self, message: &impl Serialize) -> Result<()> {
         let Some(input) = &mut self.child.stdin else { bail!("the process has no input") };
         let line = serde_json::to_string(message)?;
@@ -50,7 +59,7 @@
         Ok(input.flush()?)
     }
 
-    /// Waits for the line that the process prints once it serves.
+    /// Waits for the line that the process prints once it accepts connections.
     fn wait_until_ready(&mut self) -> Result<Ready> {
         let Some(output) = self.child.stdout.take() else { bail!("the process has no output") };
         let mut line = String::new();
@@ -82,7 +91,7 @@
     }
 }
 
-/// A stand-in process, by the part that it plays. Names of arguments, traces and logs are made from its variants.
+/// The kind of a stand-in process. Names of arguments, traces and logs are made from its variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     /// All servers.
@@ -103,9 +112,9 @@
     folder: PathBuf,
     scenario: Scenario,
     stand_ins: BTreeMap<Role, ManagedProcess>,
-    /// Process of each supervisor, and its addresses for forwarders, for balancers and for operators.
+    /// Process of each supervisor, if it runs, and its addresses for forwarders, for balancers and for operators.
     supervisors: Vec<(Option<ManagedProcess>, [SocketAddr; 3])>,
-    /// Addresses of the links between supervisors, by sender and then by receiver.
+    /// Addresses of the links between supervisors, ordered by sender and then by receiver; empty without a group.
     links: Vec<SocketAddr>,
     /// Number of active outages of each supervisor; it starts again when the last one ends.
     outages: Vec<u32>,
@@ -190,8 +199,16 @@
                 trace_path: deployment.trace_path(Role::Forwarders),
                 seed: scenario.seed,
                 operations: scenario.operation_plans(),
-                supervisors: deployment.supervisors.iter().map(|supervisor| supervisor.1[0]).collect(),
-                sasp_supervisors: deployment.supervisors.iter().map(|supervisor| supervisor.1[1]).collect(),
+                supervisors: deployment
+                    .supervisors
+                    .iter()
+                    .map(|supervisor| supervisor.1[FORWARDER_LISTENER])
+                    .collect(),
+                sasp_supervisors: deployment
+                    .supervisors
+                    .iter()
+                    .map(|supervisor| supervisor.1[BALANCER_LISTENER])
+                    .collect(),
                 servers,
                 bootstrap_table_size: scenario.forwarders.initial_table_size,
                 load_balancing: scenario.forwarders.pick,
@@ -258,12 +275,16 @@
     fn forwarder_plans(&self, random: &mut Rand64) -> Vec<ForwarderPlan> {
         let scenario = &self.scenario;
         // Exponential above a minimum: most forwarders carry little traffic, some far more.
-        let shares: Vec<f64> =
-            (0..scenario.forwarders.count).map(|_| 0.2 - (1.0 - random.rand_float()).ln()).collect();
+        let shares: Vec<f64> = (0..scenario.forwarders.count)
+            .map(|_| MIN_RELATIVE_RATE - (1.0 - random.rand_float()).ln())
+            .collect();
         let total: f64 = shares.iter().sum();
         let plan = |(index, share): (usize, f64)| ForwarderPlan {
             forwarder: index as u32,
-            address: SocketAddr::from(([127, 2, (index / 250) as u8, (index % 250) as u8 + 1], 0)),
+            address: SocketAddr::from((
+                [127, 2, (index / FORWARDERS_PER_SUBNET) as u8, (index % FORWARDERS_PER_SUBNET) as u8 + 1],
+                0,
+            )),
             zone: scenario.localities[index % scenario.localities.len()].clone(),
             usual_rate: scenario.demand.rate * share / total,
             uses_sasp: (index as u32) < scenario.forwarders.balancers,
@@ -281,7 +302,7 @@
         self.folder.join(format!("supervisor-{supervisor}.log"))
     }
 
-    /// Starts a stand-in with its plan and waits until it serves.
+    /// Starts a stand-in with its plan and waits until it accepts connections.
     fn start_stand_in(&mut self, role: Role, plan: &impl Serialize) -> Result<Ready> {
         let name = format!("{role:?}").to_lowercase();
         let log = self.folder.join(format!("{name}.log"));
@@ -300,7 +321,8 @@
         process.send(command).with_context(|| format!("{role:?}: {command:?}"))
     }
 
-    /// Sends the registry the new state of these servers, and incarnation and start time if `start` has them.
+    /// Changes the state of servers in the list and sends their entries to the registry. `start`, if given, is the new
+    /// incarnation and start time of all of them.
     ///
     /// Errors: see `send_command`.
     pub fn update_list(
@@ -309,17 +331,17 @@
         state: RegistryState,
         start: Option<(u64, u64)>,
     ) -> Result<()> {
-        let mut rows = Vec::new();
+        let mut entries = Vec::new();
         for server in servers {
-            if let Some(row) = self.list.get_mut(server) {
-                row.state = state;
+            if let Some(entry) = self.list.get_mut(server) {
+                entry.state = state;
                 if let Some((incarnation, started)) = start {
-                    (row.incarnation, row.started_at) = (incarnation, started);
+                    (entry.incarnation, entry.started_at) = (incarnation, started);
                 }
-                rows.push(row.clone());
+                entries.push(entry.clone());
             }
         }
-        self.send_command(Role::Registry, &Command::UpdateEntries { entries: rows })
+        self.send_command(Role::Registry, &Command::UpdateEntries { entries })
     }
 
     fn start_supervisor(&mut self, number: usize) -> Result<()> {
@@ -328,6 +350,7 @@
         let config = self.folder.join(format!("{name}.toml"));
         let [listen, sasp, admin] = self.supervisors[number].1.map(|address| address.to_string());
         // Each supervisor reaches the others through its own links, and lists itself by the address that it listens on.
+        // While the deployment starts, `supervisors` does not have all of them yet.
         let count = self.supervisors.len().max(usize::from(self.scenario.supervisors.count));
         let links = self.links.iter().skip(number * count).take(count).enumerate();
         let members: Vec<String> = links
@@ -349,10 +372,10 @@
         let ready = process.wait_until_ready().with_context(|| name)?;
         let supervisor = &mut self.supervisors[number];
         supervisor.0 = Some(process);
-        let listens = [true, self.scenario.forwarders.balancers > 0, true];
-        let listeners = supervisor.1.iter_mut().zip(listens).filter(|listener| listener.1);
-        listeners.zip(ready.addresses).for_each(|((old, _), address)| *old = address);
-        let address = supervisor.1[0];
+        let enabled = [true, self.scenario.forwarders.balancers > 0, true];
+        let listeners = supervisor.1.iter_mut().zip(enabled).filter(|listener| listener.1);
+        listeners.zip(ready.addresses).for_each(|((listener, _), address)| *listener = address);
+        let address = supervisor.1[FORWARDER_LISTENER];
         if self.scenario.group.is_some() {
             self.send_command(Role::Links, &Command::SetMemberAddress { member: number as u32, address })?;
         }
@@ -370,20 +393,20 @@
         self.start_supervisor(number)
     }
 
-    /// Position of a server's locality.
+    /// Position of a server's locality among those of the scenario; 0 for an unknown server.
     pub fn locality(&self, server: u32) -> u32 {
-        let zone = self.list.get(&server).map(|row| row.zone.as_str());
+        let zone = self.list.get(&server).map(|entry| entry.zone.as_str());
         self.scenario.localities.iter().position(|name| Some(name.as_str()) == zone).unwrap_or(0) as u32
     }
 
     /// Address of a supervisor for forwarders and for commands to the group.
     pub fn address(&self, number: usize) -> SocketAddr {
-        self.supervisors[number].1[0]
+        self.supervisors[number].1[FORWARDER_LISTENER]
     }
 
     /// Address of a supervisor for operators' queries of tables.
     pub fn admin_address(&self, number: usize) -> SocketAddr {
-        self.supervisors[number].1[2]
+        self.supervisors[number].1[OPERATOR_LISTENER]
     }
 
     /// Number of supervisors.
@@ -408,7 +431,7 @@
         }
     }
 
-    /// Stops all processes, callers first, so that all traces are complete.
+    /// Stops all processes. Callers stop first, the registry and the links last, so that all traces are complete.
     pub fn stop(mut self) -> Result<()> {
         for role in [Role::Callers, Role::Forwarders, Role::Servers] {
             if let Some(mut process) = self.stand_ins.remove(&role) {
--- a/crates/fault-scenarios/src/report.rs
+++ b/crates/fault-scenarios/src/report.rs
@@ -2,6 +2,7 @@
 
 use crate::evaluation::{Rule, Verdict};
 
+/// Name of a rule in the text report.
 fn rule_name(rule: Rule) -> &'static str {
     match rule {
         Rule::LineToPick => "a line to pick",
@@ -13,7 +14,9 @@
     }
 }
 
-/// Violations of a rule, and invocations of a violation, that the text report lists; JSON has all of them.
+const BYTES_PER_MB: f64 = 1e6;
+/// Largest number of violations of a rule, and of invocations of a violation, that the text report lists; the JSON
+/// report has all of them.
 const MAX_LISTED: usize = 5;
 
 /// The report that `shalereel drill` prints.
@@ -35,7 +38,7 @@
         "tables: {} messages, {} lines, {:.2} MB; {} lost, late or doubled on the way, {} asked for anew",
         traffic.messages,
         traffic.lines,
-        traffic.bytes as f64 / 1e6,
+        traffic.bytes as f64 / BYTES_PER_MB,
         traffic.disturbed,
         traffic.repeated_requests
     ));
