--- a/crates/fault-scenarios/src/admin_client.rs
+++ b/crates/fault-scenarios/src/admin_client.rs
@@ -25,16 +25,16 @@
 /// Queries the status of the group from a supervisor.
 ///
 /// Errors: the supervisor cannot be reached, or is not a member of a group.
-pub fn group_status(at: SocketAddr) -> Result<Value> {
-    send_control_request(at, ControlRequest { command: None })
+pub fn group_status(address: SocketAddr) -> Result<Value> {
+    send_control_request(address, ControlRequest { command: None })
 }
 
 /// Submits a command to the group.
 ///
 /// Errors: the supervisor cannot be reached, or rejected the command, with its reason.
-pub fn submit_command(at: SocketAddr, command: CommandPayload) -> Result<Value> {
+pub fn submit_command(address: SocketAddr, command: CommandPayload) -> Result<Value> {
     send_control_request(
-        at,
+        address,
         ControlRequest { command: Some(Command { request_id: 0, payload: Some(command) }) },
     )
 }
@@ -42,8 +42,8 @@
 /// Releases the active order for the same server and of the same kind.
 ///
 /// Errors: there is none, or the supervisor rejected the command.
-pub fn release_order(at: SocketAddr, order: &OperatorOrder) -> Result<Value> {
-    let status = group_status(at)?;
+pub fn release_order(address: SocketAddr, order: &OperatorOrder) -> Result<Value> {
+    let status = group_status(address)?;
     let kind = if order.weight_cap_millionths.is_some() { "hold" } else { "drain" };
     let matches = |active: &&Value| active["server"] == order.server && active["does"] == kind;
     let orders = status["orders"].as_array().into_iter().flatten();
@@ -51,22 +51,22 @@
     else {
         bail!("no order to {kind} server {} is active", order.server);
     };
-    submit_command(at, CommandPayload::ReleaseOrder(ReleaseOrder { order_index }))
+    submit_command(address, CommandPayload::ReleaseOrder(ReleaseOrder { order_index }))
 }
 
 /// Queries a supervisor's tables, or starts a rollback of them.
 ///
 /// Errors: the supervisor cannot be reached, or rejected the query, with its reason.
-pub fn query_tables(at: SocketAddr, query: AdminQuery) -> Result<Value> {
-    let response = call_unary(at, ADMIN_PATH, &AdminRequest { query: Some(query) }.encode_to_vec())?;
+pub fn query_tables(address: SocketAddr, query: AdminQuery) -> Result<Value> {
+    let response = call_unary(address, ADMIN_PATH, &AdminRequest { query: Some(query) }.encode_to_vec())?;
     Ok(serde_json::from_str(&AdminResponse::decode(&response[..])?.json)?)
 }
 
 /// Starts a rollback to the tables of `age` ago, or to the oldest version that is kept, for `duration`.
 ///
 /// Errors: no version is kept, or the supervisor rejected the rollback.
-pub fn start_rollback(at: SocketAddr, age: Nanos, duration: Nanos) -> Result<Value> {
-    let list = query_tables(at, AdminQuery::List(ListVersions { last: u32::MAX }))?;
+pub fn start_rollback(address: SocketAddr, age: Nanos, duration: Nanos) -> Result<Value> {
+    let list = query_tables(address, AdminQuery::List(ListVersions { last: u32::MAX }))?;
     let versions: Vec<&Value> = list["versions"].as_array().into_iter().flatten().collect();
     let newest = versions.iter().filter_map(|version| version["at_ms"].as_u64()).max().unwrap_or(0);
     let target_ms = newest.saturating_sub(age / NANOS_PER_MS);
@@ -78,18 +78,18 @@
     let (actor, reason) = ("drill".to_owned(), "a day's script".to_owned());
     let duration_ms = duration / NANOS_PER_MS;
     query_tables(
-        at,
+        address,
         AdminQuery::StartRollback(StartRollback { version, duration_ms, dry_run: false, actor, reason }),
     )
 }
 
-fn send_control_request(at: SocketAddr, request: ControlRequest) -> Result<Value> {
-    let response = call_unary(at, CONTROL_PATH, &request.encode_to_vec())?;
+fn send_control_request(address: SocketAddr, request: ControlRequest) -> Result<Value> {
+    let response = call_unary(address, CONTROL_PATH, &request.encode_to_vec())?;
     Ok(serde_json::from_str(&ControlResponse::decode(&response[..])?.json)?)
 }
 
 /// Sends one request message and returns the one response message.
-fn call_unary(at: SocketAddr, path: &str, request: &[u8]) -> Result<Vec<u8>> {
+fn call_unary(address: SocketAddr, path: &str, request: &[u8]) -> Result<Vec<u8>> {
     let limits = ConnectionLimits {
         max_message_bytes: MAX_MESSAGE_BYTES,
         max_concurrent_calls: 4,
@@ -98,7 +98,7 @@
         retry_delay: REQUEST_TIMEOUT / 100,
     };
     let mut hub: Hub<(), ()> = Hub::new(limits)?;
-    let connection = hub.dial(at).with_context(|| at.to_string())?;
+    let connection = hub.dial(address).with_context(|| address.to_string())?;
     let stream = hub.call(connection, path, None).context("the connection accepts no new call")?;
     hub.send(connection, stream, request);
     hub.finish(connection, stream, Status::OK);
@@ -109,13 +109,13 @@
             match input {
                 Input::Message { message, .. } => response = Some(message.to_vec()),
                 Input::Ended { status, .. } if status.code == Code::Ok => {
-                    return response.take().ok_or_else(|| anyhow!("{at} sent no response"));
+                    return response.take().ok_or_else(|| anyhow!("{address} sent no response"));
                 }
                 Input::Ended { status, .. } => bail!("{}", status.message),
-                Input::Closed { reason, .. } => bail!("{at}: {reason}"),
+                Input::Closed { reason, .. } => bail!("{address}: {reason}"),
                 _ => {}
             }
         }
     }
-    bail!("{at} did not respond in time")
+    bail!("{address} did not respond in time")
 }
--- a/crates/fault-scenarios/src/evaluation.rs
+++ b/crates/fault-scenarios/src/evaluation.rs
@@ -477,7 +477,7 @@
             self.scenario.rules.overload_ratio,
         );
         let mut update_times: BTreeMap<u32, Vec<Nanos>> = BTreeMap::new();
-        // Time, work, forwarder, invocation, and the server's capacity at that time.
+        /// Time, work, forwarder, invocation, and the server's capacity at that time.
         type Arrival = (Nanos, f64, u32, u64, f64);
         let mut arrivals_by_start: BTreeMap<(u32, u64), Vec<Arrival>> = BTreeMap::new();
         for event in trace {
@@ -547,6 +547,7 @@
     /// forwarder gets more messages in a window than allowed.
     fn short_queue(&self, trace: &[TraceEvent]) -> RuleResult {
         let channel = &self.scenario.supervisors;
+        // By supervisor: the time at which each message was ordered, its forwarder, and its cost in lines.
         let mut messages: BTreeMap<u32, Vec<(Nanos, u32, f64)>> = BTreeMap::new();
         for event in trace {
             if let TraceEvent::UpdateReceived { supervisor, forwarder, changed_lines, ordered_at, .. } = event
@@ -603,7 +604,9 @@
     /// Checks that epochs only rise at each forwarder, and that writes of a range never return to a former owner.
     fn fenced(&self, trace: &[TraceEvent]) -> RuleResult {
         let mut violations = Vec::new();
+        // By forwarder: time and epoch of each update, and time and `RESTARTED` of each crash.
         let mut epochs: BTreeMap<u32, Vec<(Nanos, u64)>> = BTreeMap::new();
+        // By key range: time, epoch, server and invocation of each write.
         let mut writes: BTreeMap<u32, Vec<(Nanos, u64, u32, u64)>> = BTreeMap::new();
         for event in trace {
             match event {
@@ -673,6 +676,7 @@
         index.short_queue(trace),
         index.fenced(trace),
     ];
+    // Billed value that was answered in time, and billed value that was requested.
     let mut by_operation = vec![(0.0, 0.0); scenario.operations.len()];
     let mut by_window: BTreeMap<u64, Vec<(f64, f64)>> = BTreeMap::new();
     let mut invocations = 0;
--- a/crates/fault-scenarios/src/runner.rs
+++ b/crates/fault-scenarios/src/runner.rs
@@ -487,37 +487,39 @@
         Action::PauseSupervisor(number, paused) => deployment.pause_supervisor(number, paused),
         Action::StartRollback { age, duration } => {
             for number in 0..deployment.supervisors() {
-                let at = deployment.admin_address(number);
-                std::thread::spawn(move || match start_rollback(at, age, duration) {
-                    Ok(rollback) => eprintln!("rollback at {at}: applies to {} servers", rollback["takes"]),
-                    Err(error) => eprintln!("rollback at {at}: {error:#}"),
+                let address = deployment.admin_address(number);
+                std::thread::spawn(move || match start_rollback(address, age, duration) {
+                    Ok(rollback) => {
+                        eprintln!("rollback at {address}: applies to {} servers", rollback["takes"])
+                    }
+                    Err(error) => eprintln!("rollback at {address}: {error:#}"),
                 });
             }
         }
         Action::MoveRange { supervisor, range, to } => {
-            let at = deployment.address(supervisor);
+            let address = deployment.address(supervisor);
             std::thread::spawn(move || {
                 if let Err(error) = submit_command(
-                    at,
+                    address,
                     CommandPayload::MoveRange(MoveRange { range, to_server: to, epoch: 0 }),
                 ) {
-                    eprintln!("range move at {at}: {error:#}");
+                    eprintln!("range move at {address}: {error:#}");
                 }
             });
         }
         Action::Order { supervisor, server, weight_cap_millionths, release } => {
-            let at = deployment.address(supervisor % deployment.supervisors());
+            let address = deployment.address(supervisor % deployment.supervisors());
             let locality = deployment.locality(server);
             // A rejected order does not fail the run: the evaluation checks what the order leads to.
             std::thread::spawn(move || {
                 let order = OperatorOrder { server, locality, weight_cap_millionths };
                 let result = if release {
-                    release_order(at, &order)
+                    release_order(address, &order)
                 } else {
-                    submit_command(at, CommandPayload::OperatorOrder(order))
+                    submit_command(address, CommandPayload::OperatorOrder(order))
                 };
                 if let Err(error) = result {
-                    eprintln!("order at {at}: {error:#}");
+                    eprintln!("order at {address}: {error:#}");
                 }
             });
         }
--- a/crates/fault-scenarios/src/scenario.rs
+++ b/crates/fault-scenarios/src/scenario.rs
@@ -20,7 +20,7 @@
 const MAX_RATE: f64 = 1e6;
 /// Largest multiple of a capacity that counts as overload.
 const MAX_OVERLOAD_RATIO: f64 = 1e6;
-/// Interval at which a supervisor polls the registry, if the list is not pushed, in milliseconds.
+/// Interval at which a supervisor polls a list that is not pushed, in milliseconds.
 const LIST_POLL_INTERVAL_MS: f64 = 10_000.0;
 pub(crate) const MS_PER_SECOND: f64 = 1e3;
 const NANOS_PER_MS: f64 = 1e6;
@@ -65,8 +65,7 @@
     /// A fault of the system under test, which the evaluation has to detect.
     #[serde(rename = "planted", default)]
     pub injected_fault: Option<InjectedFault>,
-    /// The supervisors' guard stays enabled, so that it can prevent the injected fault; otherwise the fault takes
-    /// effect.
+    /// Whether the supervisors' guard stays enabled and can prevent the injected fault.
     #[serde(default)]
     pub guarded: bool,
 }
@@ -79,9 +78,9 @@
     pub servers: u32,
     /// Servers of a locality that form one cell.
     pub cell_size: u32,
-    /// How supervisors get the list: `pushed` by the registry, or `asked` for at an interval.
+    /// How supervisors get the list: `pushed` by the registry, or `asked` (polled).
     pub membership: String,
-    /// How the list's capacities are understood: `untold`, `rough` or `nominal`.
+    /// How the list's capacities are understood: `untold` (unknown), `rough` (approximate) or `nominal`.
     pub sizes: String,
     /// Delay in seconds until the list shows that a server has crashed.
     #[serde(rename = "notice_s")]
@@ -178,10 +177,10 @@
     pub report_cycle_ms: f64,
     /// How forwarders apply the supervisors' admission: `ratio` or `ignored`.
     pub admission: String,
-    /// Tables are sent incrementally.
+    /// Whether forwarders use the incremental variant of xDS.
     #[serde(default)]
     pub incremental: bool,
-    /// Tables are sent as single lines.
+    /// Whether forwarders receive tables line by line; implies `incremental`.
     #[serde(rename = "lines", default)]
     pub line_updates: bool,
     /// Number of the forwarders that are balancers, which take weights by SASP.
@@ -195,11 +194,11 @@
 pub struct Supervisors {
     /// Number of supervisors.
     pub count: u16,
-    /// Interval of the controller's decisions, in milliseconds.
+    /// Interval at which the controller decides, in milliseconds.
     pub tick_ms: f64,
     /// Rate of a channel, in lines per second.
     pub lines_per_s: f64,
-    /// Largest queue of a channel, in lines.
+    /// Largest number of lines that wait in a channel.
     pub backlog: f64,
     /// Cost of a message, in lines.
     pub message_overhead: f64,
@@ -229,7 +228,7 @@
     /// Number of key ranges.
     #[serde(default)]
     pub ranges: u32,
-    /// Time in milliseconds for which a forwarder may use a route, counted from when it sent its request.
+    /// Time in milliseconds for which a forwarder may use a route of a key range, from when it requested the route.
     pub tenure_ms: f64,
     /// Longest time in milliseconds from when a forwarder sends a request until it takes effect; later it never does.
     pub in_flight_ms: f64,
@@ -247,13 +246,13 @@
     pub max_empty_s: f64,
     /// Time in seconds after which a draining server gets no new invocations.
     pub drain_grace_s: f64,
-    /// Multiple of its capacity that overloads a server in slow start.
+    /// Load that overloads a server in slow start, as a multiple of its capacity.
     #[serde(rename = "tip_multiple")]
     pub overload_ratio: f64,
-    /// Seconds of such a load after which the server is overloaded.
+    /// Window in seconds over which that load is summed.
     #[serde(rename = "tip_after_s")]
     pub overload_after_s: f64,
-    /// Servers that leave the list may still get invocations; only draining servers may not.
+    /// Whether servers that have left the list may still get invocations; draining servers never may.
     #[serde(rename = "gone_does_not_bind", default)]
     pub removal_is_advisory: bool,
 }
--- a/crates/routing-checks/src/expectation.rs
+++ b/crates/routing-checks/src/expectation.rs
@@ -7,6 +7,7 @@
 
 use crate::fleet::{ServerEntry, TableView};
 
+/// The content of an expectation file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ExpectationFile {
@@ -16,6 +17,7 @@
     expectations: Vec<ExpectationSection>,
 }
 
+/// The fleet that expectations are checked on.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct FleetSection {
@@ -24,6 +26,7 @@
     sizes: Vec<f64>,
 }
 
+/// One expectation as the file has it; `of` names the group of servers, `from` the locality of the forwarders.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ExpectationSection {
@@ -54,27 +57,27 @@
     All,
 }
 
-/// The bound that a group of servers must keep.
+/// The bound that a group of servers must keep. A server is open if it has weight for new requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Bound {
     /// The largest share of the table's weight, from 0 to 1.
     AtMost(f64),
     /// The smallest share of the table's weight, from 0 to 1.
     AtLeast(f64),
-    /// The least number of servers that take new requests.
+    /// The smallest number of open servers. A group with fewer available servers needs only all of those.
     ServersAtLeast(usize),
 }
 
-/// One expectation: a bound on the share that a group of servers gets.
+/// One expectation: a bound on a group of servers, either on its share of the weight or on its number of open servers.
 #[derive(Clone, Debug)]
 pub struct Expectation {
-    /// The name that reports give.
+    /// The name of the expectation in reports.
     pub name: String,
-    /// Position of the only locality whose forwarders it applies to; all localities if none.
+    /// Position of the only locality whose forwarders it applies to; `None` applies to all.
     pub from: Option<u16>,
     /// The servers that it applies to.
     pub group: ServerGroup,
-    /// The bound applies to each server of the group instead of to the group's sum.
+    /// Whether the bound applies to each server of the group instead of to the sum of the group.
     pub(crate) each: bool,
     pub(crate) bound: Bound,
 }
@@ -82,18 +85,18 @@
 /// The expectations of a file, and the fleet that they are checked on.
 #[derive(Clone, Debug)]
 pub struct ExpectationSet {
-    /// In the order of the file.
+    /// All expectations, in the order of the file.
     pub expectations: Vec<Expectation>,
     /// Number of servers of the unchanged fleet.
     pub servers: u32,
-    /// Capacities that the servers get in turn.
+    /// Listed capacities; the servers get them in turn, repeatedly.
     pub sizes: Vec<f64>,
 }
 
-/// Smallest default fleet. Where the file names no fleet, it has one server for each forwarder.
+/// Smallest number of servers of the default fleet, which has one server for each forwarder.
 const MIN_DEFAULT_SERVERS: u32 = 8;
 
-/// Largest fleet that a file may name.
+/// Largest number of servers of a fleet; larger ones are reduced to it.
 const MAX_SERVERS: u32 = 1000;
 
 /// Reads the expectation file of a deployment.
@@ -179,7 +182,7 @@
 }
 
 impl Expectation {
-    /// The measured value where a table does not keep the bound, and its server where each server has a bound of its own.
+    /// The measured value if a table does not keep the bound, and the server concerned if the bound applies to each server.
     pub fn violation(&self, view: &TableView) -> Option<(f64, Option<u32>)> {
         let total: f64 = view.servers.iter().map(ServerEntry::effective_weight).sum();
         let share = |server: &ServerEntry| if total > 0.0 { server.effective_weight() / total } else { 0.0 };
@@ -223,5 +226,5 @@
     }
 }
 
-/// Tolerance on shares, since weights are rounded on the wire.
+/// Tolerance on shares of a table, since weights are rounded on the wire.
 const SHARE_TOLERANCE: f64 = 1e-6;
--- a/crates/routing-checks/src/fleet.rs
+++ b/crates/routing-checks/src/fleet.rs
@@ -10,15 +10,23 @@
 use shalereel_xds::{AssignedEndpoint, Assignment, Health, ServerInfo};
 use shalereel_xds_supervisor::{Deployment, EndpointList, InjectedFault, TableContext, Tables};
 
+/// One second, in nanoseconds.
 const SECOND: Nanos = 1_000_000_000;
-/// Batches of events of a run.
+/// Number of batches of events in a run.
 const BATCHES: u64 = 28;
-/// The batch in which the fleet takes its shape.
+/// Index of the batch in which the fleet takes its shape.
 const CHANGE_BATCH: u64 = 12;
 const BATCHES_PER_SECOND: u64 = 4;
+/// Interval between batches, in nanoseconds.
 const BATCH_INTERVAL: Nanos = SECOND / BATCHES_PER_SECOND;
-/// Time of the first batch.
+/// Time of the first batch, in nanoseconds.
 const START_TIME: Nanos = 1000 * SECOND;
+/// Rate of each proxy, in requests per second.
+const PROXY_RATE: f64 = 10.0;
+/// Number of attempts that each endpoint report has.
+const REPORTED_ATTEMPTS: u32 = 20;
+/// Latency objective of an operation, divided by the response time that endpoint reports have.
+const OBJECTIVE_PER_RESPONSE_TIME: Nanos = 4;
 /// Id of the first server; the others follow in turn.
 const FIRST_SERVER: ServerId = 1000;
 
@@ -70,7 +78,7 @@
     }
 }
 
-/// A listed server, and its line of a table.
+/// A server of the list, together with its line of a table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerEntry {
     /// The server's id.
@@ -79,9 +87,9 @@
     pub locality: u16,
     /// Weight of its line; 0 where the table has no line for it.
     pub weight: f64,
-    /// Its line says that it gets no new requests.
+    /// Whether its line says that it gets no new requests.
     pub draining: bool,
-    /// The list says that it drains, or no longer has it.
+    /// Whether the list says that it drains, or no longer has it.
     pub unavailable: bool,
     /// Fraction of its capacity that it has reached in slow start.
     pub capacity_fraction: f64,
@@ -90,7 +98,7 @@
 }
 
 impl ServerEntry {
-    /// Weight for new requests.
+    /// Weight for new requests: 0 while the server drains.
     pub(crate) fn effective_weight(&self) -> f64 {
         if self.draining {
             0.0
@@ -111,14 +119,14 @@
     pub at_ms: u64,
 }
 
-/// A fleet to generate.
+/// The shape and the number of servers of a fleet to generate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Fleet {
     pub shape: FleetShape,
     pub servers: u32,
 }
 
-/// Runs the controller on a fleet. Returns each table that forwarders would hold from the change on.
+/// Runs the controller on a fleet. Returns, for each batch from the change on, the tables that forwarders would use.
 pub(crate) fn simulate(deployment: &Deployment, sizes: &[f64], fleet: Fleet) -> Vec<TableView> {
     let config = &deployment.config;
     let mut tables = Tables::new(deployment, RetentionLimits::new(config));
@@ -138,7 +146,7 @@
             events.extend((0..config.locality_count).map(|locality| Event::Joined {
                 proxy: locality,
                 locality,
-                rate: 10.0,
+                rate: PROXY_RATE,
                 is_new: true,
             }));
         }
@@ -146,12 +154,13 @@
             (0..fleet.servers).filter(|_| batch % BATCHES_PER_SECOND == BATCHES_PER_SECOND - 1).map(
                 |index| {
                     let response_time =
-                        config.operations.first().map_or(SECOND, |operation| operation.latency_objective) / 4;
+                        config.operations.first().map_or(SECOND, |operation| operation.latency_objective)
+                            / OBJECTIVE_PER_RESPONSE_TIME;
                     let (server, locality) = (FIRST_SERVER + index, 0);
                     Event::EndpointReport(EndpointReport {
                         server,
                         locality,
-                        attempts: 20,
+                        attempts: REPORTED_ATTEMPTS,
                         failures: 0,
                         response_time,
                         window: SECOND,
@@ -192,10 +201,11 @@
     views
 }
 
-/// Weight that gives a server in slow start far more than it can bear.
+/// Weight that overloads any server in slow start.
 const OVERLOADING_WEIGHT: f64 = 1e4;
 
-/// Applies those injected faults of a supervisor's actions that show without traffic.
+/// Changes an action as the injected fault of the deployment does; other faults, which only traffic can show, are not
+/// simulated.
 fn apply_injected_fault(
     deployment: &Deployment,
     endpoints: &EndpointList,
@@ -215,7 +225,7 @@
     }
 }
 
-/// The servers that the guard knows, with their lines of a table.
+/// The listed servers as the guard sees them, with their lines of a table.
 fn table_entries(
     deployment: &Deployment,
     endpoints: &EndpointList,
--- a/crates/routing-checks/src/lib.rs
+++ b/crates/routing-checks/src/lib.rs
@@ -1,4 +1,4 @@
-//! Checks operators' expectations of routing, which stand in TOML files beside the configuration.
+//! Checks operators' expectations of routing, which are written in TOML files beside the configuration.
 //!
 //! No traffic is needed: the expectations are checked against a captured table, and against the tables that the real
 //! controller computes for generated fleets of many sizes and shapes. `docs/expect.md` describes the design.
--- a/crates/routing-checks/src/search.rs
+++ b/crates/routing-checks/src/search.rs
@@ -26,7 +26,7 @@
     pub server: Option<u32>,
 }
 
-/// An expectation that no table can meet without breaking a rule.
+/// An expectation that no table can meet without violating a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Contradiction {
     /// Name of the expectation.
@@ -37,13 +37,13 @@
     pub servers: u32,
     /// Name of the rule.
     pub rule: &'static str,
-    /// The largest or the smallest share that the rule allows.
+    /// The largest share that the rule allows, or the smallest one if the bound is `at_most`.
     pub allowed: f64,
     /// The expected bound, in words.
     pub bound: String,
 }
 
-/// The result of a check of all expectations of a file.
+/// The result of checking all expectations of a file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CheckReport {
     /// At most one violation for each expectation.
@@ -56,14 +56,14 @@
     pub tables: usize,
 }
 
-/// Milliseconds since the change, the measured value, and the server concerned.
+/// A violation in one table: milliseconds since the change, the measured value, and the server concerned.
 type Finding = (u64, f64, Option<u32>);
 
-/// Multiples of the fleet's size that are checked.
+/// The fleet sizes that are checked, as multiples of the size that the file names.
 const SIZE_FACTORS: [u32; 3] = [1, 2, 3];
 
-/// Tolerance on computed shares.
-const SHARE_TOLERANCE: f64 = 1e-9;
+/// Tolerance on the shares that rules allow.
+const ALLOWED_SHARE_TOLERANCE: f64 = 1e-9;
 
 /// The tables of all fleets that were generated so far.
 struct TableCache<'a> {
@@ -100,7 +100,7 @@
     }
 }
 
-/// Checks all expectations on fleets of every shape, at the fleet's size and at twice and three times that size.
+/// Checks all expectations on fleets of every shape, at each multiple of the file's fleet size.
 pub fn check_expectations(deployment: &Deployment, expectations: &ExpectationSet) -> CheckReport {
     let mut cache = TableCache { deployment, expectations, views: BTreeMap::new() };
     let mut report = CheckReport::default();
@@ -151,8 +151,8 @@
     report
 }
 
-/// Shrinks a fleet that violates an expectation: removes half of its servers while the violation remains, then fewer
-/// at a time, down to one. The result is a local minimum, which need not be the smallest fleet that violates it.
+/// Shrinks a fleet that violates an expectation: removes half of its servers as long as the violation remains, then
+/// halves the number to remove, down to one. The result is a local minimum, which need not be the smallest fleet that violates it.
 fn shrink(
     cache: &mut TableCache,
     expectation: &Expectation,
@@ -182,7 +182,7 @@
     let total_capacity: f64 =
         view.servers.iter().filter(available).map(|server| server.listed_capacity).sum();
     let any_warm = view.servers.iter().filter(available).any(|server| server.capacity_fraction >= 1.0);
-    // The largest share that the rules allow: none while unavailable, and no overload while in slow start.
+    // The largest share that the rules allow: none for an unavailable server, and no overload of one in slow start.
     let max_share = |server: &ServerEntry| match () {
         () if server.unavailable => 0.0,
         () if server.capacity_fraction >= 1.0 || !any_warm => 1.0,
@@ -204,16 +204,18 @@
                 true => "no cold server pushed over",
                 false => "drains kept",
             };
-            (bound > allowed + SHARE_TOLERANCE).then_some((rule, allowed))
+            (bound > allowed + ALLOWED_SHARE_TOLERANCE).then_some((rule, allowed))
         }
         Bound::AtMost(bound) => {
-            // All requests go to some server: those outside the group take their largest shares, the group takes the rest.
+            // Every request goes to some server: if the servers outside the group get their largest shares, the group gets
+            // the rest.
             let others = view.servers.iter().filter(|server| !expectation.group.contains(server));
             let others_share = others.map(max_share).sum::<f64>().min(1.0);
             let open_servers = members.iter().filter(|server| max_share(server) > 0.0).count().max(1);
             let allowed = (1.0 - others_share) / if expectation.each { open_servers as f64 } else { 1.0 };
             let any_available = view.servers.iter().any(|server| !server.unavailable);
-            (any_available && bound < allowed - SHARE_TOLERANCE).then_some(("a line to pick", allowed))
+            (any_available && bound < allowed - ALLOWED_SHARE_TOLERANCE)
+                .then_some(("a line to pick", allowed))
         }
         _ => None,
     }
--- a/crates/routing-checks/tests/suite.rs
+++ b/crates/routing-checks/tests/suite.rs
@@ -9,6 +9,7 @@
 
 const DEPLOYMENT: &str = include_str!("../../../expect/deployment.toml");
 
+/// The deployment, with the fault of this name injected and not guarded against; with none if the name is empty.
 fn deployment(injected_fault: &str) -> Deployment {
     let text = if injected_fault.is_empty() {
         String::new()
@@ -18,6 +19,7 @@
     Deployment::parse(Path::new("deployment.toml"), &(text + DEPLOYMENT)).unwrap()
 }
 
+/// Writes a new file in the directory for test files.
 fn write_file(text: &str) -> PathBuf {
     static LAST_NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = LAST_NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -32,11 +34,12 @@
     check_expectations(&deployment, &read_expectations(&write_file(text), &deployment).unwrap())
 }
 
-const SUITE: &str = include_str!("../../../expect/routing.toml");
+/// The expectation file that is shipped with the product.
+const SHIPPED_EXPECTATIONS: &str = include_str!("../../../expect/routing.toml");
 
 #[test]
 fn the_shipped_expectation_file_has_no_violations() {
-    let report = check("", SUITE);
+    let report = check("", SHIPPED_EXPECTATIONS);
     assert_eq!((report.violations.clone(), report.contradictions.clone()), (vec![], vec![]));
     assert!(report.tables > 300, "{report:?}");
 }
@@ -45,7 +48,7 @@
 #[case::cold_in_full("cold_in_full", "no fresh server gets over a fifth")]
 #[case::empty_tables("empty_tables", "somebody is open")]
 fn an_injected_fault_violates_the_matching_expectation(#[case] injected_fault: &str, #[case] name: &str) {
-    let report = check(injected_fault, SUITE);
+    let report = check(injected_fault, SHIPPED_EXPECTATIONS);
     assert!(report.violations.iter().any(|violation| violation.name.contains(name)), "{report:?}");
 }
 
@@ -56,8 +59,11 @@
     let report = check("", text);
     let violation = &report.violations[0];
     assert!(violation.servers > 12 && violation.servers <= 24, "{violation:?}");
-    let kept = check("", &text.replace("0.05", "0.02"));
-    assert!(kept.violations.iter().all(|violation| violation.shape != "as it is"), "{kept:?}");
+    let report_of_lower_bound = check("", &text.replace("0.05", "0.02"));
+    assert!(
+        report_of_lower_bound.violations.iter().all(|violation| violation.shape != "as it is"),
+        "{report_of_lower_bound:?}"
+    );
 }
 
 #[rstest]
@@ -85,7 +91,7 @@
 #[test]
 fn a_captured_table_is_checked_by_the_same_expectations() {
     let deployment = deployment("");
-    let expectations = read_expectations(&write_file(SUITE), &deployment).unwrap();
+    let expectations = read_expectations(&write_file(SHIPPED_EXPECTATIONS), &deployment).unwrap();
     let line = |server: u32, weight: f64, capacity_fraction: f64| {
         format!(
             "{{\"server\": {server}, \"locality\": \"hal-a\", \"out\": false, \"able\": {capacity_fraction}, \"listed\": 1.0, \
