--- a/crates/fault-scenarios/src/scenario.rs
+++ b/crates/fault-scenarios/src/scenario.rs
@@ -65,7 +65,7 @@
     /// A fault of the system under test, which the evaluation has to detect.
     #[serde(rename = "planted", default)]
     pub injected_fault: Option<InjectedFault>,
-    /// Whether the supervisors' guard stays enabled and can prevent the injected fault.
+    /// Whether the supervisors' guard stays enabled and can prevent the injected fault; without it the fault takes effect.
     #[serde(default)]
     pub guarded: bool,
 }
--- a/crates/routing-checks/src/search.rs
+++ b/crates/routing-checks/src/search.rs
@@ -100,7 +100,7 @@
     }
 }
 
-/// Checks all expectations on fleets of every shape, at each multiple of the file's fleet size.
+/// Checks all expectations on fleets of every shape, at the file's fleet size and at twice and three times that size.
 pub fn check_expectations(deployment: &Deployment, expectations: &ExpectationSet) -> CheckReport {
     let mut cache = TableCache { deployment, expectations, views: BTreeMap::new() };
     let mut report = CheckReport::default();
