--- a/crates/xds-supervisor/src/admin.rs
+++ b/crates/xds-supervisor/src/admin.rs
@@ -1,5 +1,6 @@
 //! Operators' requests about tables. They arrive by gRPC on a separate listener and are answered with JSON.
-//! [`Core`](crate::Core) calls [`answer`]; `shalereel tables` sends the requests.
+//! [`Core`](crate::Core) calls [`answer`]; `shalereel tables` sends the requests. The module makes no decisions about
+//! tables of its own: it decodes a request, calls [`Tables`], which accepts or rejects it, and encodes the result.
 
 mod json;
 mod messages;
--- a/src/pacing.rs
+++ b/src/pacing.rs
@@ -69,8 +69,8 @@
         pacing
     }
 
-    /// Expected time between leaving the channel and arriving at the proxy: halfway between mean and worst
-    /// transit.
+    /// Expected time between leaving the channel and arriving at the proxy, taken as halfway between mean and
+    /// worst transit.
     fn likely_transit(&self) -> Nanos {
         self.mean_transit + self.worst_transit.saturating_sub(self.mean_transit) / 2
     }
