--- a/crates/cli/src/expect_command.rs
+++ b/crates/cli/src/expect_command.rs
@@ -12,7 +12,7 @@
 pub struct ExpectArguments {
     /// Folder with expectation files, in the format of `docs/expect.md`.
     folder: PathBuf,
-    /// Deployment file that the expectations are checked for.
+    /// Deployment file with which the expectations are checked.
     #[arg(long)]
     config: PathBuf,
     /// Check only this table, a file with the output of `shalereel tables ADDRESS --json show`.
@@ -38,15 +38,15 @@
     Ok(files)
 }
 
-/// Checks the expectations in a folder and prints those that fail. Exit code 1: an expectation is not met, or
-/// contradicts a rule.
+/// Checks the expectations in a folder and prints those that are not met or contradict a rule. Exit code 1: there is
+/// such an expectation.
 pub fn expect(arguments: &ExpectArguments) -> Result<ExitCode> {
     let deployment = Deployment::read(&arguments.config)?;
-    let table = match &arguments.table {
+    let captured = match &arguments.table {
         Some(path) => {
             let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
-            let view = parse_captured_table(&text, &deployment).map_err(anyhow::Error::msg);
-            Some(view.with_context(|| path.display().to_string())?)
+            let captured_table = parse_captured_table(&text, &deployment).map_err(anyhow::Error::msg);
+            Some(captured_table.with_context(|| path.display().to_string())?)
         }
         None => None,
     };
@@ -54,9 +54,9 @@
     for file in expectation_files(&arguments.folder)? {
         let expectations = read_expectations(&file, &deployment)?;
         count += expectations.expectations.len();
-        if let Some(view) = &table {
+        if let Some(captured_table) = &captured {
             for expectation in &expectations.expectations {
-                if let Some((value, server)) = expectation.violation(view) {
+                if let Some((value, server)) = expectation.violation(captured_table) {
                     failed += 1;
                     println!(
                         "FAILS {:?}: {value:.4} in the captured table{}",
--- a/crates/cli/src/group_command.rs
+++ b/crates/cli/src/group_command.rs
@@ -50,7 +50,7 @@
         /// Number of the server that gets the range.
         server: u32,
     },
-    /// Add a controller to the group; it votes once it has the committed log.
+    /// Add a controller to the group; it votes once it has the committed log entries.
     SeatIn {
         /// Number of the controller.
         number: u32,
@@ -72,7 +72,7 @@
     /// Seed of the first schedule; each next one adds 1.
     #[arg(long, default_value_t = 0)]
     seed: u64,
-    /// Controllers in the group.
+    /// Number of controllers in the group.
     #[arg(long, default_value_t = 3)]
     nodes: u32,
     /// Threads that run schedules in parallel.
@@ -169,6 +169,7 @@
         }
         OrderCommand::Release { order } => CommandPayload::ReleaseOrder(ReleaseOrder { order_index: *order }),
         OrderCommand::Move { range, server } => {
+            // Epoch 0 marks a move that an operator ordered.
             CommandPayload::MoveRange(MoveRange { range: *range, to_server: *server, epoch: 0 })
         }
         OrderCommand::SeatIn { number, address } => {
@@ -192,13 +193,13 @@
         max_batch_entries: arguments.batch,
         ..ScheduleSettings::default()
     };
-    let next = AtomicU64::new(0);
+    let next_index = AtomicU64::new(0);
     let first_violation: Mutex<Option<Violation>> = Mutex::new(None);
     let totals: Mutex<ScheduleStats> = Mutex::new(ScheduleStats::default());
     std::thread::scope(|scope| {
         for _ in 0..arguments.threads.max(1) {
             scope.spawn(|| loop {
-                let index = next.fetch_add(1, Ordering::Relaxed);
+                let index = next_index.fetch_add(1, Ordering::Relaxed);
                 let stopped = first_violation.lock().map_or(true, |violation| violation.is_some());
                 if index >= arguments.schedules || stopped {
                     return;
--- a/crates/cli/src/hooks_command.rs
+++ b/crates/cli/src/hooks_command.rs
@@ -17,7 +17,7 @@
         /// Source file.
         file: PathBuf,
     },
-    /// Format a source file in place. Exit 1 with `--check`: its format differs.
+    /// Format a source file in place. Exit 1: it has errors, or with `--check` its format differs.
     Fmt {
         /// Source file.
         file: PathBuf,
@@ -25,7 +25,7 @@
         #[arg(long)]
         check: bool,
     },
-    /// Run the test cases in a source file. Exit 1: one fails.
+    /// Run the test cases in a source file. Exit 1: it has errors or a test case fails.
     Test {
         /// Source file.
         file: PathBuf,
@@ -40,8 +40,10 @@
     },
 }
 
-/// Limits of one call here; a daemon sets lower ones.
+/// Limits of one call: the number of instructions (`fuel`) and the memory. A daemon sets lower ones.
 const CALL_LIMITS: Limits = Limits { fuel: 1_000_000, memory_bytes: 1 << 22 };
+/// Seed of the random numbers that a hook draws; a fixed one makes runs repeatable.
+const SEED: u64 = 0;
 
 fn read(file: &Path) -> Result<String> {
     std::fs::read_to_string(file).with_context(|| file.display().to_string())
@@ -100,7 +102,7 @@
                 Ok(program) => program,
                 Err(code) => return Ok(code),
             };
-            let results = program.run_tests(CALL_LIMITS, 0);
+            let results = program.run_tests(CALL_LIMITS, SEED);
             let mut failed = 0;
             for (name, result) in &results {
                 let text = match result {
@@ -127,11 +129,11 @@
             for point in
                 hook_points().iter().filter(|point| program.hook_names().any(|hook| hook == point.name))
             {
-                let inputs: Vec<Value> = point.inputs.iter().map(|input| sample(&input.1)).collect();
+                let inputs: Vec<Value> = point.inputs.iter().map(|input| sample_input(&input.1)).collect();
                 let started = Instant::now();
                 let mut fuel = 0;
                 for _ in 0..*calls {
-                    fuel += program.call(&point.name, &inputs, CALL_LIMITS, 0).1.fuel;
+                    fuel += program.call(&point.name, &inputs, CALL_LIMITS, SEED).1.fuel;
                 }
                 let elapsed_s = started.elapsed().as_secs_f64();
                 println!(
@@ -147,14 +149,14 @@
     }
 }
 
-/// A sample input of a type.
-fn sample(value_type: &Type) -> Value {
+/// An input of the given type for the benchmark.
+fn sample_input(value_type: &Type) -> Value {
     match value_type {
         Type::Number(_) => Value::Number(1.5),
         Type::String => Value::String("hal-a".into()),
         Type::Boolean => Value::Boolean(true),
         Type::List(None) => Value::List(Rc::new(Vec::new())),
-        Type::List(Some(item)) => Value::List(Rc::new(vec![sample(item); 8])),
-        Type::Record(fields) => Value::Record(fields.values().map(sample).collect()),
+        Type::List(Some(item)) => Value::List(Rc::new(vec![sample_input(item); 8])),
+        Type::Record(fields) => Value::Record(fields.values().map(sample_input).collect()),
     }
 }
--- a/crates/cli/src/node_command.rs
+++ b/crates/cli/src/node_command.rs
@@ -8,7 +8,7 @@
 
 #[derive(Args)]
 pub struct NodeArguments {
-    /// Path of the supervisor's configuration file, in which the platform writes its addresses, limits and settings.
+    /// Configuration file, which the platform writes: the supervisor's addresses, limits and settings.
     #[arg(long, env = "ROUTER_CONFIG")]
     config: PathBuf,
 }
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -8,10 +8,10 @@
 #[command(
     name = "shalereel-standin",
     version,
-    about = "Simulates the servers, forwarders, callers or registry of a drill"
+    about = "Simulates the servers, forwarders, callers, registry or links of a drill"
 )]
 struct Arguments {
-    /// Role of the process: servers, forwarders, callers or registry.
+    /// Role of the process: servers, forwarders, callers, registry or links.
     role: String,
 }
 
--- a/crates/cli/src/tables_command.rs
+++ b/crates/cli/src/tables_command.rs
@@ -16,7 +16,7 @@
 pub enum TablesCommand {
     /// List the newest versions, the active rollbacks and the weight caps.
     List {
-        /// Number of versions.
+        /// Maximum number of versions to list.
         #[arg(long, default_value_t = 20)]
         last: u32,
     },
@@ -72,7 +72,7 @@
     /// Reason for the change.
     #[arg(long = "why", value_name = "WHY")]
     reason: String,
-    /// Who makes the change.
+    /// Name of the operator who makes the change.
     #[arg(long = "who", value_name = "WHO", env = "USER", default_value = "operator")]
     actor: String,
 }
@@ -93,16 +93,18 @@
     response[key].as_array().into_iter().flatten()
 }
 
-/// A value as a string, since `Display` of a JSON value ignores the width of a format.
-fn cell(value: &Value) -> String {
+/// JSON text of a value, for columns: `Display` of a JSON value ignores the width of a format, that of a string does
+/// not.
+fn value_text(value: &Value) -> String {
     value.to_string()
 }
 
-fn text(value: &Value) -> &str {
+/// The string in a value; empty if it is not a string.
+fn str_or_empty(value: &Value) -> &str {
     value.as_str().unwrap_or_default()
 }
 
-/// Weight of a table line; a line without a weight is not in the table.
+/// Weight of a table line as text, "out" if the server has no line in the table.
 fn weight_text(line: &Value) -> String {
     match line["weight"].as_f64() {
         None => "out".into(),
@@ -154,7 +156,7 @@
             for row in rows(&response, "lines") {
                 println!(
                     "server {:<8} {:>16} -> {}",
-                    cell(&row["server"]),
+                    value_text(&row["server"]),
                     weight_text(&row["from"]),
                     weight_text(&row["to"])
                 );
@@ -183,8 +185,8 @@
             rollback["table"],
             rollback["to"],
             rollback["lines_to_move"],
-            text(&rollback["why"]),
-            text(&rollback["who"])
+            str_or_empty(&rollback["why"]),
+            str_or_empty(&rollback["who"])
         );
     }
     for cap in rows(response, "holds") {
@@ -193,8 +195,8 @@
             cap["server"],
             cap["at_most"],
             cap["ends_in_s"],
-            text(&cap["why"]),
-            text(&cap["who"])
+            str_or_empty(&cap["why"]),
+            str_or_empty(&cap["who"])
         );
     }
     println!("{:>8} {:>5} {:<20} {:>6} {:>7}  why", "version", "table", "at", "lines", "changed");
@@ -202,13 +204,13 @@
         let published_at = Duration::from_millis(version["at_ms"].as_u64().unwrap_or(0));
         println!(
             "{:>8} {:>5} {:<20} {:>6} {:>7}  {}: {}",
-            cell(&version["version"]),
-            cell(&version["table"]),
+            value_text(&version["version"]),
+            value_text(&version["table"]),
             humantime::format_rfc3339_seconds(SystemTime::UNIX_EPOCH + published_at),
-            cell(&version["lines"]),
-            cell(&version["changed"]),
-            text(&version["who"]),
-            text(&version["why"])
+            value_text(&version["lines"]),
+            value_text(&version["changed"]),
+            str_or_empty(&version["who"]),
+            str_or_empty(&version["why"])
         );
     }
 }
@@ -216,13 +218,18 @@
 fn print_version(response: &Value) {
     println!("version {} of table {}", response["version"], response["table"]);
     if let Some(made) = response["made"].as_object() {
-        println!("made by {}: {}; check {}", text(&made["who"]), text(&made["why"]), text(&made["check"]));
+        println!(
+            "made by {}: {}; check {}",
+            str_or_empty(&made["who"]),
+            str_or_empty(&made["why"]),
+            str_or_empty(&made["check"])
+        );
     }
     for row in rows(response, "lines") {
         println!(
             "server {:<8} {:<22} {}",
-            cell(&row["server"]),
-            text(&row["line"]["address"]),
+            value_text(&row["server"]),
+            str_or_empty(&row["line"]["address"]),
             weight_text(&row["line"])
         );
     }
@@ -236,9 +243,9 @@
     );
     for row in rows(response, "moves") {
         let (current, factor) = (row["now"].as_f64().unwrap_or(0.0), row["times"].as_f64().unwrap_or(1.0));
-        println!("server {:<8} {current:.4} -> {:.4}", cell(&row["server"]), current * factor);
+        println!("server {:<8} {current:.4} -> {:.4}", value_text(&row["server"]), current * factor);
     }
     for row in rows(response, "stays") {
-        println!("server {:<8} stays: {}", cell(&row["server"]), text(&row["why"]));
+        println!("server {:<8} stays: {}", value_text(&row["server"]), str_or_empty(&row["why"]));
     }
 }
