--- a/crates/cli/src/group_measure.rs
+++ b/crates/cli/src/group_measure.rs
@@ -27,24 +27,24 @@
 const SINGLE_ENTRIES: u64 = 200;
 
 /// Prints the measurements of a group of each size, then those of the log.
-pub fn group(sizes: &[u16], rounds: u32, day: &Path) -> Result<()> {
-    let day = Scenario::read(day)?;
+pub fn group(sizes: &[u16], rounds: u32, drill: &Path) -> Result<()> {
+    let scenario = Scenario::read(drill)?;
     for &size in sizes {
-        measure_traffic_and_failover(&day, size, rounds)?;
+        measure_traffic_and_failover(&scenario, size, rounds)?;
     }
     measure_log(BATCHED_ENTRIES, SINGLE_ENTRIES)
 }
 
 /// Queries all supervisors except `excluded` until `matches` returns a value for the status of one of them.
 fn wait_for_status<T>(
-    stage: &LocalDeployment,
+    deployment: &LocalDeployment,
     excluded: Option<usize>,
     mut matches: impl FnMut(usize, &Value) -> Option<T>,
 ) -> Result<T> {
     let started = Instant::now();
     while started.elapsed() < TIMEOUT {
-        for number in (0..stage.supervisors()).filter(|&number| Some(number) != excluded) {
-            let status = group_status(stage.address(number));
+        for number in (0..deployment.supervisors()).filter(|&number| Some(number) != excluded) {
+            let status = group_status(deployment.address(number));
             if let Some(value) = status.ok().and_then(|status| matches(number, &status)) {
                 return Ok(value);
             }
@@ -54,29 +54,30 @@
     bail!("no supervisor reached the expected status within {TIMEOUT:?}")
 }
 
-/// The number of the supervisor if it leads and has assigned duties.
+/// The supervisor's number if it leads the group and its status lists duties.
 fn leader_with_duties(number: usize, status: &Value) -> Option<u64> {
     let duties = status["duties"].as_array()?;
     (status["state"] == "leads" && !duties.is_empty()).then_some(number as u64)
 }
 
-/// Whether the status is the leader's and it sees all members alive.
+/// `Some` if the status is the leader's and all members are alive in it.
 fn all_alive(status: &Value, size: u16) -> Option<()> {
     let alive = status["members"].as_array()?.iter().filter(|member| member["standing"] == "alive").count();
     (status["state"] == "leads" && alive == usize::from(size)).then_some(())
 }
 
 /// Messages and bytes that all supervisors have sent to one another since their start.
-fn sent_totals(stage: &LocalDeployment) -> Result<(u64, u64)> {
+fn sent_totals(deployment: &LocalDeployment) -> Result<(u64, u64)> {
     let mut totals = (0, 0);
-    for number in 0..stage.supervisors() {
-        let status = group_status(stage.address(number))?;
+    for number in 0..deployment.supervisors() {
+        let status = group_status(deployment.address(number))?;
         totals.0 += status["told"]["messages"].as_u64().unwrap_or(0);
         totals.1 += status["told"]["bytes"].as_u64().unwrap_or(0);
     }
     Ok(totals)
 }
 
+/// The value at a quantile, from 0 to 1, of times in ascending order.
 fn percentile(sorted: &[Duration], quantile: f64) -> Duration {
     let rank = (sorted.len() as f64 * quantile).ceil() as usize;
     sorted.get(rank.clamp(1, sorted.len().max(1)) - 1).copied().unwrap_or_default()
@@ -84,17 +85,17 @@
 
 /// Prints the traffic of a group in normal operation, and the times until its leader and the duties of a killed leader
 /// are replaced.
-fn measure_traffic_and_failover(day: &Scenario, size: u16, rounds: u32) -> Result<()> {
-    let mut day = day.clone();
-    day.supervisors.count = size;
-    let election_ms = day.group.as_ref().context("the drill has no [shared]")?.election_ms;
+fn measure_traffic_and_failover(scenario: &Scenario, size: u16, rounds: u32) -> Result<()> {
+    let mut scenario = scenario.clone();
+    scenario.supervisors.count = size;
+    let election_ms = scenario.group.as_ref().context("the drill has no [shared]")?.election_ms;
     let folder = std::env::temp_dir().join(format!("shalereel-group-{}-{size}", std::process::id()));
     let program = std::env::current_exe()?;
-    let mut stage = LocalDeployment::start(&program, &folder, &day)?;
-    wait_for_status(&stage, None, |_, status| all_alive(status, size))?;
-    let (before, started) = (sent_totals(&stage)?, Instant::now());
+    let mut deployment = LocalDeployment::start(&program, &folder, &scenario)?;
+    wait_for_status(&deployment, None, |_, status| all_alive(status, size))?;
+    let (before, started) = (sent_totals(&deployment)?, Instant::now());
     std::thread::sleep(TRAFFIC_INTERVAL);
-    let (after, elapsed_s) = (sent_totals(&stage)?, started.elapsed().as_secs_f64());
+    let (after, elapsed_s) = (sent_totals(&deployment)?, started.elapsed().as_secs_f64());
     println!(
         "{size} controllers: {:.0} messages and {:.1} kB a second among them, with reports and leases",
         (after.0 - before.0) as f64 / elapsed_s,
@@ -102,24 +103,24 @@
     );
     let (mut election_times, mut failover_times) = (Vec::new(), Vec::new());
     for _ in 0..rounds {
-        let leader = wait_for_status(&stage, None, |number, status| {
+        let leader = wait_for_status(&deployment, None, |number, status| {
             all_alive(status, size).and(leader_with_duties(number, status))
         })? as usize;
-        // Number of duties that the killed leader still holds in the view of another supervisor. A restarted leader is
-        // expected to have its duties back before they are counted.
+        // Number of duties that the killed leader still holds in the view of another supervisor. It is assumed
+        // that a leader that was restarted in an earlier round holds its duties again before they are counted.
         let held_duties = |status: &Value| {
             let duties = status["duties"].as_array().into_iter().flatten();
             duties.filter(|duty| duty["holder"] == leader).count()
         };
-        stage.kill_supervisor(leader);
+        deployment.kill_supervisor(leader);
         let killed = Instant::now();
-        wait_for_status(&stage, Some(leader), leader_with_duties)?;
+        wait_for_status(&deployment, Some(leader), leader_with_duties)?;
         election_times.push(killed.elapsed());
-        wait_for_status(&stage, Some(leader), |number, status| {
+        wait_for_status(&deployment, Some(leader), |number, status| {
             leader_with_duties(number, status).filter(|_| held_duties(status) == 0)
         })?;
         failover_times.push(killed.elapsed());
-        stage.restart_supervisor(leader)?;
+        deployment.restart_supervisor(leader)?;
     }
     election_times.sort();
     failover_times.sort();
@@ -132,7 +133,7 @@
         percentile(&failover_times, 0.5).as_secs_f64(),
         percentile(&failover_times, 0.99).as_secs_f64(),
     );
-    stage.stop()?;
+    deployment.stop()?;
     let _ = fs::remove_dir_all(folder);
     Ok(())
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -41,12 +41,14 @@
     /// Convert the faults of a bench scenario to a drill and print it to standard output.
     DrillFrom {
         /// Bench scenario, as the bench's `draw` prints it.
-        day: PathBuf,
+        #[arg(value_name = "DAY")]
+        bench_scenario: PathBuf,
         /// Drill file that supplies the fleet, the demand and the rules.
-        #[arg(long, default_value = "drills/bad-day.toml")]
-        fleet: PathBuf,
+        #[arg(long = "fleet", value_name = "FLEET", default_value = "drills/bad-day.toml")]
+        template: PathBuf,
     },
-    /// Measure the cost of publishing, reports, group consensus and restarts.
+    /// Measure the cost of publishing tables, load reports, SASP and group consensus, and the service that restarts
+    /// lose.
     #[command(subcommand)]
     Measure(Measure),
     /// Show the members of a group, as one of its supervisors sees them.
@@ -58,7 +60,8 @@
         #[arg(long)]
         json: bool,
     },
-    /// Show the holders of the duties, the owners of the key ranges, and the operators' orders in force.
+    /// Show which controller holds each duty (a task that one controller performs for its group), the owners of the
+    /// key ranges, and the operators' orders in force.
     Duties {
         /// Address of a supervisor in the group.
         #[arg(value_name = "AT")]
@@ -111,9 +114,9 @@
     /// Measure the time from a drain in the registry to the last forwarder's ACK, and from a supervisor's start until
     /// all forwarders have their tables, in comparison with plain sockets.
     Publish {
-        /// Numbers of servers x forwarders.
+        /// Sizes of the fleet, as servers x forwarders.
         #[arg(default_values = ["20x12", "120x40", "400x150"])]
-        sizes: Vec<measure_command::Size>,
+        sizes: Vec<measure_command::FleetSize>,
         /// Drains at each size.
         #[arg(long, default_value_t = 20)]
         rounds: u32,
@@ -121,7 +124,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Measure weights by SASP, pushed and requested, in comparison with xDS in the same run.
+    /// Measure the time to deliver weights by SASP, pushed and requested, in comparison with xDS in the same run.
     Advice {
         /// Numbers of members that one balancer registers.
         #[arg(default_values_t = [100, 1000, 5000])]
@@ -133,22 +136,22 @@
     /// Measure a group of supervisors: the time from the crash of the leader to the tables of its successor, the
     /// traffic among the members, and the log in comparison with plain writes.
     Group {
-        /// Numbers of controllers.
+        /// Numbers of controllers in the group.
         #[arg(default_values_t = [3, 5, 9])]
         sizes: Vec<u16>,
         /// Kills of the leader at each size.
         #[arg(long, default_value_t = 20)]
         rounds: u32,
-        /// Drill file with a `[shared]` section.
-        #[arg(long, default_value = "drills/shared.toml")]
-        day: PathBuf,
+        /// Drill file with a `[shared]` section, which describes the group.
+        #[arg(long = "day", value_name = "DAY", default_value = "drills/shared.toml")]
+        drill: PathBuf,
     },
     /// Compare whole assignments with incremental ones, at a drain and when all forwarders rejoin, and measure the
     /// cost of table versions.
     Tables {
-        /// Numbers of servers x forwarders.
+        /// Sizes of the fleet, as servers x forwarders.
         #[arg(default_values = ["120x40", "400x150"])]
-        sizes: Vec<measure_command::Size>,
+        sizes: Vec<measure_command::FleetSize>,
         /// Drains and rejoins at each size.
         #[arg(long, default_value_t = 20)]
         rounds: u32,
@@ -157,23 +160,23 @@
     /// comparison with the same drill without a restart.
     Restart {
         /// Drill file with a `supervisor_crash`.
-        #[arg(default_value = "drills/restart.toml")]
-        day: PathBuf,
+        #[arg(value_name = "DAY", default_value = "drills/restart.toml")]
+        drill: PathBuf,
         /// Number of rounds; each one draws other arrivals and faults.
         #[arg(long, default_value_t = 3)]
         rounds: u32,
         /// Number of the first round, which is added to the drill's seed.
         #[arg(long, default_value_t = 0)]
         first: u32,
-        /// End all server faults when the supervisors go down.
+        /// End the hang, slow and fast_errors faults of servers when the supervisors go down.
         #[arg(long)]
         healed: bool,
     },
     /// Measure the load reports per second that one supervisor processes.
     Reports {
-        /// Numbers of servers x forwarders.
+        /// Size of the fleet, as servers x forwarders.
         #[arg(default_value = "120x40")]
-        size: measure_command::Size,
+        size: measure_command::FleetSize,
         /// Duration of the measurement in seconds.
         #[arg(long, default_value_t = 5)]
         seconds: u32,
@@ -189,17 +192,18 @@
         Command::Drill { file, json, keep } => {
             drill_command::drill(&file, json, keep).unwrap_or_else(exit_with_error)
         }
-        Command::DrillFrom { day, fleet } => {
-            drill_command::drill_from(&day, &fleet).map_or_else(exit_with_error, |()| ExitCode::SUCCESS)
+        Command::DrillFrom { bench_scenario, template } => {
+            drill_command::drill_from(&bench_scenario, &template)
+                .map_or_else(exit_with_error, |()| ExitCode::SUCCESS)
         }
         Command::Measure(measure) => {
             let result = match measure {
                 Measure::Publish { sizes, rounds, json } => measure_command::publish(&sizes, rounds, json),
                 Measure::Advice { members, rounds } => measure_command::advice(&members, rounds),
-                Measure::Group { sizes, rounds, day } => group_measure::group(&sizes, rounds, &day),
+                Measure::Group { sizes, rounds, drill } => group_measure::group(&sizes, rounds, &drill),
                 Measure::Tables { sizes, rounds } => tables_measure::tables(&sizes, rounds),
-                Measure::Restart { day, first, rounds, healed } => {
-                    restart_measure::restart(&day, first, rounds, healed)
+                Measure::Restart { drill, first, rounds, healed } => {
+                    restart_measure::restart(&drill, first, rounds, healed)
                 }
                 Measure::Reports { size, seconds } => measure_command::reports(size, seconds),
             };
--- a/crates/cli/src/measure_command.rs
+++ b/crates/cli/src/measure_command.rs
@@ -38,7 +38,7 @@
 pub(crate) const WAIT_SETUP_TIME: Nanos = 20 * MILLI;
 /// Time after which a forwarder that lost its connection dials again.
 const REDIAL_DELAY: Nanos = 2 * MILLI;
-/// Requests for weights by the balancer.
+/// Number of requests for weights that the balancer sends.
 const WEIGHT_REQUESTS: u32 = 60;
 /// Time between two requests for weights.
 const WEIGHT_REQUEST_INTERVAL: Duration = Duration::from_millis(25);
@@ -49,26 +49,26 @@
 
 /// Size of a measured fleet.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct FleetSize {
     pub servers: u32,
     pub forwarders: u32,
 }
 
-impl std::str::FromStr for Size {
+impl std::str::FromStr for FleetSize {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
         let parsed = text.split_once('x').and_then(|(servers, forwarders)| {
-            Some(Size { servers: servers.parse().ok()?, forwarders: forwarders.parse().ok()? })
+            Some(FleetSize { servers: servers.parse().ok()?, forwarders: forwarders.parse().ok()? })
         });
         let in_range =
-            |size: &Size| (1..=5000).contains(&size.servers) && (1..=1000).contains(&size.forwarders);
+            |size: &FleetSize| (1..=5000).contains(&size.servers) && (1..=1000).contains(&size.forwarders);
         parsed.filter(in_range).ok_or_else(|| format!("{text:?}: give servers x forwarders, such as 120x40"))
     }
 }
 
 /// Text of the deployment file of a single supervisor.
-pub(crate) fn deployment(size: Size, listen: &str, registry: SocketAddr, folder: &Path) -> String {
+pub(crate) fn deployment_text(size: FleetSize, listen: &str, registry: SocketAddr, folder: &Path) -> String {
     let mut text = format!(
         "listen = {listen:?}\nregistry = \"{registry}\"\nfolder = {folder:?}\nsupervisor = 0\nsupervisors = 1\n\
          locality = \"a\"\nlocalities = [\"a\"]\ntick_ms = 0.0\n\n[list]\nmembership = \"pushed\"\n\
@@ -115,6 +115,7 @@
     pub(crate) fn usage(&self) -> Result<(f64, f64)> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.0.id()))?;
         let fields = stat.rsplit(')').next().unwrap_or_default();
+        // After the program's name the fields are counted from 0: user time is field 11, system time field 12.
         let ticks =
             |index: usize| fields.split_whitespace().nth(index).and_then(|text| text.parse::<f64>().ok());
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.0.id()))?;
@@ -154,15 +155,15 @@
 /// The registry of a measurement, which pushes the server list to the supervisor.
 pub(crate) struct Registry {
     hub: Hub<(), ()>,
-    size: Size,
+    size: FleetSize,
     streams: BTreeMap<(ConnId, StreamId), ServerStream>,
     /// Server that the next list names as draining.
     pub(crate) draining: Option<u32>,
     version: u64,
 }
 
-/// Address of a server.
-pub(crate) fn address(server: u32) -> SocketAddr {
+/// Address of the server with this number. The measurements run no servers.
+pub(crate) fn server_address(server: u32) -> SocketAddr {
     SocketAddr::from(([127, 8, (server >> 8) as u8, server as u8], 7000))
 }
 
@@ -171,7 +172,7 @@
 }
 
 impl Registry {
-    pub(crate) fn new(size: Size) -> Result<(Self, SocketAddr)> {
+    pub(crate) fn new(size: FleetSize) -> Result<(Self, SocketAddr)> {
         let mut hub = Hub::new(CONNECTION_LIMITS)?;
         let (_, address) = hub.listen("127.0.0.1:0".parse()?, ())?;
         Ok((Registry { hub, size, streams: BTreeMap::new(), draining: None, version: 0 }, address))
@@ -181,7 +182,7 @@
     pub(crate) fn push_list(&mut self) -> Nanos {
         self.version += 1;
         let rows = (0..self.size.servers).map(|server| AssignedEndpoint {
-            address: address(server),
+            address: server_address(server),
             zone: "a".into(),
             health: if self.draining == Some(server) { Health::Draining } else { Health::Ready },
             weight: 2.0,
@@ -230,18 +231,18 @@
         Ok(())
     }
 
-    /// Serves the list until all groups of forwarders have finished their wait. Returns the latest of their times, and
+    /// Serves the list until all threads of forwarders have finished their wait. Returns the latest of their times, and
     /// the mean sizes of an update and of its ACK.
     pub(crate) fn serve_until_done(
         &mut self,
         what: &str,
-        groups: &[ForwarderGroup],
+        threads: &[ForwarderThread],
     ) -> Result<(Nanos, usize, usize)> {
         let (deadline, mut results) = (now() + TIMEOUT, Vec::new());
-        while results.len() < groups.len() {
+        while results.len() < threads.len() {
             self.serve(now() + MILLI / 2)?;
-            for group in groups {
-                results.extend(group.results.try_recv());
+            for thread in threads {
+                results.extend(thread.results.try_recv());
             }
             if now() > deadline {
                 bail!("{what}: not finished within {} s", TIMEOUT / SECOND);
@@ -256,7 +257,7 @@
     }
 }
 
-/// The condition that a group of forwarders waits for.
+/// The condition that a thread of forwarders waits for.
 pub(crate) enum Wait {
     /// All have a table with this number of lines from the supervisor at this address.
     Tables(SocketAddr, usize),
@@ -269,7 +270,7 @@
 
 /// Handle of a thread of forwarders. Each wait that is sent yields one result: the time at which its condition was met,
 /// and the sizes of an update and of its ACK.
-pub(crate) struct ForwarderGroup {
+pub(crate) struct ForwarderThread {
     pub(crate) waits: mpsc::Sender<Wait>,
     results: mpsc::Receiver<Result<(Nanos, usize, usize)>>,
 }
@@ -329,7 +330,7 @@
     }
 
     /// Starts all forwarders of a fleet on two threads; more would take the supervisor's core on a small machine.
-    pub(crate) fn spawn(size: Size, supervisor: SocketAddr, incremental: bool) -> Vec<ForwarderGroup> {
+    pub(crate) fn spawn(size: FleetSize, supervisor: SocketAddr, incremental: bool) -> Vec<ForwarderThread> {
         let half = size.forwarders.div_ceil(2);
         let ranges = [(0, half), (half, size.forwarders - half)].into_iter().filter(|range| range.1 > 0);
         ranges
@@ -347,7 +348,7 @@
                         }
                     }
                 });
-                ForwarderGroup { waits, results }
+                ForwarderThread { waits, results }
             })
             .collect()
     }
@@ -374,8 +375,8 @@
         Ok(())
     }
 
-    /// Reconnects where a wait requires it, then waits until its condition is met. Returns the time of that, and the mean sizes
-    /// of an update and of its ACK.
+    /// Reconnects where a wait requires it, then waits until its condition is met. Returns the time at which it was
+    /// met, the mean size of an update (after a rejoin, of all updates of a forwarder), and that of an ACK.
     fn wait(&mut self, wait: &Wait) -> Result<(Nanos, usize, usize)> {
         match wait {
             Wait::Tables(supervisor, _) => {
@@ -477,8 +478,8 @@
             forwarder.version_check = text.to_owned();
             forwarder.received_lines += update.names.len() + update.removed.len();
             forwarder.line_count = check.digest.count as usize;
-            let server_address = |name: &String| leds::line_of(name).map(|line| address(line.1));
-            forwarder.has_watched &= !update.removed.iter().any(|name| server_address(name) == self.watched);
+            let removed_address = |name: &String| leds::line_of(name).map(|line| server_address(line.1));
+            forwarder.has_watched &= !update.removed.iter().any(|name| removed_address(name) == self.watched);
             return Ok(());
         }
         let ack = forwarder.stream.ack(&update);
@@ -499,7 +500,7 @@
 /// Sends the same bytes over as many plain sockets, each with a reply as long as an ACK, and measures the time from the
 /// first write to the last reply.
 fn measure_plain_sockets(
-    size: Size,
+    size: FleetSize,
     bytes: usize,
     reply_bytes: usize,
     rounds: u32,
@@ -549,7 +550,7 @@
 }
 
 /// Measures drains of one server after another and restarts of the supervisor at each size, and prints the results.
-pub fn publish(sizes: &[Size], rounds: u32, json: bool) -> Result<()> {
+pub fn publish(sizes: &[FleetSize], rounds: u32, json: bool) -> Result<()> {
     let mut rows = Vec::new();
     for &size in sizes {
         let folder = std::env::temp_dir().join(format!("shalereel-measure-{}", std::process::id()));
@@ -574,10 +575,12 @@
     forwarders: u32,
     update_bytes: usize,
     drain_ms: (f64, f64),
-    bare_ms: (f64, f64),
+    #[serde(rename = "bare_ms")]
+    plain_ms: (f64, f64),
     drain_ratio: f64,
     start_ms: (f64, f64),
-    cpu_s_a_drain: f64,
+    #[serde(rename = "cpu_s_a_drain")]
+    cpu_s_per_drain: f64,
     peak_mib: f64,
 }
 
@@ -592,39 +595,39 @@
             self.drain_ms.0,
             self.drain_ms.1,
             self.update_bytes,
-            self.bare_ms.0,
-            self.bare_ms.1,
+            self.plain_ms.0,
+            self.plain_ms.1,
             self.drain_ratio,
             self.start_ms.0,
             self.start_ms.1,
-            1e3 * self.cpu_s_a_drain,
+            1e3 * self.cpu_s_per_drain,
             self.peak_mib
         )
     }
 }
 
-fn measure_publish(size: Size, rounds: u32, folder: &Path) -> Result<PublishResult> {
+fn measure_publish(size: FleetSize, rounds: u32, folder: &Path) -> Result<PublishResult> {
     let (mut registry, registry_address) = Registry::new(size)?;
     let file: PathBuf = folder.join("supervisor.toml");
     let server_count = size.servers as usize;
     let mut starts = Histogram::<u64>::new(3)?;
     let mut running = None;
     let mut listen = SocketAddr::from(([127, 0, 3, 1], 0));
-    let groups = Forwarders::spawn(size, listen, false);
+    let threads = Forwarders::spawn(size, listen, false);
     let start_wait = |wait: fn(SocketAddr, usize) -> Wait, address| {
-        groups.iter().try_for_each(|group| {
-            group.waits.send(wait(address, server_count)).context("a forwarder thread ended")
+        threads.iter().try_for_each(|thread| {
+            thread.waits.send(wait(address, server_count)).context("a forwarder thread ended")
         })
     };
     for round in 0..=rounds.div_ceil(4).max(3) {
         drop(running.take());
-        std::fs::write(&file, deployment(size, &listen.to_string(), registry_address, folder))?;
+        std::fs::write(&file, deployment_text(size, &listen.to_string(), registry_address, folder))?;
         let started = now();
         let (supervisor, address) = Supervisor::start(&file)?;
         listen = address;
         start_wait(Wait::Tables, address)?;
-        let received_at = registry.serve_until_done("all tables", &groups)?.0;
-        // The first start has no stored list to load, and no forwarder is waiting for it yet.
+        let received_at = registry.serve_until_done("all tables", &threads)?.0;
+        // The first start is not counted: it has no stored list to load, and no forwarder waits for it yet.
         if round > 0 {
             starts.record(received_at - started)?;
         }
@@ -633,24 +636,24 @@
     let Some(supervisor) = running else { bail!("no supervisor") };
     let mut drains = Histogram::<u64>::new(3)?;
     let (mut update_bytes, mut ack_bytes) = (0, 0);
-    let before = supervisor.usage()?.0;
+    let cpu_before_s = supervisor.usage()?.0;
     for round in 0..rounds {
         let server = round % size.servers;
-        start_wait(|address, _| Wait::Without(address), address(server))?;
+        start_wait(|address, _| Wait::Without(address), server_address(server))?;
         // Gives the threads time to begin their wait.
         registry.serve(now() + WAIT_SETUP_TIME)?;
         registry.draining = Some(server);
         let pushed_at = registry.push_list();
-        let (removed_at, bytes, ack) = registry.serve_until_done("a drain", &groups)?;
+        let (removed_at, bytes, ack) = registry.serve_until_done("a drain", &threads)?;
         drains.record(removed_at - pushed_at)?;
         (update_bytes, ack_bytes) = (update_bytes + bytes, ack);
         registry.draining = None;
         registry.push_list();
         start_wait(Wait::Tables, listen)?;
-        registry.serve_until_done("the end of a drain", &groups)?;
+        registry.serve_until_done("the end of a drain", &threads)?;
     }
     update_bytes /= rounds.max(1) as usize;
-    let (after, peak_mib) = supervisor.usage()?;
+    let (cpu_after_s, peak_mib) = supervisor.usage()?;
     let plain = measure_plain_sockets(size, update_bytes.max(1), ack_bytes.max(1), rounds)?;
     let percentiles =
         |spans: &Histogram<u64>| (ms(spans.value_at_quantile(0.5)), ms(spans.value_at_quantile(0.99)));
@@ -659,31 +662,31 @@
         forwarders: size.forwarders,
         update_bytes,
         drain_ms: percentiles(&drains),
-        bare_ms: percentiles(&plain),
+        plain_ms: percentiles(&plain),
         drain_ratio: drains.value_at_quantile(0.5) as f64 / plain.value_at_quantile(0.5) as f64,
         start_ms: percentiles(&starts),
-        cpu_s_a_drain: (after - before) / f64::from(rounds),
+        cpu_s_per_drain: (cpu_after_s - cpu_before_s) / f64::from(rounds),
         peak_mib,
     })
 }
 
 /// Sends load reports as fast as one supervisor processes them and prints the rate. Each report covers all servers, for
 /// three operations.
-pub fn reports(size: Size, seconds: u32) -> Result<()> {
+pub fn reports(size: FleetSize, seconds: u32) -> Result<()> {
     let folder = std::env::temp_dir().join(format!("shalereel-measure-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     let (mut registry, registry_address) = Registry::new(size)?;
     let file = folder.join("supervisor.toml");
-    std::fs::write(&file, deployment(size, "127.0.0.1:0", registry_address, &folder))?;
+    std::fs::write(&file, deployment_text(size, "127.0.0.1:0", registry_address, &folder))?;
     let (supervisor, supervisor_address) = Supervisor::start(&file)?;
-    let (mut group, server_count) =
+    let (mut fleet, server_count) =
         (Forwarders::new(0, size.forwarders, supervisor_address, false)?, size.servers as usize);
-    (0..size.forwarders as usize).try_for_each(|index| group.dial(index))?;
+    (0..size.forwarders as usize).try_for_each(|index| fleet.dial(index))?;
     let deadline = now() + TIMEOUT;
-    while group.forwarders.iter().any(|forwarder| forwarder.line_count != server_count) {
+    while fleet.forwarders.iter().any(|forwarder| forwarder.line_count != server_count) {
         registry.serve(now() + MILLI)?;
-        for input in group.hub.wait(Some(now() + MILLI))? {
-            group.handle_input(input)?;
+        for input in fleet.hub.wait(Some(now() + MILLI))? {
+            fleet.handle_input(input)?;
         }
         if now() > deadline {
             bail!("tables: not received within {} s", TIMEOUT / SECOND);
@@ -697,7 +700,7 @@
         dropped: 0,
         endpoints: (0..size.servers)
             .map(|server| EndpointLoad {
-                address: address(server),
+                address: server_address(server),
                 zone: "a".into(),
                 successes: 3,
                 failures: 0,
@@ -709,29 +712,29 @@
     });
     let report = LoadReport { node: None, clusters: clusters.to_vec() }.encode();
     let mut streams = Vec::new();
-    for forwarder in &group.forwarders {
+    for forwarder in &fleet.forwarders {
         let Some((conn, _)) = forwarder.connection else { continue };
-        let Some(stream) = group.hub.call(conn, LRS, None) else { continue };
+        let Some(stream) = fleet.hub.call(conn, LRS, None) else { continue };
         let opening = LoadReport { node: Some(forwarder.stream.node.clone()), clusters: Vec::new() };
-        group.hub.send(conn, stream, &opening.encode());
+        fleet.hub.send(conn, stream, &opening.encode());
         streams.push((conn, stream));
     }
-    let (before, started, mut sent) = (supervisor.usage()?.0, now(), 0_u64);
+    let (cpu_before_s, started, mut sent) = (supervisor.usage()?.0, now(), 0_u64);
     let end = started + Nanos::from(seconds) * SECOND;
     while now() < end {
         for &(conn, stream) in &streams {
             // The next report is sent only once flow control has let the last one through.
-            if group.hub.unsent_call_bytes(conn, stream) == 0 {
-                group.hub.send(conn, stream, &report);
+            if fleet.hub.unsent_call_bytes(conn, stream) == 0 {
+                fleet.hub.send(conn, stream, &report);
                 sent += 1;
             }
         }
-        for input in group.hub.wait(Some(now() + MILLI))? {
-            group.handle_input(input)?;
+        for input in fleet.hub.wait(Some(now() + MILLI))? {
+            fleet.handle_input(input)?;
         }
     }
     let elapsed_s = (now() - started) as f64 / SECOND as f64;
-    let (after, peak_mib) = supervisor.usage()?;
+    let (cpu_after_s, peak_mib) = supervisor.usage()?;
     println!(
         "{} x {}: {:.0} reports a second of {} bytes, {} rows each; {:.0}% of a core; peak {peak_mib:.1} MiB",
         size.servers,
@@ -739,7 +742,7 @@
         sent as f64 / elapsed_s,
         report.len(),
         3 * size.servers,
-        100.0 * (after - before) / elapsed_s
+        100.0 * (cpu_after_s - cpu_before_s) / elapsed_s
     );
     drop(supervisor);
     let _ = std::fs::remove_dir_all(&folder);
@@ -752,7 +755,7 @@
     for &members in sizes {
         let folder = std::env::temp_dir().join(format!("shalereel-measure-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        let measured = measure_advice(Size { servers: members, forwarders: 1 }, rounds, &folder);
+        let measured = measure_advice(FleetSize { servers: members, forwarders: 1 }, rounds, &folder);
         let _ = std::fs::remove_dir_all(&folder);
         measured?;
     }
@@ -789,22 +792,22 @@
 }
 
 fn member_at(server: u32) -> Member {
-    Member::tcp(address(server))
+    Member::tcp(server_address(server))
 }
 
 /// Measures SASP and xDS with one balancer and one forwarder at one number of members, and prints the results.
-fn measure_advice(size: Size, rounds: u32, folder: &Path) -> Result<()> {
+fn measure_advice(size: FleetSize, rounds: u32, folder: &Path) -> Result<()> {
     let (mut registry, registry_address) = Registry::new(size)?;
     let file = folder.join("supervisor.toml");
-    let text = deployment(size, "127.0.0.1:0", registry_address, folder)
+    let text = deployment_text(size, "127.0.0.1:0", registry_address, folder)
         .replace("\n[list]", "\n[sasp]\nlisten = \"127.0.0.1:0\"\n\n[list]");
     // The count of 2 stands for one forwarder and one balancer.
     std::fs::write(&file, text.replace("count = 1\n", "count = 2\n"))?;
     let (supervisor, addresses) = Supervisor::start_all(&file)?;
-    let groups = Forwarders::spawn(size, addresses[0], false);
+    let threads = Forwarders::spawn(size, addresses[0], false);
     let idle_mib = supervisor.usage()?.1;
-    let (result_sender, pushed) = mpsc::channel();
-    let (drains, drained) = mpsc::channel::<Member>();
+    let (push_sender, push_receiver) = mpsc::channel();
+    let (drain_sender, drain_receiver) = mpsc::channel::<Member>();
     let sasp_address = addresses[1];
     let balancer = thread::spawn(move || -> Result<(u64, usize)> {
         let group = SaspGroup { balancer: b"m".to_vec(), name: OPERATIONS[0].into() };
@@ -815,14 +818,14 @@
         balancer.send(Body::SetLbState { balancer: b"m".to_vec(), health: 0, flags })?;
         let members = (0..size.servers).map(member_at).collect();
         balancer.send(Body::Register { from_balancer: true, groups: vec![(group.clone(), members)] })?;
-        while let Ok(member) = drained.recv() {
+        while let Ok(member) = drain_receiver.recv() {
             loop {
                 let (at, body, bytes) = balancer.next()?;
                 let Body::SendWeights { groups } = body else { continue };
                 let is_drained =
                     |entry: &shalereel_sasp::WeightEntry| entry.member == member && entry.weight == 0;
                 if groups.iter().flat_map(|group| &group.1).any(is_drained) {
-                    let _ = result_sender.send((at, bytes));
+                    let _ = push_sender.send((at, bytes));
                     break;
                 }
             }
@@ -849,31 +852,31 @@
     });
     let start_wait = |wait: fn(SocketAddr, usize) -> Wait, address| {
         let server_count = size.servers as usize;
-        groups.iter().try_for_each(|group| {
-            group.waits.send(wait(address, server_count)).context("a forwarder thread ended")
+        threads.iter().try_for_each(|thread| {
+            thread.waits.send(wait(address, server_count)).context("a forwarder thread ended")
         })
     };
     start_wait(Wait::Tables, addresses[0])?;
-    registry.serve_until_done("all tables", &groups)?;
+    registry.serve_until_done("all tables", &threads)?;
     let (mut by_xds, mut by_sasp) = (Histogram::<u64>::new(3)?, Histogram::<u64>::new(3)?);
-    let before = supervisor.usage()?.0;
+    let cpu_before_s = supervisor.usage()?.0;
     for round in 0..rounds {
         let server = round % size.servers;
-        start_wait(|address, _| Wait::Without(address), address(server))?;
-        drains.send(member_at(server))?;
+        start_wait(|address, _| Wait::Without(address), server_address(server))?;
+        drain_sender.send(member_at(server))?;
         registry.serve(now() + WAIT_SETUP_TIME)?;
         registry.draining = Some(server);
         let pushed_at = registry.push_list();
-        by_xds.record(registry.serve_until_done("a drain", &groups)?.0 - pushed_at)?;
-        let (at, _) = pushed.recv_timeout(Duration::from_nanos(TIMEOUT))?;
+        by_xds.record(registry.serve_until_done("a drain", &threads)?.0 - pushed_at)?;
+        let (at, _) = push_receiver.recv_timeout(Duration::from_nanos(TIMEOUT))?;
         by_sasp.record(at.saturating_sub(pushed_at))?;
         registry.draining = None;
         registry.push_list();
         start_wait(Wait::Tables, addresses[0])?;
-        registry.serve_until_done("the end of a drain", &groups)?;
+        registry.serve_until_done("the end of a drain", &threads)?;
     }
-    let (after, peak_mib) = supervisor.usage()?;
-    drop(drains);
+    let (cpu_after_s, peak_mib) = supervisor.usage()?;
+    drop(drain_sender);
     let (response_time, bytes) =
         balancer.join().map_err(|_| anyhow::anyhow!("the balancer thread panicked"))??;
     println!(
@@ -887,7 +890,7 @@
         ms(by_xds.value_at_quantile(0.99)),
         ms(response_time),
         f64::from(size.servers) / (response_time as f64 / SECOND as f64),
-        1e6 * (after - before) / f64::from(rounds) / f64::from(size.servers),
+        1e6 * (cpu_after_s - cpu_before_s) / f64::from(rounds) / f64::from(size.servers),
         peak_mib,
     );
     Ok(())
