--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -13,25 +13,25 @@
 fn new_folder() -> PathBuf {
     static LAST: AtomicU32 = AtomicU32::new(0);
     let number = LAST.fetch_add(1, Ordering::Relaxed);
-    Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("day-{}-{number}", std::process::id()))
+    Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("drill-{}-{number}", std::process::id()))
 }
 
-/// Runs the short drill with replaced settings, added troubles, and a planted fault if `planted` is not empty. Keeps
-/// its folder if it fails.
-fn run_drill(planted: &str, changes: &[(&str, &str)], troubles: &[&str]) -> Verdict {
+/// Runs the short drill with replaced settings, added scheduled faults, and a planted fault if `planted` is not empty.
+/// Keeps its folder if it fails.
+fn run_drill(planted: &str, changes: &[(&str, &str)], faults: &[&str]) -> Verdict {
     let mut text = if planted.is_empty() { String::new() } else { format!("planted = \"{planted}\"\n") };
     text += SHORT_DRILL;
     for (from, to) in changes {
         assert!(text.contains(from), "the short drill has no {from:?}");
         text = text.replace(from, to);
     }
-    for trouble in troubles {
-        text += &format!("\n[[trouble]]\n{}\n", trouble.replace(", ", "\n"));
+    for fault in faults {
+        text += &format!("\n[[trouble]]\n{}\n", fault.replace(", ", "\n"));
     }
-    let day = Scenario::parse(Path::new("short.toml"), &text).unwrap();
+    let scenario = Scenario::parse(Path::new("short.toml"), &text).unwrap();
     let folder = new_folder();
     let verdict =
-        run_scenario(Path::new(env!("CARGO_BIN_EXE_shalereel")), &folder, &day, &mut |_| {}).unwrap();
+        run_scenario(Path::new(env!("CARGO_BIN_EXE_shalereel")), &folder, &scenario, &mut |_| {}).unwrap();
     if verdict.passed() {
         let _ = std::fs::remove_dir_all(folder);
     }
@@ -47,17 +47,17 @@
 #[case::server_repeats_effects("server_repeats_effects", Rule::NoEffectTwice, &[], "")]
 #[case::supervisor_drops_suspensions("supervisor_drops_suspensions", Rule::DrainsKept, &[], DRAIN)]
 #[case::supervisor_repeats_all("supervisor_repeats_all", Rule::NoEffectTwice, &[], SLOW)]
-#[case::supervisor_cold_in_full("supervisor_cold_in_full", Rule::NoColdServerPushedOver, &[], RESTART)]
+#[case::supervisor_cold_in_full("supervisor_cold_in_full", Rule::NoColdServerPushedOver, &[], CRASH)]
 #[case::supervisor_floods("supervisor_floods", Rule::ShortQueue, LOW_CAPACITY, "")]
 #[case::supervisor_empties_tables("supervisor_empties_tables", Rule::LineToPick, &[], "")]
 fn a_planted_fault_breaks_its_rule(
     #[case] planted: &str,
     #[case] rule: Rule,
     #[case] changes: &[(&str, &str)],
-    #[case] trouble: &str,
+    #[case] fault: &str,
 ) {
-    let troubles: Vec<&str> = Some(trouble).filter(|trouble| !trouble.is_empty()).into_iter().collect();
-    let verdict = run_drill(planted, changes, &troubles);
+    let faults: Vec<&str> = Some(fault).filter(|fault| !fault.is_empty()).into_iter().collect();
+    let verdict = run_drill(planted, changes, &faults);
     let broken_rules: Vec<Rule> = verdict.violated_rules().map(|measure| measure.rule).collect();
     assert!(
         broken_rules.contains(&rule),
@@ -65,26 +65,28 @@
         shalereel_fault_scenarios::text_report(&verdict)
     );
     // The same drill passes without the fault.
-    assert_passes(&run_drill("", changes, &troubles));
+    assert_passes(&run_drill("", changes, &faults));
 }
 
 /// The same planted faults of a supervisor have no effect when the guard checks its tables.
 #[rstest]
 #[case::drops_suspensions("supervisor_drops_suspensions", DRAIN)]
-#[case::cold_in_full("supervisor_cold_in_full", RESTART)]
+#[case::cold_in_full("supervisor_cold_in_full", CRASH)]
 #[case::empties_tables("supervisor_empties_tables", "")]
-fn the_guard_contains_a_planted_fault(#[case] planted: &str, #[case] trouble: &str) {
-    let troubles: Vec<&str> = Some(trouble).filter(|trouble| !trouble.is_empty()).into_iter().collect();
+fn the_guard_contains_a_planted_fault(#[case] planted: &str, #[case] fault: &str) {
+    let faults: Vec<&str> = Some(fault).filter(|fault| !fault.is_empty()).into_iter().collect();
+    // Adds a setting after the planted fault; the comment takes the quote that closes the value.
     let guarded = format!("{planted}\"\nguarded = true\n# \"");
-    assert_passes(&run_drill(&guarded, &[], &troubles));
+    assert_passes(&run_drill(&guarded, &[], &faults));
 }
 
 /// Settings for a channel with little capacity and a small queue.
 const LOW_CAPACITY: &[(&str, &str)] =
     &[("lines_per_s = 3000.0", "lines_per_s = 300.0"), ("backlog = 4400.0", "backlog = 600.0")];
+// Scheduled faults: the settings of a `[[trouble]]` section, separated by commas.
 const DRAIN: &str = "at_s = 3.0, for_s = 6.0, kind = \"drain\", count = 2, locality = \"hal-a\"";
 const SLOW: &str = "at_s = 3.0, for_s = 5.0, kind = \"slow\", count = 3, factor = 40.0";
-const RESTART: &str = "at_s = 3.0, for_s = 1.5, kind = \"crash\", count = 2";
+const CRASH: &str = "at_s = 3.0, for_s = 1.5, kind = \"crash\", count = 2";
 
 /// Forwarders report load of a server that does not exist, a stalled server reports no load, and forwarders reject
 /// updates.
--- a/crates/cli/tests/memory.rs
+++ b/crates/cli/tests/memory.rs
@@ -1,5 +1,5 @@
-//! The stored state of a supervisor when the process is killed at any moment, and when its files are damaged, links or
-//! not writable.
+//! The stored state of a supervisor when the process is killed at any moment, and when its files are damaged, symbolic
+//! links or not writable.
 
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
@@ -24,14 +24,15 @@
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
     let mut endpoints = EndpointList::new(&["hal-a".to_owned()]);
-    let row = |server: u32| AssignedEndpoint {
+    let endpoint = |server: u32| AssignedEndpoint {
         address: ([127, 30, (server >> 8) as u8, server as u8], 80).into(),
         zone: "hal-a".into(),
         health: Health::Ready,
         weight: 1.0,
         info: Some(ServerInfo { server, kind: 0, cell: 0, incarnation: 1, age: None }),
     };
-    let list = Assignment { cluster: "fleet".into(), endpoints: (0..300).map(row).collect(), admitted: 1.0 };
+    let list =
+        Assignment { cluster: "fleet".into(), endpoints: (0..300).map(endpoint).collect(), admitted: 1.0 };
     endpoints.apply_list(1, &list);
     std::fs::write(folder.join("last-list.json"), endpoints.to_json()).unwrap();
     let file = folder.join("deployment.toml");
@@ -94,6 +95,7 @@
         let before = std::fs::metadata(folder.join(SNAPSHOT_FILE)).and_then(|file| file.modified()).ok();
         let changed =
             || std::fs::metadata(folder.join(SNAPSHOT_FILE)).and_then(|file| file.modified()).ok() != before;
+        // Every third round is certain to have a snapshot; the others may be killed before the first write.
         if round % 3 == 0 {
             wait_until("a snapshot", changed);
         }
@@ -133,7 +135,7 @@
 }
 
 #[test]
-fn links_damaged_files_and_failed_writes_do_not_stop_the_service() {
+fn symlinks_damaged_files_and_failed_writes_do_not_stop_the_service() {
     let (folder, file) = prepare_folder();
     let elsewhere = folder.join("elsewhere");
     std::fs::write(&elsewhere, "not ours").unwrap();
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -62,7 +62,7 @@
     format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
 }
 
-/// Sends a list in two chunks that split its line.
+/// Sends a server list as one line in two chunks, so that the line is split between them.
 fn send_list(watch: &mut TcpStream, list: &Value) {
     let line = format!("{list}\n");
     let (first, second) = line.split_at(line.len() / 2);
@@ -71,6 +71,7 @@
     }
 }
 
+/// Entry of a server in the list of the discovery service.
 fn server_entry(number: u32, state: &str) -> Value {
     json!({"id": format!("s{number}"), "addr": "127.0.0.1:1", "zone": "north", "kind": "big", "cell": 0,
         "state": state, "weight": 1.0, "started_ms": 0})
--- a/crates/cli/tests/sasp.rs
+++ b/crates/cli/tests/sasp.rs
@@ -78,8 +78,11 @@
     }
 }
 
+/// First address of the servers, 127.1.0.0.
+const SERVER_NETWORK: u32 = 0x7f01_0000;
+
 fn member(server: u32) -> Member {
-    Member::tcp(SocketAddr::from((std::net::Ipv4Addr::from(0x7f01_0000 + server), 80)))
+    Member::tcp(SocketAddr::from((std::net::Ipv4Addr::from(SERVER_NETWORK + server), 80)))
 }
 
 fn register(balancer: &str, servers: std::ops::Range<u32>) -> Body {
@@ -87,14 +90,14 @@
     Body::Register { from_balancer: true, groups: vec![(group, servers.map(member).collect())] }
 }
 
-/// Asks for pushed weights.
+/// Message that requests pushed weights.
 fn set_lb_state(balancer: &str) -> Body {
     let flags = LbFlags { push: true, trust: false, no_change: true };
     Body::SetLbState { balancer: balancer.into(), health: 0, flags }
 }
 
-fn listed(server: u32, state: RegistryState) -> RegistryEntry {
-    let address = SocketAddr::from((std::net::Ipv4Addr::from(0x7f01_0000 + server), 80));
+fn registry_entry(server: u32, state: RegistryState) -> RegistryEntry {
+    let address = SocketAddr::from((std::net::Ipv4Addr::from(SERVER_NETWORK + server), 80));
     let (zone, incarnation, started_at) = ("a".to_owned(), 1, 0);
     RegistryEntry { server, address, zone, kind: 0, cell: 0, weight: 1.0, state, incarnation, started_at }
 }
@@ -106,7 +109,7 @@
     let plan = RegistryPlan {
         trace_path: folder.join("registry.trace"),
         address: "127.0.0.1:0".parse().unwrap(),
-        entries: (1..9).map(|server| listed(server, RegistryState::Ready)).collect(),
+        entries: (1..9).map(|server| registry_entry(server, RegistryState::Ready)).collect(),
     };
     let (_registry, registry_ready, mut registry_input) =
         start(&["stand-in", "registry"], Some(&serde_json::to_string(&plan).unwrap()));
@@ -166,7 +169,7 @@
     impostor.send(Body::SendWeights { groups: vec![] });
     assert_eq!(impostor.receive_matching(|_| Some(())), None);
     // `large` reads none of its pushes from here on. A drain still reaches the healthy balancer.
-    let entries = vec![listed(3, RegistryState::Draining)];
+    let entries = vec![registry_entry(3, RegistryState::Draining)];
     writeln!(
         registry_input,
         "{}",
--- a/crates/cli/tests/tables.rs
+++ b/crates/cli/tests/tables.rs
@@ -7,26 +7,27 @@
 
 const SHORT_DRILL: &str = include_str!("days/short.toml");
 
-/// Runs the short drill with incremental tables, a planted fault if `planted` is not empty, and troubles. Returns the
-/// verdict and the folder with the logs and stored state.
-fn run_drill(planted: &str, troubles: &[&str]) -> (Verdict, PathBuf) {
+/// Runs the short drill with incremental tables, a planted fault if `planted` is not empty, and scheduled faults.
+/// Returns the verdict and the folder with the logs and stored state.
+fn run_drill(planted: &str, faults: &[&str]) -> (Verdict, PathBuf) {
     static LAST: AtomicU32 = AtomicU32::new(0);
     let number = LAST.fetch_add(1, Ordering::Relaxed);
     let folder =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("tables-{}-{number}", std::process::id()));
     let mut text = if planted.is_empty() { String::new() } else { format!("planted = {planted:?}\n") };
     text += &SHORT_DRILL.replace("[forwarders]\n", "[forwarders]\nlines = true\n");
-    for trouble in troubles {
-        text += &format!("\n[[trouble]]\n{}\n", trouble.replace(", ", "\n"));
+    for fault in faults {
+        text += &format!("\n[[trouble]]\n{}\n", fault.replace(", ", "\n"));
     }
     // The second supervisor can't write its table history, because a folder has the name of its temporary file.
     std::fs::create_dir_all(folder.join("supervisor-1").join("tables.log.new")).unwrap();
-    let day = Scenario::parse(Path::new("short.toml"), &text).unwrap();
+    let scenario = Scenario::parse(Path::new("short.toml"), &text).unwrap();
     let verdict =
-        run_scenario(Path::new(env!("CARGO_BIN_EXE_shalereel")), &folder, &day, &mut |_| {}).unwrap();
+        run_scenario(Path::new(env!("CARGO_BIN_EXE_shalereel")), &folder, &scenario, &mut |_| {}).unwrap();
     (verdict, folder)
 }
 
+// Scheduled faults: the settings of a `[[trouble]]` section, separated by commas.
 const LOSSY: &str = "at_s = 1.0, for_s = 10.0, kind = \"lossy_links\", part = 0.25, delay_s = 0.3";
 const DRAIN: &str = "at_s = 4.0, for_s = 4.0, kind = \"drain\", count = 2, locality = \"hal-a\"";
 const ROLLBACK: &str = "at_s = 5.0, for_s = 5.0, kind = \"way_back\", delay_s = 2.5";
