--- a/crates/cli/src/measure_command.rs
+++ b/crates/cli/src/measure_command.rs
@@ -181,18 +181,20 @@
     /// Pushes the server list on all streams; returns the time at which the last message was encoded.
     pub(crate) fn push_list(&mut self) -> Nanos {
         self.version += 1;
-        let rows = (0..self.size.servers).map(|server| AssignedEndpoint {
+        let endpoints = (0..self.size.servers).map(|server| AssignedEndpoint {
             address: server_address(server),
             zone: "a".into(),
             health: if self.draining == Some(server) { Health::Draining } else { Health::Ready },
             weight: 2.0,
             info: Some(ServerInfo { server, kind: 0, cell: 0, incarnation: 1, age: None }),
         });
-        let any = Assignment { cluster: "fleet".into(), endpoints: rows.collect(), admitted: 1.0 }.encode();
+        let encoded_list =
+            Assignment { cluster: "fleet".into(), endpoints: endpoints.collect(), admitted: 1.0 }.encode();
         let version = self.version.to_string();
         let mut encoded_at = now();
         for (&(conn, stream), server_stream) in &mut self.streams {
-            let resource = Resource { name: "fleet".into(), version: version.clone(), any: any.clone() };
+            let resource =
+                Resource { name: "fleet".into(), version: version.clone(), any: encoded_list.clone() };
             let (type_url, resources, removed) = (types::ASSIGNMENT, vec![resource], Vec::new());
             let (nonce, stamp) = (self.version, encoded_at);
             let message = server_stream.encode_response(Response {
@@ -573,14 +575,21 @@
 struct PublishResult {
     servers: u32,
     forwarders: u32,
+    /// Mean size of a table update.
     update_bytes: usize,
+    /// From a list with a draining server to the last forwarder's ACK.
     drain_ms: (f64, f64),
+    /// Round trip of the same bytes over plain sockets.
     #[serde(rename = "bare_ms")]
     plain_ms: (f64, f64),
+    /// Median of `drain_ms` divided by that of `plain_ms`.
     drain_ratio: f64,
+    /// From the start of the supervisor until all forwarders have their tables.
     start_ms: (f64, f64),
+    /// Processor time of the supervisor for a drain and its end.
     #[serde(rename = "cpu_s_a_drain")]
     cpu_s_per_drain: f64,
+    /// Peak resident memory of the supervisor.
     peak_mib: f64,
 }
 
@@ -858,7 +867,7 @@
     };
     start_wait(Wait::Tables, addresses[0])?;
     registry.serve_until_done("all tables", &threads)?;
-    let (mut by_xds, mut by_sasp) = (Histogram::<u64>::new(3)?, Histogram::<u64>::new(3)?);
+    let (mut xds_times, mut sasp_times) = (Histogram::<u64>::new(3)?, Histogram::<u64>::new(3)?);
     let cpu_before_s = supervisor.usage()?.0;
     for round in 0..rounds {
         let server = round % size.servers;
@@ -867,9 +876,9 @@
         registry.serve(now() + WAIT_SETUP_TIME)?;
         registry.draining = Some(server);
         let pushed_at = registry.push_list();
-        by_xds.record(registry.serve_until_done("a drain", &threads)?.0 - pushed_at)?;
+        xds_times.record(registry.serve_until_done("a drain", &threads)?.0 - pushed_at)?;
         let (at, _) = push_receiver.recv_timeout(Duration::from_nanos(TIMEOUT))?;
-        by_sasp.record(at.saturating_sub(pushed_at))?;
+        sasp_times.record(at.saturating_sub(pushed_at))?;
         registry.draining = None;
         registry.push_list();
         start_wait(Wait::Tables, addresses[0])?;
@@ -884,10 +893,10 @@
          an asked answer of {bytes} bytes in {:.2} ms, {:.0} weights a second; {:.1} us of processor a member and \
          drain; {:.1} MiB with both connections, {idle_mib:.1} without",
         size.servers,
-        ms(by_sasp.value_at_quantile(0.5)),
-        ms(by_sasp.value_at_quantile(0.99)),
-        ms(by_xds.value_at_quantile(0.5)),
-        ms(by_xds.value_at_quantile(0.99)),
+        ms(sasp_times.value_at_quantile(0.5)),
+        ms(sasp_times.value_at_quantile(0.99)),
+        ms(xds_times.value_at_quantile(0.5)),
+        ms(xds_times.value_at_quantile(0.99)),
         ms(response_time),
         f64::from(size.servers) / (response_time as f64 / SECOND as f64),
         1e6 * (cpu_after_s - cpu_before_s) / f64::from(rounds) / f64::from(size.servers),
