--- a/crates/cli/src/daemon_command.rs
+++ b/crates/cli/src/daemon_command.rs
@@ -24,7 +24,9 @@
 }
 
 /// Runs the supervisor until it is stopped, or only validates its deployment file. It prints its addresses to standard
-/// output when it is ready, and logs to standard error, filtered by `SHALEREEL_LOG`. An invalid file is an error.
+/// output when it is ready, and logs to standard error, filtered by `SHALEREEL_LOG`.
+///
+/// Exit code 2: the file is invalid, or the supervisor fails.
 pub fn daemon(arguments: &DaemonArguments) -> Result<ExitCode> {
     let deployment = Deployment::read(&arguments.config)?;
     if arguments.check {
